--- a/crates/ivypitch-command/src/check.rs
+++ b/crates/ivypitch-command/src/check.rs
@@ -35,7 +35,11 @@
             Ok(()) => ExitCode::SUCCESS,
             Err(mut faults) => {
                 faults.sort();
-                let file = self.file.as_ref().map(|f| f.display().to_string()).unwrap_or_default();
+                let file = self
+                    .file
+                    .as_ref()
+                    .map(|f| f.display().to_string())
+                    .unwrap_or_default();
                 faults.iter().for_each(|fault| eprintln!("{file}: {fault}"));
                 if faults.len() > 1 {
                     eprintln!("{} faults", faults.len());
@@ -46,7 +50,9 @@
     }
 
     fn checked(&self) -> Result<(), Vec<Fault>> {
-        let Some(file) = &self.file else { return Ok(()) };
+        let Some(file) = &self.file else {
+            return Ok(());
+        };
         let node = ivypitch_records::read(file)?;
         let whole = own::check(&node)?;
         let fault = |what: String| vec![Fault::new("", what)];
@@ -57,9 +63,17 @@
                 peers.peering(&configuration.name)?;
             }
             if let Some(teams) = &own.teams {
-                teams.budgets(&configuration.given, configuration.bounds.clients).map_err(|faults| {
-                    faults.into_iter().map(|f| Fault { line: node.line_of(&f.path), ..f }).collect::<Vec<_>>()
-                })?;
+                teams
+                    .budgets(&configuration.given, configuration.bounds.clients)
+                    .map_err(|faults| {
+                        faults
+                            .into_iter()
+                            .map(|f| Fault {
+                                line: node.line_of(&f.path),
+                                ..f
+                            })
+                            .collect::<Vec<_>>()
+                    })?;
             }
         }
         if self.emit {
--- a/crates/ivypitch-command/src/fleet.rs
+++ b/crates/ivypitch-command/src/fleet.rs
@@ -44,11 +44,18 @@
                 .collect();
             println!("{}", serde_json::to_string_pretty(&all).unwrap_or_default());
         }
-        let views: Vec<(String, &Value)> = views.iter().map(|(at, view)| (at.to_string(), view)).collect();
+        let views: Vec<(String, &Value)> = views
+            .iter()
+            .map(|(at, view)| (at.to_string(), view))
+            .collect();
         for line in differences(&views) {
             println!("{line}");
         }
-        if well { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+        if well {
+            ExitCode::SUCCESS
+        } else {
+            ExitCode::FAILURE
+        }
     }
 }
 
@@ -61,8 +68,12 @@
     next(&mut stream, &mut input)?;
     // Protocol 4.1, secure connection, plugin auth, connect with a database; user `app`, empty password.
     let flags: u32 = 1 << 3 | 1 << 9 | 1 << 15 | 1 << 19;
-    let login =
-        [&flags.to_le_bytes()[..], &[0, 0, 0, 1, 45], &[0; 23], b"app\0\0dw\0mysql_native_password\0"];
+    let login = [
+        &flags.to_le_bytes()[..],
+        &[0, 0, 0, 1, 45],
+        &[0; 23],
+        b"app\0\0dw\0mysql_native_password\0",
+    ];
     stream.write_all(&packet(1, &login.concat()))?;
     if next(&mut stream, &mut input)?.first() != Some(&0) {
         return Err(bad("login refused"));
@@ -118,7 +129,8 @@
     };
     let mut length = [0; 8];
     length[..bytes].copy_from_slice(rest.get(..bytes)?);
-    rest.get(bytes..)?.get(..u64::from_le_bytes(length) as usize)
+    rest.get(bytes..)?
+        .get(..u64::from_le_bytes(length) as usize)
 }
 
 /// What two views can't both be right about, or one does not know yet.
@@ -127,9 +139,16 @@
     let number = |v: &Value, name: &str| v[name].as_u64().unwrap_or(0);
     let out = |v: &Value| -> BTreeSet<u64> {
         let engines = v["engines"].as_array().into_iter().flatten();
-        engines.filter(|e| e["out"] == true).filter_map(|e| e["engine"].as_u64()).collect()
+        engines
+            .filter(|e| e["out"] == true)
+            .filter_map(|e| e["engine"].as_u64())
+            .collect()
     };
-    let newest = views.iter().map(|(_, view)| number(view, "journal")).max().unwrap_or(0);
+    let newest = views
+        .iter()
+        .map(|(_, view)| number(view, "journal"))
+        .max()
+        .unwrap_or(0);
     for (name, view) in views {
         let behind = newest - number(view, "journal");
         if behind > 0 {
@@ -141,7 +160,9 @@
         }
         for (other, theirs) in views {
             for engine in out(view).difference(&out(theirs)) {
-                lines.push(format!("engine {engine:016x}: left out by {name}, used by {other}"));
+                lines.push(format!(
+                    "engine {engine:016x}: left out by {name}, used by {other}"
+                ));
             }
             let heard = |v: &Value, place: u64| {
                 let places = v["heard"].as_array().into_iter().flatten();
@@ -152,13 +173,18 @@
             }
         }
     }
-    let count = views.first().and_then(|(_, view)| view["bounds"].as_array()).map_or(0, Vec::len);
+    let count = views
+        .first()
+        .and_then(|(_, view)| view["bounds"].as_array())
+        .map_or(0, Vec::len);
     for bound in 0..count {
         let all = || views.iter().map(|(_, view)| &view["bounds"][bound]);
         let held: u64 = all().map(|b| number(b, "held")).sum();
         let units = all().map(|b| number(b, "units")).max().unwrap_or(0);
         let name = all().find_map(|b| b["name"].as_str()).unwrap_or("?");
-        lines.push(format!("bound {name}: {held} of {units} held by these gateways"));
+        lines.push(format!(
+            "bound {name}: {held} of {units} held by these gateways"
+        ));
     }
     lines
 }
--- a/crates/ivypitch-command/src/main.rs
+++ b/crates/ivypitch-command/src/main.rs
@@ -20,7 +20,9 @@
 #[derive(Subcommand)]
 enum Command {
     /// Run a gateway until SIGTERM.
-    #[command(after_help = "Example: ivypitch serve --config config.json --own deploy/ivypitch.ncl")]
+    #[command(
+        after_help = "Example: ivypitch serve --config config.json --own deploy/ivypitch.ncl"
+    )]
     Serve(Serve),
     /// Check an own settings file: every fault with its place.
     #[command(after_help = "Example: ivypitch check deploy/ivypitch.ncl --against config.json")]
@@ -66,7 +68,11 @@
             Some(path) => {
                 let file = OwnFile { path };
                 let own = file.load()?;
-                logger::set_format(stated.or_else(|| Format::of(&own.log.format)).unwrap_or_default());
+                logger::set_format(
+                    stated
+                        .or_else(|| Format::of(&own.log.format))
+                        .unwrap_or_default(),
+                );
                 Some((file, own))
             }
             None => None,
--- a/crates/ivypitch-command/tests/fleet.rs
+++ b/crates/ivypitch-command/tests/fleet.rs
@@ -25,8 +25,13 @@
 const MEAN: f64 = (9.0 * LOOKUP_MS + LOAD_MS) / 10.0 / 1000.0;
 
 fn member(config: String, gateways: usize, me: usize) -> String {
-    let config = config.replace("\"balancers\":1", &format!("\"balancers\":{gateways},\"me\":{me}"));
-    config.replace("\"cold-from\":0.3,", COLD).replace("\"cores-by-kind\":[64]", "\"cores-by-kind\":[8]")
+    let config = config.replace(
+        "\"balancers\":1",
+        &format!("\"balancers\":{gateways},\"me\":{me}"),
+    );
+    config
+        .replace("\"cold-from\":0.3,", COLD)
+        .replace("\"cores-by-kind\":[64]", "\"cores-by-kind\":[8]")
 }
 
 /// Ends all it is sent at once, and tells what it cost.
@@ -38,8 +43,16 @@
         if let Some(arrived) = arrived.as_ref().filter(|_| call.is("POST")) {
             arrived.lock().unwrap().push(Instant::now());
         }
-        let work = if call.header("Via-Class") == Some("load") { LOAD_MS } else { LOOKUP_MS };
-        say(200, &format!("Page-Count: 1\r\nWork-Ms: {work}\r\nPeak-Mb: 1\r\n"), "a\tb\tc\n")
+        let work = if call.header("Via-Class") == Some("load") {
+            LOAD_MS
+        } else {
+            LOOKUP_MS
+        };
+        say(
+            200,
+            &format!("Page-Count: 1\r\nWork-Ms: {work}\r\nPeak-Mb: 1\r\n"),
+            "a\tb\tc\n",
+        )
     })
 }
 
@@ -62,8 +75,13 @@
                 };
                 while !over.load(Ordering::Relaxed) {
                     let req = number.fetch_add(1, Ordering::Relaxed);
-                    let (kind, ms) = if req % 10 == 0 { ("load", LOAD_MS) } else { ("lookup", LOOKUP_MS) };
-                    let text = statement(kind, req, 20_000).replace("ms=20.0", &format!("ms={ms:.1}"));
+                    let (kind, ms) = if req % 10 == 0 {
+                        ("load", LOAD_MS)
+                    } else {
+                        ("lookup", LOOKUP_MS)
+                    };
+                    let text =
+                        statement(kind, req, 20_000).replace("ms=20.0", &format!("ms={ms:.1}"));
                     match client.try_ask(&text) {
                         Some(Answer::Rows(_)) => answered += 1,
                         Some(Answer::Error(..)) => {}
@@ -90,7 +108,13 @@
 
 #[test]
 fn nor_where_a_few_send_most() {
-    let few = |me| if me % FEW == 1 { (MOST_CLIENTS, Duration::ZERO) } else { (1, REST) };
+    let few = |me| {
+        if me % FEW == 1 {
+            (MOST_CLIENTS, Duration::ZERO)
+        } else {
+            (1, REST)
+        }
+    };
     cold_engine(GATEWAYS, few);
     cold_engine(30, few);
 }
@@ -104,27 +128,57 @@
     let started = unix + Duration::from_secs(4);
     let list = [
         warm.row("s-1", "in_service"),
-        row_at(cold.address, "s-2", "in_service", started.as_millis() as u64),
+        row_at(
+            cold.address,
+            "s-2",
+            "in_service",
+            started.as_millis() as u64,
+        ),
     ];
-    let config = |listen: &str, me: usize| member(configuration(listen, &list, None, 1024), count, me);
-    let mut gateways: Vec<Gateway> =
-        (0..count).map(|me| Gateway::configured(config("127.0.0.1:0", me))).collect();
-    let until_started = started.saturating_sub(SystemTime::now().duration_since(UNIX_EPOCH).unwrap());
+    let config =
+        |listen: &str, me: usize| member(configuration(listen, &list, None, 1024), count, me);
+    let mut gateways: Vec<Gateway> = (0..count)
+        .map(|me| Gateway::configured(config("127.0.0.1:0", me)))
+        .collect();
+    let until_started =
+        started.saturating_sub(SystemTime::now().duration_since(UNIX_EPOCH).unwrap());
     let began = Instant::now() + until_started;
-    let (number, over) = (Arc::new(AtomicU64::new(1)), Arc::new(AtomicBool::new(false)));
-    let running: Vec<_> =
-        (0..count).flat_map(|me| clients(gateways[me].address, load(me), &number, &over)).collect();
-    until("two seconds of the cold engine", || began.elapsed() > Duration::from_secs(2));
+    let (number, over) = (
+        Arc::new(AtomicU64::new(1)),
+        Arc::new(AtomicBool::new(false)),
+    );
+    let running: Vec<_> = (0..count)
+        .flat_map(|me| clients(gateways[me].address, load(me), &number, &over))
+        .collect();
+    until("two seconds of the cold engine", || {
+        began.elapsed() > Duration::from_secs(2)
+    });
     for me in (0..count).step_by(2) {
         let address = gateways[me].address.to_string();
         gateways[me].kill();
         gateways[me] = Gateway::configured(config(&address, me));
     }
-    until("five seconds of the cold engine", || began.elapsed() > Duration::from_secs(5));
+    until("five seconds of the cold engine", || {
+        began.elapsed() > Duration::from_secs(5)
+    });
     over.store(true, Ordering::Relaxed);
-    let answered: usize = running.into_iter().map(|client| client.join().unwrap()).sum();
-    let arrived: Vec<Instant> = arrived.lock().unwrap().iter().copied().filter(|at| *at >= began).collect();
-    let in_window = |from: &Instant| arrived.iter().filter(|at| *at >= from && **at < *from + WINDOW).count();
+    let answered: usize = running
+        .into_iter()
+        .map(|client| client.join().unwrap())
+        .sum();
+    let arrived: Vec<Instant> = arrived
+        .lock()
+        .unwrap()
+        .iter()
+        .copied()
+        .filter(|at| *at >= began)
+        .collect();
+    let in_window = |from: &Instant| {
+        arrived
+            .iter()
+            .filter(|at| *at >= from && **at < *from + WINDOW)
+            .count()
+    };
     let most = arrived.iter().map(in_window).max().unwrap_or(0);
     let calls = ALLOWED_WORK / MEAN;
     let bound = calls + 2.0 * calls.sqrt() + 2.0;
@@ -132,7 +186,10 @@
         "{count} gateways: {answered} answered; cold: {} calls, {most} in the worst second, {bound:.1} at most",
         arrived.len()
     );
-    assert!(most as f64 <= bound, "{most} calls in a second, {bound:.1} at most");
+    assert!(
+        most as f64 <= bound,
+        "{most} calls in a second, {bound:.1} at most"
+    );
     assert!(arrived.len() > 20, "it is used: {}", arrived.len());
 }
 
@@ -145,11 +202,17 @@
         let config = member(configuration(listen, &list, None, 256), GATEWAYS, me);
         config.replace("\"journal\":\"\"", &format!("\"journal\":\"{journal}\""))
     };
-    let mut gateways: Vec<Gateway> =
-        (0..GATEWAYS).map(|me| Gateway::configured(config("127.0.0.1:0", me))).collect();
-    let (number, over) = (Arc::new(AtomicU64::new(1)), Arc::new(AtomicBool::new(false)));
-    let running: Vec<_> =
-        gateways.iter().flat_map(|g| clients(g.address, (4, Duration::ZERO), &number, &over)).collect();
+    let mut gateways: Vec<Gateway> = (0..GATEWAYS)
+        .map(|me| Gateway::configured(config("127.0.0.1:0", me)))
+        .collect();
+    let (number, over) = (
+        Arc::new(AtomicU64::new(1)),
+        Arc::new(AtomicBool::new(false)),
+    );
+    let running: Vec<_> = gateways
+        .iter()
+        .flat_map(|g| clients(g.address, (4, Duration::ZERO), &number, &over))
+        .collect();
     // Half are told to end, half are killed; the next process is there at once, at the same address.
     let ready: Vec<Duration> = thread::scope(|scope| {
         let mut all = Vec::new();
@@ -180,8 +243,20 @@
         all.into_iter().map(|one| one.join().unwrap()).collect()
     });
     over.store(true, Ordering::Relaxed);
-    let answered: usize = running.into_iter().map(|client| client.join().unwrap()).sum();
-    let late = ready.iter().filter(|took| **took > Duration::from_secs(10)).count();
-    println!("{answered} answered; the last was ready after {:?}", ready.iter().max().unwrap());
-    assert!(late * 10 <= GATEWAYS, "{late} of {GATEWAYS} were late: {ready:?}");
+    let answered: usize = running
+        .into_iter()
+        .map(|client| client.join().unwrap())
+        .sum();
+    let late = ready
+        .iter()
+        .filter(|took| **took > Duration::from_secs(10))
+        .count();
+    println!(
+        "{answered} answered; the last was ready after {:?}",
+        ready.iter().max().unwrap()
+    );
+    assert!(
+        late * 10 <= GATEWAYS,
+        "{late} of {GATEWAYS} were late: {ready:?}"
+    );
 }
--- a/crates/ivypitch-command/tests/pool.rs
+++ b/crates/ivypitch-command/tests/pool.rs
@@ -11,17 +11,27 @@
 }
 
 fn id_of(call: &Call) -> String {
-    call.header("Via-Id").or(call.path.split('/').nth(2)).unwrap_or_default().to_owned()
+    call.header("Via-Id")
+        .or(call.path.split('/').nth(2))
+        .unwrap_or_default()
+        .to_owned()
 }
 
 /// An engine that knows the queries that were started there, and no others. `spoil` changes an answer; it is told how
 /// many starts came before on that connection.
-fn knowing(spoil: impl Fn(&Call, String, usize) -> Option<Reply> + Send + Sync + 'static) -> Engine {
+fn knowing(
+    spoil: impl Fn(&Call, String, usize) -> Option<Reply> + Send + Sync + 'static,
+) -> Engine {
     let known = Mutex::new(HashSet::new());
     let starts = Mutex::new(Vec::new());
     Engine::start(move |call, _| {
         let id = id_of(call);
-        let before = starts.lock().unwrap().iter().filter(|&&c| c == call.connection).count();
+        let before = starts
+            .lock()
+            .unwrap()
+            .iter()
+            .filter(|&&c| c == call.connection)
+            .count();
         if call.is("POST") {
             known.lock().unwrap().insert(id.clone());
             starts.lock().unwrap().push(call.connection);
@@ -42,20 +52,36 @@
     for req in 1..=count {
         let id = format!("{req:016x}");
         let answer = client.ask(&statement("lookup", req, 5000));
-        assert_eq!(answer, Answer::Rows(vec![vec![id, "b".into(), "c".into()]]), "statement {req}");
+        assert_eq!(
+            answer,
+            Answer::Rows(vec![vec![id, "b".into(), "c".into()]]),
+            "statement {req}"
+        );
         // Kept connections are used once they have been quiet: so long as the next statement takes to come here.
         std::thread::sleep(std::time::Duration::from_millis(25));
     }
 }
 
 fn connections(engine: &Engine) -> usize {
-    engine.calls.all().iter().map(|call| call.connection).collect::<HashSet<_>>().len()
+    engine
+        .calls
+        .all()
+        .iter()
+        .map(|call| call.connection)
+        .collect::<HashSet<_>>()
+        .len()
 }
 
 fn carried_twice(engine: &Engine) -> bool {
     let calls = engine.calls.all();
-    let starts: Vec<usize> = calls.iter().filter(|c| c.is("POST")).map(|c| c.connection).collect();
-    starts.iter().any(|c| starts.iter().filter(|d| *d == c).count() > 1)
+    let starts: Vec<usize> = calls
+        .iter()
+        .filter(|c| c.is("POST"))
+        .map(|c| c.connection)
+        .collect();
+    starts
+        .iter()
+        .any(|c| starts.iter().filter(|d| *d == c).count() > 1)
 }
 
 #[test]
@@ -64,7 +90,11 @@
     let gateway = Gateway::start(&[engine.row("s-1", "in_service")]);
     asked(&gateway, 20);
     assert_eq!(engine.starts(), 20);
-    assert!(connections(&engine) <= 2, "{} connections", connections(&engine));
+    assert!(
+        connections(&engine) <= 2,
+        "{} connections",
+        connections(&engine)
+    );
 }
 
 #[test]
@@ -89,18 +119,23 @@
 #[test]
 fn a_kept_connection_that_says_anything_unasked_is_given_up_before_a_start() {
     // The question before a start on a used connection is answered by a copy of what came before.
-    let engine =
-        knowing(|call, _, before| (call.is("GET") && before > 0).then(|| good("late\tcopy\tof another\n")));
+    let engine = knowing(|call, _, before| {
+        (call.is("GET") && before > 0).then(|| good("late\tcopy\tof another\n"))
+    });
     let gateway = Gateway::start(&[engine.row("s-1", "in_service")]);
     asked(&gateway, 12);
     assert_eq!(engine.starts(), 12);
-    assert!(!carried_twice(&engine), "none of those connections carries a second statement");
+    assert!(
+        !carried_twice(&engine),
+        "none of those connections carries a second statement"
+    );
 }
 
 #[test]
 fn a_kept_connection_that_is_dead_costs_a_question_and_no_start() {
     // Engines that fall silent on used connections: nothing is started there.
-    let engine = knowing(|call, _, before| (call.is("GET") && before > 0).then_some(Reply::Silence));
+    let engine =
+        knowing(|call, _, before| (call.is("GET") && before > 0).then_some(Reply::Silence));
     let gateway = Gateway::start(&[engine.row("s-1", "in_service")]);
     asked(&gateway, 8);
     assert_eq!(engine.starts(), 8);
@@ -110,8 +145,12 @@
 #[test]
 fn none_is_kept_of_an_engine_that_is_gone_or_past_its_time() {
     let engine = knowing(|_, _, _| None);
-    let short = |config: String| config.replace("\"idle-close-ns\":30000000000", "\"idle-close-ns\":0");
+    let short =
+        |config: String| config.replace("\"idle-close-ns\":30000000000", "\"idle-close-ns\":0");
     let gateway = Gateway::owned(&[engine.row("s-1", "in_service")], short, None);
     asked(&gateway, 6);
-    assert!(!carried_twice(&engine), "where the idle time is not told nothing is kept");
+    assert!(
+        !carried_twice(&engine),
+        "where the idle time is not told nothing is kept"
+    );
 }
--- a/crates/ivypitch-command/tests/races.rs
+++ b/crates/ivypitch-command/tests/races.rs
@@ -12,7 +12,11 @@
 const LONG: u64 = 20_000;
 
 fn served(call: &Call, _: usize) -> Reply {
-    if call.is("DELETE") { say(204, "", "") } else { good("a\tb\tc\n") }
+    if call.is("DELETE") {
+        say(204, "", "")
+    } else {
+        good("a\tb\tc\n")
+    }
 }
 
 fn rows() -> Answer {
@@ -21,17 +25,27 @@
 
 /// Dials may take as long as a test holds them.
 fn patient(config: String) -> String {
-    config.replace("\"connect-timeout-ns\":250000000", "\"connect-timeout-ns\":30000000000")
+    config.replace(
+        "\"connect-timeout-ns\":250000000",
+        "\"connect-timeout-ns\":30000000000",
+    )
 }
 
 /// Loads may be sent again within this window of milliseconds.
 fn deduplicated(config: String, window_ms: u64) -> String {
-    let window = format!("\"effect\":\"keyed\",\"window-ns\":{}", window_ms * 1_000_000);
+    let window = format!(
+        "\"effect\":\"keyed\",\"window-ns\":{}",
+        window_ms * 1_000_000
+    );
     config.replace("\"effect\":\"unsafe\"", &window)
 }
 
 /// A gateway that follows this journal.
-fn gateway_with(rows: &[String], journal: Option<&Journal>, change: impl Fn(String) -> String) -> Gateway {
+fn gateway_with(
+    rows: &[String],
+    journal: Option<&Journal>,
+    change: impl Fn(String) -> String,
+) -> Gateway {
     Gateway::configured(change(configuration("127.0.0.1:0", rows, journal, 1024)))
 }
 
@@ -43,7 +57,12 @@
 
 fn starts_of(engine: &Engine, req: u64) -> usize {
     let id = format!("{req:016x}");
-    engine.calls.all().iter().filter(|c| c.is("POST") && c.header("Via-Id") == Some(&id)).count()
+    engine
+        .calls
+        .all()
+        .iter()
+        .filter(|c| c.is("POST") && c.header("Via-Id") == Some(&id))
+        .count()
 }
 
 // ---- a start against a client that has gone ----
@@ -54,27 +73,43 @@
 #[test_case(|c| c.send(&[1, 0]); "it begins to quit")]
 fn a_dial_that_comes_up_as_its_client_goes_carries_no_start(leave: fn(&mut Client)) {
     let door = Door::shut();
-    let gateway = gateway_with(&[row_at(door.address, "s-1", "in_service", 0)], None, patient);
+    let gateway = gateway_with(
+        &[row_at(door.address, "s-1", "in_service", 0)],
+        None,
+        patient,
+    );
     let mut client = asked(&gateway, "load", 1, LONG);
     door.dialled();
     let engine = gateway.held(|| {
         leave(&mut client);
         Engine::on(door.open(), served)
     });
-    engine.ended.wait("end of the dial that nobody wants", |_| true);
+    engine
+        .ended
+        .wait("end of the dial that nobody wants", |_| true);
     assert_eq!(engine.calls.all().len(), 0, "nothing was said on it");
-    assert_eq!(Client::connect(&gateway).ask(&statement("load", 2, LONG)), rows());
+    assert_eq!(
+        Client::connect(&gateway).ask(&statement("load", 2, LONG)),
+        rows()
+    );
     assert_eq!((engine.starts(), starts_of(&engine, 1)), (1, 0));
 }
 
 #[test]
 fn a_dial_that_comes_up_as_its_statement_is_killed_carries_no_start() {
     let door = Door::shut();
-    let gateway = gateway_with(&[row_at(door.address, "s-1", "in_service", 0)], None, patient);
+    let gateway = gateway_with(
+        &[row_at(door.address, "s-1", "in_service", 0)],
+        None,
+        patient,
+    );
     let mut client = asked(&gateway, "load", 1, LONG);
     let mut killer = Client::connect(&gateway);
     door.dialled();
-    assert_eq!(killer.ask(&format!("KILL QUERY {}", client.connection)), Answer::Rows(vec![]));
+    assert_eq!(
+        killer.ask(&format!("KILL QUERY {}", client.connection)),
+        Answer::Rows(vec![])
+    );
     let engine = gateway.held(|| Engine::on(door.open(), served));
     assert_eq!(client.answer(1).code(), 1317);
     assert_eq!(killer.ask(&statement("load", 2, LONG)), rows());
@@ -118,7 +153,11 @@
         let mut killer = gateway.held(|| {
             client.send(&[login("app"), query(&statement("load", req, LONG))].concat());
             let mut killer = killer.take().unwrap_or_else(|| Client::bare(&gateway));
-            killer.send(&if there { text } else { [login("app"), text].concat() });
+            killer.send(&if there {
+                text
+            } else {
+                [login("app"), text].concat()
+            });
             killer
         });
         if !there {
@@ -158,7 +197,9 @@
     if !behind {
         accept.push(());
     }
-    engine.calls.wait("the word to give it up", |c| c.is("DELETE") && id_of(c) == 1);
+    engine.calls.wait("the word to give it up", |c| {
+        c.is("DELETE") && id_of(c) == 1
+    });
     assert_eq!(client.ask(&statement("load", 2, LONG)), rows());
     assert_eq!((engine.starts(), starts_of(&engine, 1)), (2, 1));
 }
@@ -169,15 +210,26 @@
 #[test_case("terminated"; "it is gone")]
 fn an_engine_that_the_list_takes_away_during_the_dial_gets_no_start(state: &str) {
     let (door, other) = (Door::shut(), Engine::served());
-    let news = [row_at(door.address, "s-1", state, 0), other.row("s-2", "in_service")];
+    let news = [
+        row_at(door.address, "s-1", state, 0),
+        other.row("s-2", "in_service"),
+    ];
     let journal = Journal::held();
-    let gateway = gateway_with(&[row_at(door.address, "s-1", "in_service", 0)], Some(&journal), patient);
+    let gateway = gateway_with(
+        &[row_at(door.address, "s-1", "in_service", 0)],
+        Some(&journal),
+        patient,
+    );
     let mut client = asked(&gateway, "load", 1, LONG);
     door.dialled();
     journal.tell(&event(2, false, &news));
     gateway.log.wait("the news", |l| l.contains("is s-2 at"));
     let engine = Engine::on(door.open(), served);
-    assert_eq!(client.answer(1), rows(), "a load that never left is harmless to send elsewhere");
+    assert_eq!(
+        client.answer(1),
+        rows(),
+        "a load that never left is harmless to send elsewhere"
+    );
     assert_eq!((engine.starts(), other.starts()), (0, 1));
     engine.ended.wait("end of the dial", |_| true);
 }
@@ -185,9 +237,16 @@
 #[test]
 fn a_dial_to_where_its_engine_no_longer_is_carries_nothing() {
     let (door, moved, other) = (Door::shut(), Engine::served(), Engine::busy());
-    let news = [moved.row("s-1", "in_service"), other.row("s-2", "terminating")];
+    let news = [
+        moved.row("s-1", "in_service"),
+        other.row("s-2", "terminating"),
+    ];
     let journal = Journal::held();
-    let gateway = gateway_with(&[row_at(door.address, "s-1", "in_service", 0)], Some(&journal), patient);
+    let gateway = gateway_with(
+        &[row_at(door.address, "s-1", "in_service", 0)],
+        Some(&journal),
+        patient,
+    );
     let mut client = asked(&gateway, "load", 1, LONG);
     door.dialled();
     journal.tell(&event(2, false, &news));
@@ -205,22 +264,37 @@
     // It takes the start, and knows nothing of it once the test has gone on.
     let first = Engine::start(move |call, _| {
         wait.wait("list", |_| true);
-        if call.is("DELETE") { say(204, "", "") } else { say(500, "", "") }
+        if call.is("DELETE") {
+            say(204, "", "")
+        } else {
+            say(500, "", "")
+        }
     });
     let journal = Journal::held();
     let one = [first.row("s-1", "in_service")];
-    let gateway = gateway_with(&one, Some(&journal), |config| deduplicated(patient(config), 1500));
+    let gateway = gateway_with(&one, Some(&journal), |config| {
+        deduplicated(patient(config), 1500)
+    });
     let sent = Instant::now();
     let mut client = asked(&gateway, "load", 1, LONG);
     first.calls.wait("start", |c| c.is("POST"));
-    let news = [first.row("s-1", "terminating"), row_at(door.address, "s-2", "in_service", 0)];
+    let news = [
+        first.row("s-1", "terminating"),
+        row_at(door.address, "s-2", "in_service", 0),
+    ];
     journal.tell(&event(2, false, &news));
     gateway.log.wait("the news", |l| l.contains("is s-2 at"));
     listed.push(());
     door.dialled();
-    until("the end of the window", || sent.elapsed() > Duration::from_millis(1600));
+    until("the end of the window", || {
+        sent.elapsed() > Duration::from_millis(1600)
+    });
     let second = Engine::on(door.open(), served);
-    assert_eq!(client.answer(1).code(), 1203, "engines drop repeats, so it is harmless to ask for it later");
+    assert_eq!(
+        client.answer(1).code(),
+        1203,
+        "engines drop repeats, so it is harmless to ask for it later"
+    );
     second.ended.wait("end of the dial", |_| true);
     assert_eq!((first.starts(), second.starts()), (1, 0));
 }
@@ -228,14 +302,23 @@
 #[test]
 fn a_repeat_within_its_window_carries_the_same_mark_and_key() {
     let second = Engine::served();
-    let first = Engine::start(|call, _| if call.is("DELETE") { say(204, "", "") } else { say(500, "", "") });
-    let list = [first.row("s-1", "in_service"), second.row("s-2", "in_service")];
+    let first = Engine::start(|call, _| {
+        if call.is("DELETE") {
+            say(204, "", "")
+        } else {
+            say(500, "", "")
+        }
+    });
+    let list = [
+        first.row("s-1", "in_service"),
+        second.row("s-2", "in_service"),
+    ];
     let gateway = gateway_with(&list, None, |config| deduplicated(config, 20_000));
     let mut client = Client::connect(&gateway);
     // The first that meets the failing engine is told all.
     for req in 1.. {
-        let text =
-            statement("load", req, LONG).replace(" */", &format!(",opkey=b3{req:04},subject=0a{req:04} */"));
+        let text = statement("load", req, LONG)
+            .replace(" */", &format!(",opkey=b3{req:04},subject=0a{req:04} */"));
         assert_eq!(client.ask(&text), rows());
         if first.starts() > 0 {
             break;
@@ -243,26 +326,44 @@
     }
     let failed = first.calls.wait("start", |c| c.is("POST"));
     let id = failed.header("Via-Id").unwrap().to_owned();
-    let again = second.calls.wait("repeat", |c| c.is("POST") && c.header("Via-Id") == Some(&id));
+    let again = second.calls.wait("repeat", |c| {
+        c.is("POST") && c.header("Via-Id") == Some(&id)
+    });
     let req = u64::from_str_radix(&id, 16).unwrap();
     for start in [failed, again] {
-        assert_eq!(start.header("Via-Token"), Some(format!("b3{req:04}").as_str()));
-        assert_eq!(start.header("Via-Key"), Some(format!("0a{req:04}").as_str()));
+        assert_eq!(
+            start.header("Via-Token"),
+            Some(format!("b3{req:04}").as_str())
+        );
+        assert_eq!(
+            start.header("Via-Key"),
+            Some(format!("0a{req:04}").as_str())
+        );
     }
     let bad = statement("load", 9000, LONG).replace(" */", ",opkey=a\u{1}b */");
-    assert_eq!(client.ask(&bad).code(), 1064, "what can't go on as it is, goes nowhere");
+    assert_eq!(
+        client.ask(&bad).code(),
+        1064,
+        "what can't go on as it is, goes nowhere"
+    );
 }
 
 #[test]
 fn statements_of_one_key_go_out_one_at_a_time_in_the_order_taken() {
     let ended = Seen::<u64>::new();
     let over = ended.clone();
-    let engine = Engine::start(move |call, n| match call.is("DELETE") || over.all().contains(&id_of(call)) {
-        true => served(call, n),
-        false => say(202, "", ""),
+    let engine = Engine::start(move |call, n| {
+        match call.is("DELETE") || over.all().contains(&id_of(call)) {
+            true => served(call, n),
+            false => say(202, "", ""),
+        }
     });
-    let ordered =
-        |config: String| config.replace("\"effect\":\"unsafe\"", "\"effect\":\"unsafe\",\"keep-order\":true");
+    let ordered = |config: String| {
+        config.replace(
+            "\"effect\":\"unsafe\"",
+            "\"effect\":\"unsafe\",\"keep-order\":true",
+        )
+    };
     let gateway = gateway_with(&[engine.row("s-1", "in_service")], None, ordered);
     // Each on tables of its own: loads of one group wait for each other anyway.
     let keyed = |req: u64, key: &str| {
@@ -270,26 +371,36 @@
         text.replace("sales_17", &format!("sales_{req}"))
     };
     let mut clients: Vec<Client> = Vec::new();
-    for (req, key) in [(1, "000200dc17aa5a17"), (2, "000200dc17aa5a17"), (3, "00084a60f518bcc9")] {
+    for (req, key) in [
+        (1, "000200dc17aa5a17"),
+        (2, "000200dc17aa5a17"),
+        (3, "00084a60f518bcc9"),
+    ] {
         let mut client = Client::connect(&gateway);
         client.send(&query(&keyed(req, key)));
         if req != 2 {
-            engine
-                .calls
-                .wait("start", |c| c.is("POST") && c.header("Via-Id") == Some(&format!("{req:016x}")));
+            engine.calls.wait("start", |c| {
+                c.is("POST") && c.header("Via-Id") == Some(&format!("{req:016x}"))
+            });
         } else {
             is_read(&client.stream);
         }
         clients.push(client);
     }
-    assert_eq!(starts_of(&engine, 2), 0, "its key is taken; another key is not");
+    assert_eq!(
+        starts_of(&engine, 2),
+        0,
+        "its key is taken; another key is not"
+    );
     ended.push(1);
-    engine
-        .calls
-        .wait("the next of the key", |c| c.is("POST") && c.header("Via-Id") == Some("0000000000000002"));
+    engine.calls.wait("the next of the key", |c| {
+        c.is("POST") && c.header("Via-Id") == Some("0000000000000002")
+    });
     ended.push(2);
     ended.push(3);
-    clients.iter_mut().for_each(|client| assert_eq!(client.answer(1), rows()));
+    clients
+        .iter_mut()
+        .for_each(|client| assert_eq!(client.answer(1), rows()));
 }
 
 // ---- the end of the program ----
@@ -300,13 +411,20 @@
     let over = end.clone();
     let engine = Engine::start(move |call, n| {
         let is_held = !call.is("DELETE") && id_of(call) == 1 && over.all().is_empty();
-        if is_held { say(202, "", "") } else { served(call, n) }
+        if is_held {
+            say(202, "", "")
+        } else {
+            served(call, n)
+        }
     });
     (engine, end)
 }
 
 fn id_of(call: &Call) -> u64 {
-    let id = call.header("Via-Id").or(call.path.split('/').nth(2)).unwrap_or_default();
+    let id = call
+        .header("Via-Id")
+        .or(call.path.split('/').nth(2))
+        .unwrap_or_default();
     u64::from_str_radix(id, 16).unwrap_or(0)
 }
 
@@ -316,7 +434,9 @@
     let client = asked(&gateway, "load", 1, LONG);
     engine.calls.wait("start", |c| c.is("POST"));
     gateway.terminate();
-    gateway.log.wait("last phase", |l| l.contains("overlap -> finishing"));
+    gateway
+        .log
+        .wait("last phase", |l| l.contains("overlap -> finishing"));
     (gateway, client)
 }
 
@@ -332,7 +452,10 @@
     assert_eq!(late.answer(1), Answer::Closed);
     // A statement that is open may still be called back.
     let mut killer = Client::connect(&gateway);
-    assert_eq!(killer.ask(&format!("KILL QUERY {}", open.connection)), Answer::Rows(vec![]));
+    assert_eq!(
+        killer.ask(&format!("KILL QUERY {}", open.connection)),
+        Answer::Rows(vec![])
+    );
     assert_eq!(open.answer(1).code(), 1317);
     end.push(());
     assert_eq!(gateway.exit_code(), Some(0));
@@ -348,7 +471,9 @@
     let whole = query(&statement("lookup", 2, LONG));
     client.send(&whole[..40]);
     gateway.terminate();
-    gateway.log.wait("last phase", |l| l.contains("overlap -> finishing"));
+    gateway
+        .log
+        .wait("last phase", |l| l.contains("overlap -> finishing"));
     client.send(&whole[40..]);
     assert_eq!(client.answer(1).code(), 1203);
     assert_eq!(client.answer(1), Answer::Closed);
@@ -366,7 +491,9 @@
         assert_eq!(client.ask(&statement("lookup", req, LONG)), rows());
     }
     gateway.terminate();
-    gateway.log.wait("overlap", |l| l.contains("serving -> overlap"));
+    gateway
+        .log
+        .wait("overlap", |l| l.contains("serving -> overlap"));
     let began = Instant::now();
     gateway.held(|| {
         // All that happens in the rest of the overlap is met together with its end.
@@ -378,7 +505,9 @@
             client.send(&[login("app"), query(&statement("lookup", req, LONG))].concat());
             bare.push(client);
         }
-        until("the end of the overlap", || began.elapsed() > Duration::from_millis(800));
+        until("the end of the overlap", || {
+            began.elapsed() > Duration::from_millis(800)
+        });
     });
     let served = |answer: Answer| answer == rows() || answer.code() == 1203;
     for client in &mut clients {
@@ -400,10 +529,18 @@
         if call.is("GET") {
             wait.wait("word to end", |_| true);
         }
-        if call.is("POST") { say(202, "", "") } else { served(call, n) }
+        if call.is("POST") {
+            say(202, "", "")
+        } else {
+            served(call, n)
+        }
     });
     let (mut gateway, mut open) = finishing(&engine);
-    engine.calls.wait("the question that is answered with the end", |c| c.is("GET"));
+    engine
+        .calls
+        .wait("the question that is answered with the end", |c| {
+            c.is("GET")
+        });
     let mut late: Vec<Client> = gateway.held(|| {
         end.push(());
         let one = |req| {
@@ -431,11 +568,16 @@
     let mut open = asked(&gateway, "lookup", 1, LONG);
     engine.calls.wait("start", |c| c.is("POST"));
     gateway.terminate();
-    gateway.log.wait("last phase", |l| l.contains("overlap -> finishing"));
+    gateway
+        .log
+        .wait("last phase", |l| l.contains("overlap -> finishing"));
     // The gateway's half is closed; what crosses is read and dropped, and never sent on.
     for client in &mut resting {
         assert_eq!(client.answer(1), Answer::Closed);
-        client.stream.write_all(&query(&statement("lookup", 9, LONG))).unwrap();
+        client
+            .stream
+            .write_all(&query(&statement("lookup", 9, LONG)))
+            .unwrap();
         assert_eq!(client.stream.read(&mut [0]).unwrap(), 0, "no reset");
     }
     end.push(());
@@ -445,7 +587,14 @@
 
 #[test]
 fn the_last_answer_is_whole_though_its_client_reads_late_and_has_sent_more() {
-    let page = |_: &str| format!("{}\t{}\t{}\n", "a".repeat(300), "b".repeat(3000), "c".repeat(2697));
+    let page = |_: &str| {
+        format!(
+            "{}\t{}\t{}\n",
+            "a".repeat(300),
+            "b".repeat(3000),
+            "c".repeat(2697)
+        )
+    };
     let end = Seen::<()>::new();
     let wait = end.clone();
     let engine = Engine::start(move |call, _| match call.path.rsplit('/').next() {
@@ -459,11 +608,18 @@
     let mut client = asked(&gateway, "lookup", 1, LONG);
     engine.calls.wait("start", |c| c.is("POST"));
     gateway.terminate();
-    gateway.log.wait("last phase", |l| l.contains("overlap -> finishing"));
+    gateway
+        .log
+        .wait("last phase", |l| l.contains("overlap -> finishing"));
     end.push(());
     assert_eq!(gateway.exit_code(), Some(0));
-    let Answer::Rows(rows) = client.answer(1) else { panic!("no rows") };
-    assert_eq!(rows.iter().flatten().map(|c| c.len() + 1).sum::<usize>(), 48_000);
+    let Answer::Rows(rows) = client.answer(1) else {
+        panic!("no rows")
+    };
+    assert_eq!(
+        rows.iter().flatten().map(|c| c.len() + 1).sum::<usize>(),
+        48_000
+    );
     assert_eq!(client.answer(1), Answer::Closed);
 }
 
@@ -474,7 +630,9 @@
     for signal in ["TERM", "HUP", "INT", "TERM"] {
         gateway.signal(signal);
     }
-    gateway.log.wait("reload", |l| l.contains("reload while finishing"));
+    gateway
+        .log
+        .wait("reload", |l| l.contains("reload while finishing"));
     end.push(());
     assert_eq!(open.answer(1), rows());
     assert_eq!(gateway.exit_code(), Some(0));
@@ -484,14 +642,22 @@
 fn a_second_start_waits_for_the_address_of_the_one_that_ends() {
     let (engine, end) = held_engine();
     let (mut gateway, mut open) = finishing(&engine);
-    let config = configuration(&gateway.address.to_string(), &[engine.row("s-1", "in_service")], None, 1024);
+    let config = configuration(
+        &gateway.address.to_string(),
+        &[engine.row("s-1", "in_service")],
+        None,
+        1024,
+    );
     let (mut child, log, _) = spawn(&config);
     log.wait("its wait", |l| l.contains("in use, tried again"));
     end.push(());
     assert_eq!(open.answer(1), rows());
     assert_eq!(gateway.exit_code(), Some(0));
     log.wait("its start", |l| l.contains("starting -> serving"));
-    assert_eq!(Client::connect(&gateway).ask(&statement("lookup", 2, LONG)), rows());
+    assert_eq!(
+        Client::connect(&gateway).ask(&statement("lookup", 2, LONG)),
+        rows()
+    );
     child.kill().unwrap();
     child.wait().unwrap();
 }
@@ -505,7 +671,13 @@
     let (mut child, log, _) = spawn(&config);
     log.wait("its wait", |l| l.contains("in use, tried again"));
     let id = child.id().to_string();
-    assert!(std::process::Command::new("kill").args(["-TERM", &id]).status().unwrap().success());
+    assert!(
+        std::process::Command::new("kill")
+            .args(["-TERM", &id])
+            .status()
+            .unwrap()
+            .success()
+    );
     assert_eq!(child.wait().unwrap().code(), Some(0));
 }
 
@@ -548,12 +720,17 @@
     first.send(&query(&statement("lookup", 1, LONG)));
     engine.calls.wait("start", |c| c.is("POST"));
     // Its answer is there and not read.
-    until("the answer", || first.stream.peek(&mut [0; 200]).is_ok_and(|n| n > 100));
+    until("the answer", || {
+        first.stream.peek(&mut [0; 200]).is_ok_and(|n| n > 100)
+    });
     let crowd: Vec<Client> = (0..19).map(|_| Client::connect(&gateway)).collect();
     // What crosses the close resets nothing either.
     assert_eq!(first.answer(1), rows());
     assert_eq!(first.answer(1), Answer::Closed);
-    first.stream.write_all(&query(&statement("lookup", 9, LONG))).unwrap();
+    first
+        .stream
+        .write_all(&query(&statement("lookup", 9, LONG)))
+        .unwrap();
     assert_eq!(first.stream.read(&mut [0]).unwrap(), 0, "no reset");
     assert_eq!(starts_of(&engine, 9), 0);
     drop(crowd);
@@ -573,13 +750,20 @@
         assert_eq!(client.ask(&statement("load", 1, LONG)), rows());
     }
     let rested = Instant::now();
-    let (time, text) = (Duration::from_secs(seconds), query(&statement("load", 2, LONG)));
+    let (time, text) = (
+        Duration::from_secs(seconds),
+        query(&statement("load", 2, LONG)),
+    );
     let (first, rest) = text.split_at(piece.min(text.len()));
     let since = if seconds == 5 { rested } else { came };
-    until("most of its time", || since.elapsed() > time - Duration::from_millis(300));
+    until("most of its time", || {
+        since.elapsed() > time - Duration::from_millis(300)
+    });
     gateway.held(|| {
         client.send(first);
-        until("the end of its time", || rested.elapsed() > time + Duration::from_millis(50));
+        until("the end of its time", || {
+            rested.elapsed() > time + Duration::from_millis(50)
+        });
     });
     client.send(rest);
     assert_eq!(client.answer(1), rows());
@@ -593,8 +777,9 @@
     let (held, address) = refusing();
     let list = [old.row("s-1", "in_service")];
     let config = configuration("127.0.0.1:0", &list, None, FEW);
-    let gateway =
-        Gateway::configured(config.replace("\"journal\":\"\"", &format!("\"journal\":\"{address}\"")));
+    let gateway = Gateway::configured(
+        config.replace("\"journal\":\"\"", &format!("\"journal\":\"{address}\"")),
+    );
     gateway.log.wait("loss", |l| l.contains("lost at 1"));
     let mut idle: Vec<Client> = (0..60).map(|_| Client::connect(&gateway)).collect();
     rustix::net::listen(&held, 16).unwrap();
@@ -607,19 +792,26 @@
     assert_eq!(client.ask(&statement("lookup", 1, LONG)), rows());
     assert_eq!((old.starts(), new.starts()), (0, 1));
     idle.retain_mut(|client| client.stream.set_nonblocking(true).is_ok());
-    assert!(gateway.log.all().iter().all(|l| !l.contains("accept:")), "descriptors were never short");
+    assert!(
+        gateway.log.all().iter().all(|l| !l.contains("accept:")),
+        "descriptors were never short"
+    );
 }
 
 #[test]
 fn where_all_places_are_open_the_next_is_refused_in_words() {
     let engine = Engine::busy();
     let gateway = Gateway::with("127.0.0.1:0", &[engine.row("s-1", "in_service")], None, FEW);
-    let open: Vec<Client> = (1..=16).map(|req| asked(&gateway, "lookup", req, LONG)).collect();
+    let open: Vec<Client> = (1..=16)
+        .map(|req| asked(&gateway, "lookup", req, LONG))
+        .collect();
     open.iter().for_each(|client| is_read(&client.stream));
     // There is one connection to engines.
     engine.calls.wait("start", |c| c.is("POST"));
     for req in 17..24 {
-        let refused = Client::connect(&gateway).ask(&statement("lookup", req, LONG)).code();
+        let refused = Client::connect(&gateway)
+            .ask(&statement("lookup", req, LONG))
+            .code();
         assert!([1040, 1203].contains(&refused), "{refused}");
     }
     assert!((17..24).all(|req| starts_of(&engine, req) == 0));
@@ -628,7 +820,10 @@
 // ---- the journal ----
 
 fn only_the_new_one_serves(gateway: &Gateway, old: &Engine, new: &Engine) {
-    assert_eq!(Client::connect(gateway).ask(&statement("lookup", 1, LONG)), rows());
+    assert_eq!(
+        Client::connect(gateway).ask(&statement("lookup", 1, LONG)),
+        rows()
+    );
     assert_eq!((old.starts(), new.starts()), (0, 1));
 }
 
@@ -637,8 +832,15 @@
     let (old, new) = (Engine::served(), Engine::served());
     let news = [old.row("s-1", "terminating"), new.row("s-2", "in_service")];
     let journal = Journal::start(&[String::new(), event(2, false, &news)]);
-    let gateway = Gateway::with("127.0.0.1:0", &[old.row("s-1", "in_service")], Some(&journal), 1024);
-    gateway.log.wait("loss", |l| l.ends_with("lost at 1: silent"));
+    let gateway = Gateway::with(
+        "127.0.0.1:0",
+        &[old.row("s-1", "in_service")],
+        Some(&journal),
+        1024,
+    );
+    gateway
+        .log
+        .wait("loss", |l| l.ends_with("lost at 1: silent"));
     gateway.log.wait("the news", |l| l.contains("is s-2 at"));
     only_the_new_one_serves(&gateway, &old, &new);
 }
@@ -649,7 +851,12 @@
     let news = [old.row("s-1", "terminating"), new.row("s-3", "in_service")];
     let script = "{\"pos\":2,\"hosts\":17}\n".to_owned() + &event(3, false, &news);
     let journal = Journal::start(&vec![script; 8]);
-    let gateway = Gateway::with("127.0.0.1:0", &[old.row("s-1", "in_service")], Some(&journal), 1024);
+    let gateway = Gateway::with(
+        "127.0.0.1:0",
+        &[old.row("s-1", "in_service")],
+        Some(&journal),
+        1024,
+    );
     gateway.log.wait("the news", |l| l.contains("is s-3 at"));
     assert_eq!(
         journal.tails.all(),
@@ -664,20 +871,39 @@
     let (old, new) = (Engine::served(), Engine::served());
     let news = [old.row("s-1", "terminating"), new.row("s-2", "in_service")];
     let journal = Journal::start(&[format!("2\n{}", event(2, false, &news))]);
-    let gateway = Gateway::with("127.0.0.1:0", &[old.row("s-1", "in_service")], Some(&journal), 1024);
+    let gateway = Gateway::with(
+        "127.0.0.1:0",
+        &[old.row("s-1", "in_service")],
+        Some(&journal),
+        1024,
+    );
     gateway.log.wait("the news", |l| l.contains("is s-2 at"));
     assert_eq!(journal.tails.all().len(), 1, "on the same connection");
     let never = Journal::start(&["9\n".into(), "9\n".into(), event(2, false, &news)]);
-    let gateway = Gateway::with("127.0.0.1:0", &[old.row("s-1", "in_service")], Some(&never), 1024);
+    let gateway = Gateway::with(
+        "127.0.0.1:0",
+        &[old.row("s-1", "in_service")],
+        Some(&never),
+        1024,
+    );
     gateway.log.wait("the news", |l| l.contains("is s-2 at"));
-    assert_eq!(never.tails.all().len(), 3, "asked for again where they do not come");
+    assert_eq!(
+        never.tails.all().len(),
+        3,
+        "asked for again where they do not come"
+    );
 }
 
 #[test]
 fn the_old_service_is_not_heard_once_the_new_one_is_followed() {
     let (old, new) = (Engine::served(), Engine::served());
     let (first, second) = (Journal::held(), Journal::held());
-    let gateway = Gateway::with("127.0.0.1:0", &[old.row("s-1", "in_service")], Some(&first), 1024);
+    let gateway = Gateway::with(
+        "127.0.0.1:0",
+        &[old.row("s-1", "in_service")],
+        Some(&first),
+        1024,
+    );
     first.tails.wait("tail", |t| t == "tail 1\n");
     gateway.held(|| {
         gateway.configure_journal(&second);
@@ -692,13 +918,30 @@
     second.tell(&event(
         2,
         false,
-        &[if is_late { new.row("s-2", "in_service") } else { old.row("s-1", "terminated") }],
+        &[if is_late {
+            new.row("s-2", "in_service")
+        } else {
+            old.row("s-1", "terminated")
+        }],
+    ));
+    second.tell(&event(
+        3,
+        false,
+        &[old.row("s-1", "terminated"), new.row("s-2", "in_service")],
+    ));
+    gateway
+        .log
+        .wait("the new engine", |l| l.contains("is s-2 at"));
+    first.tell(&event(
+        4,
+        false,
+        &[old.row("s-1", "in_service"), new.row("s-2", "terminated")],
     ));
-    second.tell(&event(3, false, &[old.row("s-1", "terminated"), new.row("s-2", "in_service")]));
-    gateway.log.wait("the new engine", |l| l.contains("is s-2 at"));
-    first.tell(&event(4, false, &[old.row("s-1", "in_service"), new.row("s-2", "terminated")]));
     for req in 1..=5 {
-        assert_eq!(Client::connect(&gateway).ask(&statement("lookup", req, LONG)), rows());
+        assert_eq!(
+            Client::connect(&gateway).ask(&statement("lookup", req, LONG)),
+            rows()
+        );
     }
     assert_eq!((old.starts(), new.starts()), (0, 5));
 }
@@ -709,10 +952,22 @@
 fn a_whole_list_that_crosses_deltas_and_the_old_services_words_is_the_last_word() {
     let [gone, drained, new] = [(); 3].map(|()| Engine::served());
     let (first, second) = (Journal::held(), Journal::held());
-    let gateway = Gateway::with("127.0.0.1:0", &[gone.row("s-1", "in_service")], Some(&first), 1024);
+    let gateway = Gateway::with(
+        "127.0.0.1:0",
+        &[gone.row("s-1", "in_service")],
+        Some(&first),
+        1024,
+    );
     first.tails.wait("tail", |t| t == "tail 1\n");
     let delta = event(2, false, &[drained.row("s-2", "in_service")]);
-    let whole = event(3, true, &[drained.row("s-2", "terminating"), new.row("s-3", "in_service")]);
+    let whole = event(
+        3,
+        true,
+        &[
+            drained.row("s-2", "terminating"),
+            new.row("s-3", "in_service"),
+        ],
+    );
     gateway.held(|| {
         gateway.configure_journal(&second);
         gateway.signal("HUP");
@@ -723,32 +978,62 @@
     second.tails.wait("tail", |t| t.starts_with("tail "));
     // The new service tells all again, and the delta once more behind the whole list.
     second.tell(&[delta.clone(), whole, delta.clone()].concat());
-    gateway.log.wait("the new engine", |l| l.contains("is s-3 at"));
+    gateway
+        .log
+        .wait("the new engine", |l| l.contains("is s-3 at"));
     first.tell(&delta);
-    first.tell(&event(4, false, &[gone.row("s-1", "in_service"), drained.row("s-2", "in_service")]));
+    first.tell(&event(
+        4,
+        false,
+        &[
+            gone.row("s-1", "in_service"),
+            drained.row("s-2", "in_service"),
+        ],
+    ));
     first.tell(&event(5, true, &[gone.row("s-1", "in_service")]));
     // The next of the new one comes behind all that.
     let next = Engine::served();
     second.tell(&event(4, false, &[next.row("s-4", "terminating")]));
-    gateway.log.wait("the event behind it", |l| l.contains("is s-4 at"));
+    gateway
+        .log
+        .wait("the event behind it", |l| l.contains("is s-4 at"));
     for req in 1..=8 {
-        assert_eq!(Client::connect(&gateway).ask(&statement("load", req, LONG)), rows());
+        assert_eq!(
+            Client::connect(&gateway).ask(&statement("load", req, LONG)),
+            rows()
+        );
     }
-    assert_eq!([&gone, &drained, &new, &next].map(Engine::starts), [0, 0, 8, 0]);
+    assert_eq!(
+        [&gone, &drained, &new, &next].map(Engine::starts),
+        [0, 0, 8, 0]
+    );
 }
 
 /// Each silent connection is given up after 2 s, and the next one is silent too: six of them are over 12 s.
 #[test]
 fn a_drain_told_after_thirteen_seconds_of_silence_counts_for_what_waits_to_leave() {
     let (door, other) = (Door::shut(), Engine::served());
-    let news = [row_at(door.address, "s-1", "terminating", 0), other.row("s-2", "in_service")];
+    let news = [
+        row_at(door.address, "s-1", "terminating", 0),
+        other.row("s-2", "in_service"),
+    ];
     let journal = Journal::held();
-    let gateway = gateway_with(&[row_at(door.address, "s-1", "in_service", 0)], Some(&journal), patient);
+    let gateway = gateway_with(
+        &[row_at(door.address, "s-1", "in_service", 0)],
+        Some(&journal),
+        patient,
+    );
     let began = Instant::now();
     let mut client = asked(&gateway, "load", 1, 3 * LONG);
     door.dialled();
-    journal.tails.wait_for("the seventh time that it asks", 7, |t| t == "tail 1\n");
-    assert!(began.elapsed() > Duration::from_secs(12), "{:?}", began.elapsed());
+    journal
+        .tails
+        .wait_for("the seventh time that it asks", 7, |t| t == "tail 1\n");
+    assert!(
+        began.elapsed() > Duration::from_secs(12),
+        "{:?}",
+        began.elapsed()
+    );
     journal.tell(&event(2, false, &news));
     gateway.log.wait("the news", |l| l.contains("is s-2 at"));
     let engine = Engine::on(door.open(), served);
@@ -763,7 +1048,9 @@
 #[test]
 fn an_answer_that_never_ends_holds_no_place() {
     let engine = Engine::start(|call, n| match call.method.as_str() {
-        "POST" => Reply::Say("HTTP/1.1 200 OK\r\nPage-Count: 1\r\nContent-Length: 6000\r\n\r\na".into()),
+        "POST" => {
+            Reply::Say("HTTP/1.1 200 OK\r\nPage-Count: 1\r\nContent-Length: 6000\r\n\r\na".into())
+        }
         _ => served(call, n),
     });
     let gateway = Gateway::start(&[engine.row("s-1", "in_service")]);
@@ -772,7 +1059,9 @@
         assert_eq!(client.ask(&statement("load", req, LONG)), rows());
         assert_eq!(starts_of(&engine, req), 1);
     }
-    engine.ended.wait_for("ends of the spoilt connections", 5, |_| true);
+    engine
+        .ended
+        .wait_for("ends of the spoilt connections", 5, |_| true);
 }
 
 /// Bytes that an engine sends in the moment in which a kept connection is to be used again.
@@ -794,9 +1083,15 @@
                 while let Ok(length @ 1..) = stream.read(&mut bytes) {
                     let text = String::from_utf8_lossy(&bytes[..length]).into_owned();
                     saw.push((n, text.clone()));
-                    let Reply::Say(answer) = good("a\tb\tc\n") else { return };
+                    let Reply::Say(answer) = good("a\tb\tc\n") else {
+                        return;
+                    };
                     let unknown = "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n".to_owned();
-                    let answer = if text.starts_with("POST") { answer } else { unknown };
+                    let answer = if text.starts_with("POST") {
+                        answer
+                    } else {
+                        unknown
+                    };
                     stream.write_all(answer.as_bytes()).unwrap();
                 }
             });
@@ -815,9 +1110,17 @@
         std::thread::sleep(Duration::from_millis(30));
     });
     assert_eq!(client.answer(1), rows());
-    let starts: Vec<usize> =
-        said.all().iter().filter(|(_, t)| t.starts_with("POST")).map(|(n, _)| *n).collect();
-    assert_eq!(starts, [0, 1], "each start on a connection of its own, once");
+    let starts: Vec<usize> = said
+        .all()
+        .iter()
+        .filter(|(_, t)| t.starts_with("POST"))
+        .map(|(n, _)| *n)
+        .collect();
+    assert_eq!(
+        starts,
+        [0, 1],
+        "each start on a connection of its own, once"
+    );
 }
 
 #[derive(Clone)]
--- a/crates/ivypitch-command/tests/scale.rs
+++ b/crates/ivypitch-command/tests/scale.rs
@@ -50,28 +50,57 @@
     let (silent, broken) = ((killed + 1) % REAL, (killed + 2) % REAL);
     let span = CHANGES * APART;
     let back = rng.random_range(100..span / 3);
-    let mut faults =
-        vec![Fault { at: rng.random_range(span / 6..span / 2), what: What::Kill { gateway: killed, back } }];
+    let mut faults = vec![Fault {
+        at: rng.random_range(span / 6..span / 2),
+        what: What::Kill {
+            gateway: killed,
+            back,
+        },
+    }];
     for n in 0..8 {
         let from = rng.random_range(0..REAL + HOLLOW);
         let to = (from + rng.random_range(1..REAL + HOLLOW)) % (REAL + HOLLOW);
         let span = rng.random_range(200..900);
         let what = match n % 3 {
             0 => What::Mute { from, to, span },
-            1 => What::Late { from, to, by: rng.random_range(20..600), span },
-            _ => What::Reset { from: from % REAL, to },
+            1 => What::Late {
+                from,
+                to,
+                by: rng.random_range(20..600),
+                span,
+            },
+            _ => What::Reset {
+                from: from % REAL,
+                to,
+            },
         };
-        faults.push(Fault { at: rng.random_range(0..CHANGES * APART), what });
+        faults.push(Fault {
+            at: rng.random_range(0..CHANGES * APART),
+            what,
+        });
+    }
+    faults.push(Fault {
+        at: span / 2,
+        what: What::CutOff {
+            gateway: broken,
+            span: 400,
+        },
+    });
+    Faults {
+        plan: Plan { faults },
+        silent,
+        broken,
+        drop: rng.random_range(0.01..0.1),
     }
-    faults.push(Fault { at: span / 2, what: What::CutOff { gateway: broken, span: 400 } });
-    Faults { plan: Plan { faults }, silent, broken, drop: rng.random_range(0.01..0.1) }
 }
 
 fn lookup(client: &mut Option<Client>, fleet_at: std::net::SocketAddr, id: u64) -> bool {
     if client.is_none() {
         *client = Client::reach(fleet_at);
     }
-    let Some(answer) = client.as_mut().and_then(|open| open.try_ask(&statement("lookup", id, LONGEST)))
+    let Some(answer) = client
+        .as_mut()
+        .and_then(|open| open.try_ask(&statement("lookup", id, LONGEST)))
     else {
         *client = None;
         return false;
@@ -87,8 +116,15 @@
     let lines = fleet.park.as_ref().unwrap().lines.all();
     let read = |line: &String| {
         let words: Vec<&str> = line.split(' ').collect();
-        let [at, "start", engine, id] = words[..] else { return None };
-        Some((at.parse().unwrap(), engine.parse().unwrap(), gateway_of(id), id.to_owned()))
+        let [at, "start", engine, id] = words[..] else {
+            return None;
+        };
+        Some((
+            at.parse().unwrap(),
+            engine.parse().unwrap(),
+            gateway_of(id),
+            id.to_owned(),
+        ))
     };
     lines.iter().filter_map(read).collect()
 }
@@ -97,14 +133,24 @@
 #[test_case(2)]
 #[test_case(3)]
 fn all_act_by_the_last_change_of_a_burst_and_none_by_an_undone_one(seed: u64) {
-    let Faults { plan, silent, broken, drop } = draw(seed);
+    let Faults {
+        plan,
+        silent,
+        broken,
+        drop,
+    } = draw(seed);
     // Shown where the test fails.
-    println!("seed {seed}: journal of n{silent} silent, of n{broken} broken, {drop:.3} lost\n{plan}");
+    println!(
+        "seed {seed}: journal of n{silent} silent, of n{broken} broken, {drop:.3} lost\n{plan}"
+    );
     let mut fleet = Fleet::start(Setup {
         gateways: REAL,
         hollow: HOLLOW,
         hollow_tell: true,
-        engines: Engines::Hollow { count: LISTED, spare: 1 },
+        engines: Engines::Hollow {
+            count: LISTED,
+            spare: 1,
+        },
         direct_engines: true,
         longest_ms: LONGEST,
         peers: Some(PEERS.into()),
@@ -115,7 +161,9 @@
     let at: Vec<_> = fleet.seats.iter().map(|seat| seat.address).collect();
     for from in 0..REAL + HOLLOW {
         for to in (0..REAL + HOLLOW).filter(|&to| to != from) {
-            fleet.net.change(End::Gateway(from), End::Gateway(to), |way| way.drop = drop);
+            fleet
+                .net
+                .change(End::Gateway(from), End::Gateway(to), |way| way.drop = drop);
         }
     }
     fleet.net.silence(End::Journal, End::Gateway(silent));
@@ -175,24 +223,36 @@
             first.entry(*by - LAST_ROUND).or_insert(*at);
         } else if *by >= LAST_ROUND {
             let acted = first.get(&(by - LAST_ROUND));
-            assert!(acted.is_none(), "{id} at engine {engine}: undone by a change that was acted by before");
+            assert!(
+                acted.is_none(),
+                "{id} at engine {engine}: undone by a change that was acted by before"
+            );
         }
     }
     for g in 0..REAL {
         let took = first[&g].saturating_sub(last_told);
-        assert!(took <= IN_FORCE, "n{g} acts by the last change after {took} us");
+        assert!(
+            took <= IN_FORCE,
+            "n{g} acts by the last change after {took} us"
+        );
     }
     let crowd = &fleet.crowd.as_ref().unwrap().lines;
     for place in REAL..REAL + HOLLOW {
         let ends = format!(" event {place} {}", CHANGES + 1);
         let line = crowd.wait("last change", |line| line.ends_with(&ends));
         let at: u64 = line.split(' ').next().unwrap().parse().unwrap();
-        assert!(at <= last_told + IN_FORCE, "hollow n{place} took the last change late");
+        assert!(
+            at <= last_told + IN_FORCE,
+            "hollow n{place} took the last change late"
+        );
     }
     // No start went by untold.
     let counts = fleet.park.as_mut().unwrap().ask("count", "counts ");
     let counts: Vec<Counts> = serde_json::from_str(&counts).unwrap();
-    assert_eq!(counts.iter().map(|c| c.starts).sum::<u64>(), starts(&fleet).len() as u64);
+    assert_eq!(
+        counts.iter().map(|c| c.starts).sum::<u64>(),
+        starts(&fleet).len() as u64
+    );
     fleet.finish();
     assert!(fleet.crashes.is_empty(), "{:?}", fleet.crashes);
 }
@@ -221,7 +281,11 @@
             0 => fleet.tell_row(&row("s-last", fleet.spare[0], 0, "in_service")),
             left @ 1..=5 => fleet.tell_state(left as usize - 1, "terminating"),
             _ => {
-                let state = if rng.random_bool(0.5) { "terminating" } else { "in_service" };
+                let state = if rng.random_bool(0.5) {
+                    "terminating"
+                } else {
+                    "in_service"
+                };
                 fleet.tell_state(rng.random_range(0..LISTED), state);
             }
         }
@@ -245,18 +309,32 @@
     })
     .unwrap();
     let (at, mut client) = (fleet.seats[0].address, None);
-    let served = (0..200).filter(|&n| lookup(&mut client, at, id_at(0, n))).count();
+    let served = (0..200)
+        .filter(|&n| lookup(&mut client, at, id_at(0, n)))
+        .count();
     for g in 0..2 {
         let sample = fleet.sample(g).unwrap();
         let apart = |own: u64, met: u64| own.abs_diff(met) as f64 / met as f64;
         let (out, into) = (
-            apart(sample.own.bytes_out, sample.relay.bytes_from + sample.engines.bytes_in),
-            apart(sample.own.bytes_in, sample.relay.bytes_to + sample.engines.bytes_out),
+            apart(
+                sample.own.bytes_out,
+                sample.relay.bytes_from + sample.engines.bytes_in,
+            ),
+            apart(
+                sample.own.bytes_in,
+                sample.relay.bytes_to + sample.engines.bytes_out,
+            ),
+        );
+        assert!(
+            out < 0.1 && into < 0.1,
+            "n{g}: {out:.3} and {into:.3} apart: {sample:?}"
         );
-        assert!(out < 0.1 && into < 0.1, "n{g}: {out:.3} and {into:.3} apart: {sample:?}");
         let of_engines = apart(sample.own.to_engines, sample.engines.bytes_in.max(1));
         assert!(g > 0 || of_engines < 0.01, "calls: {sample:?}");
-        assert_eq!(sample.engines.starts as usize, if g == 0 { served } else { 0 });
+        assert_eq!(
+            sample.engines.starts as usize,
+            if g == 0 { served } else { 0 }
+        );
     }
     assert!(served > 190, "{served}");
 }
--- a/crates/ivypitch-command/tests/serving.rs
+++ b/crates/ivypitch-command/tests/serving.rs
@@ -6,7 +6,12 @@
 use test_case::test_case;
 
 fn rows(values: &[[&str; 3]]) -> Answer {
-    Answer::Rows(values.iter().map(|row| row.map(str::to_owned).to_vec()).collect())
+    Answer::Rows(
+        values
+            .iter()
+            .map(|row| row.map(str::to_owned).to_vec())
+            .collect(),
+    )
 }
 
 fn ready(engine: &Engine) -> Vec<String> {
@@ -17,18 +22,33 @@
 
 #[test]
 fn a_statement_is_passed_on_unchanged_and_all_its_pages_come_back_whole() {
-    let engine = Engine::start(|call, _| match (call.method.as_str(), call.path.rsplit('/').next()) {
-        ("POST", _) => say(202, "Srv-Note: done\r\nFigure: 0.5\r\n", ""),
-        ("GET", Some("0")) => say(200, "Page-Count: 3\r\nWork-Ms: 4\r\nPeak-Mb: 8\r\n", "1\ta\t\n"),
-        ("GET", Some(page)) => {
-            say(200, &format!("Page-No: {page}\r\n"), &format!("{page}\tx y\tz\n2\t2\t2\n"))
-        }
-        _ => say(204, "", ""),
-    });
+    let engine =
+        Engine::start(
+            |call, _| match (call.method.as_str(), call.path.rsplit('/').next()) {
+                ("POST", _) => say(202, "Srv-Note: done\r\nFigure: 0.5\r\n", ""),
+                ("GET", Some("0")) => say(
+                    200,
+                    "Page-Count: 3\r\nWork-Ms: 4\r\nPeak-Mb: 8\r\n",
+                    "1\ta\t\n",
+                ),
+                ("GET", Some(page)) => say(
+                    200,
+                    &format!("Page-No: {page}\r\n"),
+                    &format!("{page}\tx y\tz\n2\t2\t2\n"),
+                ),
+                _ => say(204, "", ""),
+            },
+        );
     let gateway = Gateway::start(&ready(&engine));
     let mut client = Client::connect(&gateway);
     let answer = client.ask(&statement("lookup", 0x9b1f, 5000));
-    let expected = [["1", "a", ""], ["1", "x y", "z"], ["2", "2", "2"], ["2", "x y", "z"], ["2", "2", "2"]];
+    let expected = [
+        ["1", "a", ""],
+        ["1", "x y", "z"],
+        ["2", "2", "2"],
+        ["2", "x y", "z"],
+        ["2", "2", "2"],
+    ];
     assert_eq!(answer, rows(&expected));
     let start = engine.calls.wait("start", |c| c.is("POST"));
     assert_eq!(start.path, "/c");
@@ -59,7 +79,14 @@
 
 #[test]
 fn a_result_of_48000_bytes_comes_whole() {
-    let page = |_: &str| format!("{}\t{}\t{}\n", "a".repeat(300), "b".repeat(3000), "c".repeat(2697));
+    let page = |_: &str| {
+        format!(
+            "{}\t{}\t{}\n",
+            "a".repeat(300),
+            "b".repeat(3000),
+            "c".repeat(2697)
+        )
+    };
     let engine = Engine::start(move |call, _| match call.path.rsplit('/').next() {
         Some(n) if call.is("GET") => say(200, &format!("Page-No: {n}\r\n"), &page(n)),
         _ => say(200, "Page-Count: 8\r\n", &page("0")),
@@ -68,7 +95,10 @@
     let Answer::Rows(rows) = Client::connect(&gateway).ask(&statement("lookup", 1, 20000)) else {
         panic!("no rows")
     };
-    assert_eq!(rows.iter().flatten().map(|c| c.len() + 1).sum::<usize>(), 48_000);
+    assert_eq!(
+        rows.iter().flatten().map(|c| c.len() + 1).sum::<usize>(),
+        48_000
+    );
 }
 
 /// What an engine says to the start, and the error that a load gets, which must never run twice.
@@ -97,7 +127,11 @@
     let mut client = Client::connect(&gateway);
     assert_eq!(client.ask(&statement("load", 1, 2500)).code(), code);
     if code == 1105 {
-        assert_eq!(engine.starts(), 1, "it may have run, so it is not started again");
+        assert_eq!(
+            engine.starts(),
+            1,
+            "it may have run, so it is not started again"
+        );
     }
     assert_eq!(client.ping(), OK);
 }
@@ -109,17 +143,26 @@
         _ => good("a\tb\tc\n"),
     });
     let gateway = Gateway::start(&ready(&engine));
-    assert_eq!(Client::connect(&gateway).ask(&statement("load", 1, 5000)), rows(&[["a", "b", "c"]]));
+    assert_eq!(
+        Client::connect(&gateway).ask(&statement("load", 1, 5000)),
+        rows(&[["a", "b", "c"]])
+    );
     assert_eq!(engine.starts(), 1);
 }
 
 #[test]
 fn a_refused_connection_is_a_refusal_with_a_time_to_stay_away() {
     let (_held, address) = refusing();
-    let engine = Engine { address, calls: Seen::new(), ended: Seen::new() };
+    let engine = Engine {
+        address,
+        calls: Seen::new(),
+        ended: Seen::new(),
+    };
     let gateway = Gateway::start(&ready(&engine));
     let answer = Client::connect(&gateway).ask(&statement("load", 1, 2000));
-    let Answer::Error(1203, text) = answer else { panic!("{answer:?}") };
+    let Answer::Error(1203, text) = answer else {
+        panic!("{answer:?}")
+    };
     assert!(text.contains("holdoff=2000"), "{text}");
 }
 
@@ -128,8 +171,15 @@
 fn an_engine_that_never_ends_is_given_up_in_time_and_started_once(kind: &str, code: u16) {
     let engine = Engine::busy();
     let gateway = Gateway::start(&ready(&engine));
-    assert_eq!(Client::connect(&gateway).ask(&statement(kind, 1, 400)).code(), code);
-    engine.calls.wait("give-up", |c| c.is("DELETE") && c.path == "/c/0000000000000001");
+    assert_eq!(
+        Client::connect(&gateway)
+            .ask(&statement(kind, 1, 400))
+            .code(),
+        code
+    );
+    engine.calls.wait("give-up", |c| {
+        c.is("DELETE") && c.path == "/c/0000000000000001"
+    });
     assert_eq!(engine.starts(), 1);
 }
 
@@ -137,20 +187,31 @@
 fn a_statement_on_a_silent_engine_is_answered_in_time() {
     let engine = Engine::start(|_, _| Reply::Silence);
     let gateway = Gateway::start(&ready(&engine));
-    assert_eq!(Client::connect(&gateway).ask(&statement("load", 1, 400)).code(), 1105);
+    assert_eq!(
+        Client::connect(&gateway)
+            .ask(&statement("load", 1, 400))
+            .code(),
+        1105
+    );
 }
 
 #[test]
 fn an_idempotent_statement_that_is_lost_runs_on_another_engine_after_the_first_gave_it_up() {
     let (silent, served) = (Engine::start(|_, _| Reply::Silence), Engine::served());
-    let list = [silent.row("s-1", "in_service"), served.row("s-2", "in_service")];
+    let list = [
+        silent.row("s-1", "in_service"),
+        served.row("s-2", "in_service"),
+    ];
     let gateway = Gateway::start(&list);
     for req in 1..=8 {
         let answer = Client::connect(&gateway).ask(&statement("lookup", req, 20_000));
         assert_eq!(answer, rows(&[["a", "b", "c"]]));
     }
     let given_up = silent.calls.all().iter().filter(|c| c.is("DELETE")).count();
-    assert!(given_up >= silent.starts(), "each that was started is given up");
+    assert!(
+        given_up >= silent.starts(),
+        "each that was started is given up"
+    );
 }
 
 #[test]
@@ -206,22 +267,32 @@
     client.send(&query(&statement("lookup", 1, 20_000)));
     engine.calls.wait("start", |c| c.is("POST"));
     gateway.terminate();
-    gateway.log.wait("overlap", |l| l.contains("serving -> overlap"));
+    gateway
+        .log
+        .wait("overlap", |l| l.contains("serving -> overlap"));
     let mut late = Client::connect(&gateway);
     assert_eq!(late.ask(&statement("load", 2, 20_000)).code(), 1105);
     assert_eq!(client.answer(1).code(), 1203);
     assert_eq!(gateway.exit_code(), Some(0));
-    gateway.log.wait("stop", |l| l.contains("finishing -> stopped: 2 sessions, 0 statements open"));
+    gateway.log.wait("stop", |l| {
+        l.contains("finishing -> stopped: 2 sessions, 0 statements open")
+    });
 }
 
 #[test]
 fn a_gateway_that_was_killed_starts_again_at_its_address() {
     let engine = Engine::served();
     let mut gateway = Gateway::start(&ready(&engine));
-    assert_eq!(Client::connect(&gateway).ask(&statement("lookup", 1, 5000)), rows(&[["a", "b", "c"]]));
+    assert_eq!(
+        Client::connect(&gateway).ask(&statement("lookup", 1, 5000)),
+        rows(&[["a", "b", "c"]])
+    );
     gateway.kill();
     let again = Gateway::with(&gateway.address.to_string(), &ready(&engine), None, 1024);
-    assert_eq!(Client::connect(&again).ask(&statement("lookup", 2, 5000)), rows(&[["a", "b", "c"]]));
+    assert_eq!(
+        Client::connect(&again).ask(&statement("lookup", 2, 5000)),
+        rows(&[["a", "b", "c"]])
+    );
 }
 
 #[test]
@@ -229,15 +300,30 @@
     let (old, new) = (Engine::served(), Engine::served());
     let changed = [old.row("s-1", "terminating"), new.row("s-2", "in_service")];
     let journal = Journal::start(&[
-        format!("{}{{\"pos\":3,", event(2, false, &[new.row("s-2", "in_service")])) + "\nbroken\n!",
+        format!(
+            "{}{{\"pos\":3,",
+            event(2, false, &[new.row("s-2", "in_service")])
+        ) + "\nbroken\n!",
         event(5, false, &[old.row("s-1", "terminated")]),
         "{\"pos\":3,\"hosts!".into(),
         event(3, false, &changed) + &event(1, false, &[]) + &event(2, false, &[]) + "3\n",
     ]);
-    let gateway = Gateway::with("127.0.0.1:0", &[old.row("s-1", "in_service")], Some(&journal), 1024);
-    gateway.log.wait("loss", |l| l.contains("journal") && l.contains("lost at 2"));
-    gateway.log.wait("recovery", |l| l.contains("followed again from 3"));
-    assert_eq!(journal.tails.all()[..4], ["tail 1\n", "tail 2\n", "tail 2\n", "tail 2\n"]);
+    let gateway = Gateway::with(
+        "127.0.0.1:0",
+        &[old.row("s-1", "in_service")],
+        Some(&journal),
+        1024,
+    );
+    gateway
+        .log
+        .wait("loss", |l| l.contains("journal") && l.contains("lost at 2"));
+    gateway
+        .log
+        .wait("recovery", |l| l.contains("followed again from 3"));
+    assert_eq!(
+        journal.tails.all()[..4],
+        ["tail 1\n", "tail 2\n", "tail 2\n", "tail 2\n"]
+    );
     let before = old.starts();
     for req in 1..=20 {
         let answer = Client::connect(&gateway).ask(&statement("lookup", req, 5000));
@@ -270,7 +356,10 @@
     assert_eq!(client.ask(text).code(), 1064);
     client.send(&packet(0, &[0x16, 1, 2, 3]));
     assert_eq!(client.answer(1).code(), 1047, "an unknown command");
-    assert_eq!(client.ask(&statement("lookup", 2, 5000)), rows(&[["a", "b", "c"]]));
+    assert_eq!(
+        client.ask(&statement("lookup", 2, 5000)),
+        rows(&[["a", "b", "c"]])
+    );
     assert_eq!(engine.starts(), 1);
 }
 
@@ -290,7 +379,10 @@
     let mut denied = Client::bare(&gateway);
     denied.send(&login("root"));
     assert_eq!(denied.greeted().code(), 1045);
-    assert_eq!(Client::connect(&gateway).ask(&statement("lookup", 1, 5000)), rows(&[["a", "b", "c"]]));
+    assert_eq!(
+        Client::connect(&gateway).ask(&statement("lookup", 1, 5000)),
+        rows(&[["a", "b", "c"]])
+    );
 }
 
 #[test]
@@ -300,7 +392,10 @@
     let gateway = Gateway::with("127.0.0.1:0", &ready(&engine), None, 48);
     let mut clients: Vec<Client> = (0..19).map(|_| Client::connect(&gateway)).collect();
     let last = clients.last_mut().unwrap();
-    assert_eq!(last.ask(&statement("lookup", 1, 5000)), rows(&[["a", "b", "c"]]));
+    assert_eq!(
+        last.ask(&statement("lookup", 1, 5000)),
+        rows(&[["a", "b", "c"]])
+    );
 }
 
 #[test]
@@ -363,9 +458,17 @@
             Some("1") => (200, "Page-No: 1\r\n", "d\te\tf\n"),
             _ => (200, "Page-Count: 2\r\n", "a\tb\tc\n"),
         };
-        let Reply::Say(good) = say(status, headers, body) else { panic!() };
+        let Reply::Say(good) = say(status, headers, body) else {
+            panic!()
+        };
         match spoilt {
-            _ if !spoil.lock().unwrap().insert((call.method.clone(), call.path.clone())) => Reply::Say(good),
+            _ if !spoil
+                .lock()
+                .unwrap()
+                .insert((call.method.clone(), call.path.clone())) =>
+            {
+                Reply::Say(good)
+            }
             "!" => Reply::Close,
             "" => Reply::Silence,
             _ => Reply::Say(spoilt.replace("{}", &good)),
@@ -383,10 +486,18 @@
     let gateway = Gateway::start(&ready(&engine));
     let mut client = Client::connect(&gateway);
     for req in 1..=5 {
-        assert_eq!(client.ask(&statement("lookup", req, 5000)), rows(&[["a", "b", "c"]]));
+        assert_eq!(
+            client.ask(&statement("lookup", req, 5000)),
+            rows(&[["a", "b", "c"]])
+        );
     }
     let calls = engine.calls.all();
-    let carried = |c: usize| calls.iter().filter(|call| call.connection == c && call.is("POST")).count();
+    let carried = |c: usize| {
+        calls
+            .iter()
+            .filter(|call| call.connection == c && call.is("POST"))
+            .count()
+    };
     assert!((0..5).all(|connection| carried(connection) == 1));
 }
 
@@ -397,26 +508,60 @@
     let journal = Journal::start(&[event(
         2,
         false,
-        &[there("s-1", "terminated"), there("s-2", "in_service"), later.row("s-3", "in_service")],
+        &[
+            there("s-1", "terminated"),
+            there("s-2", "in_service"),
+            later.row("s-3", "in_service"),
+        ],
     )]);
-    let gateway = Gateway::with("127.0.0.1:0", &[there("s-1", "in_service")], Some(&journal), 1024);
+    let gateway = Gateway::with(
+        "127.0.0.1:0",
+        &[there("s-1", "in_service")],
+        Some(&journal),
+        1024,
+    );
     let mut client = Client::connect(&gateway);
     client.send(&query(&statement("lookup", 1, 20_000)));
     assert_eq!(client.answer(1), rows(&[["a", "b", "c"]]));
-    gateway.log.wait("the new engine", |l| l.contains("is s-2 at"));
+    gateway
+        .log
+        .wait("the new engine", |l| l.contains("is s-2 at"));
 }
 
 #[test]
 fn tables_hold_the_engines_there_are_and_not_all_that_ever_were() {
     let engine = Engine::served();
     let id = |n: u64| format!("s-{n}");
-    let events = (2..2000)
-        .map(|n| event(n, false, &[engine.row(&id(n - 1), "terminated"), engine.row(&id(n), "in_service")]));
+    let events = (2..2000).map(|n| {
+        event(
+            n,
+            false,
+            &[
+                engine.row(&id(n - 1), "terminated"),
+                engine.row(&id(n), "in_service"),
+            ],
+        )
+    });
     let journal = Journal::start(&[events.collect::<String>()]);
-    let gateway = Gateway::with("127.0.0.1:0", &[engine.row("s-1", "in_service")], Some(&journal), 1024);
-    let last = gateway.log.wait("the last engine", |l| l.contains("is s-1999 at"));
-    assert!(["engine 0 is", "engine 1 is"].iter().any(|index| last.contains(index)), "{last}");
-    assert_eq!(Client::connect(&gateway).ask(&statement("lookup", 1, 5000)), rows(&[["a", "b", "c"]]));
+    let gateway = Gateway::with(
+        "127.0.0.1:0",
+        &[engine.row("s-1", "in_service")],
+        Some(&journal),
+        1024,
+    );
+    let last = gateway
+        .log
+        .wait("the last engine", |l| l.contains("is s-1999 at"));
+    assert!(
+        ["engine 0 is", "engine 1 is"]
+            .iter()
+            .any(|index| last.contains(index)),
+        "{last}"
+    );
+    assert_eq!(
+        Client::connect(&gateway).ask(&statement("lookup", 1, 5000)),
+        rows(&[["a", "b", "c"]])
+    );
 }
 
 #[test]
@@ -425,8 +570,15 @@
     let third = [old.row("s-1", "terminated"), new.row("s-3", "in_service")];
     let twice = event(2, false, &[new.row("s-2", "in_service")]).repeat(2);
     let journal = Journal::start(&[twice + &event(3, false, &third) + &event(2, false, &[])]);
-    let gateway = Gateway::with("127.0.0.1:0", &[old.row("s-1", "in_service")], Some(&journal), 1024);
-    gateway.log.wait("the last engine", |l| l.contains("is s-3 at"));
+    let gateway = Gateway::with(
+        "127.0.0.1:0",
+        &[old.row("s-1", "in_service")],
+        Some(&journal),
+        1024,
+    );
+    gateway
+        .log
+        .wait("the last engine", |l| l.contains("is s-3 at"));
     // The stand-in falls silent after its script, and is then asked again; nothing else loses it.
     let lost = gateway.log.wait("loss", |l| l.contains("lost at"));
     assert!(lost.ends_with("lost at 3: silent"), "{lost}");
@@ -440,7 +592,12 @@
         _ => say(202, "", ""),
     });
     let gateway = Gateway::start(&ready(&engine));
-    assert_eq!(Client::connect(&gateway).ask(&statement("load", 1, 400)).code(), 1105);
+    assert_eq!(
+        Client::connect(&gateway)
+            .ask(&statement("load", 1, 400))
+            .code(),
+        1105
+    );
     engine.calls.wait_for("give-ups", 2, |c| c.is("DELETE"));
 }
 
@@ -448,22 +605,41 @@
 fn a_reload_follows_the_journal_at_its_new_address_from_the_same_number() {
     let (old, new) = (Engine::served(), Engine::served());
     let first = Journal::start(&[event(1, false, &[]) + &event(2, false, &[])]);
-    let second =
-        Journal::start(&[event(3, false, &[old.row("s-1", "terminated"), new.row("s-2", "in_service")])]);
-    let mut gateway = Gateway::with("127.0.0.1:0", &[old.row("s-1", "in_service")], Some(&first), 1024);
+    let second = Journal::start(&[event(
+        3,
+        false,
+        &[old.row("s-1", "terminated"), new.row("s-2", "in_service")],
+    )]);
+    let mut gateway = Gateway::with(
+        "127.0.0.1:0",
+        &[old.row("s-1", "in_service")],
+        Some(&first),
+        1024,
+    );
     first.tails.wait("tail", |t| t == "tail 1\n");
     gateway.configure("{ half");
     gateway.signal("HUP");
-    gateway.log.wait("a reload that changes nothing", |l| l.contains("nothing changed"));
+    gateway.log.wait("a reload that changes nothing", |l| {
+        l.contains("nothing changed")
+    });
     gateway.configure_journal(&second);
     gateway.signal("HUP");
-    second.tails.wait("tail", |t| t == "tail 2\n" || t == "tail 1\n");
-    gateway.log.wait("the new engine", |l| l.contains("is s-2 at"));
-    assert_eq!(Client::connect(&gateway).ask(&statement("lookup", 1, 5000)), rows(&[["a", "b", "c"]]));
+    second
+        .tails
+        .wait("tail", |t| t == "tail 2\n" || t == "tail 1\n");
+    gateway
+        .log
+        .wait("the new engine", |l| l.contains("is s-2 at"));
+    assert_eq!(
+        Client::connect(&gateway).ask(&statement("lookup", 1, 5000)),
+        rows(&[["a", "b", "c"]])
+    );
     assert_eq!((old.starts(), new.starts()), (0, 1));
     gateway.signal("HUP");
     gateway.terminate();
-    gateway.log.wait("overlap", |l| l.contains("serving -> overlap"));
+    gateway
+        .log
+        .wait("overlap", |l| l.contains("serving -> overlap"));
     gateway.signal("HUP");
     assert_eq!(gateway.exit_code(), Some(0));
 }
--- a/crates/ivypitch-command/tests/sharing.rs
+++ b/crates/ivypitch-command/tests/sharing.rs
@@ -19,14 +19,18 @@
         longest_ms: LONGEST,
         direct_engines,
         // A customer whose whole allowance is small enough to ask for more than a part of it.
-        settings: |settings| settings.replace("\"allowance-per-s\":100000", "\"allowance-per-s\":100"),
+        settings: |settings| {
+            settings.replace("\"allowance-per-s\":100000", "\"allowance-per-s\":100")
+        },
         ..Setup::default()
     };
     Fleet::start(setup).unwrap()
 }
 
 fn view(fleet: &Fleet, g: usize) -> Value {
-    let Answer::Rows(rows) = Client::at(fleet.seats[g].address).ask("SHOW FLEET") else { panic!("no view") };
+    let Answer::Rows(rows) = Client::at(fleet.seats[g].address).ask("SHOW FLEET") else {
+        panic!("no view")
+    };
     serde_json::from_str(&rows[0][0]).unwrap()
 }
 
@@ -45,8 +49,16 @@
 
 fn lookups(fleet: &Fleet, g: usize, reqs: std::ops::Range<u64>) -> usize {
     let mut client = Client::at(fleet.seats[g].address);
-    let rows = |req| matches!(client.ask(&statement("lookup", req, LONGEST)), Answer::Rows(_));
-    reqs.map(|n| (1 << 32) + n).map(rows).filter(|&served| served).count()
+    let rows = |req| {
+        matches!(
+            client.ask(&statement("lookup", req, LONGEST)),
+            Answer::Rows(_)
+        )
+    };
+    reqs.map(|n| (1 << 32) + n)
+        .map(rows)
+        .filter(|&served| served)
+        .count()
 }
 
 #[test]
@@ -65,14 +77,21 @@
     for g in 0..4 {
         assert_eq!(lookups(&fleet, g, g as u64 * 100..g as u64 * 100 + 10), 10);
     }
-    assert_eq!(first.starts_by(0), before, "nothing goes to a draining engine");
+    assert_eq!(
+        first.starts_by(0),
+        before,
+        "nothing goes to a draining engine"
+    );
     // The journal speaks again and tells the same event: it is one.
     fleet.net.hear(End::Journal, End::Gateway(1));
     fleet.tell_state_to(1, 0, "terminating");
     fleet.tell_state_to(1, 0, "in_service");
     wait_view(&fleet, 3, "third event", |v| v["journal"] == 3);
     lookups(&fleet, 3, 900..930);
-    assert!(first.starts_by(0) > before, "back in service by a later event of a number of its own");
+    assert!(
+        first.starts_by(0) > before,
+        "back in service by a later event of a number of its own"
+    );
 }
 
 #[test]
@@ -81,7 +100,14 @@
     let fleet = start(5, &[&held[0], &held[1], &held[2]], false);
     held[0].fail_starts(true);
     // Four that have traffic find out; the fifth has none.
-    let id = |v: &Value| v["engines"].as_array().unwrap().iter().find(|e| e["out"] == true).cloned();
+    let id = |v: &Value| {
+        v["engines"]
+            .as_array()
+            .unwrap()
+            .iter()
+            .find(|e| e["out"] == true)
+            .cloned()
+    };
     let mut n = 0;
     while id(&view(&fleet, 4)).is_none() {
         for g in 0..4 {
@@ -116,7 +142,11 @@
     for g in 0..4 {
         wait_view(&fleet, g, "home", |v| bound(v)["away"] == 0);
     }
-    let sum = |fleet: &Fleet| (0..4).map(|g| bound(&view(fleet, g))["held"].as_u64().unwrap()).sum::<u64>();
+    let sum = |fleet: &Fleet| {
+        (0..4)
+            .map(|g| bound(&view(fleet, g))["held"].as_u64().unwrap())
+            .sum::<u64>()
+    };
     let mut n = 0;
     let mut busy = |fleet: &Fleet, is: &dyn Fn(u64) -> bool| {
         for _ in 0..2000 {
@@ -136,14 +166,19 @@
     fleet.cut(|a, b| a == 0 || b == 0, true);
     busy(&fleet, &|held| held == 100);
     for g in 1..4 {
-        wait_view(&fleet, g, "floor", |v| bound(v)["held"].as_u64() >= Some(10));
+        wait_view(&fleet, g, "floor", |v| {
+            bound(v)["held"].as_u64() >= Some(10)
+        });
     }
     // Healed: it borrows again. A lender that is killed takes nothing back early.
     fleet.cut(|a, b| a == 0 || b == 0, false);
     busy(&fleet, &|held| held > 150);
     fleet.kill(1);
     let rest = |fleet: &Fleet| {
-        [0, 2, 3].map(|g| bound(&view(fleet, g))["held"].as_u64().unwrap()).iter().sum::<u64>()
+        [0, 2, 3]
+            .map(|g| bound(&view(fleet, g))["held"].as_u64().unwrap())
+            .iter()
+            .sum::<u64>()
     };
     assert!(rest(&fleet) <= 400);
     // One that is back under its name begins at its floor.
@@ -163,6 +198,9 @@
         ..Setup::default()
     };
     let fleet = Fleet::start(setup).unwrap();
-    assert_eq!(Client::at(fleet.seats[0].address).ask("SHOW FLEET").code(), 1064);
+    assert_eq!(
+        Client::at(fleet.seats[0].address).ask("SHOW FLEET").code(),
+        1064
+    );
     assert!(std::net::TcpStream::connect(fleet.seats[0].peers_at).is_err());
 }
--- a/crates/ivypitch-command/tests/takeover.rs
+++ b/crates/ivypitch-command/tests/takeover.rs
@@ -24,14 +24,22 @@
 /// Of each statement's time, in milliseconds.
 const LONGEST: u64 = 20_000;
 /// Patient enough that nobody is taken for lost because the machine is busy.
-const PEERS: &str = r#""period_ms":200,"suspicion_ms":700,"custody":{"remembered_ms":400,"asks_from_ms":0}"#;
+const PEERS: &str =
+    r#""period_ms":200,"suspicion_ms":700,"custody":{"remembered_ms":400,"asks_from_ms":0}"#;
 const SLOW_PEERS: &str =
     r#""period_ms":500,"suspicion_ms":1500,"custody":{"remembered_ms":400,"asks_from_ms":0}"#;
 
 fn fleet(gateways: usize, held: &[&Held], peers: &str) -> Fleet {
     let engines = Engines::At(held.iter().map(|held| held.addresses.clone()).collect());
     let peers = Some(peers.to_owned());
-    Fleet::start(Setup { gateways, engines, peers, longest_ms: LONGEST, ..Setup::default() }).unwrap()
+    Fleet::start(Setup {
+        gateways,
+        engines,
+        peers,
+        longest_ms: LONGEST,
+        ..Setup::default()
+    })
+    .unwrap()
 }
 
 struct Scene {
@@ -90,7 +98,9 @@
     }
 
     fn wait_lost(&self, at: usize, lost: usize) {
-        self.fleet.seats[at].log.wait("loss", |l| l.contains(&format!("member n{lost} is lost")));
+        self.fleet.seats[at]
+            .log
+            .wait("loss", |l| l.contains(&format!("member n{lost} is lost")));
     }
 }
 
@@ -112,7 +122,9 @@
 /// An id whose witnesses, the first in rank first, are as wanted.
 fn id_where(gateways: usize, is: impl Fn(&[u16]) -> bool) -> (u64, Vec<u16>) {
     let witnesses = Witnesses::new((0..gateways as u16).map(|g| g % 3).collect(), 5);
-    let found = (1..10_000).map(|id| (id, witnesses.of(id))).find(|(_, all)| is(all));
+    let found = (1..10_000)
+        .map(|id| (id, witnesses.of(id)))
+        .find(|(_, all)| is(all));
     found.unwrap()
 }
 
@@ -129,7 +141,10 @@
     assert_eq!(also.answer(1), rows(1));
     // Later, anywhere, the same; and another statement under the id is refused.
     assert_eq!(s.client(3).ask(&statement("load", 1, LONGEST)), rows(1));
-    assert_eq!(s.client(4).ask(&statement("lookup", 1, LONGEST)).code(), 1062);
+    assert_eq!(
+        s.client(4).ask(&statement("lookup", 1, LONGEST)).code(),
+        1062
+    );
     assert_eq!(s.held.starts(1), 1, "it ran once");
 }
 
@@ -155,7 +170,12 @@
 #[test_case("load", START, 1105, 0; "a load whose start is on its way is in doubt and not sent")]
 #[test_case("lookup", PROOF, 0, 1; "a lookup whose connection is being proved runs at another")]
 #[test_case("lookup", START, 0, 1; "a lookup whose start is on its way runs at another")]
-fn killed_after_the_grant_and_before_the_engine_hears(kind: &str, way: &str, code: u16, starts: usize) {
+fn killed_after_the_grant_and_before_the_engine_hears(
+    kind: &str,
+    way: &str,
+    code: u16,
+    starts: usize,
+) {
     let mut s = scene(5).voting();
     s.fleet.net.silence(gateway(0), ENGINE);
     let _client = s.sent(0, kind, 1);
@@ -216,8 +236,13 @@
     s.held.wait_ask(1, 1, &[]);
     s.fleet.kill(0);
     s.held.mute_pages(false);
-    let all = (0..3).map(|page| vec![page.to_string(), "b".into(), "c".into()]).collect();
-    assert_eq!(s.client(1).ask(&statement("load", 1, LONGEST)), Answer::Rows(all));
+    let all = (0..3)
+        .map(|page| vec![page.to_string(), "b".into(), "c".into()])
+        .collect();
+    assert_eq!(
+        s.client(1).ask(&statement("load", 1, LONGEST)),
+        Answer::Rows(all)
+    );
     assert_eq!(s.held.starts(1), 1);
 }
 
@@ -227,9 +252,15 @@
     let long = "x".repeat(5_000);
     let pages: Vec<String> = (0..8).map(|page| format!("{page}\t{long}\tc\n")).collect();
     let client = End::Client(0);
-    let way = s.fleet.net.open(client, gateway(0), s.fleet.seats[0].address, false).unwrap();
+    let way = s
+        .fleet
+        .net
+        .open(client, gateway(0), s.fleet.seats[0].address, false)
+        .unwrap();
     let mut first = Client::at(way);
-    s.fleet.net.change(gateway(0), client, |way| way.slow = 60_000);
+    s.fleet
+        .net
+        .change(gateway(0), client, |way| way.slow = 60_000);
     first.send(&query(&statement("load", 1, LONGEST)));
     s.held.wait_start(1);
     // Nobody hears that it has ended: whoever hears so has the rows for as long only as the engine may have them.
@@ -241,8 +272,13 @@
     s.fleet.kill(0);
     s.fleet.net.reset(client, gateway(0));
     let answer = s.client(1).ask(&statement("load", 1, LONGEST));
-    let Answer::Rows(all) = answer else { panic!("{answer:?}") };
-    assert_eq!(all.iter().map(|row| row[0].clone()).collect::<String>(), "01234567");
+    let Answer::Rows(all) = answer else {
+        panic!("{answer:?}")
+    };
+    assert_eq!(
+        all.iter().map(|row| row[0].clone()).collect::<String>(),
+        "01234567"
+    );
     assert_eq!(s.held.starts(1), 1);
 }
 
@@ -266,7 +302,10 @@
     assert_eq!(back.answer(1), rows(req));
     assert_eq!(s.held.starts(req), 1);
     // One that nobody has sent is refused, with the word that it did not run.
-    assert_eq!(s.client(1).ask(&statement("load", 9999, LONGEST)).code(), 1203);
+    assert_eq!(
+        s.client(1).ask(&statement("load", 9999, LONGEST)).code(),
+        1203
+    );
     assert_eq!(s.held.starts(9999), 0);
 }
 
@@ -279,13 +318,19 @@
     s.fleet.kill(usize::from(witnesses[0]));
     s.held.wait_ask(req, 0, &[0]);
     s.held.end(req);
-    assert_eq!(s.client(usize::from(witnesses[2])).ask(&statement("load", req, LONGEST)), rows(req));
+    assert_eq!(
+        s.client(usize::from(witnesses[2]))
+            .ask(&statement("load", req, LONGEST)),
+        rows(req)
+    );
     assert_eq!(s.held.starts(req), 1);
 }
 
 #[test]
 fn owner_and_a_whole_zone_of_witnesses_lost_together() {
-    let (req, _) = id_where(7, |all| !all.contains(&0) && all.contains(&1) && all.contains(&4));
+    let (req, _) = id_where(7, |all| {
+        !all.contains(&0) && all.contains(&1) && all.contains(&4)
+    });
     let mut s = scene(7).voting();
     s.running(0, req);
     for g in [0, 1, 4] {
@@ -312,7 +357,10 @@
     let third = s.held.wait_ask(req, 0, &lost);
     s.held.end(req);
     let other = (0..7).find(|g| !lost.contains(g) && *g != third).unwrap();
-    assert_eq!(s.client(other).ask(&statement("load", req, LONGEST)), rows(req));
+    assert_eq!(
+        s.client(other).ask(&statement("load", req, LONGEST)),
+        rows(req)
+    );
     assert_eq!(s.held.starts(req), 1);
 }
 
@@ -329,10 +377,15 @@
     // It wakes, and what it had written arrives.
     s.fleet.net.hear(gateway(0), ENGINE);
     s.fleet.go_on(0);
-    s.fleet.seats[1].log.wait_for("return", 2, |l| l.contains("member n0 is up"));
+    s.fleet.seats[1]
+        .log
+        .wait_for("return", 2, |l| l.contains("member n0 is up"));
     s.held.end(1);
     let answer = first.answer(1);
-    assert!(matches!(answer, Answer::Rows(_) | Answer::Error(1105, _)), "{answer:?}");
+    assert!(
+        matches!(answer, Answer::Rows(_) | Answer::Error(1105, _)),
+        "{answer:?}"
+    );
     assert!(s.held.starts(1) <= 1, "never a second time");
 }
 
@@ -369,7 +422,9 @@
     assert_eq!((s.held.starts(1), s.held.starts(2)), (1, 0));
     // Healed: it sends again.
     s.fleet.cut(|a, b| a == 0 || b == 0, false);
-    s.fleet.seats[1].log.wait_for("return", 2, |l| l.contains("member n0 is up"));
+    s.fleet.seats[1]
+        .log
+        .wait_for("return", 2, |l| l.contains("member n0 is up"));
     ask_until_votes(&s.fleet, 0);
 }
 
@@ -401,9 +456,9 @@
     s.held.forget();
     let mut back = s.sent(1, kind, 1);
     if kind == "lookup" {
-        s.held
-            .calls
-            .wait_for("starts", 2, |(_, c)| c.is("POST") && c.header("Via-Id") == Some("0000000000000001"));
+        s.held.calls.wait_for("starts", 2, |(_, c)| {
+            c.is("POST") && c.header("Via-Id") == Some("0000000000000001")
+        });
         s.held.end(1);
     }
     let answer = back.answer(1);
@@ -422,19 +477,30 @@
     while !begun(&s.held) && !begun(&other) {
         std::thread::yield_now();
     }
-    let (at, here) = if begun(&s.held) { (0, &s.held) } else { (1, &other) };
+    let (at, here) = if begun(&s.held) {
+        (0, &s.held)
+    } else {
+        (1, &other)
+    };
     s.fleet.kill(0);
     here.wait_ask(1, 0, &[0]);
     s.fleet.tell_state(at, "terminating");
     let before = here.calls.all().len();
-    here.calls.wait_for("questions", 3, |(by, c)| c.is("GET") && *by != 0);
+    here.calls
+        .wait_for("questions", 3, |(by, c)| c.is("GET") && *by != 0);
     here.end(1);
     assert_eq!(s.client(1).ask(&statement("load", 1, LONGEST)), rows(1));
     for req in (1 << 32) + 7000..(1 << 32) + 7010 {
-        assert!(matches!(s.client(2).ask(&statement("lookup", req, LONGEST)), Answer::Rows(_)));
+        assert!(matches!(
+            s.client(2).ask(&statement("lookup", req, LONGEST)),
+            Answer::Rows(_)
+        ));
     }
     let after = here.calls.all().split_off(before);
-    assert!(!after.iter().any(|(_, c)| c.is("POST")), "nothing new goes to a draining engine");
+    assert!(
+        !after.iter().any(|(_, c)| c.is("POST")),
+        "nothing new goes to a draining engine"
+    );
     assert_eq!(here.starts(1), 1);
 }
 
@@ -468,7 +534,9 @@
     s.held.end(1);
     s.fleet.cut(|_, b| b == 0, false);
     for g in 1..5 {
-        s.fleet.seats[0].log.wait_for("member", 2, |l| l.contains(&format!("member n{g} is up")));
+        s.fleet.seats[0]
+            .log
+            .wait_for("member", 2, |l| l.contains(&format!("member n{g} is up")));
     }
     assert_eq!(s.client(0).ask(&statement("load", 1, LONGEST)), rows(1));
     assert_eq!(s.held.starts(1), 1);
@@ -498,14 +566,25 @@
             })
         };
         let back: Vec<_> = lost.iter().map(back).collect();
-        for req in lost.iter().filter(|&&g| can_be_known(g)).map(|&g| 1 + g as u64) {
+        for req in lost
+            .iter()
+            .filter(|&&g| can_be_known(g))
+            .map(|&g| 1 + g as u64)
+        {
             s.held.wait_ask(req, 0, &lost);
             s.held.end(req);
         }
         for (&g, back) in lost.iter().zip(back) {
             let (answer, req) = (back.join().unwrap(), 1 + g as u64);
             // No majority of its witnesses is left: nobody may act, and it is not sent.
-            assert!(if can_be_known(g) { answer == rows(req) } else { answer.code() == 1105 }, "{answer:?}");
+            assert!(
+                if can_be_known(g) {
+                    answer == rows(req)
+                } else {
+                    answer.code() == 1105
+                },
+                "{answer:?}"
+            );
         }
     });
     assert!(lost.iter().all(|&g| s.held.starts(1 + g as u64) == 1));
@@ -520,12 +599,20 @@
     client.send(&query(&statement("load", 2, LONGEST)));
     assert_eq!(s.held.wait_start(2), 0);
     s.fleet.signal(0, Signal::TERM);
-    s.fleet.seats[0].log.wait("hand over", |l| l.contains("custody hands 1 statements over"));
+    s.fleet.seats[0].log.wait("hand over", |l| {
+        l.contains("custody hands 1 statements over")
+    });
     s.held.end(2);
     assert_eq!(s.fleet.end(0), Some(0));
     assert_eq!(s.client(1).ask(&statement("load", 2, LONGEST)), rows(2));
     assert_eq!(s.held.starts(2), 1, "it ran once");
-    assert!(!s.held.calls.all().iter().any(|(_, c)| c.is("DELETE") && c.path.ends_with("0000000000000002")));
+    assert!(
+        !s.held
+            .calls
+            .all()
+            .iter()
+            .any(|(_, c)| c.is("DELETE") && c.path.ends_with("0000000000000002"))
+    );
 }
 
 #[test]
@@ -536,7 +623,9 @@
     let _client = s.running(0, req);
     s.fleet.net.silence(gateway(0), gateway(1));
     s.fleet.signal(0, Signal::TERM);
-    s.fleet.seats[0].log.wait("hand over", |l| l.contains("custody hands 1 statements over"));
+    s.fleet.seats[0].log.wait("hand over", |l| {
+        l.contains("custody hands 1 statements over")
+    });
     let mut back = s.sent(2, "load", req);
     assert_eq!(s.fleet.end(0), Some(0));
     s.held.wait_ask(req, 0, &[0]);
@@ -550,12 +639,17 @@
     let mut s = scene(3).voting();
     s.fleet.kill(1);
     s.fleet.kill(2);
-    s.fleet.seats[0].log.wait_for("losses", 2, |l| l.contains("is lost"));
+    s.fleet.seats[0]
+        .log
+        .wait_for("losses", 2, |l| l.contains("is lost"));
     assert_eq!(s.client(0).ask(&statement("load", 3, LONGEST)).code(), 1105);
     assert_eq!(s.held.starts(3), 0);
     // What is harmless goes on.
     s.held.end(4);
-    assert!(matches!(s.client(0).ask(&statement("lookup", 4, LONGEST)), Answer::Rows(_)));
+    assert!(matches!(
+        s.client(0).ask(&statement("lookup", 4, LONGEST)),
+        Answer::Rows(_)
+    ));
 }
 
 #[test]
@@ -564,9 +658,15 @@
     // A link whose first frame names another version.
     let hello = |version: u16| {
         let zones = ["z0", "z1", "z2"].map(String::from).to_vec();
-        let seat =
-            |g: usize| Seat { name: format!("n{g}"), zone: g as u16, address: s.fleet.seats[g].peers_at };
-        let roster = Roster { seats: (0..3).map(seat).collect(), zones };
+        let seat = |g: usize| Seat {
+            name: format!("n{g}"),
+            zone: g as u16,
+            address: s.fleet.seats[g].peers_at,
+        };
+        let roster = Roster {
+            seats: (0..3).map(seat).collect(),
+            zones,
+        };
         let frame = ivypitch_gateway::wire::peers::Frame::Hello {
             version,
             roster: roster.mark(),
@@ -602,10 +702,16 @@
     log.wait("stranger", unspoken);
     let all = log.all();
     assert_eq!(
-        (all.iter().filter(|l| refused(l)).count(), all.iter().filter(|l| unspoken(l)).count()),
+        (
+            all.iter().filter(|l| refused(l)).count(),
+            all.iter().filter(|l| unspoken(l)).count()
+        ),
         (1, 1)
     );
-    assert!(!all.iter().any(|l| l.contains("is lost")), "the real n1 stays");
+    assert!(
+        !all.iter().any(|l| l.contains("is lost")),
+        "the real n1 stays"
+    );
 }
 
 #[test]
@@ -615,7 +721,12 @@
     let (mut child, log, _) = spawn_with(&config, Some(own));
     assert_eq!(child.wait().unwrap().code(), Some(1));
     let line = log.wait("line", |_| true);
-    for word in ["peers.gateways[1].name", "stands twice", "peers.gateways[1].address", "custody.witnesses"] {
+    for word in [
+        "peers.gateways[1].name",
+        "stands twice",
+        "peers.gateways[1].address",
+        "custody.witnesses",
+    ] {
         assert!(line.contains(word), "{line}");
     }
 }
--- a/crates/ivypitch-command/tests/teams.rs
+++ b/crates/ivypitch-command/tests/teams.rs
@@ -36,7 +36,12 @@
 }
 
 fn loads_started(engine: &Engine) -> usize {
-    engine.calls.all().iter().filter(|c| c.header("Via-Class") == Some("load")).count()
+    engine
+        .calls
+        .all()
+        .iter()
+        .filter(|c| c.header("Via-Class") == Some("load"))
+        .count()
 }
 
 fn shown(gateway: &Gateway, ask: &str) -> Vec<Vec<String>> {
@@ -66,15 +71,33 @@
     let mut client = Client::connect(&gateway);
     client.send(&query(&statement("load", 0xabc, 20_000)));
     let rows = waiting(&gateway, 1);
-    assert_eq!(rows[0][..5], ["0000000000000abc", "acme", "load", "waiting", "1"].map(str::to_owned));
+    assert_eq!(
+        rows[0][..5],
+        ["0000000000000abc", "acme", "load", "waiting", "1"].map(str::to_owned)
+    );
     let figures: Vec<u64> = rows[0][5..].iter().map(|n| n.parse().unwrap()).collect();
-    assert!(figures[0] <= figures[1] && figures[1] <= figures[2], "low, mid, high: {figures:?}");
-    assert_eq!(shown(&gateway, "show wait '0000000000000abc';")[0][3], "waiting");
-    assert_eq!(shown(&gateway, "SHOW WAIT '0000000000000001'")[0][3], "running");
+    assert!(
+        figures[0] <= figures[1] && figures[1] <= figures[2],
+        "low, mid, high: {figures:?}"
+    );
+    assert_eq!(
+        shown(&gateway, "show wait '0000000000000abc';")[0][3],
+        "waiting"
+    );
+    assert_eq!(
+        shown(&gateway, "SHOW WAIT '0000000000000001'")[0][3],
+        "running"
+    );
     assert!(shown(&gateway, "SHOW WAIT '00000000000000ff'").is_empty());
-    assert_eq!(loads_started(&engine), 0, "nothing that waits reaches an engine");
+    assert_eq!(
+        loads_started(&engine),
+        0,
+        "nothing that waits reaches an engine"
+    );
     drop(running);
-    engine.calls.wait("the start of what waited", |c| c.header("Via-Class") == Some("load"));
+    engine.calls.wait("the start of what waited", |c| {
+        c.header("Via-Class") == Some("load")
+    });
 }
 
 #[test_case("kill", 1317; "killed")]
@@ -93,7 +116,10 @@
     match way {
         "kill" => {
             let kill = format!("KILL QUERY {}", client.connection);
-            assert_eq!(Client::connect(&gateway).ask(&kill), Answer::Rows(Vec::new()));
+            assert_eq!(
+                Client::connect(&gateway).ask(&kill),
+                Answer::Rows(Vec::new())
+            );
         }
         "gone" => client.stream.shutdown(std::net::Shutdown::Both).unwrap(),
         _ => {}
@@ -108,18 +134,32 @@
 #[test]
 fn over_its_bound_a_team_is_refused_at_once_with_when_to_come_back() {
     let engine = Engine::busy();
-    let gateway = start(&engine, r#""by_name":{"acme":{"most_released_threads":3,"most_queued":1}}"#);
+    let gateway = start(
+        &engine,
+        r#""by_name":{"acme":{"most_released_threads":3,"most_queued":1}}"#,
+    );
     let _running = fill(&gateway, &engine);
     let mut waits = Client::connect(&gateway);
     waits.send(&query(&statement("load", 4, 20_000)));
     waiting(&gateway, 1);
-    let Answer::Error(1203, text) = Client::connect(&gateway).ask(&statement("load", 5, 20_000)) else {
+    let Answer::Error(1203, text) = Client::connect(&gateway).ask(&statement("load", 5, 20_000))
+    else {
         panic!("not refused")
     };
-    let after: u64 = text.split("holdoff=").nth(1).expect("a holdoff").trim().parse().unwrap();
+    let after: u64 = text
+        .split("holdoff=")
+        .nth(1)
+        .expect("a holdoff")
+        .trim()
+        .parse()
+        .unwrap();
     assert!((1..=2000).contains(&after), "{text}");
-    gateway.log.wait("mode", |l| l.contains("team acme Within -> Over"));
-    gateway.log.wait("mode", |l| l.contains("teams Direct -> Queueing"));
+    gateway
+        .log
+        .wait("mode", |l| l.contains("team acme Within -> Over"));
+    gateway
+        .log
+        .wait("mode", |l| l.contains("teams Direct -> Queueing"));
 }
 
 #[test]
@@ -134,33 +174,56 @@
             client
         })
         .collect();
-    gateway.log.wait("mode", |l| l.contains("Direct -> Queueing"));
+    gateway
+        .log
+        .wait("mode", |l| l.contains("Direct -> Queueing"));
     gateway.terminate();
     for client in &mut clients {
         let code = client.answer(1).code();
         assert!([1203, 1040].contains(&code), "{code}: it never ran");
     }
     assert_eq!(gateway.exit_code(), Some(0));
-    gateway.log.wait("record", |l| l.contains("teams waits told"));
+    gateway
+        .log
+        .wait("record", |l| l.contains("teams waits told"));
     assert_eq!(loads_started(&engine), 0);
 }
 
 #[test]
 fn sighup_takes_new_budgets_and_keeps_the_old_ones_where_the_file_is_no_good() {
     let engine = Engine::busy();
-    let gateway = start(&engine, r#""by_name":{"acme":{"most_released_threads":3,"most_queued":1}}"#);
+    let gateway = start(
+        &engine,
+        r#""by_name":{"acme":{"most_released_threads":3,"most_queued":1}}"#,
+    );
     let _running = fill(&gateway, &engine);
     let mut waits = Client::connect(&gateway);
     waits.send(&query(&statement("load", 4, 20_000)));
     waiting(&gateway, 1);
-    gateway.configure_own(&own(r#""by_name":{"acme":{"most_released_threads":3,"most_queued":-1}}"#));
+    gateway.configure_own(&own(
+        r#""by_name":{"acme":{"most_released_threads":3,"most_queued":-1}}"#,
+    ));
     gateway.signal("HUP");
-    let line = gateway.log.wait("fault", |l| l.contains("own settings stay"));
-    assert!(line.contains("teams.by_name.acme.most_queued: -1 is not within 0 to"), "{line}");
-    assert_eq!(Client::connect(&gateway).ask(&statement("load", 5, 20_000)).code(), 1203);
-    gateway.configure_own(&own(r#""by_name":{"acme":{"most_released_threads":3,"most_queued":9}}"#));
+    let line = gateway
+        .log
+        .wait("fault", |l| l.contains("own settings stay"));
+    assert!(
+        line.contains("teams.by_name.acme.most_queued: -1 is not within 0 to"),
+        "{line}"
+    );
+    assert_eq!(
+        Client::connect(&gateway)
+            .ask(&statement("load", 5, 20_000))
+            .code(),
+        1203
+    );
+    gateway.configure_own(&own(
+        r#""by_name":{"acme":{"most_released_threads":3,"most_queued":9}}"#,
+    ));
     gateway.signal("HUP");
-    gateway.log.wait("reload", |l| l.contains("budgets of 1 teams"));
+    gateway
+        .log
+        .wait("reload", |l| l.contains("budgets of 1 teams"));
     let mut more = Client::connect(&gateway);
     more.send(&query(&statement("load", 6, 20_000)));
     waiting(&gateway, 2);
@@ -178,7 +241,12 @@
 fn check(name: &str, text: &str, more: &[&str]) -> Output {
     let path = std::env::temp_dir().join(format!("own-{}-{name}", std::process::id()));
     std::fs::write(&path, text).unwrap();
-    let output = Command::new(program()).arg("check").arg(&path).args(more).output().unwrap();
+    let output = Command::new(program())
+        .arg("check")
+        .arg(&path)
+        .args(more)
+        .output()
+        .unwrap();
     let _ = std::fs::remove_file(path);
     output
 }
@@ -209,31 +277,50 @@
     let output = check(name, text, &[]);
     assert_eq!(output.status.code(), Some(1));
     let said = String::from_utf8(output.stderr).unwrap();
-    assert!(said.to_lowercase().contains(&wanted.to_lowercase()), "{said}");
+    assert!(
+        said.to_lowercase().contains(&wanted.to_lowercase()),
+        "{said}"
+    );
 }
 
 #[test]
 fn the_emitted_form_is_whole_and_reads_back() {
-    let text = "let few = { most_queued = 5 } in { teams = { by_name = { acme = few & { share = 2 } } } }";
+    let text =
+        "let few = { most_queued = 5 } in { teams = { by_name = { acme = few & { share = 2 } } } }";
     let output = check("good.ncl", text, &["--emit"]);
-    assert_eq!(output.status.code(), Some(0), "{}", String::from_utf8_lossy(&output.stderr));
+    assert_eq!(
+        output.status.code(),
+        Some(0),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     let own = ivypitch_deployment::own::read(&output.stdout).unwrap();
     let given = ivypitch_deployment::read(SETTINGS.as_bytes()).unwrap();
     let budgets = own.teams.unwrap().budgets(&given, 100).unwrap();
-    assert_eq!((budgets.teams[0].share, budgets.teams[0].most_queued), (2.0, 5));
+    assert_eq!(
+        (budgets.teams[0].share, budgets.teams[0].most_queued),
+        (2.0, 5)
+    );
     assert_eq!((budgets.other.share, budgets.most_queued), (1.0, 100));
 }
 
 #[test]
 fn names_that_the_deployment_does_not_have_are_faults() {
     let config = std::env::temp_dir().join(format!("against-{}.json", std::process::id()));
-    std::fs::write(&config, format!(r#"{{"listen":"127.0.0.1:0","settings":{SETTINGS}}}"#)).unwrap();
-    let text = "{\n teams = { by_name = {\n  acne = { share = 2,\n   workloads = { lokup = {} } } } } }";
+    std::fs::write(
+        &config,
+        format!(r#"{{"listen":"127.0.0.1:0","settings":{SETTINGS}}}"#),
+    )
+    .unwrap();
+    let text =
+        "{\n teams = { by_name = {\n  acne = { share = 2,\n   workloads = { lokup = {} } } } } }";
     let output = check("names.ncl", text, &["--against", config.to_str().unwrap()]);
     let _ = std::fs::remove_file(config);
     let said = String::from_utf8(output.stderr).unwrap();
     assert!(
-        said.contains("line 3: teams.by_name.acne: the deployment has no customer of that name; it has acme"),
+        said.contains(
+            "line 3: teams.by_name.acne: the deployment has no customer of that name; it has acme"
+        ),
         "{said}"
     );
     assert!(
@@ -245,11 +332,24 @@
 #[test]
 fn the_file_under_deploy_is_good_and_every_field_is_described() {
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/ivypitch.ncl");
-    let output = Command::new(program()).args(["check", file]).output().unwrap();
-    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-    let fields = Command::new(program()).args(["check", "--fields"]).output().unwrap();
+    let output = Command::new(program())
+        .args(["check", file])
+        .output()
+        .unwrap();
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
+    let fields = Command::new(program())
+        .args(["check", "--fields"])
+        .output()
+        .unwrap();
     let fields = String::from_utf8(fields.stdout).unwrap();
-    assert!(fields.contains("teams.by_name.NAME.share: 0 to 1000000; default 1."), "{fields}");
+    assert!(
+        fields.contains("teams.by_name.NAME.share: 0 to 1000000; default 1."),
+        "{fields}"
+    );
 }
 
 #[test]
@@ -259,5 +359,8 @@
     let gateway = Gateway::owned_by(&[engine.row("s-1", "in_service")], small, "ncl", text);
     assert!(shown(&gateway, "SHOW QUEUE").is_empty());
     let line = gateway.log.wait("a line", |l| l.contains("listens on"));
-    assert!(line.starts_with('{') && line.contains("\"level\":\"info\""), "{line}");
+    assert!(
+        line.starts_with('{') && line.contains("\"level\":\"info\""),
+        "{line}"
+    );
 }
--- a/crates/ivypitch-custody/src/custody.rs
+++ b/crates/ivypitch-custody/src/custody.rs
@@ -199,10 +199,24 @@
     }
 
     fn told(&self, now: Nanos, id: Id, with_text: bool) -> Told {
-        let text = if with_text { self.facts.text.clone() } else { Vec::new() };
+        let text = if with_text {
+            self.facts.text.clone()
+        } else {
+            Vec::new()
+        };
         let left_ms = (self.deadline.saturating_sub(now) / MS) as u32;
-        let facts = Some(Facts { left_ms, text, ..self.facts.clone() });
-        Told { id, epoch: self.epoch, facts, grants: self.grants.clone(), end: None }
+        let facts = Some(Facts {
+            left_ms,
+            text,
+            ..self.facts.clone()
+        });
+        Told {
+            id,
+            epoch: self.epoch,
+            facts,
+            grants: self.grants.clone(),
+            end: None,
+        }
     }
 }
 
@@ -270,8 +284,14 @@
     pub fn new(place: u16, birth: u64, zones: Vec<u16>, terms: Terms, now: Nanos) -> Custody {
         let seats = zones.len();
         let witnesses = Witnesses::new(zones, terms.witnesses);
-        let ledger =
-            Ledger::new(place, now, terms.grant_lives, terms.longest, terms.remembered, terms.most_entries);
+        let ledger = Ledger::new(
+            place,
+            now,
+            terms.grant_lives,
+            terms.longest,
+            terms.remembered,
+            terms.most_entries,
+        );
         Custody {
             place,
             birth,
@@ -303,7 +323,11 @@
 
     /// Open cases, entries as a witness, and bytes of kept results.
     pub fn sizes(&self) -> (usize, usize, usize) {
-        (self.cases.values().filter(|case| case.is_open()).count(), self.ledger.len(), self.kept.bytes())
+        (
+            self.cases.values().filter(|case| case.is_open()).count(),
+            self.ledger.len(),
+            self.kept.bytes(),
+        )
     }
 
     pub fn stage(&self, id: Id) -> Option<Stage> {
@@ -312,18 +336,26 @@
 
     /// An execution whose client has gone goes on: the client may come back to another gateway.
     pub fn outlives_client(&self, id: Id) -> bool {
-        self.cases.get(&id).is_some_and(|case| case.acts() && (case.is_told || !case.facts.idempotent))
+        self.cases
+            .get(&id)
+            .is_some_and(|case| case.acts() && (case.is_told || !case.facts.idempotent))
     }
 
     fn is_heard(&self, place: u16, birth: u64) -> bool {
         if place == self.place {
             return birth == self.birth;
         }
-        self.heard.get(usize::from(place)).is_some_and(|&b| b == Some(birth))
+        self.heard
+            .get(usize::from(place))
+            .is_some_and(|&b| b == Some(birth))
     }
 
     fn is_there(&self, place: u16) -> bool {
-        place == self.place || self.heard.get(usize::from(place)).is_some_and(Option::is_some)
+        place == self.place
+            || self
+                .heard
+                .get(usize::from(place))
+                .is_some_and(Option::is_some)
     }
 
     // ---- the own clients ----
@@ -363,19 +395,36 @@
         let known = self.ledger.get(now, id);
         if let Some(told) = known.filter(|told| told.facts.is_some() || told.end.is_some()) {
             count = count.max(told.epoch.count + 1);
-            if told.facts.as_ref().is_some_and(|known| known.digest != facts.digest) {
+            if told
+                .facts
+                .as_ref()
+                .is_some_and(|known| known.digest != facts.digest)
+            {
                 return Arrived::Word(Word::Different);
             }
             let case = self.new_case(now, facts.clone(), Stage::Asking);
             match self.whereabouts(&told) {
                 Whereabouts::At(place) => {
-                    self.insert(id, Case { waiters: vec![Waiter::Local(waiter)], ..case });
+                    self.insert(
+                        id,
+                        Case {
+                            waiters: vec![Waiter::Local(waiter)],
+                            ..case
+                        },
+                    );
                     self.wait_at(now, id, place, out);
                     return Arrived::Waits;
                 }
                 Whereabouts::Orphan => {
                     let grants = told.grants.clone();
-                    self.insert(id, Case { waiters: vec![Waiter::Local(waiter)], grants, ..case });
+                    self.insert(
+                        id,
+                        Case {
+                            waiters: vec![Waiter::Local(waiter)],
+                            grants,
+                            ..case
+                        },
+                    );
                     self.turn(id, Stage::Orphaned);
                     self.claim(now, id, told.epoch.count + 1, out);
                     return Arrived::Waits;
@@ -386,7 +435,11 @@
         }
         let joins = self.joins(now, id);
         if asks || joins || self.in_doubt(now) {
-            let mut heard: Vec<u16> = self.others(id).into_iter().filter(|&w| self.is_there(w)).collect();
+            let mut heard: Vec<u16> = self
+                .others(id)
+                .into_iter()
+                .filter(|&w| self.is_there(w))
+                .collect();
             heard.reverse();
             if joins || !heard.is_empty() {
                 let mut case = self.new_case(now, facts, Stage::Asking);
@@ -438,9 +491,23 @@
     }
 
     /// An execution is about to be sent.
-    pub fn grant(&mut self, now: Nanos, id: Id, number: u32, engine: u64, out: &mut dyn Output) -> Leave {
-        let Some(case) = self.cases.get_mut(&id) else { return Leave::Go };
-        let grant = Grant { epoch: case.epoch, number, engine, void: false };
+    pub fn grant(
+        &mut self,
+        now: Nanos,
+        id: Id,
+        number: u32,
+        engine: u64,
+        out: &mut dyn Output,
+    ) -> Leave {
+        let Some(case) = self.cases.get_mut(&id) else {
+            return Leave::Go;
+        };
+        let grant = Grant {
+            epoch: case.epoch,
+            number,
+            engine,
+            void: false,
+        };
         if case.facts.idempotent {
             case.grants.push(grant);
             self.tell_later(now, id, None);
@@ -453,14 +520,24 @@
             return Leave::Denied(Denied::Elsewhere);
         }
         let told = case.told(now, id, true);
-        case.pending =
-            Some(Pending { grant, asked_at: now, stands: BTreeSet::new(), refused: BTreeMap::new() });
+        case.pending = Some(Pending {
+            grant,
+            asked_at: now,
+            stands: BTreeSet::new(),
+            refused: BTreeMap::new(),
+        });
         for to in self.witnesses.of(id) {
             if to == self.place {
                 let vote = self.ledger.grant(now, &told, grant, &self.witnesses);
                 self.count_vote(id, self.place, vote.map_err(|why| stands(&why)));
             } else if self.is_there(to) {
-                out.tell(to, Message::Grant { told: told.clone(), grant });
+                out.tell(
+                    to,
+                    Message::Grant {
+                        told: told.clone(),
+                        grant,
+                    },
+                );
             } else {
                 self.count_vote(id, to, Err(None));
             }
@@ -470,7 +547,13 @@
     }
 
     fn count_vote(&mut self, id: Id, from: u16, vote: Result<(), Option<Told>>) {
-        let Some(pending) = self.cases.get_mut(&id).and_then(|case| case.pending.as_mut()) else { return };
+        let Some(pending) = self
+            .cases
+            .get_mut(&id)
+            .and_then(|case| case.pending.as_mut())
+        else {
+            return;
+        };
         match vote {
             Ok(()) => drop(pending.stands.insert(from)),
             Err(against) => drop(pending.refused.insert(from, against)),
@@ -479,8 +562,12 @@
 
     fn judge_votes(&mut self, now: Nanos, id: Id, out: &mut dyn Output) -> Leave {
         let majority = self.witnesses.majority();
-        let Some(case) = self.cases.get_mut(&id) else { return Leave::Go };
-        let Some(pending) = &case.pending else { return Leave::Wait };
+        let Some(case) = self.cases.get_mut(&id) else {
+            return Leave::Go;
+        };
+        let Some(pending) = &case.pending else {
+            return Leave::Wait;
+        };
         let late = now > pending.asked_at + self.terms.grant_lives;
         if pending.stands.len() >= majority && !late {
             let grant = pending.grant;
@@ -497,8 +584,16 @@
         if !hopeless && !late && now < pending.asked_at + self.terms.grant_wait {
             return Leave::Wait;
         }
-        let against = pending.refused.values().flatten().cloned().collect::<Vec<Told>>();
-        let grant = Grant { void: true, ..pending.grant };
+        let against = pending
+            .refused
+            .values()
+            .flatten()
+            .cloned()
+            .collect::<Vec<Told>>();
+        let grant = Grant {
+            void: true,
+            ..pending.grant
+        };
         case.pending = None;
         case.grants.push(grant);
         // Witnesses that are heard and say nothing may be the first sign of a cut: its client may come from beyond it.
@@ -515,20 +610,29 @@
         out: &mut dyn Output,
     ) -> Leave {
         self.tell_later(now, id, None);
-        let Some(case) = self.cases.get(&id) else { return Leave::Go };
+        let Some(case) = self.cases.get(&id) else {
+            return Leave::Go;
+        };
         let (digest, mine) = (case.facts.digest, case.epoch);
-        let known =
-            |g: &Grant| g.void || case.grants.iter().any(|t| (t.epoch, t.number) == (g.epoch, g.number));
-        let strongest = against
-            .into_iter()
-            .filter(|told| told.epoch != mine || told.end.is_some() || !told.grants.iter().all(known));
+        let known = |g: &Grant| {
+            g.void
+                || case
+                    .grants
+                    .iter()
+                    .any(|t| (t.epoch, t.number) == (g.epoch, g.number))
+        };
+        let strongest = against.into_iter().filter(|told| {
+            told.epoch != mine || told.end.is_some() || !told.grants.iter().all(known)
+        });
         let strongest = strongest.max_by_key(|told| (told.end.is_some(), told.epoch));
         let Some(told) = strongest else {
             self.totals.no_majority += 1;
             if self.terms.policy == Policy::Single {
                 return Leave::Go;
             }
-            return Leave::Denied(Denied::NoMajority { clean: all_answered && self.is_first(now) });
+            return Leave::Denied(Denied::NoMajority {
+                clean: all_answered && self.is_first(now),
+            });
         };
         self.totals.elsewhere += 1;
         if let Some(case) = self.cases.get_mut(&id)
@@ -536,7 +640,11 @@
         {
             case.waiters.push(Waiter::Local(own));
         }
-        if told.facts.as_ref().is_some_and(|facts| facts.digest != digest) {
+        if told
+            .facts
+            .as_ref()
+            .is_some_and(|facts| facts.digest != digest)
+        {
             self.word(id, &Word::Different, out);
             self.turn(id, Stage::Closed);
             return Leave::Denied(Denied::Elsewhere);
@@ -545,7 +653,14 @@
             Whereabouts::At(place) => self.wait_at(now, id, place, out),
             Whereabouts::Over(word) => {
                 self.word(id, &word, out);
-                self.turn(id, if word == Word::Aborted { Stage::InDoubt } else { Stage::Closed });
+                self.turn(
+                    id,
+                    if word == Word::Aborted {
+                        Stage::InDoubt
+                    } else {
+                        Stage::Closed
+                    },
+                );
             }
             Whereabouts::Orphan | Whereabouts::Nowhere => {
                 self.turn(id, Stage::Orphaned);
@@ -559,9 +674,13 @@
     /// proves nothing: one that was handed over ends here as never sent and runs on at its engine, and a witness that took
     /// its grant for void would let it be sent again.
     pub fn execution_ended(&mut self, now: Nanos, id: Id, number: u32, never_ran: bool) {
-        let Some(case) = self.cases.get_mut(&id).filter(|case| case.acts()) else { return };
+        let Some(case) = self.cases.get_mut(&id).filter(|case| case.acts()) else {
+            return;
+        };
         let mine = (case.epoch, number);
-        let Some(grant) = case.grants.iter_mut().find(|g| (g.epoch, g.number) == mine) else { return };
+        let Some(grant) = case.grants.iter_mut().find(|g| (g.epoch, g.number) == mine) else {
+            return;
+        };
         if never_ran && !grant.void {
             grant.void = true;
             self.tell_later(now, id, None);
@@ -571,7 +690,13 @@
     /// The module has answered the statement for which this gateway acts. Clients that wait beside the first get the
     /// same. `Some`: the client of this token hears later: that nothing ran is said of a non-idempotent statement only once
     /// it is sealed, since its client may have come from another gateway, which may have sent it.
-    pub fn answered(&mut self, now: Nanos, id: Id, word: Word, out: &mut dyn Output) -> Option<u64> {
+    pub fn answered(
+        &mut self,
+        now: Nanos,
+        id: Id,
+        word: Word,
+        out: &mut dyn Output,
+    ) -> Option<u64> {
         let alone = self.witnesses.count() == 1;
         let case = self.cases.get_mut(&id).filter(|case| case.acts())?;
         if let Word::Rejected { come_back_ms } = word
@@ -587,12 +712,14 @@
             self.claim(now, id, count, out);
             return Some(own);
         }
-        let (customer, idempotent, told) = (case.facts.customer, case.facts.idempotent, case.is_told);
+        let (customer, idempotent, told) =
+            (case.facts.customer, case.facts.idempotent, case.is_told);
         let taken_over = case.stage == Stage::Watched;
         // No grant that was used stands here: what became of it is elsewhere, if anywhere, and whoever comes back has that
         // asked for anew instead of hearing the same for the rest of its time.
         // Without a majority a single one sends all the same, under none.
-        let sent = self.terms.policy == Policy::Single || case.grants.iter().any(|grant| !grant.void);
+        let sent =
+            self.terms.policy == Policy::Single || case.grants.iter().any(|grant| !grant.void);
         case.own = None;
         case.pending = None;
         let waited = !case.waiters.is_empty();
@@ -601,12 +728,25 @@
             Word::Rows(pages) => {
                 self.kept.put(id, customer, pages);
                 self.totals.kept += u64::from(taken_over);
-                self.turn(id, if waited { Stage::Delivered } else { Stage::Kept });
-                End::Completed { rows_at: self.place, birth: self.birth }
+                self.turn(
+                    id,
+                    if waited {
+                        Stage::Delivered
+                    } else {
+                        Stage::Kept
+                    },
+                );
+                End::Completed {
+                    rows_at: self.place,
+                    birth: self.birth,
+                }
             }
             Word::Completed => {
                 self.turn(id, Stage::Kept);
-                End::Completed { rows_at: self.place, birth: self.birth }
+                End::Completed {
+                    rows_at: self.place,
+                    birth: self.birth,
+                }
             }
             Word::Rejected { .. } => {
                 self.turn(id, Stage::Closed);
@@ -614,7 +754,14 @@
             }
             Word::Aborted | Word::Different => {
                 self.totals.in_doubt += u64::from(!idempotent);
-                self.turn(id, if idempotent || !sent { Stage::Closed } else { Stage::InDoubt });
+                self.turn(
+                    id,
+                    if idempotent || !sent {
+                        Stage::Closed
+                    } else {
+                        Stage::InDoubt
+                    },
+                );
                 End::Aborted
             }
         };
@@ -631,13 +778,22 @@
 
     /// The same word to all who wait here and elsewhere.
     fn word(&mut self, id: Id, word: &Word, out: &mut dyn Output) {
-        let Some(case) = self.cases.get_mut(&id) else { return };
+        let Some(case) = self.cases.get_mut(&id) else {
+            return;
+        };
         for waiter in std::mem::take(&mut case.waiters) {
             match waiter {
                 Waiter::Local(waiter) => out.answer(waiter, word),
                 Waiter::Remote { place, serial } => {
                     let answered = Answered::Word(word.clone());
-                    out.tell(place, Message::Answer { serial, id, answered });
+                    out.tell(
+                        place,
+                        Message::Answer {
+                            serial,
+                            id,
+                            answered,
+                        },
+                    );
                 }
             }
         }
@@ -662,7 +818,15 @@
         // What it is told sooner does not count there.
         let young = self.terms.longest + self.terms.remembered + self.terms.grant_lives;
         let at = now + self.terms.grant_lives + TEACH_SLACK;
-        self.to_teach.insert(place, Pupil { at, until: now + young, birth, lessons: None });
+        self.to_teach.insert(
+            place,
+            Pupil {
+                at,
+                until: now + young,
+                birth,
+                lessons: None,
+            },
+        );
     }
 
     pub fn member_suspected(&mut self, place: u16, is: bool) {
@@ -675,7 +839,11 @@
 
     /// A process is gone. What it acted for has no keeper; the first witness that is heard claims it.
     pub fn member_down(&mut self, now: Nanos, place: u16, birth: u64, out: &mut dyn Output) {
-        let Some(seat) = self.heard.get_mut(usize::from(place)).filter(|seat| **seat == Some(birth)) else {
+        let Some(seat) = self
+            .heard
+            .get_mut(usize::from(place))
+            .filter(|seat| **seat == Some(birth))
+        else {
             return;
         };
         *seat = None;
@@ -688,8 +856,13 @@
         self.last_loss = Some(now);
         let (mut orphans, mut first) = (0, 0);
         for id in self.ledger.acted_for_by(place, birth) {
-            let Some(told) = self.ledger.get(now, id) else { continue };
-            let lately = self.ended.get(&id).is_some_and(|&at| now < at + STILL_AT_ENGINE);
+            let Some(told) = self.ledger.get(now, id) else {
+                continue;
+            };
+            let lately = self
+                .ended
+                .get(&id)
+                .is_some_and(|&at| now < at + STILL_AT_ENGINE);
             let sent = told.grants.iter().any(|grant| !grant.void);
             let is_orphan = match told.end {
                 None => true,
@@ -698,8 +871,14 @@
                 }
                 Some(_) => false,
             };
-            let Some(facts) = told.facts.clone().filter(|_| is_orphan) else { continue };
-            if self.cases.get(&id).is_some_and(|case| case.acts() || case.stage == Stage::Claimed) {
+            let Some(facts) = told.facts.clone().filter(|_| is_orphan) else {
+                continue;
+            };
+            if self
+                .cases
+                .get(&id)
+                .is_some_and(|case| case.acts() || case.stage == Stage::Claimed)
+            {
                 continue;
             }
             let rank = self.rank(id);
@@ -727,7 +906,12 @@
         }
         // Clients here that waited for its word ask anew.
         let waiting = |case: &Case| case.stage == Stage::Elsewhere && case.at == place;
-        let again: Vec<Id> = self.cases.iter().filter(|(_, case)| waiting(case)).map(|(&id, _)| id).collect();
+        let again: Vec<Id> = self
+            .cases
+            .iter()
+            .filter(|(_, case)| waiting(case))
+            .map(|(&id, _)| id)
+            .collect();
         for id in again {
             self.look_again(now, id, out);
         }
@@ -736,29 +920,48 @@
 
     /// This one's rank among the witnesses that are heard.
     fn rank(&self, id: Id) -> usize {
-        let heard = self.witnesses.of(id).into_iter().filter(|&w| self.is_there(w));
+        let heard = self
+            .witnesses
+            .of(id)
+            .into_iter()
+            .filter(|&w| self.is_there(w));
         heard.take_while(|&w| w != self.place).count()
     }
 
     fn witnesses_heard(&self, id: Id) -> usize {
-        self.witnesses.of(id).into_iter().filter(|&w| self.is_there(w)).count()
+        self.witnesses
+            .of(id)
+            .into_iter()
+            .filter(|&w| self.is_there(w))
+            .count()
     }
 
     fn others(&self, id: Id) -> Vec<u16> {
-        self.witnesses.of(id).into_iter().filter(|&w| w != self.place).collect()
+        self.witnesses
+            .of(id)
+            .into_iter()
+            .filter(|&w| w != self.place)
+            .collect()
     }
 
     /// All that this gateway may know of votes that a member which began lately has forgotten. One that began lately
     /// itself tells again as it learns more.
     fn teach(&mut self, now: Nanos, out: &mut dyn Output) {
         let is_due = |(_, pupil): &(&u16, &Pupil)| pupil.at <= now;
-        let due: Vec<u16> = self.to_teach.iter().filter(is_due).map(|(&to, _)| to).collect();
+        let due: Vec<u16> = self
+            .to_teach
+            .iter()
+            .filter(is_due)
+            .map(|(&to, _)| to)
+            .collect();
         if due.is_empty() {
             return;
         }
         let (memory, lessons) = (self.ledger.memory(now), self.ledger.lessons());
         for to in due {
-            let Some(pupil) = self.to_teach.get_mut(&to) else { continue };
+            let Some(pupil) = self.to_teach.get_mut(&to) else {
+                continue;
+            };
             let news = pupil.lessons != Some(lessons);
             pupil.lessons = Some(lessons);
             if news && let Some(taught) = self.taught.get_mut(usize::from(to)) {
@@ -778,15 +981,27 @@
     /// All that this gateway knows of statements of which that one bears witness, and what its word is worth.
     fn tell_all(&mut self, now: Nanos, to: u16, memory: &Memory, out: &mut dyn Output) {
         let mut told: Vec<Told> = self.ledger.all(now).collect();
-        let open = self.cases.iter().filter(|(_, case)| case.acts() && case.is_told);
+        let open = self
+            .cases
+            .iter()
+            .filter(|(_, case)| case.acts() && case.is_told);
         told.extend(open.map(|(&id, case)| case.told(now, id, true)));
         told.retain(|told| self.witnesses.of(told.id).contains(&to));
-        let mut parts = told.chunks(TOLD_AT_ONCE).map(<[Told]>::to_vec).collect::<Vec<_>>();
+        let mut parts = told
+            .chunks(TOLD_AT_ONCE)
+            .map(<[Told]>::to_vec)
+            .collect::<Vec<_>>();
         let rest = parts.pop().unwrap_or_default();
         for told in parts {
             out.tell(to, Message::Relearn { told, last: None });
         }
-        out.tell(to, Message::Relearn { told: rest, last: Some(memory.clone()) });
+        out.tell(
+            to,
+            Message::Relearn {
+                told: rest,
+                last: Some(memory.clone()),
+            },
+        );
     }
 
     // ---- messages ----
@@ -797,35 +1012,75 @@
             Message::Grant { told, grant } => {
                 let id = told.id;
                 match self.ledger.grant(now, &told, grant, &self.witnesses) {
-                    Ok(()) => out.tell(from, Message::Granted { id, grant, against: None }),
-                    Err(Refusal::Stands(told)) => {
-                        out.tell(from, Message::Granted { id, grant, against: Some(*told) })
-                    }
-                    Err(_) => out.tell(from, Message::Abstain { id, epoch: grant.epoch }),
+                    Ok(()) => out.tell(
+                        from,
+                        Message::Granted {
+                            id,
+                            grant,
+                            against: None,
+                        },
+                    ),
+                    Err(Refusal::Stands(told)) => out.tell(
+                        from,
+                        Message::Granted {
+                            id,
+                            grant,
+                            against: Some(*told),
+                        },
+                    ),
+                    Err(_) => out.tell(
+                        from,
+                        Message::Abstain {
+                            id,
+                            epoch: grant.epoch,
+                        },
+                    ),
                 }
             }
             Message::Granted { id, grant, against } => {
-                let is_asked = |case: &&mut Case| case.pending.as_ref().is_some_and(|p| p.grant == grant);
+                let is_asked =
+                    |case: &&mut Case| case.pending.as_ref().is_some_and(|p| p.grant == grant);
                 if self.cases.get_mut(&id).filter(is_asked).is_some() {
                     self.count_vote(id, from, against.map_or(Ok(()), |told| Err(Some(told))));
                     self.after_vote(now, id, out);
                 }
             }
-            Message::Claim { id, epoch } => match self.ledger.claim(now, id, epoch, &self.witnesses) {
-                Ok(told) => {
-                    self.superseded(now, id, epoch, out);
-                    out.tell(from, Message::Promise { id, epoch, promised: true, told });
-                }
-                Err(Refusal::Stands(told)) => {
-                    out.tell(from, Message::Promise { id, epoch, promised: false, told: Some(*told) })
+            Message::Claim { id, epoch } => {
+                match self.ledger.claim(now, id, epoch, &self.witnesses) {
+                    Ok(told) => {
+                        self.superseded(now, id, epoch, out);
+                        out.tell(
+                            from,
+                            Message::Promise {
+                                id,
+                                epoch,
+                                promised: true,
+                                told,
+                            },
+                        );
+                    }
+                    Err(Refusal::Stands(told)) => out.tell(
+                        from,
+                        Message::Promise {
+                            id,
+                            epoch,
+                            promised: false,
+                            told: Some(*told),
+                        },
+                    ),
+                    Err(_) => out.tell(from, Message::Abstain { id, epoch }),
                 }
-                Err(_) => out.tell(from, Message::Abstain { id, epoch }),
-            },
-            Message::Promise { id, epoch, promised, told } => {
-                self.hear_promise(now, id, epoch, from, promised, told, out)
             }
+            Message::Promise {
+                id,
+                epoch,
+                promised,
+                told,
+            } => self.hear_promise(now, id, epoch, from, promised, told, out),
             Message::Abstain { id, epoch } => {
-                let Some(case) = self.cases.get(&id).filter(|case| case.epoch == epoch) else { return };
+                let Some(case) = self.cases.get(&id).filter(|case| case.epoch == epoch) else {
+                    return;
+                };
                 if case.pending.is_some() {
                     self.count_vote(id, from, Err(None));
                     self.after_vote(now, id, out);
@@ -833,10 +1088,21 @@
             }
             Message::Ask { id, digest, serial } => {
                 if let Some(answered) = self.asked(now, from, id, digest, serial, out) {
-                    out.tell(from, Message::Answer { serial, id, answered });
+                    out.tell(
+                        from,
+                        Message::Answer {
+                            serial,
+                            id,
+                            answered,
+                        },
+                    );
                 }
             }
-            Message::Answer { serial, id, answered } => self.hear_answer(now, id, serial, answered, out),
+            Message::Answer {
+                serial,
+                id,
+                answered,
+            } => self.hear_answer(now, id, serial, answered, out),
             Message::HandOver(told) => self.take_from(now, told, out),
             Message::Relearn { told, last } => {
                 told.iter().for_each(|told| self.hear_told(now, told));
@@ -856,7 +1122,11 @@
     }
 
     fn after_vote(&mut self, now: Nanos, id: Id, out: &mut dyn Output) {
-        let Some(number) = self.cases.get(&id).and_then(|c| Some(c.pending.as_ref()?.grant.number)) else {
+        let Some(number) = self
+            .cases
+            .get(&id)
+            .and_then(|c| Some(c.pending.as_ref()?.grant.number))
+        else {
             return;
         };
         match self.judge_votes(now, id, out) {
@@ -869,7 +1139,9 @@
     /// Another has leave to act: what this one acts for goes on at its engine and its clients get its end, but it gets
     /// no further grant; a claim of this one's own is over.
     fn superseded(&mut self, now: Nanos, id: Id, epoch: Epoch, out: &mut dyn Output) {
-        let Some(case) = self.cases.get(&id) else { return };
+        let Some(case) = self.cases.get(&id) else {
+            return;
+        };
         if !matches!(case.stage, Stage::Claimed | Stage::Orphaned) || case.epoch >= epoch {
             return;
         }
@@ -883,14 +1155,25 @@
     // ---- claiming ----
 
     fn claim(&mut self, now: Nanos, id: Id, count: u32, out: &mut dyn Output) {
-        let epoch = Epoch { count, place: self.place, birth: self.birth };
-        let Some(case) = self.cases.get_mut(&id) else { return };
+        let epoch = Epoch {
+            count,
+            place: self.place,
+            birth: self.birth,
+        };
+        let Some(case) = self.cases.get_mut(&id) else {
+            return;
+        };
         case.epoch = epoch;
         case.promises.clear();
         // What was tried before the claim does not count.
-        case.tries = if case.stage == Stage::Claimed { case.tries + 1 } else { 1 };
+        case.tries = if case.stage == Stage::Claimed {
+            case.tries + 1
+        } else {
+            1
+        };
         // No longer than a grant's life: a promise counts no more once its witness may have begun anew and voted.
-        let wait = (self.terms.claim_wait * u64::from(case.tries.min(4))).min(self.terms.grant_lives);
+        let wait =
+            (self.terms.claim_wait * u64::from(case.tries.min(4))).min(self.terms.grant_lives);
         self.turn(id, Stage::Claimed);
         self.wake_case(id, now + wait);
         let all = self.witnesses.of(id);
@@ -923,12 +1206,17 @@
     ) {
         let majority = self.witnesses.majority();
         let asked = |case: &&mut Case| case.stage == Stage::Claimed && case.epoch == epoch;
-        let Some(case) = self.cases.get_mut(&id).filter(asked) else { return };
+        let Some(case) = self.cases.get_mut(&id).filter(asked) else {
+            return;
+        };
         if !promised {
             let Some(told) = told else { return };
             match self.whereabouts(&told) {
                 Whereabouts::At(place) if place != self.place => {
-                    let waits = self.cases.get(&id).is_some_and(|case| !case.waiters.is_empty());
+                    let waits = self
+                        .cases
+                        .get(&id)
+                        .is_some_and(|case| !case.waiters.is_empty());
                     if waits {
                         self.wait_at(now, id, place, out);
                     } else {
@@ -954,12 +1242,19 @@
 
     /// A majority lets this one act: all grants that any majority gave are among what it told.
     fn take(&mut self, now: Nanos, id: Id, out: &mut dyn Output) {
-        let Some(case) = self.cases.get_mut(&id) else { return };
+        let Some(case) = self.cases.get_mut(&id) else {
+            return;
+        };
         let mut grants: BTreeMap<(Epoch, u32), Grant> = BTreeMap::new();
         let (mut end, mut is_known) = (None, false);
         let all = std::mem::take(&mut case.promises);
         let own = std::mem::take(&mut case.grants);
-        for grant in all.values().flatten().flat_map(|told| &told.grants).chain(&own) {
+        for grant in all
+            .values()
+            .flatten()
+            .flat_map(|told| &told.grants)
+            .chain(&own)
+        {
             let held = grants.entry((grant.epoch, grant.number)).or_insert(*grant);
             held.void |= grant.void;
         }
@@ -1044,7 +1339,9 @@
     /// The engine at which it may be ([`Output::adopt`]) is none that is known here: nobody can be asked. What is
     /// harmless runs anew; of anything else nobody can say more.
     pub fn engine_unknown(&mut self, now: Nanos, id: Id, out: &mut dyn Output) {
-        let Some(case) = self.cases.get(&id).filter(|case| case.acts()) else { return };
+        let Some(case) = self.cases.get(&id).filter(|case| case.acts()) else {
+            return;
+        };
         if case.facts.idempotent {
             let (facts, left) = (case.facts.clone(), case.deadline.saturating_sub(now));
             out.adopt(id, &facts, left, None);
@@ -1057,8 +1354,14 @@
     fn take_from(&mut self, now: Nanos, told: Told, out: &mut dyn Output) {
         let id = told.id;
         self.ledger.tell(now, &told);
-        let Some(facts) = told.facts.clone() else { return };
-        if self.cases.get(&id).is_some_and(|case| case.acts() || case.stage == Stage::Claimed) {
+        let Some(facts) = told.facts.clone() else {
+            return;
+        };
+        if self
+            .cases
+            .get(&id)
+            .is_some_and(|case| case.acts() || case.stage == Stage::Claimed)
+        {
             return;
         }
         let mut case = self.new_case(now, facts, Stage::Asking);
@@ -1075,12 +1378,17 @@
     /// This gateway ends: what it acts for goes to the first other witness that is heard, with no gap in asking. Its
     /// own clients wait for that one's word as long as this process lives. These were handed over.
     pub fn hand_over(&mut self, now: Nanos, out: &mut dyn Output) -> Vec<Id> {
-        let acted = |(_, case): &(&Id, &Case)| case.acts() && !case.grants.iter().all(|grant| grant.void);
+        let acted =
+            |(_, case): &(&Id, &Case)| case.acts() && !case.grants.iter().all(|grant| grant.void);
         let open: Vec<Id> = self.cases.iter().filter(acted).map(|(&id, _)| id).collect();
         let mut handed = Vec::new();
         for id in open {
-            let Some(to) = self.others(id).into_iter().find(|&w| self.is_there(w)) else { continue };
-            let Some(case) = self.cases.get_mut(&id) else { continue };
+            let Some(to) = self.others(id).into_iter().find(|&w| self.is_there(w)) else {
+                continue;
+            };
+            let Some(case) = self.cases.get_mut(&id) else {
+                continue;
+            };
             if case.pending.is_some() {
                 continue;
             }
@@ -1115,7 +1423,11 @@
         serial: u64,
         out: &mut dyn Output,
     ) -> Option<Answered> {
-        if let Some(case) = self.cases.get_mut(&id).filter(|case| case.stage != Stage::Closed) {
+        if let Some(case) = self
+            .cases
+            .get_mut(&id)
+            .filter(|case| case.stage != Stage::Closed)
+        {
             if case.facts.digest != digest {
                 return Some(Answered::Word(Word::Different));
             }
@@ -1123,7 +1435,10 @@
                 Stage::Asking => return Some(Answered::Unknown),
                 Stage::Elsewhere => return Some(Answered::At(case.at)),
                 stage if stage < Stage::Elsewhere => {
-                    let waiter = Waiter::Remote { place: from, serial };
+                    let waiter = Waiter::Remote {
+                        place: from,
+                        serial,
+                    };
                     if !case.waiters.contains(&waiter) {
                         case.waiters.push(waiter);
                     }
@@ -1144,9 +1459,18 @@
                 }
             }
         }
-        let told = self.ledger.get(now, id).filter(|told| told.facts.is_some() || told.end.is_some());
-        let Some(told) = told else { return Some(Answered::Unknown) };
-        if told.facts.as_ref().is_some_and(|facts| facts.digest != digest) {
+        let told = self
+            .ledger
+            .get(now, id)
+            .filter(|told| told.facts.is_some() || told.end.is_some());
+        let Some(told) = told else {
+            return Some(Answered::Unknown);
+        };
+        if told
+            .facts
+            .as_ref()
+            .is_some_and(|facts| facts.digest != digest)
+        {
             return Some(Answered::Word(Word::Different));
         }
         match self.whereabouts(&told) {
@@ -1156,7 +1480,10 @@
             Whereabouts::Orphan => {
                 let facts = told.facts.clone()?;
                 let mut case = self.new_case(now, facts, Stage::Asking);
-                case.waiters.push(Waiter::Remote { place: from, serial });
+                case.waiters.push(Waiter::Remote {
+                    place: from,
+                    serial,
+                });
                 case.grants = told.grants;
                 self.insert(id, case);
                 self.turn(id, Stage::Orphaned);
@@ -1189,8 +1516,12 @@
             }
             Some(End::Aborted) => Whereabouts::Over(Word::Aborted),
             Some(End::Rejected) => Whereabouts::Nowhere,
-            None if told.epoch.place == self.place && told.epoch.birth == self.birth => Whereabouts::Nowhere,
-            None if self.is_heard(told.epoch.place, told.epoch.birth) => Whereabouts::At(told.epoch.place),
+            None if told.epoch.place == self.place && told.epoch.birth == self.birth => {
+                Whereabouts::Nowhere
+            }
+            None if self.is_heard(told.epoch.place, told.epoch.birth) => {
+                Whereabouts::At(told.epoch.place)
+            }
             None => Whereabouts::Orphan,
         }
     }
@@ -1199,7 +1530,9 @@
     fn wait_at(&mut self, now: Nanos, id: Id, place: u16, out: &mut dyn Output) {
         self.serial += 1;
         let serial = self.serial;
-        let Some(case) = self.cases.get_mut(&id) else { return };
+        let Some(case) = self.cases.get_mut(&id) else {
+            return;
+        };
         case.at = place;
         case.serial = serial;
         // What another says of it stands over a refusal here.
@@ -1214,7 +1547,9 @@
     fn ask_next(&mut self, now: Nanos, id: Id, out: &mut dyn Output) {
         self.serial += 1;
         let serial = self.serial;
-        let Some(case) = self.cases.get_mut(&id) else { return };
+        let Some(case) = self.cases.get_mut(&id) else {
+            return;
+        };
         let Some(to) = case.to_ask.pop() else {
             if case.waiters.is_empty() && case.own.is_none() {
                 return self.turn(id, Stage::Closed);
@@ -1243,10 +1578,16 @@
 
     /// The gateway that clients here waited for knows nothing or is lost: the witnesses are asked anew.
     fn look_again(&mut self, now: Nanos, id: Id, out: &mut dyn Output) {
-        let mut heard: Vec<u16> = self.others(id).into_iter().filter(|&w| self.is_there(w)).collect();
+        let mut heard: Vec<u16> = self
+            .others(id)
+            .into_iter()
+            .filter(|&w| self.is_there(w))
+            .collect();
         heard.reverse();
         let mine = self.ledger.get(now, id).filter(|told| told.facts.is_some());
-        let Some(case) = self.cases.get_mut(&id) else { return };
+        let Some(case) = self.cases.get_mut(&id) else {
+            return;
+        };
         case.tries += 1;
         let tries = case.tries;
         if case.waiters.is_empty() || now >= case.deadline {
@@ -1264,12 +1605,24 @@
             return self.ask_next(now, id, out);
         }
         // Two that each name the other would be asked in turn without an end.
-        self.wake_case(id, now + self.terms.ask_wait * u64::from(tries.min(SLOWEST)));
+        self.wake_case(
+            id,
+            now + self.terms.ask_wait * u64::from(tries.min(SLOWEST)),
+        );
     }
 
-    fn hear_answer(&mut self, now: Nanos, id: Id, serial: u64, answered: Answered, out: &mut dyn Output) {
+    fn hear_answer(
+        &mut self,
+        now: Nanos,
+        id: Id,
+        serial: u64,
+        answered: Answered,
+        out: &mut dyn Output,
+    ) {
         let there = matches!(answered, Answered::At(place) if self.is_there(place));
-        let Some(case) = self.cases.get_mut(&id).filter(|case| case.serial == serial) else { return };
+        let Some(case) = self.cases.get_mut(&id).filter(|case| case.serial == serial) else {
+            return;
+        };
         let (stage, idempotent) = (case.stage, case.facts.idempotent);
         if !matches!(stage, Stage::Asking | Stage::Elsewhere) {
             return;
@@ -1313,8 +1666,15 @@
 
     pub fn next_wake(&self) -> Nanos {
         let case = self.wakes.first().map_or(Nanos::MAX, |&(at, _)| at);
-        let teach = self.to_teach.values().map(|pupil| pupil.at).min().unwrap_or(Nanos::MAX);
-        case.min(self.next_tell).min(self.ledger.next_forget()).min(teach)
+        let teach = self
+            .to_teach
+            .values()
+            .map(|pupil| pupil.at)
+            .min()
+            .unwrap_or(Nanos::MAX);
+        case.min(self.next_tell)
+            .min(self.ledger.next_forget())
+            .min(teach)
     }
 
     pub fn woken(&mut self, now: Nanos, out: &mut dyn Output) {
@@ -1329,21 +1689,30 @@
     fn run_due(&mut self, now: Nanos, out: &mut dyn Output) {
         while let Some(&(at, id)) = self.wakes.first().filter(|(at, _)| *at <= now) {
             self.wakes.remove(&(at, id));
-            let Some(case) = self.cases.get_mut(&id) else { continue };
+            let Some(case) = self.cases.get_mut(&id) else {
+                continue;
+            };
             case.wake = 0;
             if case.pending.is_some() {
                 self.after_vote(now, id, out);
                 continue;
             }
-            let (joins, too_few) =
-                (self.joins(now, id), self.witnesses_heard(id) < self.witnesses.majority());
-            let Some(case) = self.cases.get_mut(&id) else { continue };
+            let (joins, too_few) = (
+                self.joins(now, id),
+                self.witnesses_heard(id) < self.witnesses.majority(),
+            );
+            let Some(case) = self.cases.get_mut(&id) else {
+                continue;
+            };
             match case.stage {
                 Stage::Asking if joins => self.wake_case(id, now + self.terms.ask_wait),
                 Stage::Asking if case.serial == 0 => {
                     // The first question of one that came while this process joined.
-                    let mut heard: Vec<u16> =
-                        self.others(id).into_iter().filter(|&w| self.is_there(w)).collect();
+                    let mut heard: Vec<u16> = self
+                        .others(id)
+                        .into_iter()
+                        .filter(|&w| self.is_there(w))
+                        .collect();
                     heard.reverse();
                     if let Some(case) = self.cases.get_mut(&id) {
                         case.to_ask = heard;
@@ -1353,7 +1722,10 @@
                 Stage::Asking => self.ask_next(now, id, out),
                 Stage::Orphaned => {
                     let count = case.epoch.count;
-                    let epoch = self.ledger.get(now, id).map_or(0, |told| told.epoch.count + 1);
+                    let epoch = self
+                        .ledger
+                        .get(now, id)
+                        .map_or(0, |told| told.epoch.count + 1);
                     self.claim(now, id, count.max(epoch), out);
                 }
                 Stage::Claimed => {
@@ -1361,7 +1733,9 @@
                         // Nobody may act for it now. Whoever waits hears so at once and may come back; it is tried on.
                         self.word(id, &Word::Aborted, out);
                     }
-                    let Some(case) = self.cases.get(&id) else { continue };
+                    let Some(case) = self.cases.get(&id) else {
+                        continue;
+                    };
                     if case.rejecting.is_some() {
                         // Nobody can say that it did not run; its client may come back with the same id.
                         self.word(id, &Word::Aborted, out);
@@ -1413,7 +1787,9 @@
         let (most, late) = (self.terms.most_entries, now.saturating_sub(STILL_AT_ENGINE));
         let is_old = |&(at, _): &(Nanos, Id)| at < late;
         while self.ended_in_order.front().is_some_and(is_old) || self.ended_in_order.len() > most {
-            let Some((at, id)) = self.ended_in_order.pop_front() else { break };
+            let Some((at, id)) = self.ended_in_order.pop_front() else {
+                break;
+            };
             if self.ended.get(&id) == Some(&at) {
                 self.ended.remove(&id);
                 self.ledger.drop_text(id);
@@ -1421,7 +1797,9 @@
         }
         // Their witnesses still know the end.
         while self.over.len() > most {
-            let Some(id) = self.over.pop_front() else { break };
+            let Some(id) = self.over.pop_front() else {
+                break;
+            };
             if self.cases.get(&id).is_some_and(|case| !case.is_open()) {
                 self.forget(id);
             }
@@ -1442,7 +1820,9 @@
         self.next_tell = Nanos::MAX;
         let mut batches: BTreeMap<u16, Vec<Told>> = BTreeMap::new();
         for (id, end) in std::mem::take(&mut self.news) {
-            let Some(case) = self.cases.get_mut(&id) else { continue };
+            let Some(case) = self.cases.get_mut(&id) else {
+                continue;
+            };
             let first = !case.is_told;
             if first && (end.is_some() || !case.is_open()) {
                 continue;
@@ -1453,7 +1833,11 @@
                 told.facts = None;
             }
             let all = self.witnesses.of(id);
-            let count = if case.facts.idempotent { self.terms.told } else { all.len() };
+            let count = if case.facts.idempotent {
+                self.terms.told
+            } else {
+                all.len()
+            };
             case.is_told = true;
             for &to in all.iter().take(count) {
                 if to == self.place {
@@ -1476,7 +1860,11 @@
         let deadline = now + (u64::from(facts.left_ms) * MS).min(self.terms.longest);
         Case {
             stage,
-            epoch: Epoch { count: 0, place: self.place, birth: self.birth },
+            epoch: Epoch {
+                count: 0,
+                place: self.place,
+                birth: self.birth,
+            },
             facts,
             deadline,
             grants: Vec::new(),
@@ -1513,7 +1901,9 @@
     }
 
     fn wake_case(&mut self, id: Id, at: Nanos) {
-        let Some(case) = self.cases.get_mut(&id) else { return };
+        let Some(case) = self.cases.get_mut(&id) else {
+            return;
+        };
         self.wakes.remove(&(case.wake, id));
         case.wake = at;
         self.wakes.insert((at, id));
@@ -1522,12 +1912,16 @@
     /// The one function that changes a statement's stage.
     fn turn(&mut self, id: Id, to: Stage) {
         use Stage::*;
-        let Some(case) = self.cases.get_mut(&id) else { return };
+        let Some(case) = self.cases.get_mut(&id) else {
+            return;
+        };
         let may = match (case.stage, to) {
             (from, to) if from == to => true,
             (Asking, Held | Elsewhere | Orphaned | Closed) => true,
             (Held, Witnessed | Elsewhere | Orphaned | Kept | Delivered | Closed | InDoubt) => true,
-            (Witnessed | Watched, Elsewhere | Orphaned | Kept | Delivered | Closed | InDoubt) => true,
+            (Witnessed | Watched, Elsewhere | Orphaned | Kept | Delivered | Closed | InDoubt) => {
+                true
+            }
             (Orphaned, Claimed | Elsewhere | Closed) => true,
             (Claimed, Held | Watched | Elsewhere | Kept | Closed | InDoubt) => true,
             (Elsewhere, Asking | Orphaned | Closed) => true,
--- a/crates/ivypitch-custody/src/kept.rs
+++ b/crates/ivypitch-custody/src/kept.rs
@@ -33,7 +33,12 @@
 impl Kept {
     /// `most_bytes` for each customer.
     pub fn new(most_bytes: usize) -> Kept {
-        Kept { results: BTreeMap::new(), lines: BTreeMap::new(), most_bytes, serial: 0 }
+        Kept {
+            results: BTreeMap::new(),
+            lines: BTreeMap::new(),
+            most_bytes,
+            serial: 0,
+        }
     }
 
     pub fn len(&self) -> usize {
@@ -55,9 +60,15 @@
         if bytes > self.most_bytes {
             return false;
         }
-        while self.lines.get(&customer).is_some_and(|line| line.1 + bytes > self.most_bytes) {
-            let oldest =
-                self.lines.get(&customer).and_then(|line| line.0.first_key_value().map(|(_, &id)| id));
+        while self
+            .lines
+            .get(&customer)
+            .is_some_and(|line| line.1 + bytes > self.most_bytes)
+        {
+            let oldest = self
+                .lines
+                .get(&customer)
+                .and_then(|line| line.0.first_key_value().map(|(_, &id)| id));
             let Some(oldest) = oldest else { break };
             self.drop_one(oldest);
         }
@@ -65,7 +76,14 @@
         let line = self.lines.entry(customer).or_default();
         line.0.insert(self.serial, id);
         line.1 += bytes;
-        self.results.insert(id, Result { customer, pages, serial: self.serial });
+        self.results.insert(
+            id,
+            Result {
+                customer,
+                pages,
+                serial: self.serial,
+            },
+        );
         true
     }
 
@@ -74,7 +92,9 @@
     }
 
     pub fn drop_one(&mut self, id: Id) {
-        let Some(result) = self.results.remove(&id) else { return };
+        let Some(result) = self.results.remove(&id) else {
+            return;
+        };
         if let Some(line) = self.lines.get_mut(&result.customer) {
             line.0.remove(&result.serial);
             line.1 -= weight(&result.pages);
--- a/crates/ivypitch-custody/src/ledger.rs
+++ b/crates/ivypitch-custody/src/ledger.rs
@@ -38,7 +38,13 @@
     fn told(&self, now: Nanos, id: Id) -> Told {
         let left_ms = (self.deadline.saturating_sub(now) / 1_000_000) as u32;
         let facts = self.facts.clone().map(|facts| Facts { left_ms, ..facts });
-        Told { id, epoch: self.promised, facts, grants: self.grants.clone(), end: self.end }
+        Told {
+            id,
+            epoch: self.promised,
+            facts,
+            grants: self.grants.clone(),
+            end: self.end,
+        }
     }
 
     fn learn(&mut self, now: Nanos, told: &Told) {
@@ -49,7 +55,11 @@
             self.facts = Some(facts.clone());
         }
         for grant in &told.grants {
-            match self.grants.iter_mut().find(|g| (g.epoch, g.number) == (grant.epoch, grant.number)) {
+            match self
+                .grants
+                .iter_mut()
+                .find(|g| (g.epoch, g.number) == (grant.epoch, grant.number))
+            {
                 Some(held) => held.void |= grant.void,
                 None => self.grants.push(*grant),
             }
@@ -62,7 +72,10 @@
             _ => {}
         }
         // That of a completed one is wanted as long as its engine may still have the rows.
-        if self.end.is_some_and(|end| !matches!(end, End::Completed { .. })) {
+        if self
+            .end
+            .is_some_and(|end| !matches!(end, End::Completed { .. }))
+        {
             self.drop_text();
         }
     }
@@ -168,7 +181,9 @@
         let knows = |w: u16| match self.told_by.get(&w) {
             Some(Memory::Whole) => true,
             // It began lately too: it knows what enough of its own fellow witnesses had told it.
-            Some(Memory::ToldBy(by)) => all.iter().filter(|&&f| f != w && by.contains(&f)).count() >= enough,
+            Some(Memory::ToldBy(by)) => {
+                all.iter().filter(|&&f| f != w && by.contains(&f)).count() >= enough
+            }
             None => false,
         };
         all.iter().filter(|&&w| w != self.place && knows(w)).count() >= enough
@@ -182,7 +197,11 @@
     pub fn tell(&mut self, now: Nanos, told: &Told) {
         if told.end == Some(End::Rejected) {
             // It had no effect: whoever comes with the id next begins anew.
-            if self.entries.get(&told.id).is_some_and(|e| e.promised <= told.epoch && e.end.is_none()) {
+            if self
+                .entries
+                .get(&told.id)
+                .is_some_and(|e| e.promised <= told.epoch && e.end.is_none())
+            {
                 self.remove(told.id);
             }
             return;
@@ -211,15 +230,25 @@
                 _ => true,
             };
             // Asked for twice under one number, it was given before to what this gateway has forgotten.
-            let twice = entry.grants.iter().any(|g| (g.epoch, g.number) == (grant.epoch, grant.number));
+            let twice = entry
+                .grants
+                .iter()
+                .any(|g| (g.epoch, g.number) == (grant.epoch, grant.number));
             // A grant that the asker was not told of: its claim was read before that was given.
-            let knows = |g: &Grant| told.grants.iter().any(|t| (t.epoch, t.number) == (g.epoch, g.number));
+            let knows = |g: &Grant| {
+                told.grants
+                    .iter()
+                    .any(|t| (t.epoch, t.number) == (g.epoch, g.number))
+            };
             let unknown = entry.grants.iter().any(|g| !g.void && !knows(g));
             if entry.promised != grant.epoch || entry.end.is_some() || !same || twice || unknown {
                 return Err(Refusal::Stands(Box::new(entry.told(now, told.id))));
             }
         }
-        let told = Told { grants: [told.grants.as_slice(), &[grant]].concat(), ..told.clone() };
+        let told = Told {
+            grants: [told.grants.as_slice(), &[grant]].concat(),
+            ..told.clone()
+        };
         self.entry(now, told.id, &told).ok_or(Refusal::Full)
     }
 
@@ -240,7 +269,13 @@
         {
             return Err(Refusal::Stands(Box::new(told.clone())));
         }
-        let bare = Told { id, epoch, facts: None, grants: Vec::new(), end: None };
+        let bare = Told {
+            id,
+            epoch,
+            facts: None,
+            grants: Vec::new(),
+            end: None,
+        };
         self.entry(now, id, &bare).ok_or(Refusal::Full)?;
         if let Some(entry) = self.entries.get_mut(&id) {
             entry.promised = epoch;
@@ -304,11 +339,17 @@
     /// The statements whose acting gateway is this process.
     pub fn acted_for_by(&self, place: u16, birth: u64) -> Vec<Id> {
         let by = |entry: &Entry| (entry.promised.place, entry.promised.birth) == (place, birth);
-        self.entries.iter().filter(|(_, entry)| by(entry)).map(|(&id, _)| id).collect()
+        self.entries
+            .iter()
+            .filter(|(_, entry)| by(entry))
+            .map(|(&id, _)| id)
+            .collect()
     }
 
     /// All that stands, for a witness that has begun anew.
     pub fn all(&self, now: Nanos) -> impl Iterator<Item = Told> {
-        self.entries.iter().map(move |(&id, entry)| entry.told(now, id))
+        self.entries
+            .iter()
+            .map(move |(&id, entry)| entry.told(now, id))
     }
 }
--- a/crates/ivypitch-custody/src/message.rs
+++ b/crates/ivypitch-custody/src/message.rs
@@ -10,7 +10,9 @@
 pub type Id = u64;
 
 /// Names who may act for a statement; each taking over makes a higher one.
-#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default, Serialize, Deserialize,
+)]
 pub struct Epoch {
     pub count: u32,
     pub place: u16,
--- a/crates/ivypitch-custody/src/witnesses.rs
+++ b/crates/ivypitch-custody/src/witnesses.rs
@@ -36,7 +36,12 @@
             2 => (count / 2 + 1).min(count.saturating_sub(1)).max(1),
             _ => (count / 2).max(1),
         };
-        Witnesses { zones, count, most_of_a_zone, lately: RefCell::new(vec![None; LATELY]) }
+        Witnesses {
+            zones,
+            count,
+            most_of_a_zone,
+            lately: RefCell::new(vec![None; LATELY]),
+        }
     }
 
     pub fn count(&self) -> usize {
@@ -61,17 +66,21 @@
     }
 
     fn choose(&self, id: Id) -> Vec<u16> {
-        let mut ranked: Vec<(u64, u16)> =
-            (0..self.zones.len()).map(|place| (weight(id, place as u16), place as u16)).collect();
+        let mut ranked: Vec<(u64, u16)> = (0..self.zones.len())
+            .map(|place| (weight(id, place as u16), place as u16))
+            .collect();
         ranked.sort_unstable_by(|a, b| b.cmp(a));
         let mut chosen = Vec::with_capacity(self.count);
         let mut held: Vec<(u16, usize)> = Vec::new();
         for &(_, place) in &ranked {
             let zone = self.zones[usize::from(place)];
-            let of_zone = held.iter().position(|&(z, _)| z == zone).unwrap_or_else(|| {
-                held.push((zone, 0));
-                held.len() - 1
-            });
+            let of_zone = held
+                .iter()
+                .position(|&(z, _)| z == zone)
+                .unwrap_or_else(|| {
+                    held.push((zone, 0));
+                    held.len() - 1
+                });
             if held[of_zone].1 < self.most_of_a_zone {
                 held[of_zone].1 += 1;
                 chosen.push(place);
--- a/crates/ivypitch-custody/tests/lost_rows.rs
+++ b/crates/ivypitch-custody/tests/lost_rows.rs
@@ -25,18 +25,50 @@
     let mut custody = Custody::new(1, 11, vec![0, 1, 2], Terms::default(), 0);
     custody.member_up(SECOND, 0, 10);
     custody.member_up(SECOND, 2, 12);
-    let epoch = Epoch { count: 0, place: 0, birth: 10 };
-    let facts =
-        Facts { digest: 1, workload: 0, customer: 0, idempotent: false, left_ms: 6000, text: vec![1] };
-    let grant = Grant { epoch, number: 0, engine: 1, void: false };
-    let sent = Told { id: ID, epoch, facts: Some(facts.clone()), grants: vec![grant], end: None };
-    let end = Some(End::Completed { rows_at: 0, birth: 10 });
-    let ended = Told { facts: None, end, ..sent.clone() };
+    let epoch = Epoch {
+        count: 0,
+        place: 0,
+        birth: 10,
+    };
+    let facts = Facts {
+        digest: 1,
+        workload: 0,
+        customer: 0,
+        idempotent: false,
+        left_ms: 6000,
+        text: vec![1],
+    };
+    let grant = Grant {
+        epoch,
+        number: 0,
+        engine: 1,
+        void: false,
+    };
+    let sent = Told {
+        id: ID,
+        epoch,
+        facts: Some(facts.clone()),
+        grants: vec![grant],
+        end: None,
+    };
+    let end = Some(End::Completed {
+        rows_at: 0,
+        birth: 10,
+    });
+    let ended = Told {
+        facts: None,
+        end,
+        ..sent.clone()
+    };
     custody.heard(2 * SECOND, 0, Message::Tell(vec![sent]), &mut Nothing);
     custody.heard(3 * SECOND, 0, Message::Tell(vec![ended]), &mut Nothing);
     let lost = 3 * SECOND + after_ms * MS;
     custody.member_down(lost, 0, 10, &mut Nothing);
     assert_eq!(custody.totals().orphaned, orphaned);
     let arrived = custody.arrive(lost, ID, facts, true, 1, &mut Nothing);
-    assert_eq!(arrived == Arrived::Word(Word::Completed), orphaned == 0, "{arrived:?}");
+    assert_eq!(
+        arrived == Arrived::Word(Word::Completed),
+        orphaned == 0,
+        "{arrived:?}"
+    );
 }
--- a/crates/ivypitch-custody/tests/model.rs
+++ b/crates/ivypitch-custody/tests/model.rs
@@ -76,13 +76,29 @@
 }
 
 fn epoch(by: usize, owner: usize) -> Epoch {
-    Epoch { count: u32::from(by != owner) + by as u32 * u32::from(by != owner), place: by as u16, birth: 1 }
+    Epoch {
+        count: u32::from(by != owner) + by as u32 * u32::from(by != owner),
+        place: by as u16,
+        birth: 1,
+    }
 }
 
 fn told(stmt: usize, epoch: Epoch) -> Told {
-    let facts =
-        Facts { digest: 1, workload: 0, customer: 0, idempotent: false, left_ms: 1, text: Vec::new() };
-    Told { id: id(stmt), epoch, facts: Some(facts), grants: Vec::new(), end: None }
+    let facts = Facts {
+        digest: 1,
+        workload: 0,
+        customer: 0,
+        idempotent: false,
+        left_ms: 1,
+        text: Vec::new(),
+    };
+    Told {
+        id: id(stmt),
+        epoch,
+        facts: Some(facts),
+        grants: Vec::new(),
+        end: None,
+    }
 }
 
 impl Fleet {
@@ -91,7 +107,11 @@
     }
 
     fn majority(&self) -> usize {
-        if self.without == Without::Majority { 1 } else { self.witnesses().majority() }
+        if self.without == Without::Majority {
+            1
+        } else {
+            self.witnesses().majority()
+        }
     }
 
     fn owner(&self, stmt: usize) -> usize {
@@ -100,12 +120,20 @@
 
     fn ledger(&self, place: usize, young: bool) -> Ledger {
         // A young one has long to go until it has nothing to remember.
-        let remembered = if young && self.without != Without::Abstaining { 1_000_000 } else { 0 };
+        let remembered = if young && self.without != Without::Abstaining {
+            1_000_000
+        } else {
+            0
+        };
         Ledger::new(place as u16, 0, 0, remembered, 0, 100)
     }
 
     fn now(&self) -> u64 {
-        if self.without == Without::Fence { LATER } else { NOW }
+        if self.without == Without::Fence {
+            LATER
+        } else {
+            NOW
+        }
     }
 }
 
@@ -119,7 +147,9 @@
             ledgers: (0..MEMBERS).map(|m| self.ledger(m, false)).collect(),
             alive: vec![true; MEMBERS],
             young: vec![None; MEMBERS],
-            actors: (0..self.statements).map(|s| (0..MEMBERS).map(|m| actor(s, m)).collect()).collect(),
+            actors: (0..self.statements)
+                .map(|s| (0..MEMBERS).map(|m| actor(s, m)).collect())
+                .collect(),
             sent: vec![0; self.statements],
             losses: 0,
         }]
@@ -192,7 +222,8 @@
             }
             Action::Teach { by, to } => {
                 let all: Vec<Told> = state.ledgers[by].all(self.now()).collect();
-                all.iter().for_each(|told| state.ledgers[to].tell(self.now(), told));
+                all.iter()
+                    .for_each(|told| state.ledgers[to].tell(self.now(), told));
                 state.ledgers[to].told_all(self.now(), by as u16, Memory::Whole);
                 state.young[to].as_mut()?.push(by);
                 // A process is taught no sooner than a grant's life after its start: what its former self voted on, and
@@ -200,17 +231,27 @@
                 if self.without != Without::GrantLives {
                     let waits = |actor: &&mut Actor| !actor.done && actor.votes.contains(&to);
                     let all = state.actors.iter_mut().flatten().flatten();
-                    let before =
-                        |actor: &Actor| last.young[to].as_ref().is_some_and(Vec::is_empty) && !actor.done;
-                    all.filter(waits).filter(|actor| before(actor)).for_each(|actor| actor.done = true);
+                    let before = |actor: &Actor| {
+                        last.young[to].as_ref().is_some_and(Vec::is_empty) && !actor.done
+                    };
+                    all.filter(waits)
+                        .filter(|actor| before(actor))
+                        .for_each(|actor| actor.done = true);
                 }
             }
             Action::Vote { stmt, by, at } => {
                 let epoch = epoch(by, self.owner(stmt));
-                let grant = Grant { epoch, number: 0, engine: 1, void: false };
+                let grant = Grant {
+                    epoch,
+                    number: 0,
+                    engine: 1,
+                    void: false,
+                };
                 if self.without == Without::Fence {
                     // The register as it would be if it kept no promise.
-                    let known = state.ledgers[at].get(self.now(), id(stmt)).map(|told| told.epoch);
+                    let known = state.ledgers[at]
+                        .get(self.now(), id(stmt))
+                        .map(|told| told.epoch);
                     if known.is_none_or(|held| held > epoch) {
                         state.actors[stmt][by].as_mut()?.votes.push(at);
                         return Some(state);
@@ -219,10 +260,13 @@
                 let mut told = told(stmt, epoch);
                 if self.without == Without::Grants {
                     // It passes on what it was told of and sends all the same.
-                    told.grants =
-                        state.ledgers[at].get(self.now(), id(stmt)).map_or(Vec::new(), |t| t.grants);
+                    told.grants = state.ledgers[at]
+                        .get(self.now(), id(stmt))
+                        .map_or(Vec::new(), |t| t.grants);
                 }
-                state.ledgers[at].grant(self.now(), &told, grant, &witnesses).ok()?;
+                state.ledgers[at]
+                    .grant(self.now(), &told, grant, &witnesses)
+                    .ok()?;
                 state.actors[stmt][by].as_mut()?.votes.push(at);
             }
             Action::Send { stmt, by } => {
@@ -234,7 +278,9 @@
             }
             Action::Promise { stmt, by, at } => {
                 let epoch = epoch(by, self.owner(stmt));
-                let told = state.ledgers[at].claim(self.now(), id(stmt), epoch, &witnesses).ok()?;
+                let told = state.ledgers[at]
+                    .claim(self.now(), id(stmt), epoch, &witnesses)
+                    .ok()?;
                 let actor = state.actors[stmt][by].as_mut()?;
                 actor.promises.push(at);
                 actor.promises.sort_unstable();
@@ -250,12 +296,17 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("never sent twice", |_, state: &State| state.sent.iter().all(|&n| n <= 1)),
+            Property::always("never sent twice", |_, state: &State| {
+                state.sent.iter().all(|&n| n <= 1)
+            }),
             Property::sometimes("a claim ends", |model: &Fleet, state: &State| {
-                let claimed =
-                    |stmt: usize, m: usize, a: &Actor| m != model.owner(stmt) && a.done && state.alive[m];
+                let claimed = |stmt: usize, m: usize, a: &Actor| {
+                    m != model.owner(stmt) && a.done && state.alive[m]
+                };
                 let ended = |(stmt, all): (usize, &Vec<Option<Actor>>)| {
-                    all.iter().enumerate().any(|(m, a)| a.as_ref().is_some_and(|a| claimed(stmt, m, a)))
+                    all.iter()
+                        .enumerate()
+                        .any(|(m, a)| a.as_ref().is_some_and(|a| claimed(stmt, m, a)))
                 };
                 state.losses > 0 && state.actors.iter().enumerate().any(ended)
             }),
@@ -265,7 +316,9 @@
 
 fn explored(fleet: Fleet) -> (Option<usize>, usize) {
     let checker = fleet.checker().threads(2).spawn_bfs().join();
-    let path = checker.discovery("never sent twice").map(|path| path.into_actions());
+    let path = checker
+        .discovery("never sent twice")
+        .map(|path| path.into_actions());
     if let Some(path) = &path {
         println!("shortest: {path:?}");
     }
@@ -275,7 +328,12 @@
 
 #[test]
 fn with_all_guards_no_statement_is_ever_sent_twice() {
-    let fleet = Fleet { without: Without::Nothing, statements: 1, losses: 2, one_claimer: false };
+    let fleet = Fleet {
+        without: Without::Nothing,
+        statements: 1,
+        losses: 2,
+        one_claimer: false,
+    };
     let checker = fleet.checker().threads(2).spawn_bfs().join();
     println!("{} states", checker.unique_state_count());
     checker.assert_properties();
@@ -287,7 +345,12 @@
 #[test_case(Without::Abstaining)]
 #[test_case(Without::GrantLives)]
 fn without_a_guard_one_is(without: Without) {
-    let (shortest, _) = explored(Fleet { without, statements: 1, losses: 2, one_claimer: false });
+    let (shortest, _) = explored(Fleet {
+        without,
+        statements: 1,
+        losses: 2,
+        one_claimer: false,
+    });
     assert!(shortest.is_some(), "{without:?} guards against nothing");
 }
 
@@ -296,7 +359,12 @@
 #[test]
 #[ignore = "takes a minute; run with --ignored"]
 fn two_statements_with_all_guards() {
-    let fleet = Fleet { without: Without::Nothing, statements: 2, losses: 1, one_claimer: true };
+    let fleet = Fleet {
+        without: Without::Nothing,
+        statements: 2,
+        losses: 1,
+        one_claimer: true,
+    };
     let checker = fleet.checker().threads(6).spawn_bfs().join();
     println!("{} states", checker.unique_state_count());
     checker.assert_no_discovery("never sent twice");
@@ -316,14 +384,29 @@
             let now = step * 10;
             let stmt = rng.random_range(0..3);
             let (by, count) = (rng.random_range(0..3u16), rng.random_range(0..3));
-            let epoch = Epoch { count, place: by, birth: 1 };
-            let grant =
-                Grant { epoch, number: rng.random_range(0..2), engine: 1, void: rng.random_bool(0.1) };
+            let epoch = Epoch {
+                count,
+                place: by,
+                birth: 1,
+            };
+            let grant = Grant {
+                epoch,
+                number: rng.random_range(0..2),
+                engine: 1,
+                void: rng.random_bool(0.1),
+            };
             let mut news = told(stmt, epoch);
             if rng.random_bool(0.3) {
                 news.grants.push(grant);
             }
-            let ends = [End::Aborted, End::Rejected, End::Completed { rows_at: by, birth: 1 }];
+            let ends = [
+                End::Aborted,
+                End::Rejected,
+                End::Completed {
+                    rows_at: by,
+                    birth: 1,
+                },
+            ];
             news.end = rng.random_bool(0.1).then(|| ends[rng.random_range(0..3)]);
             let what = rng.random_range(0..6);
             let ask = |ledger: &mut Ledger| match what {
@@ -347,7 +430,11 @@
             let said = ask(&mut mixed);
             if stmt == 0 || what >= 4 {
                 assert_eq!(said, ask(&mut alone), "seed {seed}, step {step}");
-                assert_eq!(mixed.get(now, id(0)), alone.get(now, id(0)), "seed {seed}, step {step}");
+                assert_eq!(
+                    mixed.get(now, id(0)),
+                    alone.get(now, id(0)),
+                    "seed {seed}, step {step}"
+                );
             }
         }
     }
--- a/crates/ivypitch-deployment/src/lib.rs
+++ b/crates/ivypitch-deployment/src/lib.rs
@@ -179,7 +179,11 @@
 
 /// An estimate of memory in MB; what is no number counts as not given.
 pub fn estimated_mb(mb: f32) -> f64 {
-    if mb.is_finite() { f64::from(mb).max(0.0) } else { 0.0 }
+    if mb.is_finite() {
+        f64::from(mb).max(0.0)
+    } else {
+        0.0
+    }
 }
 
 pub fn read(text: &[u8]) -> Result<Given, String> {
@@ -253,7 +257,9 @@
         customers: options
             .customers
             .iter()
-            .map(|c| Customer { allowance_per_s: c.allowance_per_s })
+            .map(|c| Customer {
+                allowance_per_s: c.allowance_per_s,
+            })
             .collect(),
         over_share_importance: options.over_share_worth,
         most_held: if options.permissions.most_held == 0 {
@@ -280,7 +286,11 @@
         come_back_heeded: may.retry_after,
         longest_come_back: may.max_retry_after_ns,
         second_copies: may.second_copies,
-        max_executions: if may.max_attempts == 0 { u32::MAX } else { may.max_attempts },
+        max_executions: if may.max_attempts == 0 {
+            u32::MAX
+        } else {
+            may.max_attempts
+        },
         drain_grace: contract.drain_grace_ns,
         answer_grace: contract.grace_to_answer_ns,
         cold_from: contract.cold_from,
@@ -295,5 +305,9 @@
         key_rest: contract.settle_after_doubt_ns,
         wasted_work_price: options.prices.waste,
     };
-    Ok(Given { facts, names, limits })
+    Ok(Given {
+        facts,
+        names,
+        limits,
+    })
 }
