--- a/crates/ivypitch-lab/src/experiments/gateway_loss.rs
+++ b/crates/ivypitch-lab/src/experiments/gateway_loss.rs
@@ -33,7 +33,11 @@
             // The upper bits count how often a refused one has asked anew.
             req: rng.random::<u64>() & 0xff_ffff_ffff,
             load,
-            work_ms: if load { rng.random_range(100..2500) } else { rng.random_range(5..800) },
+            work_ms: if load {
+                rng.random_range(100..2500)
+            } else {
+                rng.random_range(5..800)
+            },
             timeout_ms: rng.random_range(LONGEST_MS * 3 / 4..LONGEST_MS),
             asked_twice: rng.random_bool(0.1),
             prefers: all.clone(),
@@ -48,7 +52,10 @@
     let custody = format!(r#""custody":{{"remembered_ms":{REMEMBERED_MS},"asks_from_ms":0}}"#);
     Setup {
         gateways: GATEWAYS,
-        engines: Engines::Processes { count: ENGINES, cores: 16.0 },
+        engines: Engines::Processes {
+            count: ENGINES,
+            cores: 16.0,
+        },
         longest_ms: LONGEST_MS,
         peers: peers.then_some(custody),
         seed,
@@ -60,30 +67,54 @@
 pub fn run(setup: Setup, plan: &Plan, span: u64, seed: u64) -> Result<Verdict, String> {
     let peers = setup.peers.is_some();
     let mut fleet = Fleet::start(setup)?;
-    let warm = if peers { LONGEST_MS + REMEMBERED_MS + 1000 } else { 200 };
+    let warm = if peers {
+        LONGEST_MS + REMEMBERED_MS + 1000
+    } else {
+        200
+    };
     let from = Instant::now() + Duration::from_millis(warm);
     let addresses: Vec<_> = fleet.seats.iter().map(|seat| seat.address).collect();
-    let manners = Manners { patience: Duration::from_millis(3500), seed };
+    let manners = Manners {
+        patience: Duration::from_millis(3500),
+        seed,
+    };
     let asks = traffic(span, GAP_MS, seed);
     let theirs = asks.clone();
     let playing = thread::spawn(move || clients::play(&theirs, &addresses, manners, from));
     fleet.play(plan, from);
-    let stories = playing.join().map_err(|_| "the clients' thread failed".to_owned())?;
+    let stories = playing
+        .join()
+        .map_err(|_| "the clients' thread failed".to_owned())?;
     fleet.finish();
-    Ok(judge(&asks, &stories, &fleet.said.all(), &fleet.done, &fleet.crashes))
+    Ok(judge(
+        &asks,
+        &stories,
+        &fleet.said.all(),
+        &fleet.done,
+        &fleet.crashes,
+    ))
 }
 
 pub fn play(quick: bool, seed: u64) -> Report {
     let mut report = Report::new("gateway-loss", seed);
     let span = if quick { 12_000 } else { 60_000 };
-    let field =
-        Field { gateways: GATEWAYS, zones: 3, engines: ENGINES, span, gap: LOSS_EACH_MS, losses_only: true };
+    let field = Field {
+        gateways: GATEWAYS,
+        zones: 3,
+        engines: ENGINES,
+        span,
+        gap: LOSS_EACH_MS,
+        losses_only: true,
+    };
     let plan = Plan::draw(field, seed);
     let none = Plan::default();
     // One gateway after the other, as a release does.
     let each = span / (GATEWAYS as u64 + 2);
     let rolled = (0..GATEWAYS)
-        .map(|gateway| Fault { at: 500 + each * gateway as u64, what: What::End { gateway, back: 400 } })
+        .map(|gateway| Fault {
+            at: 500 + each * gateway as u64,
+            what: What::End { gateway, back: 400 },
+        })
         .collect();
     let rolled = Plan { faults: rolled };
     let runs = thread::scope(|scope| {
@@ -96,55 +127,131 @@
     let [with, calm, off, roll] = match runs {
         [Ok(with), Ok(calm), Ok(off), Ok(roll)] => [with, calm, off, roll],
         runs => {
-            runs.into_iter().filter_map(Result::err).for_each(|e| eprintln!("not played: {e}"));
-            report.bounds.push(Bound::new("the runs end", 0.0, 1.0, f64::MAX));
+            runs.into_iter()
+                .filter_map(Result::err)
+                .for_each(|e| eprintln!("not played: {e}"));
+            report
+                .bounds
+                .push(Bound::new("the runs end", 0.0, 1.0, f64::MAX));
             return report;
         }
     };
     println!("the plan:\n{plan}");
-    for (name, verdict) in
-        [("losses", &with), ("no losses", &calm), ("rolled", &roll), ("losses, without peers", &off)]
-    {
+    for (name, verdict) in [
+        ("losses", &with),
+        ("no losses", &calm),
+        ("rolled", &roll),
+        ("losses, without peers", &off),
+    ] {
         if name != "losses, without peers" {
-            verdict.broken.iter().chain(&verdict.crashes).for_each(|line| println!("{name}: {line}"));
+            verdict
+                .broken
+                .iter()
+                .chain(&verdict.crashes)
+                .for_each(|line| println!("{name}: {line}"));
         }
         println!("{name}: unserved by last word {:?}", verdict.unserved);
     }
-    let place = format!("{GATEWAYS} gateways, {ENGINES} engines as processes, {} s", span / 1000);
+    let place = format!(
+        "{GATEWAYS} gateways, {ENGINES} engines as processes, {} s",
+        span / 1000
+    );
     let mut bound = |what: &str, is: f64, least: f64, most: f64| {
-        report.bounds.push(Bound::new(&format!("{place}: {what}"), is, least, most))
+        report
+            .bounds
+            .push(Bound::new(&format!("{place}: {what}"), is, least, most))
     };
     bound("faults", plan.faults.len() as f64, 1.0, f64::MAX);
     bound("loads", with.loads as f64, 1.0, f64::MAX);
     for (name, v) in [("losses", &with), ("no losses", &calm), ("rolled", &roll)] {
-        bound(&format!("{name}: loads started twice"), v.doubled as f64, 0.0, 0.0);
-        bound(&format!("{name}: loads refused that ran"), v.refused_and_ran as f64, 0.0, 0.0);
-        bound(&format!("{name}: clients with two ends"), v.two_ends as f64, 0.0, 0.0);
+        bound(
+            &format!("{name}: loads started twice"),
+            v.doubled as f64,
+            0.0,
+            0.0,
+        );
+        bound(
+            &format!("{name}: loads refused that ran"),
+            v.refused_and_ran as f64,
+            0.0,
+            0.0,
+        );
+        bound(
+            &format!("{name}: clients with two ends"),
+            v.two_ends as f64,
+            0.0,
+            0.0,
+        );
         bound(
             &format!("{name}: second clients told no more than may have run"),
             v.unsure as f64,
             0.0,
             f64::MAX,
         );
-        bound(&format!("{name}: clients left without a word"), v.silent as f64, 0.0, 0.0);
-        bound(&format!("{name}: crashes"), v.crashes.len() as f64, 0.0, 0.0);
+        bound(
+            &format!("{name}: clients left without a word"),
+            v.silent as f64,
+            0.0,
+            0.0,
+        );
+        bound(
+            &format!("{name}: crashes"),
+            v.crashes.len() as f64,
+            0.0,
+            0.0,
+        );
     }
-    bound("running at a loss and come back for", with.caught as f64, 1.0, f64::MAX);
+    bound(
+        "running at a loss and come back for",
+        with.caught as f64,
+        1.0,
+        f64::MAX,
+    );
     bound(
         "of these completed without running again",
         with.carried as f64 / with.caught.max(1) as f64,
         0.95,
         1.0,
     );
-    bound("rolled: statements that ran again", roll.again as f64, 0.0, 0.0);
-    bound("rolled: service over that without", roll.service() / calm.service().max(1e-9), 0.99, f64::MAX);
+    bound(
+        "rolled: statements that ran again",
+        roll.again as f64,
+        0.0,
+        0.0,
+    );
+    bound(
+        "rolled: service over that without",
+        roll.service() / calm.service().max(1e-9),
+        0.99,
+        f64::MAX,
+    );
     bound("service", with.service(), 0.0, f64::MAX);
-    bound("service over that without losses", with.service() / calm.service().max(1e-9), 0.97, f64::MAX);
-    bound("first question by another after a loss, median ms", with.first_ask_p50 as f64, 0.0, f64::MAX);
-    bound("first question by another after a loss, p99 ms", with.first_ask_p99 as f64, 0.0, 1600.0);
+    bound(
+        "service over that without losses",
+        with.service() / calm.service().max(1e-9),
+        0.97,
+        f64::MAX,
+    );
+    bound(
+        "first question by another after a loss, median ms",
+        with.first_ask_p50 as f64,
+        0.0,
+        f64::MAX,
+    );
+    bound(
+        "first question by another after a loss, p99 ms",
+        with.first_ask_p99 as f64,
+        0.0,
+        1600.0,
+    );
     bound("median ms", with.p50_ms as f64, 0.0, f64::MAX);
     bound("99th ms", with.p99_ms as f64, 0.0, f64::MAX);
-    bound("without peers: loads started twice", off.doubled as f64, 0.0, f64::MAX);
+    bound(
+        "without peers: loads started twice",
+        off.doubled as f64,
+        0.0,
+        f64::MAX,
+    );
     bound(
         "without peers: completed without running again",
         off.carried as f64 / off.caught.max(1) as f64,
--- a/crates/ivypitch-lab/src/experiments/mod.rs
+++ b/crates/ivypitch-lab/src/experiments/mod.rs
@@ -63,12 +63,17 @@
 
 /// Plans by the seed and those that follow it, over as many threads as there are cores.
 fn side_by_side<T: Send>(plans: u64, seed: u64, play: impl Fn(u64) -> T + Sync) -> Vec<T> {
-    let parts = std::thread::available_parallelism().map_or(1, |n| n.get() as u64).min(plans).max(1);
+    let parts = std::thread::available_parallelism()
+        .map_or(1, |n| n.get() as u64)
+        .min(plans)
+        .max(1);
     let at = |part: u64| seed + plans * part / parts;
     std::thread::scope(|scope| {
         let play = &play;
         let run = |p| scope.spawn(move || (at(p)..at(p + 1)).map(play).collect::<Vec<T>>());
         let runs: Vec<_> = (0..parts).map(run).collect();
-        runs.into_iter().flat_map(|run| run.join().unwrap_or_default()).collect()
+        runs.into_iter()
+            .flat_map(|run| run.join().unwrap_or_default())
+            .collect()
     })
 }
--- a/crates/ivypitch-lab/src/experiments/scale/capacity.rs
+++ b/crates/ivypitch-lab/src/experiments/scale/capacity.rs
@@ -57,8 +57,14 @@
 impl Counts {
     /// The engines that a gateway with its even part of the traffic sends to, as `rules.rs` has it (docs/design.md).
     fn subset(&self) -> f64 {
-        let kept = SUBSET_MOST.max(HOLDERS * self.engines / self.gateways).ceil();
-        if kept > self.engines / 4.0 { self.engines } else { kept }
+        let kept = SUBSET_MOST
+            .max(HOLDERS * self.engines / self.gateways)
+            .ceil();
+        if kept > self.engines / 4.0 {
+            self.engines
+        } else {
+            kept
+        }
     }
 
     /// Part of the time that a gateway keeps a connection to an engine of these, one at least, where it takes them evenly:
@@ -127,8 +133,15 @@
     }
 
     fn fit(&self, what: &str) -> String {
-        let Some(m) = self.find(what) else { return "not run".into() };
-        let Slope { base, per, exponent, residual } = Slope::of(&m.points);
+        let Some(m) = self.find(what) else {
+            return "not run".into();
+        };
+        let Slope {
+            base,
+            per,
+            exponent,
+            residual,
+        } = Slope::of(&m.points);
         let size = |p: Option<&(f64, f64)>| p.map_or(0.0, |p| p.0);
         let (unit, by) = (if m.unit.is_empty() { "" } else { " " }, &m.by);
         let sign = if per < 0.0 { '-' } else { '+' };
@@ -178,7 +191,8 @@
 const SHARES_SAW: &str = "shares: processor time of a statement's outcome";
 const SHARES_JUDGE: &str = "shares: processor time of a judgement, one word in ten";
 const LAST_ACTS: &str = "journal: a change until the last gateway acts by it, calm";
-const CHANGE_BYTES: &str = "journal: bytes out of all servers for a change, numbers told each second in it";
+const CHANGE_BYTES: &str =
+    "journal: bytes out of all servers for a change, numbers told each second in it";
 
 const SUBSET: &str = "a subset of engines by gateway (design.md)";
 const GROUPS: &str = "none; peers by groups are to (below)";
@@ -192,13 +206,17 @@
 fn core(r: &Recorded, n: &Counts) -> f64 {
     let verdicts = JUDGEMENTS * n.engines.min(WORDS_ON) / 80.0 * r.at(SHARES_JUDGE, n.gateways);
     let statements = n.statements * (r.at(WITNESSES, n.gateways) + r.at(SHARES_SAW, n.engines));
-    let rest =
-        r.at(MEMBERS_CPU, n.gateways) + r.at(SHARES_WALK, n.engines) + n.changes * r.at(CHANGE, n.engines);
+    let rest = r.at(MEMBERS_CPU, n.gateways)
+        + r.at(SHARES_WALK, n.engines)
+        + n.changes * r.at(CHANGE, n.engines);
     (verdicts + statements + rest) * 1e-4
 }
 
 fn bytes(r: &Recorded, n: &Counts) -> f64 {
-    (r.at(MEMBERS_BYTES, n.gateways) + r.at(LINKS_BYTES, n.gateways) + r.at(SHARES_BYTES, n.gateways)) / KB
+    (r.at(MEMBERS_BYTES, n.gateways)
+        + r.at(LINKS_BYTES, n.gateways)
+        + r.at(SHARES_BYTES, n.gateways))
+        / KB
 }
 
 pub fn rows() -> Vec<Row> {
@@ -364,20 +382,33 @@
     /// The size of the fleet in gateways from which on the budget is passed.
     pub fn passed_at(&self, recorded: &Recorded) -> Option<f64> {
         let budget = self.budget?(recorded);
-        passes_at(|gateways| (self.cost)(recorded, &counts(gateways)), budget, SMALLEST, LARGEST)
+        passes_at(
+            |gateways| (self.cost)(recorded, &counts(gateways)),
+            budget,
+            SMALLEST,
+            LARGEST,
+        )
     }
 
     fn line(&self, recorded: &Recorded) -> String {
         let cost = |gateways| short((self.cost)(recorded, &counts(gateways)));
-        let from = self.from.map_or("worked out".into(), |what| recorded.fit(what));
-        let budget = self.budget.map_or("-".into(), |budget| short(budget(recorded)));
+        let from = self
+            .from
+            .map_or("worked out".into(), |what| recorded.fit(what));
+        let budget = self
+            .budget
+            .map_or("-".into(), |budget| short(budget(recorded)));
         let passed = match (self.budget, self.passed_at(recorded)) {
             (None, _) => "-".into(),
             (_, None) => "not below 100,000".into(),
             (_, Some(n)) if n <= SMALLEST * 1.02 => "at any size".into(),
             (_, Some(n)) => format!("**{n:.0}** ({:.0} engines)", counts(n).engines),
         };
-        let unit = if self.unit.is_empty() { String::new() } else { format!(", {}", self.unit) };
+        let unit = if self.unit.is_empty() {
+            String::new()
+        } else {
+            format!(", {}", self.unit)
+        };
         format!(
             "| {}{unit} | {} | {from} | {} | {} | {budget} | {passed} | {} |\n",
             self.what,
@@ -402,7 +433,9 @@
         let _ = writeln!(text, "\n### {title}\n");
         text += "| what | formula | c, from the run | 300 gateways | target | budget | passed at, gateways | carried by |\n";
         text += "| --- | --- | --- | --- | --- | --- | --- | --- |\n";
-        all.iter().filter(|row| row.role == role).for_each(|row| text += &row.line(recorded));
+        all.iter()
+            .filter(|row| row.role == role)
+            .for_each(|row| text += &row.line(recorded));
     }
     let mut order: Vec<(f64, &Row)> = all
         .iter()
@@ -415,9 +448,21 @@
     for (size, row) in order {
         let budget = row.budget.map_or(1.0, |budget| budget(recorded));
         let over = (row.cost)(recorded, &counts(GATEWAYS)) / budget;
-        let size = if is_any(size) { "any".into() } else { format!("{size:.0}") };
-        let engines = size.parse().map_or("any".into(), |n: f64| format!("{:.0}", counts(n).engines));
-        let _ = writeln!(text, "| {size} | {engines} | {}, {} | {} |", row.what, row.unit, short(over));
+        let size = if is_any(size) {
+            "any".into()
+        } else {
+            format!("{size:.0}")
+        };
+        let engines = size
+            .parse()
+            .map_or("any".into(), |n: f64| format!("{:.0}", counts(n).engines));
+        let _ = writeln!(
+            text,
+            "| {size} | {engines} | {}, {} | {} |",
+            row.what,
+            row.unit,
+            short(over)
+        );
     }
     text
 }
--- a/crates/ivypitch-lab/src/experiments/scale/changes.rs
+++ b/crates/ivypitch-lab/src/experiments/scale/changes.rs
@@ -48,7 +48,10 @@
         let fleet = calm(gateways, quick);
         let reached = play(fleet, seed);
         last.push((gateways as f64, f64::from(reached.ms(1.0))));
-        bytes.push((gateways as f64, reached.bytes as f64 / reached.changes as f64));
+        bytes.push((
+            gateways as f64,
+            reached.bytes as f64 / reached.changes as f64,
+        ));
         server.push((gateways as f64, reached.busiest_server_s as f64));
         judge(report, &format!("{gateways} gateways, calm"), &reached);
     }
@@ -56,17 +59,40 @@
     let (from, until) = if quick { (4, 12) } else { (10, 40) };
     // Regions lose each other for minutes.
     let apart = match quick {
-        true => Fleet { cut: (from, until), ..base },
-        false => Fleet { cut: (10, 190), seconds: 200, ..base },
+        true => Fleet {
+            cut: (from, until),
+            ..base
+        },
+        false => Fleet {
+            cut: (10, 190),
+            seconds: 200,
+            ..base
+        },
     };
     let cases = [
-        ("restarts at 20 times the target's rate", Fleet { restarts: RESTARTS * TIMES, ..base }),
+        (
+            "restarts at 20 times the target's rate",
+            Fleet {
+                restarts: RESTARTS * TIMES,
+                ..base
+            },
+        ),
         ("a region cut off and coming back", apart),
-        ("a zone lost and coming back", Fleet { zone_lost: (from, until), ..base }),
+        (
+            "a zone lost and coming back",
+            Fleet {
+                zone_lost: (from, until),
+                ..base
+            },
+        ),
         ("one machine serves all, calm", Fleet { servers: 1, ..base }),
     ];
     for (name, fleet) in cases {
-        judge(report, &format!("{target} gateways, {name}"), &play(fleet, seed));
+        judge(
+            report,
+            &format!("{target} gateways, {name}"),
+            &play(fleet, seed),
+        );
     }
     let relay = |what, unit, points| Measure {
         role: "relay",
@@ -77,27 +103,65 @@
         is_simulated: true,
     };
     vec![
-        relay("journal: a change until the last gateway acts by it, calm", "ms", last),
+        relay(
+            "journal: a change until the last gateway acts by it, calm",
+            "ms",
+            last,
+        ),
         relay(
             "journal: bytes out of all servers for a change, numbers told each second in it",
             "bytes",
             bytes,
         ),
-        relay("journal: bytes out of the busiest of 40 servers in its busiest second", "bytes/s", server),
+        relay(
+            "journal: bytes out of the busiest of 40 servers in its busiest second",
+            "bytes/s",
+            server,
+        ),
     ]
 }
 
 fn judge(report: &mut Report, place: &str, reached: &Reached) {
     let mut bound = |what: &str, is, least, most| {
-        report.bounds.push(Bound::new(&format!("changes, {place}: {what}"), is, least, most))
+        report.bounds.push(Bound::new(
+            &format!("changes, {place}: {what}"),
+            is,
+            least,
+            most,
+        ))
     };
     bound("changes", reached.changes as f64, 1.0, f64::MAX);
     for (name, quantile) in [("half", 0.5), ("99 in 100", 0.99), ("99.99 in 100", 0.9999)] {
-        bound(&format!("{name} act within, ms"), f64::from(reached.ms(quantile)), 0.0, f64::MAX);
+        bound(
+            &format!("{name} act within, ms"),
+            f64::from(reached.ms(quantile)),
+            0.0,
+            f64::MAX,
+        );
     }
-    bound("the last acts within, ms", f64::from(reached.ms(1.0)), 0.0, EVERYWHERE_MS);
-    bound("gateways that do not act by the last change", reached.behind as f64, 0.0, 0.0);
+    bound(
+        "the last acts within, ms",
+        f64::from(reached.ms(1.0)),
+        0.0,
+        EVERYWHERE_MS,
+    );
+    bound(
+        "gateways that do not act by the last change",
+        reached.behind as f64,
+        0.0,
+        0.0,
+    );
     bound("restarts", reached.restarts as f64, 0.0, f64::MAX);
-    bound("most connections begun in a second", reached.busiest_connects_s as f64, 0.0, f64::MAX);
-    bound("most bytes out of one server in a second", reached.busiest_server_s as f64, 0.0, f64::MAX);
+    bound(
+        "most connections begun in a second",
+        reached.busiest_connects_s as f64,
+        0.0,
+        f64::MAX,
+    );
+    bound(
+        "most bytes out of one server in a second",
+        reached.busiest_server_s as f64,
+        0.0,
+        f64::MAX,
+    );
 }
--- a/crates/ivypitch-lab/src/experiments/scale/mod.rs
+++ b/crates/ivypitch-lab/src/experiments/scale/mod.rs
@@ -37,29 +37,62 @@
 
 const GROWTHS: [(&str, Growth); 24] = [
     ("module: processor time of a statement", Growth::Flat),
-    ("module: processor time of a change of one row", Growth::Flat),
-    ("module: processor time of a whole list told again", Growth::Linear),
+    (
+        "module: processor time of a change of one row",
+        Growth::Flat,
+    ),
+    (
+        "module: processor time of a whole list told again",
+        Growth::Linear,
+    ),
     ("module: memory", Growth::Linear),
     ("journal: bytes of a whole list", Growth::Linear),
-    ("journal: processor time to read a whole list", Growth::Linear),
+    (
+        "journal: processor time to read a whole list",
+        Growth::Linear,
+    ),
     ("members: bytes out at rest", Growth::Linear),
     ("members: datagrams out at rest", Growth::Flat),
     ("members: processor time at rest", Growth::Linear),
     ("members: memory", Growth::Linear),
-    ("members: bytes out at a cold start of all, busiest second", Growth::Any),
-    ("members: bytes out over a cold start of all", Growth::Linear),
-    ("members: cold start of all until all hear all", Growth::Linear),
+    (
+        "members: bytes out at a cold start of all, busiest second",
+        Growth::Any,
+    ),
+    (
+        "members: bytes out over a cold start of all",
+        Growth::Linear,
+    ),
+    (
+        "members: cold start of all until all hear all",
+        Growth::Linear,
+    ),
     ("links: bytes out at rest", Growth::Linear),
     ("links: frames out at rest", Growth::Linear),
-    ("custody: processor time to choose a statement's witnesses", Growth::Linear),
+    (
+        "custody: processor time to choose a statement's witnesses",
+        Growth::Linear,
+    ),
     ("custody: messages of a statement", Growth::Flat),
     ("custody: bytes of a statement", Growth::Flat),
     ("shares: bytes out at rest", Growth::Flat),
-    ("shares: processor time at rest, 300 gateways", Growth::Linear),
-    ("shares: processor time of a statement's outcome", Growth::Linear),
-    ("shares: processor time of a judgement, one word in ten", Growth::Linear),
+    (
+        "shares: processor time at rest, 300 gateways",
+        Growth::Linear,
+    ),
+    (
+        "shares: processor time of a statement's outcome",
+        Growth::Linear,
+    ),
+    (
+        "shares: processor time of a judgement, one word in ten",
+        Growth::Linear,
+    ),
     ("shares: memory of words, 300 gateways", Growth::Linear),
-    ("journal: bytes out of all servers for a change, numbers told each second in it", Growth::Linear),
+    (
+        "journal: bytes out of all servers for a change, numbers told each second in it",
+        Growth::Linear,
+    ),
 ];
 
 pub fn play(quick: bool, seed: u64) -> Report {
@@ -85,17 +118,28 @@
 
 fn judge(report: &mut Report, all: &[Measure]) {
     for measure in all {
-        let growth = GROWTHS.iter().find(|(what, _)| *what == measure.what).map_or(Growth::Any, |g| g.1);
-        let (Some(first), Some(last)) = (measure.points.first(), measure.points.last()) else { continue };
+        let growth = GROWTHS
+            .iter()
+            .find(|(what, _)| *what == measure.what)
+            .map_or(Growth::Any, |g| g.1);
+        let (Some(first), Some(last)) = (measure.points.first(), measure.points.last()) else {
+            continue;
+        };
         let of_sizes = last.0 / first.0;
-        let is_time = measure.unit == "us" || measure.unit == "us/s" || measure.what.contains("memory");
+        let is_time =
+            measure.unit == "us" || measure.unit == "us/s" || measure.what.contains("memory");
         let most = match growth {
             Growth::Flat => FLAT,
             Growth::Linear => of_sizes * if is_time { MARGIN } else { NO_FASTER + 0.1 },
             Growth::Any => f64::MAX,
         };
-        let what = format!("{}: at {} {} over {}", measure.what, last.0, measure.by, first.0);
-        report.bounds.push(Bound::new(&what, measure.ratio(), 0.0, most));
+        let what = format!(
+            "{}: at {} {} over {}",
+            measure.what, last.0, measure.by, first.0
+        );
+        report
+            .bounds
+            .push(Bound::new(&what, measure.ratio(), 0.0, most));
     }
 }
 
@@ -104,20 +148,29 @@
     report.notes = all.iter().map(Measure::line).collect();
     report.notes.push(String::new());
     for measure in all {
-        let row =
-            capacity::rows().into_iter().find(|row| row.from == Some(measure.what) && row.budget.is_some());
+        let row = capacity::rows()
+            .into_iter()
+            .find(|row| row.from == Some(measure.what) && row.budget.is_some());
         report.plots.push(plot(measure, row.as_ref(), recorded));
     }
     report.files.push((
         "scale.measures.json".into(),
         serde_json::to_string_pretty(recorded).unwrap_or_default() + "\n",
     ));
-    report.files.push(("CAPACITY.tables.md".into(), capacity::tables(recorded)));
+    report
+        .files
+        .push(("CAPACITY.tables.md".into(), capacity::tables(recorded)));
 }
 
 /// In the unit of the row that has the budget, where there is one: then by gateways, in the target's proportions.
 fn plot(measure: &Measure, row: Option<&capacity::Row>, recorded: &Recorded) -> Plot {
-    let unit = |unit: &str| if unit.is_empty() { String::new() } else { format!(", {unit}") };
+    let unit = |unit: &str| {
+        if unit.is_empty() {
+            String::new()
+        } else {
+            format!(", {unit}")
+        }
+    };
     let Some(row) = row else {
         return Plot {
             title: format!("{}{}", measure.what, unit(measure.unit)),
@@ -129,18 +182,43 @@
         };
     };
     let is_engines = measure.by == "engines";
-    let gateways = |size: f64| if is_engines { size * capacity::GATEWAYS / capacity::ENGINES } else { size };
-    let cost = |size: f64| (size, (row.cost)(recorded, &capacity::counts(gateways(size))));
+    let gateways = |size: f64| {
+        if is_engines {
+            size * capacity::GATEWAYS / capacity::ENGINES
+        } else {
+            size
+        }
+    };
+    let cost = |size: f64| {
+        (
+            size,
+            (row.cost)(recorded, &capacity::counts(gateways(size))),
+        )
+    };
     let sizes: Vec<f64> = measure.points.iter().map(|p| p.0).collect();
-    let target = if is_engines { capacity::ENGINES } else { capacity::GATEWAYS };
+    let target = if is_engines {
+        capacity::ENGINES
+    } else {
+        capacity::GATEWAYS
+    };
     let last = sizes.last().copied().unwrap_or(target);
     let passed = row.passed_at(recorded).filter(|&n| !capacity::is_any(n));
-    let crossing = passed.map(|n| if is_engines { capacity::counts(n).engines } else { n });
+    let crossing = passed.map(|n| {
+        if is_engines {
+            capacity::counts(n).engines
+        } else {
+            n
+        }
+    });
     Plot {
         title: format!("{}: {}{}", row.role, row.what, unit(row.unit)),
         x: measure.by.into(),
         points: sizes.iter().copied().map(cost).collect(),
-        fit: if last < target { vec![cost(last), cost(target)] } else { Vec::new() },
+        fit: if last < target {
+            vec![cost(last), cost(target)]
+        } else {
+            Vec::new()
+        },
         budget: row.budget.map(|budget| budget(recorded)),
         crossing,
     }
--- a/crates/ivypitch-lab/src/experiments/scale/module.rs
+++ b/crates/ivypitch-lab/src/experiments/scale/module.rs
@@ -54,8 +54,13 @@
         gateways: (engines as f64 / ENGINES_A_GATEWAY).round() as usize,
         tick: MS,
         workloads: vec![workload(300, 1.0, 1.0), workload(3000, 2.0, 8.0)],
-        kinds: vec![EngineKind { cores: 16.0, memory_mb: 65536.0 }],
-        customers: vec![Customer { allowance_per_s: 1e9 }],
+        kinds: vec![EngineKind {
+            cores: 16.0,
+            memory_mb: 65536.0,
+        }],
+        customers: vec![Customer {
+            allowance_per_s: 1e9,
+        }],
         over_share_importance: 0.1,
         most_held: 20_000,
         report_fields: vec![ReportField::Inflight],
@@ -68,7 +73,11 @@
         warm_up: 14 * SECOND,
         overload_factor: 2.5,
         overload_window: 3 * SECOND,
-        execution_budget: Some(ExecutionBudget { window: 5 * SECOND, free: 5.0, per_statement: 0.2 }),
+        execution_budget: Some(ExecutionBudget {
+            window: 5 * SECOND,
+            free: 5.0,
+            per_statement: 0.2,
+        }),
         ..Deployment::default()
     }
 }
@@ -104,7 +113,15 @@
         let mut out = Sent::default();
         module.engines_listed(0, ListKind::Full, &rows(engines), &mut out);
         let in_hand = std::collections::VecDeque::new();
-        Played { module, out, now: SECOND, seed, statement: 0, in_hand, unserved: 0 }
+        Played {
+            module,
+            out,
+            now: SECOND,
+            seed,
+            statement: 0,
+            in_hand,
+            unserved: 0,
+        }
     }
 
     /// `arrive` and `begins` of one statement, `execution_ended` of the one that has been out longest.
@@ -142,7 +159,8 @@
                 true_cost: Some((40.0, 0.0)),
                 report: &[1.0],
             };
-            self.module.execution_ended(self.now, stmt, &ended, &mut self.out);
+            self.module
+                .execution_ended(self.now, stmt, &ended, &mut self.out);
         }
     }
 
@@ -153,12 +171,14 @@
         let e = self.statement % engines;
         (row.engine, row.id) = (EngineIx(e), e as u64 * 7919 + 17);
         (row.zone, row.weight) = ((e % 24) as u16, 1.0 + self.statement as f64 * 1e-6);
-        self.module.engines_listed(self.now, ListKind::Delta, &[row], &mut self.out);
+        self.module
+            .engines_listed(self.now, ListKind::Delta, &[row], &mut self.out);
     }
 
     pub fn whole_list(&mut self, rows: &[EngineRow]) {
         self.now += MS;
-        self.module.engines_listed(self.now, ListKind::Full, rows, &mut self.out);
+        self.module
+            .engines_listed(self.now, ListKind::Full, rows, &mut self.out);
     }
 }
 
@@ -166,7 +186,12 @@
 pub fn line(engines: usize, full: bool) -> String {
     let row = |e: usize| {
         let address = ([10, (e >> 16) as u8, (e >> 8) as u8, e as u8], 8123).into();
-        row_at(address, &format!("engine-{e:05}"), "ready", 1_790_000_000_000 + e as u64)
+        row_at(
+            address,
+            &format!("engine-{e:05}"),
+            "ready",
+            1_790_000_000_000 + e as u64,
+        )
     };
     event(1, full, &(0..engines).map(row).collect::<Vec<String>>())
 }
@@ -179,7 +204,11 @@
     let mut held = Vec::new();
     for size in SIZES {
         let copies = (80_000 / size).max(2);
-        let make = || (0..copies).map(|_| Played::new(size, seed)).collect::<Vec<_>>();
+        let make = || {
+            (0..copies)
+                .map(|_| Played::new(size, seed))
+                .collect::<Vec<_>>()
+        };
         let (bytes, made) = cost::memory(make);
         held.push(made);
         costs[5].push((size as f64, bytes / copies as f64));
@@ -197,7 +226,10 @@
         costs[2].push((x, cost::middle_us(again, 1, || played.whole_list(&rows))));
         let line = line(size, true);
         costs[3].push((x, line.len() as f64));
-        costs[4].push((x, cost::middle_us(3, 1, || drop(journal::read_line(line.as_bytes())))));
+        costs[4].push((
+            x,
+            cost::middle_us(3, 1, || drop(journal::read_line(line.as_bytes()))),
+        ));
     }
     let told = [
         ("module: processor time of a statement", "us"),
--- a/crates/ivypitch-lab/src/experiments/scale/peers.rs
+++ b/crates/ivypitch-lab/src/experiments/scale/peers.rs
@@ -21,8 +21,20 @@
 pub const BEATS: f64 = 5.0;
 pub const HEADERS: f64 = 52.0;
 
-fn measure(what: &'static str, unit: &'static str, by: &'static str, points: Vec<(f64, f64)>) -> Measure {
-    Measure { role: "gateway", what, unit, by, points, is_simulated: true }
+fn measure(
+    what: &'static str,
+    unit: &'static str,
+    by: &'static str,
+    points: Vec<(f64, f64)>,
+) -> Measure {
+    Measure {
+        role: "gateway",
+        what,
+        unit,
+        by,
+        points,
+        is_simulated: true,
+    }
 }
 
 /// Whole fleets of members with 1% of their datagrams lost. The simulator holds every member whole, and each of them
@@ -33,7 +45,13 @@
     let sizes: &[(usize, u64, u64)] = if quick {
         &[(30, 20, 10), (100, 20, 10), (300, 25, 5)]
     } else {
-        &[(30, 60, 60), (100, 60, 60), (300, 60, 30), (1000, 60, 10), (2000, 2, 1)]
+        &[
+            (30, 60, 60),
+            (100, 60, 60),
+            (300, 60, 30),
+            (1000, 60, 10),
+            (2000, 2, 1),
+        ]
     };
     const BUSIEST: usize = 4;
     const JOINED: usize = 6;
@@ -73,7 +91,10 @@
         ("members: datagrams out at rest", "1/s"),
         ("members: processor time at rest", "us/s"),
         ("members: memory", "bytes"),
-        ("members: bytes out at a cold start of all, busiest second", "bytes/s"),
+        (
+            "members: bytes out at a cold start of all, busiest second",
+            "bytes/s",
+        ),
         ("members: bytes out over a cold start of all", "bytes"),
         ("members: cold start of all until all hear all", "ms"),
     ];
@@ -86,9 +107,19 @@
 /// One link a pair with beats both ways, by the frame as it is written.
 pub fn links() -> Vec<Measure> {
     let beat = peers::write(&Frame::Beat).len() as f64 + HEADERS;
-    let by = |each: f64| GATEWAYS.iter().map(|&n| (n as f64, (n - 1) as f64 * each)).collect();
+    let by = |each: f64| {
+        GATEWAYS
+            .iter()
+            .map(|&n| (n as f64, (n - 1) as f64 * each))
+            .collect()
+    };
     vec![
-        measure("links: bytes out at rest", "bytes/s", "gateways", by(BEATS * beat)),
+        measure(
+            "links: bytes out at rest",
+            "bytes/s",
+            "gateways",
+            by(BEATS * beat),
+        ),
         measure("links: frames out at rest", "1/s", "gateways", by(BEATS)),
         measure("links: descriptors", "", "gateways", by(1.0)),
     ]
@@ -108,7 +139,10 @@
         choosing.push((gateways as f64, cost::middle_us(5, calls, &mut choose)));
     }
     let (mut messages, mut bytes) = (Vec::new(), Vec::new());
-    for &gateways in GATEWAYS.iter().filter(|&&n| n <= if quick { 300 } else { 1000 }) {
+    for &gateways in GATEWAYS
+        .iter()
+        .filter(|&&n| n <= if quick { 300 } else { 1000 })
+    {
         // Each gateway has the same traffic, whatever the size.
         let fleet = custody_fleet::Fleet {
             gateways,
@@ -126,7 +160,12 @@
         bytes.push((gateways as f64, verdict.bytes as f64 / statements));
     }
     vec![
-        measure("custody: processor time to choose a statement's witnesses", "us", "gateways", choosing),
+        measure(
+            "custody: processor time to choose a statement's witnesses",
+            "us",
+            "gateways",
+            choosing,
+        ),
         measure("custody: messages of a statement", "", "gateways", messages),
         measure("custody: bytes of a statement", "bytes", "gateways", bytes),
     ]
@@ -163,12 +202,20 @@
 fn one(gateways: usize, engines: usize) -> Shares {
     let zones = (0..gateways).map(|g| (g % ZONES) as u16).collect();
     let mut terms = shares_fleet::terms(gateways.min(600));
-    terms.bounds.iter_mut().for_each(|bound| bound.terms.members = gateways as u16);
+    terms
+        .bounds
+        .iter_mut()
+        .for_each(|bound| bound.terms.members = gateways as u16);
     terms.most_engines = shares::MOST_ENGINES;
     let mut one = Shares::new(Process { place: 0, birth: 1 }, zones, terms, 1, 7, 0);
     one.listed(&(0..engines).map(engine).collect::<Vec<u64>>());
     for place in 1..gateways {
-        one.member_up(20 * SECOND, place as u16, place as u64 + 1, &mut Counted::default());
+        one.member_up(
+            20 * SECOND,
+            place as u16,
+            place as u64 + 1,
+            &mut Counted::default(),
+        );
     }
     one
 }
@@ -192,7 +239,10 @@
         let (cpu, out) = rest(&mut one(gateways, 80), seconds);
         let x = gateways as f64;
         by_gateways.push((x, cpu * 1e6));
-        bytes.push((x, (out.gossip_bytes + out.words_bytes) as f64 / seconds as f64));
+        bytes.push((
+            x,
+            (out.gossip_bytes + out.words_bytes) as f64 / seconds as f64,
+        ));
         sends.push((x, out.gossip as f64 / seconds as f64));
     }
     for engines in super::module::SIZES {
@@ -210,27 +260,58 @@
     let mut told = vec![
         measure("shares: bytes out at rest", "bytes/s", "gateways", bytes),
         measure("shares: datagrams out at rest", "1/s", "gateways", sends),
-        measure("shares: processor time at rest, 80 engines", "us/s", "gateways", by_gateways),
-        measure("shares: processor time at rest, 300 gateways", "us/s", "engines", by_engines),
-        measure("shares: processor time of a statement's outcome", "us", "engines", saw),
+        measure(
+            "shares: processor time at rest, 80 engines",
+            "us/s",
+            "gateways",
+            by_gateways,
+        ),
+        measure(
+            "shares: processor time at rest, 300 gateways",
+            "us/s",
+            "engines",
+            by_engines,
+        ),
+        measure(
+            "shares: processor time of a statement's outcome",
+            "us",
+            "engines",
+            saw,
+        ),
     ];
     told.extend(words(quick));
     // Whole fleets, two engines failing for a third of the time.
     let mut failing = Vec::new();
-    for &gateways in GATEWAYS.iter().filter(|&&n| n <= if quick { 100 } else { 300 }) {
-        let fleet =
-            shares_fleet::Fleet { gateways, span: 6_000, drop: 0.01, ..shares_fleet::Fleet::default() };
+    for &gateways in GATEWAYS
+        .iter()
+        .filter(|&&n| n <= if quick { 100 } else { 300 })
+    {
+        let fleet = shares_fleet::Fleet {
+            gateways,
+            span: 6_000,
+            drop: 0.01,
+            ..shares_fleet::Fleet::default()
+        };
         let verdict = shares_fleet::play(&fleet, &Plan::default(), seed);
         failing.push((gateways as f64, verdict.gossip_bytes + verdict.link_bytes));
     }
-    told.push(measure("shares: bytes out while two of 20 engines fail", "bytes/s", "gateways", failing));
+    told.push(measure(
+        "shares: bytes out while two of 20 engines fail",
+        "bytes/s",
+        "gateways",
+        failing,
+    ));
     told
 }
 
 /// The table of words: a judgement of 80 engines by all members, one pair in ten known; and what it holds.
 fn words(quick: bool) -> Vec<Measure> {
     let (mut judging, mut held) = (Vec::new(), Vec::new());
-    let sight = Sight { successes: 2, failures: 1, unreached: 0 };
+    let sight = Sight {
+        successes: 2,
+        failures: 1,
+        unreached: 0,
+    };
     for &gateways in &GATEWAYS {
         let listed: Vec<u64> = (0..80).map(engine).collect();
         let zones: Vec<u16> = (0..gateways).map(|g| (g % ZONES) as u16).collect();
@@ -255,7 +336,17 @@
         held.push((engines as f64, table.bytes() as f64));
     }
     vec![
-        measure("shares: processor time of a judgement, one word in ten", "us", "gateways", judging),
-        measure("shares: memory of words, 300 gateways", "bytes", "engines", held),
+        measure(
+            "shares: processor time of a judgement, one word in ten",
+            "us",
+            "gateways",
+            judging,
+        ),
+        measure(
+            "shares: memory of words, 300 gateways",
+            "bytes",
+            "engines",
+            held,
+        ),
     ]
 }
--- a/crates/ivypitch-lab/src/experiments/scale/processes.rs
+++ b/crates/ivypitch-lab/src/experiments/scale/processes.rs
@@ -42,7 +42,12 @@
     changes: u64,
 }
 
-const REST: Size = Size { peers: PEERS, engines: ENGINES, statements: 0, changes: 0 };
+const REST: Size = Size {
+    peers: PEERS,
+    engines: ENGINES,
+    statements: 0,
+    changes: 0,
+};
 
 /// How long each part takes.
 #[derive(Clone, Copy)]
@@ -77,12 +82,27 @@
     let peers = |peers| Size { peers, ..REST };
     let small = vec![
         REST,
-        Size { engines: 10, ..REST },
-        Size { engines: 300, ..REST },
-        Size { statements: 50, ..REST },
-        Size { statements: 200, ..REST },
+        Size {
+            engines: 10,
+            ..REST
+        },
+        Size {
+            engines: 300,
+            ..REST
+        },
+        Size {
+            statements: 50,
+            ..REST
+        },
+        Size {
+            statements: 200,
+            ..REST
+        },
         Size { changes: 1, ..REST },
-        Size { changes: 20, ..REST },
+        Size {
+            changes: 20,
+            ..REST
+        },
     ];
     match quick {
         true => vec![[small, vec![peers(30), peers(100)]].concat()],
@@ -150,7 +170,10 @@
     if size.statements == 0 {
         return;
     }
-    let (begun, each) = (Instant::now(), Duration::from_secs(1) / size.statements as u32);
+    let (begun, each) = (
+        Instant::now(),
+        Duration::from_secs(1) / size.statements as u32,
+    );
     let mut client = None;
     for n in (session..).step_by(SESSIONS as usize) {
         let due = begun + each * n as u32;
@@ -162,7 +185,10 @@
             client = Client::reach(address);
         }
         let text = statement("lookup", id_at(0, n), TIMEOUT_MS);
-        if client.as_mut().is_some_and(|client| client.try_ask(&text).is_none()) {
+        if client
+            .as_mut()
+            .is_some_and(|client| client.try_ask(&text).is_none())
+        {
             client = None;
         }
     }
@@ -182,14 +208,24 @@
             return n;
         }
         thread::sleep(due.saturating_duration_since(Instant::now()));
-        let state = if n % 2 == 0 { "terminating" } else { "in_service" };
+        let state = if n % 2 == 0 {
+            "terminating"
+        } else {
+            "in_service"
+        };
         fleet.tell_state((n / 2) as usize % size.engines, state);
     }
     0
 }
 
 fn settle(fleet: &Fleet, spans: Spans) {
-    let said = || fleet.seats.iter().map(|seat| seat.log.all().len()).sum::<usize>();
+    let said = || {
+        fleet
+            .seats
+            .iter()
+            .map(|seat| seat.log.all().len())
+            .sum::<usize>()
+    };
     let late = Instant::now() + spans.settles_by;
     let (mut last, mut since) = (said(), Instant::now());
     while since.elapsed() < spans.settle && Instant::now() < late {
@@ -205,7 +241,10 @@
     let mut fleet = Fleet::start(Setup {
         gateways: REAL,
         hollow: size.peers + 1 - REAL,
-        engines: Engines::Hollow { count: size.engines, spare: 0 },
+        engines: Engines::Hollow {
+            count: size.engines,
+            spare: 0,
+        },
         direct_engines: true,
         longest_ms: spans.longest_ms,
         peers: Some(format!(
@@ -217,12 +256,16 @@
     })?;
     settle(&fleet, spans);
     let sample = |fleet: &mut Fleet| {
-        (0..REAL).map(|g| fleet.sample(g).ok_or(format!("n{g} shows nothing"))).collect::<Result<Vec<_>, _>>()
+        (0..REAL)
+            .map(|g| fleet.sample(g).ok_or(format!("n{g} shows nothing")))
+            .collect::<Result<Vec<_>, _>>()
     };
     // Traffic runs before the window begins and goes on behind it.
     let until = Instant::now() + spans.window + Duration::from_secs(2);
     let address = fleet.seats[0].address;
-    let asking: Vec<_> = (0..SESSIONS).map(|s| thread::spawn(move || ask(address, size, s, until))).collect();
+    let asking: Vec<_> = (0..SESSIONS)
+        .map(|s| thread::spawn(move || ask(address, size, s, until)))
+        .collect();
     change(&fleet, size, until - spans.window - Duration::from_secs(1));
     let crowd = fleet.crowd.as_ref().map_or(0, LabProcess::id);
     let begin = sample(&mut fleet)?;
@@ -242,10 +285,20 @@
     let used: Vec<Used> = begin
         .into_iter()
         .zip(end)
-        .map(|(begin, end)| Used { seconds: (end.usage.at - begin.usage.at).as_secs_f64(), begin, end })
+        .map(|(begin, end)| Used {
+            seconds: (end.usage.at - begin.usage.at).as_secs_f64(),
+            begin,
+            end,
+        })
         .collect();
     let statements = used[0].rate(|s| s.engines.starts);
-    Ok(Played { size, crowd, statements, changes: events as f64 / seconds, used })
+    Ok(Played {
+        size,
+        crowd,
+        statements,
+        changes: events as f64 / seconds,
+        used,
+    })
 }
 
 /// As a part of the larger; figures below `noise` are not told apart.
@@ -255,10 +308,21 @@
 
 /// Both sources of each figure of each real gateway, no more than a tenth apart.
 fn checks(played: &[Played]) -> Vec<Bound> {
-    let beside = played.iter().find(|p| p.size == REST).map_or(0.0, |p| p.used[0].beside());
+    let beside = played
+        .iter()
+        .find(|p| p.size == REST)
+        .map_or(0.0, |p| p.used[0].beside());
     let mut bounds = Vec::new();
-    for Played { size, used, crowd, .. } in played {
-        let Size { peers, engines, statements, changes } = size;
+    for Played {
+        size, used, crowd, ..
+    } in played
+    {
+        let Size {
+            peers,
+            engines,
+            statements,
+            changes,
+        } = size;
         let what = format!("hollow gateways at {peers} peers: part of a core by thread");
         bounds.push(Bound::new(&what, *crowd, 0.0, BUSIEST));
         for (g, used) in used.iter().enumerate() {
@@ -268,22 +332,53 @@
             // Where the machine is too busy for the hollow ones they are taken for lost and links break: what that
             // costs is not the cost of rest.
             let lost = (used.end.lost - used.begin.lost) as f64;
-            bounds.push(Bound::new(&format!("{place}: members lost though they lived"), lost, 0.0, 0.0));
-            let linked = used.end.relay.open.saturating_sub(1).min(*peers as u64) as f64 / *peers as f64;
-            bounds.push(Bound::new(&format!("{place}: links up, part of peers"), linked, LINKED, 1.0));
+            bounds.push(Bound::new(
+                &format!("{place}: members lost though they lived"),
+                lost,
+                0.0,
+                0.0,
+            ));
+            let linked =
+                used.end.relay.open.saturating_sub(1).min(*peers as u64) as f64 / *peers as f64;
+            bounds.push(Bound::new(
+                &format!("{place}: links up, part of peers"),
+                linked,
+                LINKED,
+                1.0,
+            ));
             // Two steps of the clock of `stat`, a page list that grows while it is read, what is under way.
             let ticks = 2.0 * TICK_NS as f64 / 1000.0 / used.seconds;
             let end = &used.end.usage;
             let known = (used.end.relay.open + used.end.engines.open) as f64 + beside;
             let both = [
-                ("processor time, scheduler and stat", apart(used.cpu_us(), used.cpu_ticks_us(), ticks)),
-                ("memory, status and mappings", apart(end.resident as f64, end.mapped_resident as f64, 0.0)),
-                ("bytes out, gateway and those it met", apart(used.bytes_out(), used.met_out(), 0.0)),
-                ("bytes in, gateway and those it met", apart(used.bytes_in(), used.met_in(), 0.0)),
-                ("descriptors, system and those it met", apart(end.descriptors as f64, known, 0.0)),
+                (
+                    "processor time, scheduler and stat",
+                    apart(used.cpu_us(), used.cpu_ticks_us(), ticks),
+                ),
+                (
+                    "memory, status and mappings",
+                    apart(end.resident as f64, end.mapped_resident as f64, 0.0),
+                ),
+                (
+                    "bytes out, gateway and those it met",
+                    apart(used.bytes_out(), used.met_out(), 0.0),
+                ),
+                (
+                    "bytes in, gateway and those it met",
+                    apart(used.bytes_in(), used.met_in(), 0.0),
+                ),
+                (
+                    "descriptors, system and those it met",
+                    apart(end.descriptors as f64, known, 0.0),
+                ),
             ];
             for (what, apart) in both {
-                bounds.push(Bound::new(&format!("{place}: {what} apart, part"), apart, 0.0, APART));
+                bounds.push(Bound::new(
+                    &format!("{place}: {what} apart, part"),
+                    apart,
+                    0.0,
+                    APART,
+                ));
             }
         }
     }
@@ -303,8 +398,12 @@
 /// What engines see of the gateway that statements come to, over all of them.
 const ENGINE_FIGURES: [(&str, &str, Of); 3] = [
     ("descriptors", "", |used| used.end.engines.open as f64),
-    ("bytes out", "bytes/s", |used| used.rate(|s| s.engines.bytes_out)),
-    ("bytes in", "bytes/s", |used| used.rate(|s| s.engines.bytes_in)),
+    ("bytes out", "bytes/s", |used| {
+        used.rate(|s| s.engines.bytes_out)
+    }),
+    ("bytes in", "bytes/s", |used| {
+        used.rate(|s| s.engines.bytes_in)
+    }),
 ];
 
 fn measures(played: &[Played]) -> Vec<Measure> {
@@ -312,30 +411,73 @@
     // Whether a fleet varies only in this, and by how much.
     type Varies = (&'static str, fn(&Size) -> Size, fn(&Played) -> f64);
     let varied: [Varies; 4] = [
-        ("peers", |size| Size { peers: PEERS, ..*size }, |p| p.size.peers as f64),
-        ("engines", |size| Size { engines: ENGINES, ..*size }, |p| p.size.engines as f64),
-        ("statements", |size| Size { statements: 0, ..*size }, |p| p.statements),
-        ("changes", |size| Size { changes: 0, ..*size }, |p| p.changes),
+        (
+            "peers",
+            |size| Size {
+                peers: PEERS,
+                ..*size
+            },
+            |p| p.size.peers as f64,
+        ),
+        (
+            "engines",
+            |size| Size {
+                engines: ENGINES,
+                ..*size
+            },
+            |p| p.size.engines as f64,
+        ),
+        (
+            "statements",
+            |size| Size {
+                statements: 0,
+                ..*size
+            },
+            |p| p.statements,
+        ),
+        (
+            "changes",
+            |size| Size {
+                changes: 0,
+                ..*size
+            },
+            |p| p.changes,
+        ),
     ];
     for (by, rest, x) in varied {
         let series = |figure: Of| {
             let these = played.iter().filter(|p| rest(&p.size) == REST);
             // Where statements come, the first alone has them.
             let gateways = |p: &Played| if by == "statements" { 1 } else { p.used.len() };
-            let mean =
-                |p: &Played| p.used[..gateways(p)].iter().map(figure).sum::<f64>() / gateways(p) as f64;
+            let mean = |p: &Played| {
+                p.used[..gateways(p)].iter().map(figure).sum::<f64>() / gateways(p) as f64
+            };
             let mut points: Vec<(f64, f64)> = these.map(|p| (x(p), mean(p))).collect();
             points.sort_by(|a, b| a.0.total_cmp(&b.0));
             points
         };
         for (what, unit, figure) in FIGURES {
             let points = series(figure);
-            all.push(Measure { role: "gateway", what, unit, by, points, is_simulated: false });
+            all.push(Measure {
+                role: "gateway",
+                what,
+                unit,
+                by,
+                points,
+                is_simulated: false,
+            });
         }
         if by == "statements" {
             for (what, unit, figure) in ENGINE_FIGURES {
                 let points = series(figure);
-                all.push(Measure { role: "engine", what, unit, by, points, is_simulated: false });
+                all.push(Measure {
+                    role: "engine",
+                    what,
+                    unit,
+                    by,
+                    points,
+                    is_simulated: false,
+                });
             }
         }
     }
@@ -348,16 +490,25 @@
     let (mut played, mut bounds) = (Vec::new(), Vec::new());
     for beside in sizes(quick) {
         let runs: Vec<Result<Played, String>> = thread::scope(|scope| {
-            let runs: Vec<_> =
-                beside.iter().map(|&size| scope.spawn(move || play(size, spans, seed))).collect();
-            let joined = runs.into_iter().map(|run| run.join().unwrap_or_else(|_| Err("it failed".into())));
+            let runs: Vec<_> = beside
+                .iter()
+                .map(|&size| scope.spawn(move || play(size, spans, seed)))
+                .collect();
+            let joined = runs
+                .into_iter()
+                .map(|run| run.join().unwrap_or_else(|_| Err("it failed".into())));
             joined.collect()
         });
         for (size, run) in beside.iter().zip(runs) {
             match run {
                 Ok(run) => played.push(run),
                 Err(why) => {
-                    bounds.push(Bound::new(&format!("{size:?} is played: {why}"), 0.0, 1.0, f64::MAX));
+                    bounds.push(Bound::new(
+                        &format!("{size:?} is played: {why}"),
+                        0.0,
+                        1.0,
+                        f64::MAX,
+                    ));
                 }
             }
         }
--- a/crates/ivypitch-lab/src/experiments/scale/slope.rs
+++ b/crates/ivypitch-lab/src/experiments/scale/slope.rs
@@ -31,17 +31,36 @@
 impl Slope {
     /// Points without a size or a cost above 0 can't stand on log axes and are left out; of fewer than two nothing is told.
     pub fn of(points: &[(f64, f64)]) -> Slope {
-        let points: Vec<(f64, f64)> = points.iter().copied().filter(|&(x, y)| x > 0.0 && y > 0.0).collect();
-        let Some(&(_, first)) = points.first() else { return Slope::default() };
+        let points: Vec<(f64, f64)> = points
+            .iter()
+            .copied()
+            .filter(|&(x, y)| x > 0.0 && y > 0.0)
+            .collect();
+        let Some(&(_, first)) = points.first() else {
+            return Slope::default();
+        };
         if points.len() < 2 {
-            return Slope { base: first, ..Slope::default() };
+            return Slope {
+                base: first,
+                ..Slope::default()
+            };
         }
-        let weighted: Vec<(f64, f64, f64)> = points.iter().map(|&(x, y)| (x, y, 1.0 / (y * y))).collect();
+        let weighted: Vec<(f64, f64, f64)> =
+            points.iter().map(|&(x, y)| (x, y, 1.0 / (y * y))).collect();
         let (base, per) = line(&weighted);
-        let logs: Vec<(f64, f64, f64)> = points.iter().map(|&(x, y)| (x.ln(), y.ln(), 1.0)).collect();
+        let logs: Vec<(f64, f64, f64)> =
+            points.iter().map(|&(x, y)| (x.ln(), y.ln(), 1.0)).collect();
         let (_, exponent) = line(&logs);
-        let missed: f64 = points.iter().map(|&(x, y)| ((base + per * x - y) / y).powi(2)).sum();
-        Slope { base, per, exponent, residual: (missed / points.len() as f64).sqrt() }
+        let missed: f64 = points
+            .iter()
+            .map(|&(x, y)| ((base + per * x - y) / y).powi(2))
+            .sum();
+        Slope {
+            base,
+            per,
+            exponent,
+            residual: (missed / points.len() as f64).sqrt(),
+        }
     }
 }
 
@@ -50,7 +69,10 @@
     let sum = |of: fn(&(f64, f64, f64)) -> f64| points.iter().map(of).sum::<f64>();
     let weight = sum(|p| p.2);
     let (mean_x, mean_y) = (sum(|p| p.2 * p.0) / weight, sum(|p| p.2 * p.1) / weight);
-    let across: f64 = points.iter().map(|p| p.2 * (p.0 - mean_x) * (p.1 - mean_y)).sum();
+    let across: f64 = points
+        .iter()
+        .map(|p| p.2 * (p.0 - mean_x) * (p.1 - mean_y))
+        .sum();
     let along: f64 = points.iter().map(|p| p.2 * (p.0 - mean_x).powi(2)).sum();
     let per = if along > 0.0 { across / along } else { 0.0 };
     (mean_y - per * mean_x, per)
@@ -58,26 +80,43 @@
 
 /// The cost at a size: on log axes between the points beside it, beyond them on as the last two go.
 pub fn at(points: &[(f64, f64)], size: f64) -> f64 {
-    let points: Vec<(f64, f64)> = points.iter().copied().filter(|&(x, y)| x > 0.0 && y > 0.0).collect();
-    let Some(&last) = points.last() else { return 0.0 };
+    let points: Vec<(f64, f64)> = points
+        .iter()
+        .copied()
+        .filter(|&(x, y)| x > 0.0 && y > 0.0)
+        .collect();
+    let Some(&last) = points.last() else {
+        return 0.0;
+    };
     if points.len() < 2 || size <= 0.0 {
         return last.1;
     }
-    let behind = points.partition_point(|&(x, _)| x < size).clamp(1, points.len() - 1);
+    let behind = points
+        .partition_point(|&(x, _)| x < size)
+        .clamp(1, points.len() - 1);
     let (a, b) = (points[behind - 1], points[behind]);
     let exponent = (b.1 / a.1).ln() / (b.0 / a.0).ln();
     a.1 * (size / a.0).powf(exponent)
 }
 
 /// The smallest size, to a hundredth, from which on the cost is above the budget; `None`: not below `largest`.
-pub fn passes_at(cost: impl Fn(f64) -> f64, budget: f64, smallest: f64, largest: f64) -> Option<f64> {
+pub fn passes_at(
+    cost: impl Fn(f64) -> f64,
+    budget: f64,
+    smallest: f64,
+    largest: f64,
+) -> Option<f64> {
     if cost(largest) <= budget {
         return None;
     }
     let (mut low, mut high) = (smallest, largest);
     while high / low > 1.01 {
         let middle = (low * high).sqrt();
-        if cost(middle) > budget { high = middle } else { low = middle }
+        if cost(middle) > budget {
+            high = middle
+        } else {
+            low = middle
+        }
     }
     Some(high)
 }
@@ -90,12 +129,23 @@
     /// The cost at the largest size over that at the smallest.
     pub fn ratio(&self) -> f64 {
         let (first, last) = (self.points.first(), self.points.last());
-        first.zip(last).map_or(0.0, |(first, last)| last.1 / first.1.max(f64::MIN_POSITIVE))
+        first
+            .zip(last)
+            .map_or(0.0, |(first, last)| last.1 / first.1.max(f64::MIN_POSITIVE))
     }
 
     pub fn line(&self) -> String {
-        let Slope { base, per, exponent, residual } = self.slope();
-        let points: Vec<String> = self.points.iter().map(|(x, y)| format!("{x:.0}: {}", short(*y))).collect();
+        let Slope {
+            base,
+            per,
+            exponent,
+            residual,
+        } = self.slope();
+        let points: Vec<String> = self
+            .points
+            .iter()
+            .map(|(x, y)| format!("{x:.0}: {}", short(*y)))
+            .collect();
         format!(
             "{}, {} ({}): {} + {} * {}, exponent {exponent:.2}, residual {residual:.2}; {}",
             self.role,
@@ -115,5 +165,9 @@
         return "0".into();
     }
     let digits = (2 - figure.abs().log10().floor() as i32).max(0) as usize;
-    if digits > 6 { format!("{figure:.2e}") } else { format!("{figure:.digits$}") }
+    if digits > 6 {
+        format!("{figure:.2e}")
+    } else {
+        format!("{figure:.digits$}")
+    }
 }
--- a/crates/ivypitch-lab/src/experiments/shares.rs
+++ b/crates/ivypitch-lab/src/experiments/shares.rs
@@ -9,8 +9,16 @@
 pub fn play(quick: bool, seed: u64) -> Report {
     let mut report = Report::new("shares", seed);
     let base = shares_fleet::Fleet::default();
-    let small = shares_fleet::Fleet { gateways: 12, ..base.clone() };
-    let large = shares_fleet::Fleet { gateways: 300, engines: 80, span: 8_000, ..base.clone() };
+    let small = shares_fleet::Fleet {
+        gateways: 12,
+        ..base.clone()
+    };
+    let large = shares_fleet::Fleet {
+        gateways: 300,
+        engines: 80,
+        span: 8_000,
+        ..base.clone()
+    };
     let (plans, large_plans) = if quick { (60, 2) } else { (5000, 5000) };
     for (fleet, plans) in [(&small, plans), (&base, plans), (&large, large_plans)] {
         let play = |seed: u64| shares_fleet::play(fleet, &shares_fleet::draw(fleet, seed), seed);
@@ -21,18 +29,48 @@
             let least = plan.cut_down(30, |plan| !shares_fleet::play(fleet, plan, seed).holds());
             println!("seed {seed} passes a bound; the least plan that does:\n{least}");
         }
-        let place = format!("virtual time, {} gateways, {plans} plans, all faults", fleet.gateways);
+        let place = format!(
+            "virtual time, {} gateways, {plans} plans, all faults",
+            fleet.gateways
+        );
         let sum = |of: fn(&shares_fleet::Verdict) -> f64| all.iter().map(of).sum::<f64>();
         let most = |of: fn(&shares_fleet::Verdict) -> f64| all.iter().map(of).fold(0.0, f64::max);
         let mut bound = |what: &str, is, least, most| {
-            report.bounds.push(Bound::new(&format!("{place}: {what}"), is, least, most))
+            report
+                .bounds
+                .push(Bound::new(&format!("{place}: {what}"), is, least, most))
         };
         bound("plans played", all.len() as f64, plans as f64, plans as f64);
-        bound("instants at which all held more than the bound", sum(|v| v.passed_level as f64), 0.0, 0.0);
-        bound("windows in which more was spent", sum(|v| v.passed_window as f64), 0.0, 0.0);
-        bound("instants under the floor", sum(|v| v.under_floor as f64), 0.0, 0.0);
-        bound("the most that all held, of the bound", most(|v| v.most_held), 0.0, 1.0);
-        bound("the most that was spent in a window, of the bound", most(|v| v.most_spent), 0.0, 1.0);
+        bound(
+            "instants at which all held more than the bound",
+            sum(|v| v.passed_level as f64),
+            0.0,
+            0.0,
+        );
+        bound(
+            "windows in which more was spent",
+            sum(|v| v.passed_window as f64),
+            0.0,
+            0.0,
+        );
+        bound(
+            "instants under the floor",
+            sum(|v| v.under_floor as f64),
+            0.0,
+            0.0,
+        );
+        bound(
+            "the most that all held, of the bound",
+            most(|v| v.most_held),
+            0.0,
+            1.0,
+        );
+        bound(
+            "the most that was spent in a window, of the bound",
+            most(|v| v.most_spent),
+            0.0,
+            1.0,
+        );
         bound(
             "usable of what was asked for, mean",
             sum(|v| v.usable) / all.len().max(1) as f64,
@@ -40,28 +78,59 @@
             f64::MAX,
         );
     }
-    let sizes: &[(usize, usize)] = if quick { &[(3, 6), (30, 20)] } else { &[(3, 6), (30, 20), (300, 80)] };
+    let sizes: &[(usize, usize)] = if quick {
+        &[(3, 6), (30, 20)]
+    } else {
+        &[(3, 6), (30, 20), (300, 80)]
+    };
     for &(gateways, engines) in sizes {
         let plans = if quick { 6 } else { 24 };
-        let with = shares_fleet::Fleet { gateways, engines, span: 12_000, ..base.clone() };
-        let without = shares_fleet::Fleet { shares: false, ..with.clone() };
-        let liars = shares_fleet::Fleet { liars: true, failing: 1, ..with.clone() };
+        let with = shares_fleet::Fleet {
+            gateways,
+            engines,
+            span: 12_000,
+            ..base.clone()
+        };
+        let without = shares_fleet::Fleet {
+            shares: false,
+            ..with.clone()
+        };
+        let liars = shares_fleet::Fleet {
+            liars: true,
+            failing: 1,
+            ..with.clone()
+        };
         let none = Plan::default();
         let [with, without, liars] = [&with, &without, &liars]
             .map(|f| side_by_side(plans, seed, |seed| shares_fleet::play(f, &none, seed)));
-        let place = format!("virtual time, {gateways} gateways, {engines} engines, no faults of links");
+        let place =
+            format!("virtual time, {gateways} gateways, {engines} engines, no faults of links");
         let mean = |all: &[shares_fleet::Verdict], of: fn(&shares_fleet::Verdict) -> f64| {
             all.iter().map(of).sum::<f64>() / all.len().max(1) as f64
         };
         let mut bound = |what: &str, is, least, most| {
-            report.bounds.push(Bound::new(&format!("{place}: {what}"), is, least, most))
+            report
+                .bounds
+                .push(Bound::new(&format!("{place}: {what}"), is, least, most))
         };
         let usable = if gateways >= 10 { 0.9 } else { 0.0 };
-        bound("usable of what was asked for, uneven", mean(&with, |v| v.usable), usable, 1.0);
-        bound("the same with even parts", mean(&without, |v| v.usable), 0.0, f64::MAX);
-        for (name, all) in
-            [("shared", &with), ("own judgement alone", &without), ("shared, with liars", &liars)]
-        {
+        bound(
+            "usable of what was asked for, uneven",
+            mean(&with, |v| v.usable),
+            usable,
+            1.0,
+        );
+        bound(
+            "the same with even parts",
+            mean(&without, |v| v.usable),
+            0.0,
+            f64::MAX,
+        );
+        for (name, all) in [
+            ("shared", &with),
+            ("own judgement alone", &without),
+            ("shared, with liars", &liars),
+        ] {
             let never = |v: &shares_fleet::Verdict| f64::from(u8::from(v.out_ms == u64::MAX));
             fn ms(ms: u64) -> f64 {
                 if ms == u64::MAX { 12_000.0 } else { ms as f64 }
@@ -84,7 +153,12 @@
                 0.0,
                 f64::MAX,
             );
-            bound(&format!("{name}: sent to failing engines, of all"), mean(all, |v| v.lost), 0.0, f64::MAX);
+            bound(
+                &format!("{name}: sent to failing engines, of all"),
+                mean(all, |v| v.lost),
+                0.0,
+                f64::MAX,
+            );
             bound(
                 &format!("{name}: most to a returned engine, over usual"),
                 mean(all, |v| v.herd),
@@ -98,8 +172,18 @@
                 f64::MAX,
             );
         }
-        bound("bytes of gossip a gateway a second", mean(&with, |v| v.gossip_bytes), 0.0, 40_000.0);
-        bound("bytes on links a gateway a second", mean(&with, |v| v.link_bytes), 0.0, f64::MAX);
+        bound(
+            "bytes of gossip a gateway a second",
+            mean(&with, |v| v.gossip_bytes),
+            0.0,
+            40_000.0,
+        );
+        bound(
+            "bytes on links a gateway a second",
+            mean(&with, |v| v.link_bytes),
+            0.0,
+            f64::MAX,
+        );
     }
     report
 }
--- a/crates/ivypitch-lab/src/experiments/team_flood.rs
+++ b/crates/ivypitch-lab/src/experiments/team_flood.rs
@@ -19,7 +19,10 @@
 const TIMES: f64 = 10.0;
 
 fn budgets(works: &[Work], shares: &[f64]) -> Budgets {
-    let least = works.iter().map(|w| w.importance).fold(f64::INFINITY, f64::min);
+    let least = works
+        .iter()
+        .map(|w| w.importance)
+        .fold(f64::INFINITY, f64::min);
     let terms = |w: &Work| WorkloadTerms {
         importance: w.importance,
         slo_time: w.slo,
@@ -31,7 +34,13 @@
     };
     Budgets {
         workloads: works.iter().map(terms).collect(),
-        teams: shares.iter().map(|&share| TeamBudget { share, ..TeamBudget::default() }).collect(),
+        teams: shares
+            .iter()
+            .map(|&share| TeamBudget {
+                share,
+                ..TeamBudget::default()
+            })
+            .collect(),
         other: TeamBudget::default(),
         most_queued: 100_000,
         most_queued_bytes: usize::MAX,
@@ -62,10 +71,17 @@
 fn virtual_flood(report: &mut Report, quick: bool, seed: u64) {
     let (gateways, engines, seconds) = if quick { (30, 12, 20) } else { (300, 60, 30) };
     let works = traffic::workloads(1.0);
-    let model = Model { cores: 16.0, ..Model::default() };
+    let model = Model {
+        cores: 16.0,
+        ..Model::default()
+    };
     let cores = engines as f64 * model.cores;
     let span = seconds * SECOND;
-    let flood = Flood::Step { times: TIMES, from: 5 * SECOND, until: span };
+    let flood = Flood::Step {
+        times: TIMES,
+        from: 5 * SECOND,
+        until: span,
+    };
     let shares: Vec<f64> = TEAMS.iter().map(|t| t.1).collect();
     let play = |flood: Flood, queues: bool| {
         let teams = teams(cores, flood);
@@ -90,14 +106,37 @@
         (calm.join(), without.join(), with)
     });
     let (Ok(calm), Ok(without)) = (calm, without) else {
-        return report.bounds.push(Bound::new("the runs end", 0.0, 1.0, f64::MAX));
+        return report
+            .bounds
+            .push(Bound::new("the runs end", 0.0, 1.0, f64::MAX));
     };
     let place = format!("virtual time, {gateways} gateways, {engines} engines, {seconds} s");
-    flood_bounds(report, &place, &calm, &without, &with, cores * seconds as f64);
+    flood_bounds(
+        report,
+        &place,
+        &calm,
+        &without,
+        &with,
+        cores * seconds as f64,
+    );
     // The others' service holds through floods of other shapes too.
     for (name, shape) in [
-        ("ramp", Flood::Ramp { times: TIMES, from: 5 * SECOND, until: span }),
-        ("pulses", Flood::Pulses { times: TIMES, from: 5 * SECOND, until: span }),
+        (
+            "ramp",
+            Flood::Ramp {
+                times: TIMES,
+                from: 5 * SECOND,
+                until: span,
+            },
+        ),
+        (
+            "pulses",
+            Flood::Pulses {
+                times: TIMES,
+                from: 5 * SECOND,
+                until: span,
+            },
+        ),
     ] {
         let figures = play(shape, true);
         for t in (0..TEAMS.len()).filter(|&t| t != FLOODS) {
@@ -118,7 +157,10 @@
     const MANY: usize = 1000;
     let (gateways, engines, span) = (4, 4, 10 * SECOND);
     let works = traffic::workloads(0.1);
-    let model = Model { cores: 16.0, ..Model::default() };
+    let model = Model {
+        cores: 16.0,
+        ..Model::default()
+    };
     let cores = engines as f64 * model.cores;
     let play = |teams: usize| {
         let all: Vec<Team> = (0..teams)
@@ -144,7 +186,12 @@
         fleet.run().teams[0].used
     };
     let what = "virtual time, the one busy team of 1,000 gets of what it would alone";
-    report.bounds.push(Bound::new(what, play(MANY) / play(1).max(1e-9), 0.95, f64::MAX));
+    report.bounds.push(Bound::new(
+        what,
+        play(MANY) / play(1).max(1e-9),
+        0.95,
+        f64::MAX,
+    ));
 }
 
 fn flood_bounds(
@@ -156,13 +203,25 @@
     core_seconds: f64,
 ) {
     let mut bound = |what: &str, is, least, most| {
-        report.bounds.push(Bound::new(&format!("{place}: {what}"), is, least, most))
+        report
+            .bounds
+            .push(Bound::new(&format!("{place}: {what}"), is, least, most))
     };
     let others = || (0..TEAMS.len()).filter(|&t| t != FLOODS);
     for t in others() {
         let kept = |f: &Figures| f.teams[t].service() / calm.teams[t].service().max(1e-9);
-        bound(&format!("{} keeps of its service", TEAMS[t].0), kept(with), 0.95, f64::MAX);
-        bound(&format!("{} keeps without the queues", TEAMS[t].0), kept(without), 0.0, f64::MAX);
+        bound(
+            &format!("{} keeps of its service", TEAMS[t].0),
+            kept(with),
+            0.95,
+            f64::MAX,
+        );
+        bound(
+            &format!("{} keeps without the queues", TEAMS[t].0),
+            kept(without),
+            0.0,
+            f64::MAX,
+        );
     }
     let used: f64 = with.teams.iter().map(|t| t.used).sum();
     bound(
@@ -171,23 +230,59 @@
         0.95,
         f64::MAX,
     );
-    bound("cores' time that came to a good end", used / core_seconds, 0.0, 1.0);
-    bound("good estimates", with.good as f64 / with.told.max(1) as f64, 0.9, 1.0);
+    bound(
+        "cores' time that came to a good end",
+        used / core_seconds,
+        0.0,
+        1.0,
+    );
+    bound(
+        "good estimates",
+        with.good as f64 / with.told.max(1) as f64,
+        0.9,
+        1.0,
+    );
     bound("median error of the estimates", with.median_error, 0.0, 0.1);
-    for (name, f) in [("calm", calm), ("without queues", without), ("with queues", with)] {
-        bound(&format!("loads run twice, {name}"), f.doubled as f64, 0.0, 0.0);
-        bound(&format!("statements unanswered, {name}"), f.unanswered as f64, 0.0, 0.0);
-        bound(&format!("statements answered twice, {name}"), f.twice as f64, 0.0, 0.0);
+    for (name, f) in [
+        ("calm", calm),
+        ("without queues", without),
+        ("with queues", with),
+    ] {
+        bound(
+            &format!("loads run twice, {name}"),
+            f.doubled as f64,
+            0.0,
+            0.0,
+        );
+        bound(
+            &format!("statements unanswered, {name}"),
+            f.unanswered as f64,
+            0.0,
+            0.0,
+        );
+        bound(
+            &format!("statements answered twice, {name}"),
+            f.twice as f64,
+            0.0,
+            0.0,
+        );
     }
 }
 
 fn flood_on_sockets(report: &mut Report, quick: bool, seed: u64) {
     let (engines, seconds) = if quick { (4, 14) } else { (4, 40) };
     let works = traffic::workloads(0.1);
-    let model = Model { cores: 8.0, ..Model::default() };
+    let model = Model {
+        cores: 8.0,
+        ..Model::default()
+    };
     let cores = engines as f64 * model.cores;
     let span = seconds * SECOND;
-    let step = Flood::Step { times: 10.0, from: 3 * SECOND, until: span };
+    let step = Flood::Step {
+        times: 10.0,
+        from: 3 * SECOND,
+        until: span,
+    };
     let shares = TEAMS;
     let run = |flood: Flood, queues: bool, new_connections: bool| {
         let all = teams(cores, flood);
@@ -222,29 +317,55 @@
             let place = format!("sockets, 1 gateway, {engines} engines, {seconds} s");
             for t in (0..TEAMS.len()).filter(|&t| t != FLOODS) {
                 let kept = anew.teams[t].service() / calm.teams[t].service().max(1e-9);
-                let what = format!("{place}: new connections: {} keeps of its service", TEAMS[t].0);
+                let what = format!(
+                    "{place}: new connections: {} keeps of its service",
+                    TEAMS[t].0
+                );
                 report.bounds.push(Bound::new(&what, kept, 0.95, f64::MAX));
             }
             let what = format!("{place}: CPU of calm traffic with the queues, against without");
             // Both are counted in hundredths of a second: told here, judged over longer runs.
-            report.bounds.push(Bound::new(&what, queued.cpu_s / plain.cpu_s.max(1e-9), 0.0, f64::MAX));
+            report.bounds.push(Bound::new(
+                &what,
+                queued.cpu_s / plain.cpu_s.max(1e-9),
+                0.0,
+                f64::MAX,
+            ));
             report.run(&place, "new connections", anew);
             report.run(&place, "no flood, none", plain);
         }
-        _ => report.bounds.push(Bound::new("the further runs on sockets end", 0.0, 1.0, f64::MAX)),
+        _ => report.bounds.push(Bound::new(
+            "the further runs on sockets end",
+            0.0,
+            1.0,
+            f64::MAX,
+        )),
     }
     match (calm, without, with) {
         (Ok(Ok(calm)), Ok(Ok(without)), Ok(with)) => {
             let place = format!("sockets, 1 gateway, {engines} engines, {seconds} s");
-            flood_bounds(report, &place, &calm, &without, &with, cores * seconds as f64);
+            flood_bounds(
+                report,
+                &place,
+                &calm,
+                &without,
+                &with,
+                cores * seconds as f64,
+            );
             report.run(&place, "no flood, queues", calm);
             report.run(&place, "flood, no queues", without);
             report.run(&place, "flood, queues", with);
         }
         (calm, without, with) => {
-            let said = [calm.ok().and_then(Result::err), without.ok().and_then(Result::err), with.err()];
+            let said = [
+                calm.ok().and_then(Result::err),
+                without.ok().and_then(Result::err),
+                with.err(),
+            ];
             eprintln!("a run on sockets failed: {said:?}");
-            report.bounds.push(Bound::new("the runs on sockets end", 0.0, 1.0, f64::MAX));
+            report
+                .bounds
+                .push(Bound::new("the runs on sockets end", 0.0, 1.0, f64::MAX));
         }
     }
 }
--- a/crates/ivypitch-lab/src/plot.rs
+++ b/crates/ivypitch-lab/src/plot.rs
@@ -29,10 +29,21 @@
 
 /// Whole decades around all values, at least one.
 fn decades(values: impl Iterator<Item = f64>) -> (f64, f64) {
-    let logs: Vec<f64> = values.filter(|v| *v > 0.0 && v.is_finite()).map(f64::log10).collect();
+    let logs: Vec<f64> = values
+        .filter(|v| *v > 0.0 && v.is_finite())
+        .map(f64::log10)
+        .collect();
     let low = logs.iter().copied().fold(f64::INFINITY, f64::min).floor();
-    let high = logs.iter().copied().fold(f64::NEG_INFINITY, f64::max).ceil();
-    if low.is_finite() { (low, high.max(low + 1.0)) } else { (0.0, 1.0) }
+    let high = logs
+        .iter()
+        .copied()
+        .fold(f64::NEG_INFINITY, f64::max)
+        .ceil();
+    if low.is_finite() {
+        (low, high.max(low + 1.0))
+    } else {
+        (0.0, 1.0)
+    }
 }
 
 fn tick(decade: f64) -> String {
@@ -58,8 +69,10 @@
         let (left, right) = (at_x + LEFT, at_x + LEFT + wide);
         let (top, bottom) = (at_y + ABOVE, at_y + ABOVE + high);
         let mut line = |x1: f64, y1: f64, x2: f64, y2: f64, style: &str| {
-            let _ =
-                write!(svg, "<line x1=\"{x1:.1}\" y1=\"{y1:.1}\" x2=\"{x2:.1}\" y2=\"{y2:.1}\" {style}/>");
+            let _ = write!(
+                svg,
+                "<line x1=\"{x1:.1}\" y1=\"{y1:.1}\" x2=\"{x2:.1}\" y2=\"{y2:.1}\" {style}/>"
+            );
         };
         let thin = "stroke=\"#ddd\"";
         (x0 as i32..=x1 as i32).for_each(|d| {
@@ -72,23 +85,51 @@
         });
         for pair in self.points.windows(2) {
             let style = "stroke=\"#3070a0\" stroke-width=\"2\"";
-            line(x(pair[0].0), y(pair[0].1), x(pair[1].0), y(pair[1].1), style);
+            line(
+                x(pair[0].0),
+                y(pair[0].1),
+                x(pair[1].0),
+                y(pair[1].1),
+                style,
+            );
         }
         for pair in self.fit.windows(2) {
             let style = "stroke=\"#3070a0\" stroke-dasharray=\"4 4\"";
-            line(x(pair[0].0), y(pair[0].1), x(pair[1].0), y(pair[1].1), style);
+            line(
+                x(pair[0].0),
+                y(pair[0].1),
+                x(pair[1].0),
+                y(pair[1].1),
+                style,
+            );
         }
         if let Some(budget) = self.budget {
-            line(left, y(budget), right, y(budget), "stroke=\"#c06030\" stroke-width=\"1.5\"");
+            line(
+                left,
+                y(budget),
+                right,
+                y(budget),
+                "stroke=\"#c06030\" stroke-width=\"1.5\"",
+            );
         }
         if let (Some(crossing), Some(budget)) = (self.crossing, self.budget) {
-            line(x(crossing), top, x(crossing), bottom, "stroke=\"#c06030\" stroke-dasharray=\"2 3\"");
+            line(
+                x(crossing),
+                top,
+                x(crossing),
+                bottom,
+                "stroke=\"#c06030\" stroke-dasharray=\"2 3\"",
+            );
             let (cx, cy) = (x(crossing), y(budget));
             let _ = write!(
                 svg,
                 "<circle cx=\"{cx:.1}\" cy=\"{cy:.1}\" r=\"5\" fill=\"none\" stroke=\"#c06030\"/>"
             );
-            let (anchor, by) = if cx > (left + right) / 2.0 { ("end", -8.0) } else { ("start", 8.0) };
+            let (anchor, by) = if cx > (left + right) / 2.0 {
+                ("end", -8.0)
+            } else {
+                ("start", 8.0)
+            };
             let (tx, ty) = (cx + by, cy - 7.0);
             let _ = write!(
                 svg,
@@ -97,17 +138,40 @@
         }
         for &(px, py) in &self.points {
             let (cx, cy) = (x(px), y(py));
-            let _ = write!(svg, "<circle cx=\"{cx:.1}\" cy=\"{cy:.1}\" r=\"3\" fill=\"#3070a0\"/>");
+            let _ = write!(
+                svg,
+                "<circle cx=\"{cx:.1}\" cy=\"{cy:.1}\" r=\"3\" fill=\"#3070a0\"/>"
+            );
         }
         let mut text = |x: f64, y: f64, anchor: &str, what: &str| {
             let what = what.replace('&', "&amp;").replace('<', "&lt;");
-            let _ = write!(svg, "<text x=\"{x:.1}\" y=\"{y:.1}\" text-anchor=\"{anchor}\">{what}</text>");
+            let _ = write!(
+                svg,
+                "<text x=\"{x:.1}\" y=\"{y:.1}\" text-anchor=\"{anchor}\">{what}</text>"
+            );
         };
-        (x0 as i32..=x1 as i32)
-            .for_each(|d| text(x(10f64.powi(d)), bottom + 14.0, "middle", &tick(f64::from(d))));
-        (y0 as i32..=y1 as i32)
-            .for_each(|d| text(left - 5.0, y(10f64.powi(d)) + 4.0, "end", &tick(f64::from(d))));
-        text(at_x + 8.0, at_y + 20.0, "start", &self.title.chars().take(LONGEST_TITLE).collect::<String>());
+        (x0 as i32..=x1 as i32).for_each(|d| {
+            text(
+                x(10f64.powi(d)),
+                bottom + 14.0,
+                "middle",
+                &tick(f64::from(d)),
+            )
+        });
+        (y0 as i32..=y1 as i32).for_each(|d| {
+            text(
+                left - 5.0,
+                y(10f64.powi(d)) + 4.0,
+                "end",
+                &tick(f64::from(d)),
+            )
+        });
+        text(
+            at_x + 8.0,
+            at_y + 20.0,
+            "start",
+            &self.title.chars().take(LONGEST_TITLE).collect::<String>(),
+        );
         text((left + right) / 2.0, bottom + 30.0, "middle", &self.x);
     }
 }
@@ -121,7 +185,13 @@
          font-size=\"14\">{title}; orange: budget and where it is passed; dashed: on from what was measured</text>"
     );
     for (i, plot) in plots.iter().enumerate() {
-        plot.draw(&mut svg, ((i % ACROSS) as f64 * WIDE, (i / ACROSS) as f64 * HIGH + 30.0));
+        plot.draw(
+            &mut svg,
+            (
+                (i % ACROSS) as f64 * WIDE,
+                (i / ACROSS) as f64 * HIGH + 30.0,
+            ),
+        );
     }
     svg + "</svg>\n"
 }
--- a/crates/ivypitch-lab/src/processes/child.rs
+++ b/crates/ivypitch-lab/src/processes/child.rs
@@ -23,18 +23,35 @@
             .stdout(Stdio::piped())
             .spawn()
             .map_err(|e| format!("{name}: {e}"))?;
-        let lines = child.stdout.take().map(|stdout| BufReader::new(stdout).lines());
+        let lines = child
+            .stdout
+            .take()
+            .map(|stdout| BufReader::new(stdout).lines());
         let orders = child.stdin.take();
-        let mut process = LabProcess { child, orders, lines: Seen::new() };
+        let mut process = LabProcess {
+            child,
+            orders,
+            lines: Seen::new(),
+        };
         let said = process.lines.clone();
         thread::spawn(move || {
-            lines.into_iter().flatten().map_while(Result::ok).for_each(|line| said.push(line));
+            lines
+                .into_iter()
+                .flatten()
+                .map_while(Result::ok)
+                .for_each(|line| said.push(line));
             // Whoever waits for a word of it is not left waiting.
             said.push("ended".into());
         });
         process.order(first);
-        let line = process.lines.wait(name, |line| line == "ready" || line == "ended");
-        if line == "ready" { Ok(process) } else { Err(format!("{name} ended before it was ready")) }
+        let line = process
+            .lines
+            .wait(name, |line| line == "ready" || line == "ended");
+        if line == "ready" {
+            Ok(process)
+        } else {
+            Err(format!("{name} ended before it was ready"))
+        }
     }
 
     pub fn order(&mut self, line: &str) {
--- a/crates/ivypitch-lab/src/processes/clients.rs
+++ b/crates/ivypitch-lab/src/processes/clients.rs
@@ -89,7 +89,12 @@
             tasks.push(executor.spawn(async move {
                 let due = from + Duration::from_millis(ask.at);
                 Timer::at(due).await;
-                let client = Client { ask, gateways, manners, due };
+                let client = Client {
+                    ask,
+                    gateways,
+                    manners,
+                    due,
+                };
                 let story = client.live(i as u64).await;
                 stories.borrow_mut()[i] = story;
             }));
@@ -141,7 +146,9 @@
                 Heard::Unknown | Heard::Silence => {
                     Timer::after(Duration::from_millis(rng.random_range(20..300))).await;
                 }
-                Heard::Gone => drop(Timer::after(Duration::from_millis(rng.random_range(5..200))).await),
+                Heard::Gone => {
+                    drop(Timer::after(Duration::from_millis(rng.random_range(5..200))).await)
+                }
                 Heard::Other(_) => return story,
             }
         }
@@ -167,17 +174,25 @@
     async fn visit(&self, gateway: usize, req: u64, left: Duration) -> Visit {
         let begun = stamp();
         let asked = async {
-            self.asked(gateway, req, left).await.unwrap_or_else(|e| match e.kind() {
-                io::ErrorKind::InvalidData => Heard::Other(0),
-                _ => Heard::Gone,
-            })
+            self.asked(gateway, req, left)
+                .await
+                .unwrap_or_else(|e| match e.kind() {
+                    io::ErrorKind::InvalidData => Heard::Other(0),
+                    _ => Heard::Gone,
+                })
         };
         let late = async {
             Timer::after(self.manners.patience.min(left + Duration::from_millis(500))).await;
             Heard::Silence
         };
         let heard = asked.or(late).await;
-        Visit { gateway, req, begun, ended: stamp(), heard }
+        Visit {
+            gateway,
+            req,
+            begun,
+            ended: stamp(),
+            heard,
+        }
     }
 
     async fn asked(&self, gateway: usize, req: u64, left: Duration) -> io::Result<Heard> {
@@ -190,7 +205,9 @@
             req % 7
         );
         Ok(match session.reply(&text).await? {
-            Reply::Rows(rows) => Heard::Rows(rows.first().map_or(String::new(), |row| first_column(row))),
+            Reply::Rows(rows) => {
+                Heard::Rows(rows.first().map_or(String::new(), |row| first_column(row)))
+            }
             Reply::Error(1040 | 1203 | 1226, text) => {
                 // As told, within reason: the client's own time goes on.
                 Timer::after(Duration::from_millis(holdoff_ms(&text).min(300))).await;
--- a/crates/ivypitch-lab/src/processes/engine.rs
+++ b/crates/ivypitch-lab/src/processes/engine.rs
@@ -63,7 +63,9 @@
 
 /// Microseconds of the system's clock: the laboratory lays events of several processes beside each other.
 pub fn stamp() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |span| span.as_micros() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |span| span.as_micros() as u64)
 }
 
 fn say(what: &str, id: &str, by: usize) {
@@ -91,7 +93,11 @@
         };
         let started = u64::from(self.warm_up > 0);
         let emulated = Rc::new(Emulated {
-            engine: RefCell::new(Engine::new(model, ChaCha8Rng::seed_from_u64(self.seed), started)),
+            engine: RefCell::new(Engine::new(
+                model,
+                ChaCha8Rng::seed_from_u64(self.seed),
+                started,
+            )),
             held: RefCell::default(),
             last: Cell::new(0),
             began: Instant::now(),
@@ -157,7 +163,10 @@
 
     fn heed(&self, line: &str) {
         let mut words = line.split_whitespace();
-        match (words.next(), words.next().and_then(|n| n.parse::<f64>().ok())) {
+        match (
+            words.next(),
+            words.next().and_then(|n| n.parse::<f64>().ok()),
+        ) {
             (Some("fails"), Some(part)) => self.fails.set(part.clamp(0.0, 1.0)),
             (Some("mute"), Some(is)) => self.mute.set(is > 0.0),
             _ => eprintln!("engine: {line:?} not understood"),
@@ -169,8 +178,14 @@
         loop {
             let changed = self.changed.listen();
             self.advance();
-            let next = self.engine.borrow().next_end().map(|at| at.saturating_sub(self.now()));
-            let span = next.map_or(UNASKED / 4, Duration::from_nanos).min(UNASKED / 4);
+            let next = self
+                .engine
+                .borrow()
+                .next_end()
+                .map(|at| at.saturating_sub(self.now()));
+            let span = next
+                .map_or(UNASKED / 4, Duration::from_nanos)
+                .min(UNASKED / 4);
             let timer = async {
                 Timer::after(span.max(Duration::from_micros(200))).await;
             };
@@ -182,7 +197,8 @@
                 .filter(|(_, held)| held.asked_at.elapsed() > UNASKED)
                 .map(|(&number, _)| number)
                 .collect();
-            old.into_iter().for_each(|number| self.give_up(number, "drop"));
+            old.into_iter()
+                .for_each(|number| self.give_up(number, "drop"));
         }
     }
 
@@ -199,7 +215,9 @@
     }
 
     fn give_up(&self, number: u64, why: &str) {
-        let Some(held) = self.held.borrow_mut().remove(&number) else { return };
+        let Some(held) = self.held.borrow_mut().remove(&number) else {
+            return;
+        };
         if held.ended.is_none() {
             say(why, &held.id, held.by);
         }
@@ -208,7 +226,11 @@
     }
 
     fn number_of(&self, id: &str) -> Option<u64> {
-        self.held.borrow().iter().find(|(_, held)| held.id == id).map(|(&number, _)| number)
+        self.held
+            .borrow()
+            .iter()
+            .find(|(_, held)| held.id == id)
+            .map(|(&number, _)| number)
     }
 
     /// `None`: it runs from now on.
@@ -218,9 +240,15 @@
         }
         let figure = |name: &str| {
             let at = call.body.find(name)? + name.len();
-            call.body[at..].split_whitespace().next()?.parse::<f64>().ok()
+            call.body[at..]
+                .split_whitespace()
+                .next()?
+                .parse::<f64>()
+                .ok()
+        };
+        let Some(work) = figure("work = ") else {
+            return Some(answer(500, "", ""));
         };
-        let Some(work) = figure("work = ") else { return Some(answer(500, "", "")) };
         let number = self.last.get() + 1;
         self.last.set(number);
         let query = Query {
@@ -236,9 +264,18 @@
             return Some(answer(503, "Srv-Untouched: 1\r\n", ""));
         }
         // By its id, so that it fails wherever the seed is the same.
-        let draw = (id.bytes().fold(7u64, |h, b| h.wrapping_mul(31) + u64::from(b)) % 1000) as f64 / 1000.0;
+        let draw = (id
+            .bytes()
+            .fold(7u64, |h, b| h.wrapping_mul(31) + u64::from(b))
+            % 1000) as f64
+            / 1000.0;
         let ended = (draw < self.fails.get()).then_some(Ended::Error);
-        let held = Held { id: id.to_owned(), asked_at: Instant::now(), by, ended };
+        let held = Held {
+            id: id.to_owned(),
+            asked_at: Instant::now(),
+            by,
+            ended,
+        };
         self.held.borrow_mut().insert(number, held);
         self.changed.notify(usize::MAX);
         None
@@ -249,9 +286,13 @@
         loop {
             let ended = self.ended.listen();
             let end = {
-                let Some(number) = self.number_of(id) else { return answer(500, "", "") };
+                let Some(number) = self.number_of(id) else {
+                    return answer(500, "", "");
+                };
                 let mut all = self.held.borrow_mut();
-                let Some(held) = all.get_mut(&number) else { return answer(500, "", "") };
+                let Some(held) = all.get_mut(&number) else {
+                    return answer(500, "", "");
+                };
                 held.asked_at = Instant::now();
                 if held.by != by {
                     held.by = by;
@@ -294,8 +335,12 @@
                 },
                 "GET" => self.news(&id, by).await,
                 "PUT" => {
-                    if let (Some(number), Ok(priority)) = (self.number_of(&id), call.body.trim().parse()) {
-                        self.engine.borrow_mut().set_priority(self.now(), number, priority);
+                    if let (Some(number), Ok(priority)) =
+                        (self.number_of(&id), call.body.trim().parse())
+                    {
+                        self.engine
+                            .borrow_mut()
+                            .set_priority(self.now(), number, priority);
                         self.changed.notify(usize::MAX);
                     }
                     answer(204, "", "")
--- a/crates/ivypitch-lab/src/processes/hollow_engines.rs
+++ b/crates/ivypitch-lab/src/processes/hollow_engines.rs
@@ -67,7 +67,11 @@
 
 impl Engine {
     fn count(&self, gateway: usize, change: impl FnOnce(&mut Counts)) {
-        let fresh = Counts { engine: self.number, gateway, ..Counts::default() };
+        let fresh = Counts {
+            engine: self.number,
+            gateway,
+            ..Counts::default()
+        };
         change(self.counts.borrow_mut().entry(gateway).or_insert(fresh));
     }
 
@@ -154,21 +158,29 @@
 
 fn served() -> Result<(), String> {
     let mut first = String::new();
-    io::stdin().lock().read_line(&mut first).map_err(|e| e.to_string())?;
+    io::stdin()
+        .lock()
+        .read_line(&mut first)
+        .map_err(|e| e.to_string())?;
     let park: Park = serde_json::from_str(&first).map_err(|e| e.to_string())?;
     let executor = Rc::new(LocalExecutor::new());
     let mut engines = Vec::new();
     for (number, address) in park.listen.iter().enumerate() {
         let listener = TcpListener::bind(address).and_then(Async::new);
         let listener = listener.map_err(|e| format!("{address}: {e}"))?;
-        let engine = Rc::new(Engine { number, tells_starts: park.tells_starts, ..Engine::default() });
+        let engine = Rc::new(Engine {
+            number,
+            tells_starts: park.tells_starts,
+            ..Engine::default()
+        });
         engines.push(engine.clone());
         let on = executor.clone();
         let task = async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let engine = engine.clone();
                 // A gateway that has gone is no fault here.
-                on.spawn(async move { drop(engine.converse(stream).await) }).detach();
+                on.spawn(async move { drop(engine.converse(stream).await) })
+                    .detach();
             }
         };
         executor.spawn(task).detach();
@@ -180,7 +192,10 @@
                 .iter()
                 .flat_map(|e| e.counts.borrow().values().copied().collect::<Vec<_>>())
                 .collect();
-            println!("counts {}", serde_json::to_string(&counts).unwrap_or_default());
+            println!(
+                "counts {}",
+                serde_json::to_string(&counts).unwrap_or_default()
+            );
         }
         other => eprintln!("hollow engines: {other:?} not understood"),
     })));
--- a/crates/ivypitch-lab/src/processes/hollow_gateways.rs
+++ b/crates/ivypitch-lab/src/processes/hollow_gateways.rs
@@ -104,7 +104,9 @@
 
 impl Shared {
     fn counts(&self) -> MutexGuard<'_, Vec<Counts>> {
-        self.counts.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+        self.counts
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     fn count(&self, place: u16, change: impl FnOnce(&mut Counts)) {
@@ -117,11 +119,15 @@
     fn hand(&self, from: u16, to: u16, frame: &Frame) {
         let mut bytes = BytesMut::from(&write(frame)[..]);
         let length = bytes.len() as u64;
-        let Ok(Some(frame)) = next(&mut bytes) else { return };
+        let Ok(Some(frame)) = next(&mut bytes) else {
+            return;
+        };
         let is_taken = self
             .inboxes
             .get(usize::from(to - self.first))
-            .is_some_and(|inbox| inbox.len() < MOST_HANDED && inbox.try_send((from, frame)).is_ok());
+            .is_some_and(|inbox| {
+                inbox.len() < MOST_HANDED && inbox.try_send((from, frame)).is_ok()
+            });
         self.count(from, |counts| {
             counts.handed += 1;
             counts.handed_bytes += length;
@@ -160,8 +166,15 @@
                 Ok(None)
             };
             let told = async { module.recv().await.map(|mail| Some(Mail::Module(mail))) };
-            let handed = async { inbox.recv().await.map(|(from, frame)| Some(Mail::Handed(from, frame))) };
-            let Ok(mail) = told.or(handed).or(timer).await else { return };
+            let handed = async {
+                inbox
+                    .recv()
+                    .await
+                    .map(|(from, frame)| Some(Mail::Handed(from, frame)))
+            };
+            let Ok(mail) = told.or(handed).or(timer).await else {
+                return;
+            };
             let now = self.clock.now();
             match mail {
                 Some(Mail::Module(mail)) => self.take(now, mail),
@@ -192,7 +205,8 @@
             ModuleMessage::Peer(peer) => self.peer(now, peer),
             ModuleMessage::Journal { event } => {
                 if let Some((number, _)) = &event {
-                    self.shared.count(self.place, |counts| counts.events = *number);
+                    self.shared
+                        .count(self.place, |counts| counts.events = *number);
                     if self.shared.tells_events {
                         println!("{} event {} {number}", stamp(), self.place);
                     }
@@ -225,11 +239,17 @@
         }
         let heard = self.heard.len();
         self.shared.count(self.place, |counts| counts.heard = heard);
-        let Some(sharing) = &mut self.sharing else { return };
+        let Some(sharing) = &mut self.sharing else {
+            return;
+        };
         match peer {
             Peer::Up { place, birth } => sharing.member_up(now, place, birth),
             Peer::Down { place, birth } => sharing.member_down(now, place, birth),
-            Peer::Shared { from, message, _receipt } => sharing.heard(now, from, *message),
+            Peer::Shared {
+                from,
+                message,
+                _receipt,
+            } => sharing.heard(now, from, *message),
             Peer::Gossip(gossip, _taken) => sharing.gossip(now, *gossip),
             Peer::Heard { .. } | Peer::Suspected { .. } => {}
         }
@@ -246,7 +266,12 @@
                 state => drop(self.engines.insert(number, state == "in_service")),
             }
         }
-        let ready: Vec<u64> = self.engines.iter().filter(|(_, is)| **is).map(|(&engine, _)| engine).collect();
+        let ready: Vec<u64> = self
+            .engines
+            .iter()
+            .filter(|(_, is)| **is)
+            .map(|(&engine, _)| engine)
+            .collect();
         if let Some(sharing) = &mut self.sharing {
             sharing.listed(&ready);
         }
@@ -255,7 +280,9 @@
     /// What sharing asks for changes nothing where no statement runs; custody is answered for what it would run here.
     fn settle(&mut self, now: Nanos) {
         while self.sharing.as_mut().and_then(Sharing::next_act).is_some() {}
-        let Some(keeper) = &mut self.keeper else { return };
+        let Some(keeper) = &mut self.keeper else {
+            return;
+        };
         while let Some(act) = keeper.next_act() {
             if let Act::Adopt { id, .. } = act {
                 self.shared.count(self.place, |counts| counts.adopted += 1);
@@ -266,7 +293,12 @@
 }
 
 /// Takes what a hollow gateway says: to one of this process at once, else to its real actor of peers.
-async fn sort(said: Receiver<PeersMessage>, peers: Sender<PeersMessage>, from: u16, shared: Arc<Shared>) {
+async fn sort(
+    said: Receiver<PeersMessage>,
+    peers: Sender<PeersMessage>,
+    from: u16,
+    shared: Arc<Shared>,
+) {
     while let Ok(message) = said.recv().await {
         match message {
             PeersMessage::Tell { to, message } if to >= shared.first => {
@@ -290,8 +322,13 @@
     executor: &Rc<LocalExecutor<'static>>,
 ) -> Result<(), String> {
     let told = |what: &str| format!("hollow gateway {place}: {what}");
-    let own = own.peers.as_ref().ok_or_else(|| told("no peers in the own file"))?;
-    let mut peering = own.peering(&format!("n{place}")).map_err(|faults| told(&format!("{faults:?}")))?;
+    let own = own
+        .peers
+        .as_ref()
+        .ok_or_else(|| told("no peers in the own file"))?;
+    let mut peering = own
+        .peering(&format!("n{place}"))
+        .map_err(|faults| told(&format!("{faults:?}")))?;
     let ways = &crowd.ways[place - crowd.first];
     for (seat, &way) in peering.roster.seats.iter_mut().zip(ways) {
         seat.address = way;
@@ -312,11 +349,20 @@
     };
     let mailbox = peers::Peers::start(start, clock, module.clone(), executor.clone())?;
     let (say, said) = channel::unbounded();
-    executor.spawn(sort(said, mailbox, at, shared.clone())).detach();
+    executor
+        .spawn(sort(said, mailbox, at, shared.clone()))
+        .detach();
     let (list, list_mail) = channel::unbounded();
     let sharing = own.shares.enabled.then(|| {
         let terms = own.shares.terms(zones.len(), &crowd.customers);
-        let shares = Shares::new(Process { place: at, birth }, zones.clone(), terms, 0, seed, now);
+        let shares = Shares::new(
+            Process { place: at, birth },
+            zones.clone(),
+            terms,
+            0,
+            seed,
+            now,
+        );
         Sharing::new(shares, say.clone(), list.clone())
     });
     let keeper = own.custody.enabled.then(|| {
@@ -332,7 +378,9 @@
         shares: true,
         traffic,
     };
-    executor.spawn(follower.run(Some(crowd.journal), list_mail)).detach();
+    executor
+        .spawn(follower.run(Some(crowd.journal), list_mail))
+        .detach();
     let hollow = Hollow {
         place: at,
         clock,
@@ -365,14 +413,25 @@
 
 fn served() -> Result<(), String> {
     let mut first = String::new();
-    io::stdin().lock().read_line(&mut first).map_err(|e| e.to_string())?;
+    io::stdin()
+        .lock()
+        .read_line(&mut first)
+        .map_err(|e| e.to_string())?;
     let crowd: Crowd = serde_json::from_str(&first).map_err(|e| e.to_string())?;
     let places: Vec<usize> = (crowd.first..crowd.first + crowd.ways.len()).collect();
     let (inboxes, handed): (Vec<_>, Vec<_>) = places.iter().map(|_| channel::unbounded()).unzip();
     let shared = Arc::new(Shared {
         first: crowd.first as u16,
         inboxes,
-        counts: Mutex::new(places.iter().map(|&place| Counts { place, ..Counts::default() }).collect()),
+        counts: Mutex::new(
+            places
+                .iter()
+                .map(|&place| Counts {
+                    place,
+                    ..Counts::default()
+                })
+                .collect(),
+        ),
         seats: crowd.first + places.len(),
         tells_events: crowd.tells_events,
     });
@@ -387,11 +446,15 @@
         started.push(told);
     }
     for told in started {
-        told.recv_blocking().unwrap_or_else(|_| Err("a thread failed".into()))?;
+        told.recv_blocking()
+            .unwrap_or_else(|_| Err("a thread failed".into()))?;
     }
     println!("ready");
     smol::block_on(super::child::heed(|line| match line {
-        "count" => println!("counts {}", serde_json::to_string(&*shared.counts()).unwrap_or_default()),
+        "count" => println!(
+            "counts {}",
+            serde_json::to_string(&*shared.counts()).unwrap_or_default()
+        ),
         other => eprintln!("hollow gateways: {other:?} not understood"),
     }));
     Ok(())
@@ -408,7 +471,11 @@
     let executor = Rc::new(LocalExecutor::new());
     smol::block_on(executor.run(async {
         let started = async {
-            let apart = if crowd.ways.len() > EACH_THREAD { MANY_START_APART } else { START_APART };
+            let apart = if crowd.ways.len() > EACH_THREAD {
+                MANY_START_APART
+            } else {
+                START_APART
+            };
             let own = own::read(crowd.own.as_bytes()).map_err(|faults| format!("{faults:?}"))?;
             for (place, handed) in theirs {
                 start(crowd, &own, place, handed, shared, clock, &executor)?;
--- a/crates/ivypitch-lab/src/processes/journal.rs
+++ b/crates/ivypitch-lab/src/processes/journal.rs
@@ -45,21 +45,32 @@
 }
 
 fn lock(events: &Events) -> std::sync::MutexGuard<'_, Vec<String>> {
-    events.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+    events
+        .0
+        .lock()
+        .unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
 fn follow(mut stream: TcpStream, events: &Events) -> Option<()> {
     let mut line = String::new();
-    BufReader::new(stream.try_clone().ok()?).read_line(&mut line).ok()?;
+    BufReader::new(stream.try_clone().ok()?)
+        .read_line(&mut line)
+        .ok()?;
     let mut last: usize = line.trim().strip_prefix("tail ")?.parse().ok()?;
     loop {
         let said = {
             let held = lock(events);
-            let wait = events.1.wait_timeout_while(held, BEAT, |all| all.len() <= last);
+            let wait = events
+                .1
+                .wait_timeout_while(held, BEAT, |all| all.len() <= last);
             let held = wait.unwrap_or_else(|poisoned| poisoned.into_inner()).0;
             let new: String = held.iter().skip(last).cloned().collect();
             last = last.max(held.len());
-            if new.is_empty() { format!("{last}\n") } else { new }
+            if new.is_empty() {
+                format!("{last}\n")
+            } else {
+                new
+            }
         };
         stream.write_all(said.as_bytes()).ok()?;
     }
--- a/crates/ivypitch-lab/src/processes/mod.rs
+++ b/crates/ivypitch-lab/src/processes/mod.rs
@@ -89,7 +89,10 @@
         Setup {
             gateways: 5,
             zones: 3,
-            engines: Engines::Processes { count: 3, cores: 16.0 },
+            engines: Engines::Processes {
+                count: 3,
+                cores: 16.0,
+            },
             longest_ms: 3000,
             peers: Some(r#""custody":{"remembered_ms":400,"asks_from_ms":0}"#.into()),
             own: String::new(),
@@ -170,7 +173,11 @@
             Engines::Processes { count, .. } | Engines::Hollow { count, .. } => *count,
             Engines::At(all) => all.len(),
         };
-        let engines = (0..count).map(|_| EngineSeat { listen: Vec::new(), child: None, orders: None });
+        let engines = (0..count).map(|_| EngineSeat {
+            listen: Vec::new(),
+            child: None,
+            orders: None,
+        });
         let mut fleet = Fleet {
             net,
             seats: Vec::new(),
@@ -197,11 +204,16 @@
             fleet.spare = (0..spare).map(|_| free_port()).collect();
             let listed = fleet.engines.iter().map(|engine| engine.listen[0]);
             let listen = listed.chain(fleet.spare.iter().copied()).collect();
-            let park = Park { listen, tells_starts: fleet.setup.hollow_tell };
+            let park = Park {
+                listen,
+                tells_starts: fleet.setup.hollow_tell,
+            };
             let first = serde_json::to_string(&park).map_err(|e| e.to_string())?;
             fleet.park = Some(LabProcess::start("hollow-engines", &first)?);
         }
-        let peers_at: Vec<SocketAddr> = (0..gateways + fleet.setup.hollow).map(|_| free_port()).collect();
+        let peers_at: Vec<SocketAddr> = (0..gateways + fleet.setup.hollow)
+            .map(|_| free_port())
+            .collect();
         for g in 0..gateways {
             let seat = fleet.seat(g, &peers_at).map_err(told)?;
             fleet.seats.push(seat);
@@ -230,7 +242,11 @@
             }
         }
         if let Some(crowd) = &self.crowd {
-            crowd.lines.wait_for("hollow gateways", self.setup.hollow, |line| line.contains(" joined "));
+            crowd
+                .lines
+                .wait_for("hollow gateways", self.setup.hollow, |line| {
+                    line.contains(" joined ")
+                });
         }
         Ok(())
     }
@@ -240,10 +256,18 @@
         let mut list = Vec::new();
         for other in 0..self.setup.gateways + self.setup.hollow {
             let (at, zone) = (at(other)?, other % self.setup.zones);
-            list.push(format!(r#"{{"name":"n{other}","zone":"z{zone}","address":"{at}"}}"#));
+            list.push(format!(
+                r#"{{"name":"n{other}","zone":"z{zone}","address":"{at}"}}"#
+            ));
         }
-        let (own, list, peers) = (&self.setup.own, list.join(","), self.setup.peers.as_deref().unwrap_or(""));
-        Ok(format!(r#"{{{own}"peers":{{"gateways":[{list}],{peers}}}}}"#))
+        let (own, list, peers) = (
+            &self.setup.own,
+            list.join(","),
+            self.setup.peers.as_deref().unwrap_or(""),
+        );
+        Ok(format!(
+            r#"{{{own}"peers":{{"gateways":[{list}],{peers}}}}}"#
+        ))
     }
 
     /// The hollow gateways follow one journal, and reach the real ones by a relay each.
@@ -259,8 +283,16 @@
         let journal = Journal::start(&rows).map_err(told)?;
         let mut ways = Vec::new();
         for hollow in first..first + self.setup.hollow {
-            let way = |g: usize| self.net.open(End::Gateway(hollow), End::Gateway(g), peers_at[g], true);
-            ways.push((0..first).map(way).collect::<std::io::Result<Vec<_>>>().map_err(told)?);
+            let way = |g: usize| {
+                self.net
+                    .open(End::Gateway(hollow), End::Gateway(g), peers_at[g], true)
+            };
+            ways.push(
+                (0..first)
+                    .map(way)
+                    .collect::<std::io::Result<Vec<_>>>()
+                    .map_err(told)?,
+            );
         }
         let crowd = Crowd {
             own: self.own(|place| Ok(peers_at[place])).map_err(told)?,
@@ -281,7 +313,9 @@
     /// What is known of a real gateway now; `None`: it is not there, or shares nothing and so shows nothing.
     pub fn sample(&mut self, g: usize) -> Option<Sample> {
         let seat = &self.seats[g];
-        let Answer::Rows(rows) = Client::reach(seat.address)?.try_ask("SHOW FLEET")? else { return None };
+        let Answer::Rows(rows) = Client::reach(seat.address)?.try_ask("SHOW FLEET")? else {
+            return None;
+        };
         let own = Own::read(&serde_json::from_str(rows.first()?.first()?).ok()?)?;
         let usage = Usage::of(seat.child.as_ref()?.id())?;
         let relay = self.net.sums(End::Gateway(g));
@@ -296,8 +330,19 @@
                 engines.open += counts.open;
             }
         }
-        let lost = self.seats[g].log.all().iter().filter(|line| line.contains(" is lost, ")).count() as u64;
-        Some(Sample { usage, own, relay, engines, lost })
+        let lost = self.seats[g]
+            .log
+            .all()
+            .iter()
+            .filter(|line| line.contains(" is lost, "))
+            .count() as u64;
+        Some(Sample {
+            usage,
+            own,
+            relay,
+            engines,
+            lost,
+        })
     }
 
     fn seat(&self, g: usize, peers_at: &[SocketAddr]) -> std::io::Result<Seat> {
@@ -321,10 +366,19 @@
         let names: Vec<String> = (0..zones).map(|z| format!("\"z{z}\"")).collect();
         let config = configuration(&address.to_string(), &rows, None, 1024)
             .replace("\"name\":\"n0\"", &format!("\"name\":\"n{g}\""))
-            .replace("\"zones\":[\"z\"]", &format!("\"zones\":[{}]", names.join(",")))
+            .replace(
+                "\"zones\":[\"z\"]",
+                &format!("\"zones\":[{}]", names.join(",")),
+            )
             .replace("\"journal\":\"\"", &format!("\"journal\":\"{journal_at}\""))
-            .replace("\"balancers\":1", &format!("\"balancers\":{}", self.setup.gateways + self.setup.hollow))
-            .replace("8c1f30d27a5be964", &format!("{:016x}", self.setup.seed ^ (g as u64) << 32))
+            .replace(
+                "\"balancers\":1",
+                &format!("\"balancers\":{}", self.setup.gateways + self.setup.hollow),
+            )
+            .replace(
+                "8c1f30d27a5be964",
+                &format!("{:016x}", self.setup.seed ^ (g as u64) << 32),
+            )
             .replace(
                 "\"give-up-ns\":20000000000",
                 &format!("\"give-up-ns\":{}000000", self.setup.longest_ms),
@@ -336,7 +390,9 @@
         if self.setup.peers.is_some() {
             let text = self.own(|other| match other == g {
                 true => Ok(peers_at[g]),
-                false => self.net.open(me, End::Gateway(other), peers_at[other], true),
+                false => self
+                    .net
+                    .open(me, End::Gateway(other), peers_at[other], true),
             })?;
             let own_path = path.with_extension("own.json");
             std::fs::write(&own_path, text)?;
@@ -359,50 +415,91 @@
     pub fn start_gateway(&mut self, g: usize) -> Result<(), String> {
         let seat = &mut self.seats[g];
         let mut command = Command::new(program());
-        command.arg("serve").env("PROXY_CONFIG", &seat.config).stdin(Stdio::null());
+        command
+            .arg("serve")
+            .env("PROXY_CONFIG", &seat.config)
+            .stdin(Stdio::null());
         match &seat.own {
             Some(own) => command.env("IVYPITCH_OWN", own),
             None => command.env_remove("IVYPITCH_OWN"),
         };
-        let mut child = command.stderr(Stdio::piped()).spawn().map_err(|e| e.to_string())?;
-        let lines = child.stderr.take().map(|stderr| BufReader::new(stderr).lines());
+        let mut child = command
+            .stderr(Stdio::piped())
+            .spawn()
+            .map_err(|e| e.to_string())?;
+        let lines = child
+            .stderr
+            .take()
+            .map(|stderr| BufReader::new(stderr).lines());
         let log = seat.log.clone();
-        let begun = log.all().iter().filter(|line| line.contains("listens on")).count();
+        let begun = log
+            .all()
+            .iter()
+            .filter(|line| line.contains("listens on"))
+            .count();
         thread::spawn(move || {
-            lines.into_iter().flatten().map_while(Result::ok).for_each(|line| log.push(line));
+            lines
+                .into_iter()
+                .flatten()
+                .map_while(Result::ok)
+                .for_each(|line| log.push(line));
         });
         seat.child = Some(child);
         let count = begun + 1;
-        seat.log
-            .wait_for("start", count, |line| line.contains("listens on") || line.contains("ERROR listen"));
+        seat.log.wait_for("start", count, |line| {
+            line.contains("listens on") || line.contains("ERROR listen")
+        });
         Ok(())
     }
 
     pub fn start_engine(&mut self, e: usize) -> Result<(), String> {
-        let Engines::Processes { cores, .. } = self.setup.engines else { return Ok(()) };
+        let Engines::Processes { cores, .. } = self.setup.engines else {
+            return Ok(());
+        };
         let seat = &mut self.engines[e];
         let listen: Vec<String> = seat.listen.iter().map(SocketAddr::to_string).collect();
         let mut child = Command::new(program())
-            .args(["lab", "engine", "--cores", &cores.to_string(), "--listen", &listen.join(",")])
+            .args([
+                "lab",
+                "engine",
+                "--cores",
+                &cores.to_string(),
+                "--listen",
+                &listen.join(","),
+            ])
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
             .spawn()
             .map_err(|e| e.to_string())?;
-        let lines = child.stdout.take().map(|stdout| BufReader::new(stdout).lines());
+        let lines = child
+            .stdout
+            .take()
+            .map(|stdout| BufReader::new(stdout).lines());
         seat.orders = child.stdin.take();
         seat.child = Some(child);
         let said = self.said.clone();
-        let begun = said.all().iter().filter(|s| s.engine == e && s.what == "ready").count();
+        let begun = said
+            .all()
+            .iter()
+            .filter(|s| s.engine == e && s.what == "ready")
+            .count();
         thread::spawn(move || {
             for line in lines.into_iter().flatten().map_while(Result::ok) {
                 let mut words = line.split(' ');
                 let mut word = || words.next().unwrap_or_default().to_owned();
                 let (at, what, id, by) = (word(), word(), word(), word());
                 let (at, by) = (at.parse().unwrap_or(0), by.parse().unwrap_or(0));
-                said.push(Said { at, engine: e, what, id, by });
+                said.push(Said {
+                    at,
+                    engine: e,
+                    what,
+                    id,
+                    by,
+                });
             }
         });
-        self.said.wait_for("engine", begun + 1, |s| s.engine == e && s.what == "ready");
+        self.said
+            .wait_for("engine", begun + 1, |s| s.engine == e && s.what == "ready");
         Ok(())
     }
 
@@ -414,7 +511,9 @@
     }
 
     pub fn signal(&self, g: usize, signal: Signal) {
-        let Some(child) = &self.seats[g].child else { return };
+        let Some(child) = &self.seats[g].child else {
+            return;
+        };
         if let Some(pid) = Pid::from_raw(child.id() as i32) {
             let _ = kill_process(pid, signal);
         }
@@ -445,7 +544,8 @@
         self.signal(g, Signal::TERM);
         let code = self.seats[g].child.take()?.wait().ok()?.code();
         if code != Some(0) {
-            self.crashes.push(format!("n{g} ended with {code:?} at SIGTERM"));
+            self.crashes
+                .push(format!("n{g} ended with {code:?} at SIGTERM"));
         }
         code
     }
@@ -462,7 +562,10 @@
 
     /// A process that has ended by itself is a crash.
     fn check(&mut self, g: usize) {
-        let ended = self.seats[g].child.as_mut().and_then(|child| child.try_wait().ok().flatten());
+        let ended = self.seats[g]
+            .child
+            .as_mut()
+            .and_then(|child| child.try_wait().ok().flatten());
         if let Some(code) = ended {
             self.seats[g].child = None;
             self.crashes.push(format!("n{g} ended by itself: {code}"));
@@ -475,7 +578,11 @@
         for a in 0..places {
             for b in (0..places).filter(|&b| b != a && apart(a, b)) {
                 let (a, b) = (End::Gateway(a), End::Gateway(b));
-                if begins { self.net.silence(a, b) } else { self.net.hear(a, b) }
+                if begins {
+                    self.net.silence(a, b)
+                } else {
+                    self.net.hear(a, b)
+                }
             }
         }
     }
@@ -495,31 +602,42 @@
             }
             What::Kill { gateway, .. } | What::End { gateway, .. } => {
                 if let What::End { .. } = fault.what
-                    && let Some(code) = self.seats[gateway].child.take().and_then(|mut c| c.wait().ok())
+                    && let Some(code) = self.seats[gateway]
+                        .child
+                        .take()
+                        .and_then(|mut c| c.wait().ok())
                     && !code.success()
                 {
-                    self.crashes.push(format!("n{gateway} ended with {code} at SIGTERM"));
+                    self.crashes
+                        .push(format!("n{gateway} ended with {code} at SIGTERM"));
                 }
                 if !self.is_up(gateway)
                     && let Err(e) = self.start_gateway(gateway)
                 {
-                    self.crashes.push(format!("n{gateway} did not start again: {e}"));
+                    self.crashes
+                        .push(format!("n{gateway} did not start again: {e}"));
                 }
             }
             What::CutZone { zone, .. } => {
                 self.cut(|a, b| (a % zones == zone) != (b % zones == zone), begins);
             }
-            What::CutOff { gateway, .. } => self.cut(|a, b| (a == gateway) != (b == gateway), begins),
+            What::CutOff { gateway, .. } => {
+                self.cut(|a, b| (a == gateway) != (b == gateway), begins)
+            }
             What::Mute { from, to, .. } => self.cut(|a, b| (a, b) == (from, to), begins),
             What::Late { from, to, by, .. } => {
                 let late = Duration::from_millis(if begins { by } else { 0 });
-                self.net.change(End::Gateway(from), End::Gateway(to), |way| way.late = late);
+                self.net
+                    .change(End::Gateway(from), End::Gateway(to), |way| way.late = late);
+            }
+            What::Reset { from, to } if begins => {
+                self.net.reset(End::Gateway(from), End::Gateway(to))
             }
-            What::Reset { from, to } if begins => self.net.reset(End::Gateway(from), End::Gateway(to)),
             What::EngineDies { engine } if begins => {
                 self.kill_engine(engine);
                 if let Err(e) = self.start_engine(engine) {
-                    self.crashes.push(format!("engine {engine} did not start again: {e}"));
+                    self.crashes
+                        .push(format!("engine {engine} did not start again: {e}"));
                 }
             }
             What::EngineDrains { engine, .. } => {
@@ -535,20 +653,30 @@
         (0..self.setup.gateways).for_each(|g| self.tell_state_to(g, engine, state));
         if let Some(journal) = &self.crowd_journal {
             let at = self.engines[engine].listen[0];
-            journal.tell(&[row(&format!("s-{engine}"), at, engine % self.setup.zones, state)]);
+            journal.tell(&[row(
+                &format!("s-{engine}"),
+                at,
+                engine % self.setup.zones,
+                state,
+            )]);
         }
     }
 
     /// Another event to all, the same to each: only where all reach the engines by the same address.
     pub fn tell_row(&self, row: &str) {
-        let journals = self.seats.iter().map(|seat| &seat.journal).chain(&self.crowd_journal);
+        let journals = self
+            .seats
+            .iter()
+            .map(|seat| &seat.journal)
+            .chain(&self.crowd_journal);
         journals.for_each(|journal| journal.tell(&[row.to_owned()]));
     }
 
     pub fn tell_state_to(&self, g: usize, engine: usize, state: &str) {
         let seat = &self.seats[g];
         let (id, zone) = (format!("s-{engine}"), engine % self.setup.zones);
-        seat.journal.tell(&[row(&id, seat.engines_at[engine], zone, state)]);
+        seat.journal
+            .tell(&[row(&id, seat.engines_at[engine], zone, state)]);
     }
 
     /// Plays the plan's faults at their times, counted from `from`, until the last is over.
@@ -581,12 +709,18 @@
             if self.is_up(g) {
                 self.end(g);
             }
-            let panics = self.seats[g].log.all().into_iter().filter(|line| line.contains("panicked"));
-            self.crashes.extend(panics.map(|line| format!("n{g}: {line}")));
+            let panics = self.seats[g]
+                .log
+                .all()
+                .into_iter()
+                .filter(|line| line.contains("panicked"));
+            self.crashes
+                .extend(panics.map(|line| format!("n{g}: {line}")));
         }
         for (name, hollow) in [("gateways", &mut self.crowd), ("engines", &mut self.park)] {
             if hollow.as_mut().is_some_and(LabProcess::has_ended) {
-                self.crashes.push(format!("the hollow {name} ended by themselves"));
+                self.crashes
+                    .push(format!("the hollow {name} ended by themselves"));
             }
         }
     }
@@ -594,7 +728,10 @@
     /// Microseconds of processor time that gateways which run now have used.
     pub fn cpu(&self) -> u64 {
         let used = |child: &Child| usage::cpu_ticks_ns(child.id()).map(|ns| ns / 1000);
-        self.seats.iter().filter_map(|seat| used(seat.child.as_ref()?)).sum()
+        self.seats
+            .iter()
+            .filter_map(|seat| used(seat.child.as_ref()?))
+            .sum()
     }
 }
 
@@ -607,7 +744,9 @@
             for (g, seat) in self.seats.iter().enumerate() {
                 let lines = seat.log.all();
                 let last = lines.len().saturating_sub(LAST_LINES);
-                lines[last..].iter().for_each(|line| eprintln!("n{g} {line}"));
+                lines[last..]
+                    .iter()
+                    .for_each(|line| eprintln!("n{g} {line}"));
             }
         }
         for g in 0..self.seats.len() {
--- a/crates/ivypitch-lab/src/processes/relay.rs
+++ b/crates/ivypitch-lab/src/processes/relay.rs
@@ -80,11 +80,15 @@
 
 impl Shared {
     fn ways(&self) -> MutexGuard<'_, Ways> {
-        self.ways.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+        self.ways
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     fn doors(&self) -> MutexGuard<'_, BTreeMap<(End, End), Vec<TcpListener>>> {
-        self.doors.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+        self.doors
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     fn way(&self, from: End, to: End) -> Way {
@@ -104,8 +108,14 @@
 
     /// Returns once the way is heard. An error: its links were broken before that, however soon after it was heard.
     async fn open(&self, (from, to): (End, End), resets: u64) -> io::Result<()> {
-        let way = self.until(from, to, |way| way.silent == 0 || way.resets != resets).await;
-        if way.resets == resets { Ok(()) } else { Err(io::ErrorKind::ConnectionReset.into()) }
+        let way = self
+            .until(from, to, |way| way.silent == 0 || way.resets != resets)
+            .await;
+        if way.resets == resets {
+            Ok(())
+        } else {
+            Err(io::ErrorKind::ConnectionReset.into())
+        }
     }
 }
 
@@ -141,7 +151,13 @@
     }
 
     /// The address under which `from` reaches `to`, which listens at `target`.
-    pub fn open(&self, from: End, to: End, target: SocketAddr, datagrams: bool) -> io::Result<SocketAddr> {
+    pub fn open(
+        &self,
+        from: End,
+        to: End,
+        target: SocketAddr,
+        datagrams: bool,
+    ) -> io::Result<SocketAddr> {
         loop {
             let listener = TcpListener::bind("127.0.0.1:0")?;
             let address = listener.local_addr()?;
@@ -155,8 +171,18 @@
             };
             listener.set_nonblocking(true)?;
             let door = listener.try_clone()?;
-            self.shared.doors().entry((from, to)).or_default().push(door);
-            let opened = Opened { from, to, target, listener, datagrams: socket };
+            self.shared
+                .doors()
+                .entry((from, to))
+                .or_default()
+                .push(door);
+            let opened = Opened {
+                from,
+                to,
+                target,
+                listener,
+                datagrams: socket,
+            };
             let _ = self.opened.try_send(opened);
             return Ok(address);
         }
@@ -201,9 +227,15 @@
 
     /// Returns once a piece has come for a way that is silent, with these bytes in its head.
     pub fn wait_stuck(&self, from: End, to: End, bytes: &str) {
-        let is = |piece: &[u8]| piece.windows(bytes.len()).any(|part| part == bytes.as_bytes());
+        let is = |piece: &[u8]| {
+            piece
+                .windows(bytes.len())
+                .any(|part| part == bytes.as_bytes())
+        };
         let what = format!("piece with {bytes:?} on a silent way");
-        self.shared.stuck.wait(&what, |(ends, piece)| *ends == (from, to) && is(piece));
+        self.shared
+            .stuck
+            .wait(&what, |(ends, piece)| *ends == (from, to) && is(piece));
     }
 
     /// All that passed from one end and to it.
@@ -212,7 +244,11 @@
         for (&(from, to), way) in self.shared.ways().iter() {
             sums.bytes_from += if from == end { way.bytes } else { 0 };
             sums.bytes_to += if to == end { way.bytes } else { 0 };
-            sums.open += if from == end || to == end { way.open } else { 0 };
+            sums.open += if from == end || to == end {
+                way.open
+            } else {
+                0
+            };
         }
         sums
     }
@@ -220,9 +256,12 @@
     /// Bytes and datagrams passed on between gateways.
     pub fn between_gateways(&self) -> (u64, u64) {
         let ways = self.shared.ways();
-        let among =
-            ways.iter().filter(|((a, b), _)| matches!(a, End::Gateway(_)) && matches!(b, End::Gateway(_)));
-        among.fold((0, 0), |(bytes, datagrams), (_, way)| (bytes + way.bytes, datagrams + way.datagrams))
+        let among = ways
+            .iter()
+            .filter(|((a, b), _)| matches!(a, End::Gateway(_)) && matches!(b, End::Gateway(_)));
+        among.fold((0, 0), |(bytes, datagrams), (_, way)| {
+            (bytes + way.bytes, datagrams + way.datagrams)
+        })
     }
 }
 
@@ -233,13 +272,30 @@
     seed: u64,
 ) {
     let mut serial = seed;
-    while let Ok(Opened { from, to, target, listener, datagrams }) = to_open.recv().await {
+    while let Ok(Opened {
+        from,
+        to,
+        target,
+        listener,
+        datagrams,
+    }) = to_open.recv().await
+    {
         serial = serial.wrapping_add(1);
         if let Some(socket) = datagrams.and_then(|socket| Async::new(socket).ok()) {
-            let task = pass_datagrams(shared.clone(), from, to, target, socket, executor.clone(), serial);
+            let task = pass_datagrams(
+                shared.clone(),
+                from,
+                to,
+                target,
+                socket,
+                executor.clone(),
+                serial,
+            );
             executor.spawn(task).detach();
         }
-        let Ok(listener) = Async::new(listener) else { continue };
+        let Ok(listener) = Async::new(listener) else {
+            continue;
+        };
         let (on, shared) = (executor.clone(), shared.clone());
         let task = async move {
             let mut serial = serial << 20;
@@ -247,13 +303,26 @@
                 // In one step: a reset meets it waiting, or among the links that there are.
                 let (taken, resets) = {
                     let ways = shared.ways();
-                    (listener.get_ref().accept(), ways.get(&(from, to)).map_or(0, |way| way.resets))
+                    (
+                        listener.get_ref().accept(),
+                        ways.get(&(from, to)).map_or(0, |way| way.resets),
+                    )
                 };
-                let Some(stream) = taken.ok().and_then(|(stream, _)| Async::new(stream).ok()) else {
+                let Some(stream) = taken.ok().and_then(|(stream, _)| Async::new(stream).ok())
+                else {
                     continue;
                 };
                 serial += 1;
-                on.spawn(pass(shared.clone(), from, to, target, stream, serial, resets)).detach();
+                on.spawn(pass(
+                    shared.clone(),
+                    from,
+                    to,
+                    target,
+                    stream,
+                    serial,
+                    resets,
+                ))
+                .detach();
             }
         };
         executor.spawn(task).detach();
@@ -273,7 +342,9 @@
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut datagram = [0; 4096];
     loop {
-        let Ok((n, _)) = socket.recv_from(&mut datagram).await else { continue };
+        let Ok((n, _)) = socket.recv_from(&mut datagram).await else {
+            continue;
+        };
         let way = shared.way(from, to);
         if way.silent > 0 || rng.random_bool(way.drop) {
             continue;
@@ -316,7 +387,9 @@
         Timer::after(CONNECT).await;
         None
     };
-    let Some(other) = connect.or(late).await else { return break_off(stream.get_ref()) };
+    let Some(other) = connect.or(late).await else {
+        return break_off(stream.get_ref());
+    };
     let _ = other.get_ref().set_nodelay(true);
     shared.ways().entry((from, to)).or_default().open += 1;
     let there = carry(&shared, (from, to), &stream, &other, seed, resets);
@@ -363,7 +436,9 @@
             }
             let way = shared.way(from, to);
             if way.silent > 0 {
-                shared.stuck.push(((from, to), piece[..n.min(STUCK_HEAD)].to_vec()));
+                shared
+                    .stuck
+                    .push(((from, to), piece[..n.min(STUCK_HEAD)].to_vec()));
             }
             // Nothing overtakes on one connection.
             last = last.max(Instant::now() + way.late + way.spread.mul_f64(rng.random()));
--- a/crates/ivypitch-lab/src/processes/sockets.rs
+++ b/crates/ivypitch-lab/src/processes/sockets.rs
@@ -95,7 +95,9 @@
             return;
         }
         for (number, end) in ended {
-            let Some(id) = self.ids.borrow_mut().remove(&number) else { continue };
+            let Some(id) = self.ids.borrow_mut().remove(&number) else {
+                continue;
+            };
             if let Some(asked) = self.queries.borrow_mut().get_mut(&id) {
                 asked.ended = Some(end);
             }
@@ -108,8 +110,14 @@
             let changed = self.changed.listen();
             self.advance();
             let now = self.shared.now();
-            let next = self.engine.borrow().next_end().map(|at| at.saturating_sub(now));
-            let span = next.map_or(UNASKED / 4, Duration::from_nanos).min(UNASKED / 4);
+            let next = self
+                .engine
+                .borrow()
+                .next_end()
+                .map(|at| at.saturating_sub(now));
+            let span = next
+                .map_or(UNASKED / 4, Duration::from_nanos)
+                .min(UNASKED / 4);
             let timer = async {
                 Timer::after(span.max(Duration::from_micros(100))).await;
             };
@@ -146,9 +154,15 @@
         }
         let figure = |name: &str| {
             let at = call.body.find(name)? + name.len();
-            call.body[at..].split_whitespace().next()?.parse::<f64>().ok()
+            call.body[at..]
+                .split_whitespace()
+                .next()?
+                .parse::<f64>()
+                .ok()
         };
-        let Some(stmt) = figure("stmt = ").map(|n| n as usize).filter(|&n| n < self.shared.statements.len())
+        let Some(stmt) = figure("stmt = ")
+            .map(|n| n as usize)
+            .filter(|&n| n < self.shared.statements.len())
         else {
             return answer(500, "", "");
         };
@@ -168,7 +182,14 @@
         }
         self.shared.starts.borrow_mut()[stmt] += 1;
         self.ids.borrow_mut().insert(number, id.clone());
-        self.queries.borrow_mut().insert(id, Asked { number, asked_at: Instant::now(), ended: None });
+        self.queries.borrow_mut().insert(
+            id,
+            Asked {
+                number,
+                asked_at: Instant::now(),
+                ended: None,
+            },
+        );
         self.changed.notify(usize::MAX);
         String::new()
     }
@@ -180,7 +201,9 @@
             let ended = self.ended.listen();
             let end = {
                 let mut queries = self.queries.borrow_mut();
-                let Some(asked) = queries.get_mut(id) else { return answer(500, "", "") };
+                let Some(asked) = queries.get_mut(id) else {
+                    return answer(500, "", "");
+                };
                 asked.asked_at = Instant::now();
                 asked.ended
             };
@@ -220,23 +243,36 @@
 
 impl Call {
     pub fn header(&self, name: &str) -> String {
-        let found = self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name));
+        let found = self
+            .headers
+            .iter()
+            .find(|(n, _)| n.eq_ignore_ascii_case(name));
         found.map_or(String::new(), |(_, value)| value.clone())
     }
 }
 
 pub(crate) fn answer(status: u16, headers: &str, body: &str) -> String {
-    format!("HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
 
-pub(crate) async fn next_call(stream: &Async<TcpStream>, input: &mut BytesMut) -> io::Result<Option<Call>> {
+pub(crate) async fn next_call(
+    stream: &Async<TcpStream>,
+    input: &mut BytesMut,
+) -> io::Result<Option<Call>> {
     loop {
         let mut headers = [httparse::EMPTY_HEADER; 32];
         let mut request = httparse::Request::new(&mut headers);
         let bad = |_| io::Error::from(io::ErrorKind::InvalidData);
         if let httparse::Status::Complete(head) = request.parse(input).map_err(bad)? {
             let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-            let headers = request.headers.iter().map(|h| (h.name.to_owned(), text(h.value))).collect();
+            let headers = request
+                .headers
+                .iter()
+                .map(|h| (h.name.to_owned(), text(h.value)))
+                .collect();
             let mut call = Call {
                 method: request.method.unwrap_or_default().to_owned(),
                 path: request.path.unwrap_or_default().to_owned(),
@@ -244,7 +280,11 @@
                 body: String::new(),
                 bytes: head,
             };
-            let length = call.header("Content-Length").parse().unwrap_or(0usize).min(LARGEST);
+            let length = call
+                .header("Content-Length")
+                .parse()
+                .unwrap_or(0usize)
+                .min(LARGEST);
             while input.len() < head + length {
                 if read_some(stream, input).await? == 0 {
                     return Ok(None);
@@ -271,13 +311,20 @@
         };
         let said = match call.method.as_str() {
             "POST" => {
-                let stmt =
-                    call.body.split("stmt = ").nth(1).and_then(|n| n.split_whitespace().next()?.parse().ok());
+                let stmt = call
+                    .body
+                    .split("stmt = ")
+                    .nth(1)
+                    .and_then(|n| n.split_whitespace().next()?.parse().ok());
                 if let Some(asked) = stmt.and_then(|n: usize| emulated.shared.statements.get(n)) {
                     teams.insert(id.clone(), asked.team);
                 }
                 let said = emulated.start(&call);
-                if said.is_empty() { emulated.news(&id, teams.get(&id).copied()).await } else { said }
+                if said.is_empty() {
+                    emulated.news(&id, teams.get(&id).copied()).await
+                } else {
+                    said
+                }
             }
             "GET" => emulated.news(&id, teams.get(&id).copied()).await,
             "PUT" => {
@@ -285,7 +332,10 @@
                 if let Some(number) = number {
                     let priority = call.body.trim().parse().unwrap_or(1);
                     let now = emulated.shared.now();
-                    emulated.engine.borrow_mut().set_priority(now, number, priority);
+                    emulated
+                        .engine
+                        .borrow_mut()
+                        .set_priority(now, number, priority);
                     emulated.changed.notify(usize::MAX);
                 }
                 answer(204, "", "")
@@ -330,7 +380,11 @@
     pub async fn open(address: SocketAddr) -> io::Result<Session> {
         let stream = Async::<TcpStream>::connect(address).await?;
         stream.get_ref().set_nodelay(true)?;
-        let mut session = Session { stream, input: BytesMut::new(), used: Instant::now() };
+        let mut session = Session {
+            stream,
+            input: BytesMut::new(),
+            used: Instant::now(),
+        };
         (&session.stream).write_all(&login("app")).await?;
         session.packet().await?;
         match session.packet().await?.first() {
@@ -367,7 +421,10 @@
             match payload.first() {
                 Some(0xff) if payload.len() >= 3 => {
                     let code = u16::from_le_bytes([payload[1], payload[2]]);
-                    return Ok(Reply::Error(code, String::from_utf8_lossy(&payload[3..]).into_owned()));
+                    return Ok(Reply::Error(
+                        code,
+                        String::from_utf8_lossy(&payload[3..]).into_owned(),
+                    ));
                 }
                 Some(0xfe) if payload.len() < 9 => {
                     ends += 1;
@@ -384,7 +441,10 @@
 
 /// When a refused client is to come back, in milliseconds; 0 where it is not told.
 pub(crate) fn holdoff_ms(text: &str) -> u64 {
-    text.split("holdoff=").nth(1).and_then(|n| n.trim().parse().ok()).unwrap_or(0)
+    text.split("holdoff=")
+        .nth(1)
+        .and_then(|n| n.trim().parse().ok())
+        .unwrap_or(0)
 }
 
 #[derive(Clone, Copy, Default)]
@@ -433,7 +493,9 @@
                     self.told.borrow_mut()[stmt].served = Some(self.shared.now());
                     break;
                 }
-                Ok(Answered::Refused(after)) if self.shared.now() + after < asked.at + work.timeout / 2 => {
+                Ok(Answered::Refused(after))
+                    if self.shared.now() + after < asked.at + work.timeout / 2 =>
+                {
                     Timer::after(Duration::from_nanos(after.max(MS))).await;
                 }
                 _ => break,
@@ -506,7 +568,12 @@
         .teams
         .iter()
         .zip(&plan.allowances)
-        .map(|(name, cores)| format!(r#"{{"name":"{name}","allowance-per-s":{:.3}}}"#, cores / mean))
+        .map(|(name, cores)| {
+            format!(
+                r#"{{"name":"{name}","allowance-per-s":{:.3}}}"#,
+                cores / mean
+            )
+        })
         .collect();
     let rows: Vec<String> = engines
         .iter()
@@ -518,8 +585,11 @@
         })
         .collect();
     let dop: Vec<String> = plan.works.iter().map(|w| w.threads.to_string()).collect();
-    let loads: Vec<String> =
-        plan.works.iter().map(|w| (w.effect == Effect::NonIdempotent).to_string()).collect();
+    let loads: Vec<String> = plan
+        .works
+        .iter()
+        .map(|w| (w.effect == Effect::NonIdempotent).to_string())
+        .collect();
     format!(
         r#"{{"name":"lab","listen":"127.0.0.1:0","seed":"{:x}","limits":{{"sockets":2048,"memory_mb":192}},
 "journal":"","known":{{"pos":1,"entries":[{{"pos":1,"hosts":{{"version":1,"full":true,"servers":[{}]}}}}]}},
@@ -555,7 +625,8 @@
         let mut addresses = Vec::new();
         let mut engines = Vec::new();
         for e in 0..plan.engines {
-            let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).map_err(|e| e.to_string())?;
+            let listener =
+                Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).map_err(|e| e.to_string())?;
             addresses.push(listener.get_ref().local_addr().map_err(|e| e.to_string())?);
             let rng = ChaCha8Rng::seed_from_u64(plan.seed.wrapping_mul(31).wrapping_add(e as u64));
             let emulated = Rc::new(Emulated {
@@ -583,14 +654,20 @@
                 })
                 .detach();
         }
-        let (mut child, log, _) = spawn_with(&configuration(&plan, &addresses), plan.own.as_deref());
+        let (mut child, log, _) =
+            spawn_with(&configuration(&plan, &addresses), plan.own.as_deref());
         let line = smol::unblock({
             let log = log.clone();
             move || log.wait("start", |l| l.contains("listens on") || l.contains("ERROR"))
         })
         .await;
-        let address = line.split("listens on ").nth(1).and_then(|l| l.split(',').next()?.parse().ok());
-        let Some(address) = address else { return Err(line) };
+        let address = line
+            .split("listens on ")
+            .nth(1)
+            .and_then(|l| l.split(',').next()?.parse().ok());
+        let Some(address) = address else {
+            return Err(line);
+        };
         let clients = Rc::new(Clients {
             shared: shared.clone(),
             address,
@@ -623,9 +700,15 @@
         let mut figures = figures;
         figures.cpu_s = cpu_s(child.id());
         let pid = child.id().to_string();
-        let _ =
-            smol::unblock(move || std::process::Command::new("kill").args(["-TERM", &pid]).status()).await;
-        let code = smol::unblock(move || child.wait()).await.map_err(|e| e.to_string())?;
+        let _ = smol::unblock(move || {
+            std::process::Command::new("kill")
+                .args(["-TERM", &pid])
+                .status()
+        })
+        .await;
+        let code = smol::unblock(move || child.wait())
+            .await
+            .map_err(|e| e.to_string())?;
         if !code.success() {
             return Err(format!("the gateway ended with {code}"));
         }
@@ -637,13 +720,20 @@
 fn cpu_s(pid: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     let fields = stat.rsplit(')').next().unwrap_or("").split_whitespace();
-    fields.skip(11).take(2).filter_map(|n| n.parse::<f64>().ok()).sum::<f64>() / 100.0
+    fields
+        .skip(11)
+        .take(2)
+        .filter_map(|n| n.parse::<f64>().ok())
+        .sum::<f64>()
+        / 100.0
 }
 
 fn live(second: u64, clients: &Clients, shared: &Shared, begun: Nanos, shown: &mut [(u64, u64)]) {
     let mut now = vec![(0u64, 0u64); shown.len()];
     for (told, asked) in clients.told.borrow().iter().zip(&shared.statements) {
-        let served = told.served.is_some_and(|at| at <= begun + asked.at + asked.slo);
+        let served = told
+            .served
+            .is_some_and(|at| at <= begun + asked.at + asked.slo);
         now[asked.team].0 += u64::from(told.tries > 0);
         now[asked.team].1 += u64::from(served);
     }
@@ -651,14 +741,30 @@
         .names
         .iter()
         .zip(now.iter().zip(shown.iter()))
-        .map(|(name, (now, was))| format!("{name} {} asked {} in time", now.0 - was.0, now.1 - was.1))
+        .map(|(name, (now, was))| {
+            format!("{name} {} asked {} in time", now.0 - was.0, now.1 - was.1)
+        })
         .collect();
-    println!("{second:>3} s  {}  ({} open)", parts.join(", "), clients.open.get());
+    println!(
+        "{second:>3} s  {}  ({} open)",
+        parts.join(", "),
+        clients.open.get()
+    );
     shown.copy_from_slice(&now);
 }
 
-fn count(plan: &Plan, clients: &Clients, shared: &Shared, engines: &[Rc<Emulated>], begun: Nanos) -> Figures {
-    let mut teams: Vec<TeamFigures> = plan.teams.iter().map(|name| TeamFigures::new(name)).collect();
+fn count(
+    plan: &Plan,
+    clients: &Clients,
+    shared: &Shared,
+    engines: &[Rc<Emulated>],
+    begun: Nanos,
+) -> Figures {
+    let mut teams: Vec<TeamFigures> = plan
+        .teams
+        .iter()
+        .map(|name| TeamFigures::new(name))
+        .collect();
     let mut figures = Figures::default();
     let starts = shared.starts.borrow();
     for (stmt, told) in clients.told.borrow().iter().enumerate() {
@@ -681,9 +787,15 @@
 
 /// What the gateway says of its estimates as it ends.
 fn with_estimates(mut figures: Figures, log: &[String]) -> Figures {
-    let line = log.iter().find_map(|l| Some(l.split_once("teams waits told ")?.1));
+    let line = log
+        .iter()
+        .find_map(|l| Some(l.split_once("teams waits told ")?.1));
     let numbers: Vec<f64> = line
-        .map(|l| l.split(|c: char| !c.is_ascii_digit()).filter_map(|n| n.parse().ok()).collect())
+        .map(|l| {
+            l.split(|c: char| !c.is_ascii_digit())
+                .filter_map(|n| n.parse().ok())
+                .collect()
+        })
         .unwrap_or_default();
     if let [told, good, median, ..] = numbers[..] {
         figures.told = told as u64;
@@ -694,7 +806,12 @@
 }
 
 pub fn own(shares: &[(&str, f64)]) -> String {
-    let teams: Vec<String> =
-        shares.iter().map(|(name, share)| format!(r#""{name}":{{"share":{share}}}"#)).collect();
-    format!(r#"{{"teams":{{"show":true,"by_name":{{{}}}}}}}"#, teams.join(","))
+    let teams: Vec<String> = shares
+        .iter()
+        .map(|(name, share)| format!(r#""{name}":{{"share":{share}}}"#))
+        .collect();
+    format!(
+        r#"{{"teams":{{"show":true,"by_name":{{{}}}}}}}"#,
+        teams.join(",")
+    )
 }
--- a/crates/ivypitch-lab/src/processes/story.rs
+++ b/crates/ivypitch-lab/src/processes/story.rs
@@ -44,7 +44,8 @@
 
 impl Verdict {
     pub fn holds(&self) -> bool {
-        self.doubled + self.refused_and_ran + self.two_ends + self.silent == 0 && self.crashes.is_empty()
+        self.doubled + self.refused_and_ran + self.two_ends + self.silent == 0
+            && self.crashes.is_empty()
     }
 
     pub fn service(&self) -> f64 {
@@ -57,16 +58,26 @@
 const SLACK: u64 = 400_000;
 
 /// `longest`: microseconds that a loss may still be told of after it happened.
-pub fn judge(asks: &[Ask], stories: &[Story], said: &[Said], done: &[Done], crashes: &[String]) -> Verdict {
-    let mut verdict =
-        Verdict { statements: asks.len() as u64, crashes: crashes.to_vec(), ..Verdict::default() };
+pub fn judge(
+    asks: &[Ask],
+    stories: &[Story],
+    said: &[Said],
+    done: &[Done],
+    crashes: &[String],
+) -> Verdict {
+    let mut verdict = Verdict {
+        statements: asks.len() as u64,
+        crashes: crashes.to_vec(),
+        ..Verdict::default()
+    };
     let mut by_id: BTreeMap<&str, Vec<&Said>> = BTreeMap::new();
     for line in said.iter().filter(|line| line.what != "ready") {
         by_id.entry(line.id.as_str()).or_default().push(line);
     }
     let away = away(done);
     let was_away = |g: usize, from: u64, to: u64| {
-        away.iter().any(|&(gateway, begins, ends)| gateway == g && begins <= to && from <= ends)
+        away.iter()
+            .any(|&(gateway, begins, ends)| gateway == g && begins <= to && from <= ends)
     };
     let losses = losses(done);
     let mut asked_after = Vec::new();
@@ -74,7 +85,10 @@
     for (ask, story) in asks.iter().zip(stories) {
         let mut broken = |what: &str, id: u64| {
             if verdict.broken.len() < MOST_LINES {
-                verdict.broken.push(format!("{what}: {id:016x} {:?} {:?}", story.visits, story.second));
+                verdict.broken.push(format!(
+                    "{what}: {id:016x} {:?} {:?}",
+                    story.visits, story.second
+                ));
             }
         };
         verdict.loads += u64::from(ask.load);
@@ -86,8 +100,11 @@
             let starts = lines.iter().filter(|l| l.what == "start").count() as u64;
             verdict.starts += starts;
             // A second client of what is harmless may have it run anew once the first has its end.
-            let ended_at =
-                story.visits.last().filter(|_| story.served.is_some()).map_or(u64::MAX, |v| v.ended);
+            let ended_at = story
+                .visits
+                .last()
+                .filter(|_| story.served.is_some())
+                .map_or(u64::MAX, |v| v.ended);
             let for_first = |l: &&&Said| l.what == "start" && l.at <= ended_at;
             verdict.again += (lines.iter().filter(for_first).count() as u64).saturating_sub(1);
             if ask.load && starts > 1 {
@@ -101,11 +118,13 @@
                 broken("refused and ran", req);
             }
             let second = story.second.iter().filter(|v| v.req == req);
-            let ended = |v: &&super::clients::Visit| matches!(v.heard, Heard::Rows(_) | Heard::Completed);
+            let ended =
+                |v: &&super::clients::Visit| matches!(v.heard, Heard::Rows(_) | Heard::Completed);
             let no_end = |v: &super::clients::Visit| v.heard == Heard::Refused && ask.load;
             let unsure = |v: &super::clients::Visit| v.heard == Heard::Unknown && ask.load;
             verdict.unsure += u64::from(second.clone().any(unsure));
-            let wrong = |v: &super::clients::Visit| matches!(&v.heard, Heard::Rows(row) if *row != text);
+            let wrong =
+                |v: &super::clients::Visit| matches!(&v.heard, Heard::Rows(row) if *row != text);
             let both = words().any(|v| ended(&v)) && second.clone().any(no_end);
             if both || words().chain(second).any(wrong) {
                 verdict.two_ends += 1;
@@ -117,14 +136,19 @@
                 let Some(last) = lines.iter().rfind(running).filter(|l| l.by == gateway) else {
                     continue;
                 };
-                let over =
-                    |l: &&Said| l.at < at && matches!(l.what.as_str(), "end" | "fail" | "drop" | "stop");
+                let over = |l: &&Said| {
+                    l.at < at && matches!(l.what.as_str(), "end" | "fail" | "drop" | "stop")
+                };
                 let back = words().any(|v| v.begun > at);
                 if lines.iter().any(over) || last.at > at || !back {
                     continue;
                 }
                 verdict.caught += 1;
-                let again = lines.iter().filter(for_first).filter(|l| l.at >= at).count();
+                let again = lines
+                    .iter()
+                    .filter(for_first)
+                    .filter(|l| l.at >= at)
+                    .count();
                 verdict.carried += u64::from(again == 0 && story.served.is_some());
                 let ask = lines.iter().find(|l| l.what == "ask" && l.at >= at);
                 asked_after.extend(ask.map(|l| (l.at - at) / 1000));
@@ -143,7 +167,10 @@
                 times.push(time / 1000);
             }
             None => {
-                let last = story.visits.last().map_or("never asked".to_owned(), |v| format!("{:?}", v.heard));
+                let last = story
+                    .visits
+                    .last()
+                    .map_or("never asked".to_owned(), |v| format!("{:?}", v.heard));
                 *verdict.unserved.entry(last).or_default() += 1;
             }
         }
@@ -152,9 +179,12 @@
     times.sort_unstable();
     let at = |all: &[u64], part: f64| {
         let last = all.len().saturating_sub(1);
-        all.get((last as f64 * part).round() as usize).copied().unwrap_or(0)
+        all.get((last as f64 * part).round() as usize)
+            .copied()
+            .unwrap_or(0)
     };
-    (verdict.first_ask_p50, verdict.first_ask_p99) = (at(&asked_after, 0.5), at(&asked_after, 0.99));
+    (verdict.first_ask_p50, verdict.first_ask_p99) =
+        (at(&asked_after, 0.5), at(&asked_after, 0.99));
     (verdict.p50_ms, verdict.p99_ms) = (at(&times, 0.5), at(&times, 0.99));
     verdict
 }
--- a/crates/ivypitch-lab/src/processes/usage.rs
+++ b/crates/ivypitch-lab/src/processes/usage.rs
@@ -30,7 +30,9 @@
 /// A line that begins so, in kilobytes.
 fn kilobytes(file: &Path, begins: &str) -> Option<u64> {
     let text = fs::read_to_string(file).ok()?;
-    text.lines().find_map(|line| number(line.strip_prefix(begins)?)).map(|kilobytes| kilobytes << 10)
+    text.lines()
+        .find_map(|line| number(line.strip_prefix(begins)?))
+        .map(|kilobytes| kilobytes << 10)
 }
 
 /// Processor time of a process by `stat`, of all its threads.
@@ -47,7 +49,9 @@
         let proc = Path::new("/proc").join(pid.to_string());
         let threads = fs::read_dir(proc.join("task")).ok()?;
         let ran = |thread: fs::DirEntry| {
-            fs::read_to_string(thread.path().join("schedstat")).ok().and_then(|text| number(&text))
+            fs::read_to_string(thread.path().join("schedstat"))
+                .ok()
+                .and_then(|text| number(&text))
         };
         Some(Usage {
             at: Instant::now(),
@@ -73,7 +77,12 @@
     /// Of the row of `SHOW FLEET`.
     pub fn read(view: &serde_json::Value) -> Option<Own> {
         let traffic = view.get("traffic")?.as_object()?;
-        let all = |name: &str| traffic.values().filter_map(|kind| kind[name].as_u64()).sum::<u64>();
+        let all = |name: &str| {
+            traffic
+                .values()
+                .filter_map(|kind| kind[name].as_u64())
+                .sum::<u64>()
+        };
         let engines = |name: &str| traffic.get("engines").and_then(|kind| kind[name].as_u64());
         Some(Own {
             bytes_out: all("bytes_out"),
--- a/crates/ivypitch-lab/src/report.rs
+++ b/crates/ivypitch-lab/src/report.rs
@@ -18,7 +18,12 @@
 
 impl Bound {
     pub fn new(what: &str, is: f64, least: f64, most: f64) -> Bound {
-        Bound { what: what.to_owned(), is, least, most }
+        Bound {
+            what: what.to_owned(),
+            is,
+            least,
+            most,
+        }
     }
 
     /// A figure that is told beside the bounds and judges nothing.
@@ -66,7 +71,11 @@
     }
 
     pub fn run(&mut self, place: &str, name: &str, figures: Figures) {
-        self.runs.push(Run { place: place.to_owned(), name: name.to_owned(), figures });
+        self.runs.push(Run {
+            place: place.to_owned(),
+            name: name.to_owned(),
+            figures,
+        });
     }
 
     pub fn holds(&self) -> bool {
@@ -118,7 +127,11 @@
             if run.figures.cpu_s > 0.0 {
                 let asked: u64 = run.figures.teams.iter().map(|t| t.tries).sum();
                 let each = run.figures.cpu_s * 1e6 / asked.max(1) as f64;
-                let _ = writeln!(text, "  {:<18} gateway's CPU {each:.0} us a statement", run.name);
+                let _ = writeln!(
+                    text,
+                    "  {:<18} gateway's CPU {each:.0} us a statement",
+                    run.name
+                );
             }
             if run.figures.told > 0 {
                 let f = &run.figures;
@@ -154,7 +167,10 @@
     /// The plots; or service by team and run as bars, where there are none.
     pub fn svg(&self) -> String {
         if !self.plots.is_empty() {
-            return plot::svg(&format!("{}, seed {}", self.experiment, self.seed), &self.plots);
+            return plot::svg(
+                &format!("{}, seed {}", self.experiment, self.seed),
+                &self.plots,
+            );
         }
         const BAR: usize = 22;
         let rows: Vec<(String, f64)> = self
@@ -163,7 +179,14 @@
             .flat_map(|run| {
                 let (name, place) = (&run.name, &run.place);
                 let of = |t: &crate::figures::TeamFigures| {
-                    (format!("{}, {name} ({})", t.name, place.split(',').next().unwrap_or("")), t.service())
+                    (
+                        format!(
+                            "{}, {name} ({})",
+                            t.name,
+                            place.split(',').next().unwrap_or("")
+                        ),
+                        t.service(),
+                    )
                 };
                 run.figures.teams.iter().map(of).collect::<Vec<_>>()
             })
@@ -177,7 +200,11 @@
         );
         for (i, (name, service)) in rows.iter().enumerate() {
             let y = 32 + i * BAR;
-            let colour = if name.contains("no queues") { "#c06030" } else { "#3070a0" };
+            let colour = if name.contains("no queues") {
+                "#c06030"
+            } else {
+                "#3070a0"
+            };
             let _ = write!(
                 svg,
                 "<text x=\"10\" y=\"{}\">{name}</text><rect x=\"360\" y=\"{y}\" width=\"{:.0}\" height=\"{}\" \
--- a/crates/ivypitch-lab/src/stand_ins.rs
+++ b/crates/ivypitch-lab/src/stand_ins.rs
@@ -36,7 +36,10 @@
     }
     /// Also after a wait that failed: else the failed test's fleet could not be ended, and its processes would stay.
     fn seen(&self) -> MutexGuard<'_, Vec<T>> {
-        self.0.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+        self.0
+            .0
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
     pub fn push(&self, what: T) {
         self.seen().push(what);
@@ -57,8 +60,15 @@
             if let Some(found) = seen.iter().filter(|t| fits(t)).nth(count - 1) {
                 return found.clone();
             }
-            let left = until.checked_duration_since(Instant::now()).unwrap_or_else(|| panic!("no {what}"));
-            seen = self.0.1.wait_timeout(seen, left).unwrap_or_else(|poisoned| poisoned.into_inner()).0;
+            let left = until
+                .checked_duration_since(Instant::now())
+                .unwrap_or_else(|| panic!("no {what}"));
+            seen = self
+                .0
+                .1
+                .wait_timeout(seen, left)
+                .unwrap_or_else(|poisoned| poisoned.into_inner())
+                .0;
         }
     }
 }
@@ -78,9 +88,13 @@
         self.method == method
     }
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.head
-            .lines()
-            .find_map(|l| Some(l.split_once(": ").filter(|(n, _)| n.eq_ignore_ascii_case(name))?.1))
+        self.head.lines().find_map(|l| {
+            Some(
+                l.split_once(": ")
+                    .filter(|(n, _)| n.eq_ignore_ascii_case(name))?
+                    .1,
+            )
+        })
     }
 }
 
@@ -94,12 +108,19 @@
 
 /// An answer of an engine.
 pub fn say(status: u16, headers: &str, body: &str) -> Reply {
-    Reply::Say(format!("HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len()))
+    Reply::Say(format!(
+        "HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n{body}",
+        body.len()
+    ))
 }
 
 /// A good end with one page.
 pub fn good(body: &str) -> Reply {
-    say(200, "Page-Count: 1\r\nWork-Ms: 12.5\r\nPeak-Mb: 64\r\nSrv-Load: waiting:0;active:1;x0:0.1\r\n", body)
+    say(
+        200,
+        "Page-Count: 1\r\nWork-Ms: 12.5\r\nPeak-Mb: 64\r\nSrv-Load: waiting:0;active:1;x0:0.1\r\n",
+        body,
+    )
 }
 
 pub struct Engine {
@@ -121,8 +142,16 @@
         reply: impl Fn(&Call, usize) -> Reply + Send + Sync + 'static,
     ) -> Engine {
         let address = listener.local_addr().unwrap();
-        let engine = Engine { address, calls: Seen::new(), ended: Seen::new() };
-        let (calls, reply, count) = (engine.calls.clone(), Arc::new(reply), Arc::new(AtomicUsize::new(0)));
+        let engine = Engine {
+            address,
+            calls: Seen::new(),
+            ended: Seen::new(),
+        };
+        let (calls, reply, count) = (
+            engine.calls.clone(),
+            Arc::new(reply),
+            Arc::new(AtomicUsize::new(0)),
+        );
         let ended = engine.ended.clone();
         thread::spawn(move || {
             for (connection, stream) in listener.incoming().flatten().enumerate() {
@@ -135,7 +164,9 @@
                         let number = count.fetch_add(1, Ordering::SeqCst);
                         calls.push(call.clone());
                         match reply(&call, number) {
-                            Reply::Say(text) => writer.write_all(text.as_bytes()).unwrap_or_default(),
+                            Reply::Say(text) => {
+                                writer.write_all(text.as_bytes()).unwrap_or_default()
+                            }
                             Reply::Silence => {}
                             Reply::Close => break,
                         }
@@ -149,7 +180,13 @@
     }
 
     pub fn served() -> Engine {
-        Engine::start(|call, _| if call.is("DELETE") { say(204, "", "") } else { good("a\tb\tc\n") })
+        Engine::start(|call, _| {
+            if call.is("DELETE") {
+                say(204, "", "")
+            } else {
+                good("a\tb\tc\n")
+            }
+        })
     }
 
     /// Takes the statement and never ends it.
@@ -189,7 +226,11 @@
 impl HeldQueries {
     fn reply(&mut self, call: &Call) -> Reply {
         let path: Vec<&str> = call.path.split('/').collect();
-        let id = call.header("Via-Id").or(path.get(2).copied()).unwrap_or_default().to_owned();
+        let id = call
+            .header("Via-Id")
+            .or(path.get(2).copied())
+            .unwrap_or_default()
+            .to_owned();
         let number = u64::from_str_radix(&id, 16).unwrap_or(0);
         if call.is("DELETE") {
             self.known.remove(&number);
@@ -205,15 +246,22 @@
                 return Reply::Silence;
             }
         }
-        let page = path.get(3).and_then(|page| page.parse::<usize>().ok()).unwrap_or(0);
+        let page = path
+            .get(3)
+            .and_then(|page| page.parse::<usize>().ok())
+            .unwrap_or(0);
         match self.known.get(&number) {
             None => say(500, "", ""),
             Some(None) => say(202, "", ""),
             Some(Some(_)) if page > 0 && self.mute_pages => Reply::Silence,
             Some(Some(pages)) => {
                 let count = pages.len();
-                let head = format!("Page-Count: {count}\r\nPage-No: {page}\r\nWork-Ms: 5\r\nPeak-Mb: 1\r\n");
-                pages.get(page).map_or_else(|| say(500, "", ""), |body| say(200, &head, body))
+                let head = format!(
+                    "Page-Count: {count}\r\nPage-No: {page}\r\nWork-Ms: 5\r\nPeak-Mb: 1\r\n"
+                );
+                pages
+                    .get(page)
+                    .map_or_else(|| say(500, "", ""), |body| say(200, &head, body))
             }
         }
     }
@@ -236,7 +284,11 @@
             });
             engine.address
         };
-        Held { addresses: (0..gateways).map(one).collect(), calls, shared }
+        Held {
+            addresses: (0..gateways).map(one).collect(),
+            calls,
+            shared,
+        }
     }
 
     pub fn end(&self, req: u64) {
@@ -259,7 +311,11 @@
 
     /// Starts that came through this gateway's address.
     pub fn starts_by(&self, gateway: usize) -> usize {
-        self.calls.all().iter().filter(|(by, c)| *by == gateway && c.is("POST")).count()
+        self.calls
+            .all()
+            .iter()
+            .filter(|(by, c)| *by == gateway && c.is("POST"))
+            .count()
     }
 
     /// Pages but the first are not answered.
@@ -274,18 +330,30 @@
 
     pub fn starts(&self, req: u64) -> usize {
         let id = format!("{req:016x}");
-        self.calls.all().iter().filter(|(_, c)| c.is("POST") && c.header("Via-Id") == Some(&id)).count()
+        self.calls
+            .all()
+            .iter()
+            .filter(|(_, c)| c.is("POST") && c.header("Via-Id") == Some(&id))
+            .count()
     }
 
     pub fn wait_start(&self, req: u64) -> usize {
         let id = format!("{req:016x}");
-        self.calls.wait("start", |(_, c)| c.is("POST") && c.header("Via-Id") == Some(&id)).0
+        self.calls
+            .wait("start", |(_, c)| {
+                c.is("POST") && c.header("Via-Id") == Some(&id)
+            })
+            .0
     }
 
     /// A question for this page by a gateway that is none of these.
     pub fn wait_ask(&self, req: u64, page: usize, not: &[usize]) -> usize {
         let path = format!("/c/{req:016x}/{page}");
-        self.calls.wait("question", |(by, c)| c.is("GET") && c.path == path && !not.contains(by)).0
+        self.calls
+            .wait("question", |(by, c)| {
+                c.is("GET") && c.path == path && !not.contains(by)
+            })
+            .0
     }
 }
 
@@ -297,8 +365,18 @@
     }
     let mut words = first.split(' ');
     let (method, path) = (words.next()?.into(), words.next()?.into());
-    let mut call = Call { method, path, head, body: String::new(), connection };
-    let mut body = vec![0; call.header("Content-Length").map_or(0, |n| n.parse().unwrap())];
+    let mut call = Call {
+        method,
+        path,
+        head,
+        body: String::new(),
+        connection,
+    };
+    let mut body = vec![
+        0;
+        call.header("Content-Length")
+            .map_or(0, |n| n.parse().unwrap())
+    ];
     reader.read_exact(&mut body).ok()?;
     call.body = String::from_utf8(body).unwrap();
     Some(call)
@@ -329,7 +407,11 @@
         listen(&held, 0).unwrap();
         let listener = TcpListener::from(held);
         let address = listener.local_addr().unwrap();
-        Door { address, listener, filler: TcpStream::connect(address).unwrap() }
+        Door {
+            address,
+            listener,
+            filler: TcpStream::connect(address).unwrap(),
+        }
     }
 
     /// Waits until somebody dials it.
@@ -348,7 +430,11 @@
 
 /// A connection to this address is in this state, as the system counts them.
 fn dials(address: SocketAddr, state: &str) -> bool {
-    let to = format!("{:08X}:{:04X}", u32::from_le_bytes([127, 0, 0, 1]), address.port());
+    let to = format!(
+        "{:08X}:{:04X}",
+        u32::from_le_bytes([127, 0, 0, 1]),
+        address.port()
+    );
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
     table.lines().any(|line| {
         let fields: Vec<&str> = line.split_whitespace().collect();
@@ -359,11 +445,17 @@
 /// Waits until the other side has read all that was sent on this connection.
 pub fn is_read(stream: &TcpStream) {
     let (from, to) = (stream.peer_addr().unwrap(), stream.local_addr().unwrap());
-    let ends =
-        format!(":{:04X} {:08X}:{:04X} 01 ", from.port(), u32::from_le_bytes([127, 0, 0, 1]), to.port());
+    let ends = format!(
+        ":{:04X} {:08X}:{:04X} 01 ",
+        from.port(),
+        u32::from_le_bytes([127, 0, 0, 1]),
+        to.port()
+    );
     until("reader", || {
         let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
-        table.lines().any(|line| line.contains(&ends) && line.contains(":00000000 00:"))
+        table
+            .lines()
+            .any(|line| line.contains(&ends) && line.contains(":00000000 00:"))
     });
 }
 
@@ -479,19 +571,35 @@
         Gateway::with("127.0.0.1:0", rows, None, 1024)
     }
 
-    pub fn with(listen: &str, rows: &[String], journal: Option<&Journal>, sockets: usize) -> Gateway {
+    pub fn with(
+        listen: &str,
+        rows: &[String],
+        journal: Option<&Journal>,
+        sockets: usize,
+    ) -> Gateway {
         Gateway::spawned(configuration(listen, rows, journal, sockets), None)
     }
 
     fn spawned(config: String, own: Option<(&str, &str)>) -> Gateway {
         let (mut child, log, path) = spawn_own(&config, own);
-        let line = log.wait("line of the start", |l| l.contains("listens on") || l.contains("ERROR"));
-        let address = line.split("listens on ").nth(1).and_then(|l| l.split(',').next()?.parse().ok());
+        let line = log.wait("line of the start", |l| {
+            l.contains("listens on") || l.contains("ERROR")
+        });
+        let address = line
+            .split("listens on ")
+            .nth(1)
+            .and_then(|l| l.split(',').next()?.parse().ok());
         let address = address.unwrap_or_else(|| {
             let _ = child.kill();
             panic!("not started: {line}")
         });
-        Gateway { child, path, config, address, log }
+        Gateway {
+            child,
+            path,
+            config,
+            address,
+            log,
+        }
     }
 
     /// Before these engines, with a configuration changed by `change` and own settings as JSON.
@@ -510,7 +618,9 @@
         self.signal("STOP");
         until("the stop", || {
             let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
-            stat.rsplit(") ").next().is_some_and(|rest| rest.starts_with('T'))
+            stat.rsplit(") ")
+                .next()
+                .is_some_and(|rest| rest.starts_with('T'))
         });
         let result = meanwhile();
         self.signal("CONT");
@@ -518,7 +628,12 @@
     }
 
     /// The same with a file of this ending.
-    pub fn owned_by(rows: &[String], change: impl Fn(String) -> String, ending: &str, own: &str) -> Gateway {
+    pub fn owned_by(
+        rows: &[String],
+        change: impl Fn(String) -> String,
+        ending: &str,
+        own: &str,
+    ) -> Gateway {
         let config = change(configuration("127.0.0.1:0", rows, None, 1024));
         Gateway::spawned(config, Some((ending, own)))
     }
@@ -534,7 +649,13 @@
 
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
-        assert!(Command::new("kill").args([&format!("-{name}"), &pid]).status().unwrap().success());
+        assert!(
+            Command::new("kill")
+                .args([&format!("-{name}"), &pid])
+                .status()
+                .unwrap()
+                .success()
+        );
     }
 
     /// Replaces the file of its configuration.
@@ -565,7 +686,12 @@
 }
 
 /// The configuration of a gateway before the engines of these rows.
-pub fn configuration(listen: &str, rows: &[String], journal: Option<&Journal>, sockets: usize) -> String {
+pub fn configuration(
+    listen: &str,
+    rows: &[String],
+    journal: Option<&Journal>,
+    sockets: usize,
+) -> String {
     let journal = journal.map_or(String::new(), |j| j.address.to_string());
     let entry = event(1, true, rows);
     format!(
@@ -577,7 +703,10 @@
 /// The command `ivypitch` that was built beside this test or is this program.
 pub fn program() -> PathBuf {
     let this = std::env::current_exe().unwrap();
-    let beside = this.parent().and_then(Path::parent).map(|folder| folder.join("ivypitch"));
+    let beside = this
+        .parent()
+        .and_then(Path::parent)
+        .map(|folder| folder.join("ivypitch"));
     beside.filter(|program| program.is_file()).unwrap_or(this)
 }
 
@@ -594,7 +723,11 @@
 /// Own settings by the ending of their file and its text.
 fn spawn_own(config: &str, own: Option<(&str, &str)>) -> (Child, Seen<String>, PathBuf) {
     static NUMBER: AtomicUsize = AtomicUsize::new(0);
-    let name = format!("gateway-{}-{}.json", std::process::id(), NUMBER.fetch_add(1, Ordering::SeqCst));
+    let name = format!(
+        "gateway-{}-{}.json",
+        std::process::id(),
+        NUMBER.fetch_add(1, Ordering::SeqCst)
+    );
     let path = std::env::temp_dir().join(name);
     std::fs::write(&path, config).unwrap();
     let mut command = Command::new(program());
@@ -606,8 +739,11 @@
     }
     let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
     let log = Seen::new();
-    let (lines, seen, file) =
-        (BufReader::new(child.stderr.take().unwrap()).lines(), log.clone(), path.clone());
+    let (lines, seen, file) = (
+        BufReader::new(child.stderr.take().unwrap()).lines(),
+        log.clone(),
+        path.clone(),
+    );
     thread::spawn(move || {
         lines.map_while(Result::ok).for_each(|line| seen.push(line));
         let _ = std::fs::remove_file(file);
@@ -625,7 +761,11 @@
 
 impl Answer {
     pub fn code(&self) -> u16 {
-        if let Answer::Error(code, _) = self { *code } else { 0 }
+        if let Answer::Error(code, _) = self {
+            *code
+        } else {
+            0
+        }
     }
 }
 
@@ -636,8 +776,14 @@
 
 pub fn login(user: &str) -> Vec<u8> {
     let flags: u32 = 1 << 3 | 1 << 9 | 1 << 15 | 1 << 19;
-    let mut payload =
-        [&flags.to_le_bytes()[..], &[0, 0, 0, 1, 45], &[0; 23], user.as_bytes(), &[0, 0]].concat();
+    let mut payload = [
+        &flags.to_le_bytes()[..],
+        &[0, 0, 0, 1, 45],
+        &[0; 23],
+        user.as_bytes(),
+        &[0, 0],
+    ]
+    .concat();
     payload.extend(b"dw\0mysql_native_password\0");
     packet(1, &payload)
 }
@@ -680,7 +826,10 @@
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
         // Else the system holds small writes back, behind what was not acknowledged yet.
         stream.set_nodelay(true).unwrap();
-        Client { stream, connection: 0 }
+        Client {
+            stream,
+            connection: 0,
+        }
     }
 
     /// Reads the greeting and the answer to the login.
@@ -692,7 +841,8 @@
     pub fn greeting(&mut self) {
         let greeting = self.packet().expect("a greeting").1;
         let version = greeting.iter().position(|&b| b == 0).unwrap();
-        self.connection = u32::from_le_bytes(greeting[version + 1..version + 5].try_into().unwrap());
+        self.connection =
+            u32::from_le_bytes(greeting[version + 1..version + 5].try_into().unwrap());
     }
 
     pub fn send(&mut self, bytes: &[u8]) {
@@ -709,9 +859,14 @@
         let stream = TcpStream::connect(address).ok()?;
         stream.set_read_timeout(Some(PATIENCE)).ok()?;
         stream.set_nodelay(true).ok()?;
-        let mut client = Client { stream, connection: 0 };
+        let mut client = Client {
+            stream,
+            connection: 0,
+        };
         client.stream.write_all(&login("app")).ok()?;
-        client.packet().filter(|(_, payload)| payload.first() == Some(&10))?;
+        client
+            .packet()
+            .filter(|(_, payload)| payload.first() == Some(&10))?;
         (client.answer(2).code() == 0).then_some(client)
     }
 
@@ -738,7 +893,9 @@
     pub fn answer(&mut self, mut sequence: u8) -> Answer {
         let (mut rows, mut ends) = (Vec::new(), 0);
         loop {
-            let Some((number, payload)) = self.packet() else { return Answer::Closed };
+            let Some((number, payload)) = self.packet() else {
+                return Answer::Closed;
+            };
             assert_eq!(number, sequence, "sequence number");
             sequence = sequence.wrapping_add(1);
             match payload[0] {
@@ -764,7 +921,10 @@
     let mut columns = Vec::new();
     while let Some((&first, rest)) = row.split_first() {
         let (length, rest) = match first {
-            0xfc => (usize::from(u16::from_le_bytes([rest[0], rest[1]])), &rest[2..]),
+            0xfc => (
+                usize::from(u16::from_le_bytes([rest[0], rest[1]])),
+                &rest[2..],
+            ),
             short => (usize::from(short), rest),
         };
         columns.push(String::from_utf8(rest[..length].to_vec()).unwrap());
--- a/crates/ivypitch-lab/src/virtual_time/cost.rs
+++ b/crates/ivypitch-lab/src/virtual_time/cost.rs
@@ -31,6 +31,10 @@
 
 pub fn resident() -> f64 {
     let told = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
-    let pages: f64 = told.split_whitespace().nth(1).and_then(|n| n.parse().ok()).unwrap_or(0.0);
+    let pages: f64 = told
+        .split_whitespace()
+        .nth(1)
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(0.0);
     pages * rustix::param::page_size() as f64
 }
