--- a/crates/ivypitch-lab/src/virtual_time/custody_fleet.rs
+++ b/crates/ivypitch-lab/src/virtual_time/custody_fleet.rs
@@ -309,7 +309,11 @@
     let mut queue: Vec<(Nanos, Event)> = Vec::new();
     while at < first + fleet.span * MS {
         let load = rng.random_bool(fleet.loads);
-        let work = if load { rng.random_range(100..2500) } else { rng.random_range(5..800) } * MS;
+        let work = if load {
+            rng.random_range(100..2500)
+        } else {
+            rng.random_range(5..800)
+        } * MS;
         let left = rng.random_range(4000..6000);
         let facts = Facts {
             digest: rng.random(),
@@ -334,7 +338,11 @@
         });
         at += rng.random_range(1..=2 * fleet.gap * MS);
     }
-    let by_id = stmts.iter().enumerate().map(|(stmt, s)| (s.id, stmt)).collect();
+    let by_id = stmts
+        .iter()
+        .enumerate()
+        .map(|(stmt, s)| (s.id, stmt))
+        .collect();
     let trace = std::env::var_os("IVYPITCH_LAB_TRACE").is_some();
     let mut sim = Sim {
         fleet,
@@ -412,10 +420,14 @@
     fn new_node(&mut self, g: usize) -> Node {
         self.births += 1;
         let birth = self.births;
-        let zones = (0..self.fleet.gateways).map(|g| (g % self.fleet.zones) as u16).collect();
+        let zones = (0..self.fleet.gateways)
+            .map(|g| (g % self.fleet.zones) as u16)
+            .collect();
         let began = self.now;
-        let custody =
-            self.fleet.custody.then(|| Custody::new(g as u16, birth, zones, terms(self.fleet), began));
+        let custody = self
+            .fleet
+            .custody
+            .then(|| Custody::new(g as u16, birth, zones, terms(self.fleet), began));
         Node {
             custody,
             birth,
@@ -460,12 +472,20 @@
             return self.nodes[g].held.push(event);
         }
         match event {
-            Event::Deliver { to, birth, from, from_birth, message } => {
+            Event::Deliver {
+                to,
+                birth,
+                from,
+                from_birth,
+                message,
+            } => {
                 let alive = self.nodes[to].birth == birth && self.nodes[from].birth == from_birth;
                 // A link that broke meanwhile brings nothing more.
                 if alive && !self.is_cut(from, to) {
                     self.trace(|| format!("{from} -> {to}: {message:?}"));
-                    self.with(to, |custody, now, out| custody.heard(now, from as u16, message, out));
+                    self.with(to, |custody, now, out| {
+                        custody.heard(now, from as u16, message, out)
+                    });
                 }
             }
             Event::Wake { at, birth } => {
@@ -476,11 +496,31 @@
             }
             Event::Look { by, at } => self.look(by, at),
             Event::Come { stmt } => self.come(stmt),
-            Event::Send { by, birth, id, number } => self.send(by, birth, id, number),
-            Event::Poll { by, birth, id, serial } => self.poll(by, birth, id, serial),
-            Event::Deadline { by, birth, id, serial } => {
+            Event::Send {
+                by,
+                birth,
+                id,
+                number,
+            } => self.send(by, birth, id, number),
+            Event::Poll {
+                by,
+                birth,
+                id,
+                serial,
+            } => self.poll(by, birth, id, serial),
+            Event::Deadline {
+                by,
+                birth,
+                id,
+                serial,
+            } => {
                 let same = self.nodes[by].birth == birth;
-                if same && self.nodes[by].own.get(&id).is_some_and(|own| own.serial == serial) {
+                if same
+                    && self.nodes[by]
+                        .own
+                        .get(&id)
+                        .is_some_and(|own| own.serial == serial)
+                {
                     self.give_up(by, id);
                 }
             }
@@ -513,7 +553,9 @@
     fn with(&mut self, g: usize, call: impl FnOnce(&mut Custody, Nanos, &mut dyn Output)) {
         let now = self.now;
         let mut acts = Acts::default();
-        let Some(custody) = self.nodes[g].custody.as_mut() else { return };
+        let Some(custody) = self.nodes[g].custody.as_mut() else {
+            return;
+        };
         call(custody, now, &mut acts);
         self.carry_out(g, acts);
     }
@@ -541,7 +583,10 @@
             }
         }
         let birth = self.nodes[g].birth;
-        let next = self.nodes[g].custody.as_ref().map_or(Nanos::MAX, Custody::next_wake);
+        let next = self.nodes[g]
+            .custody
+            .as_ref()
+            .map_or(Nanos::MAX, Custody::next_wake);
         if next < self.nodes[g].wake {
             let at = next.max(self.now + 1);
             self.nodes[g].wake = at;
@@ -550,14 +595,18 @@
     }
 
     fn is_cut(&self, a: usize, b: usize) -> bool {
-        self.cuts.get(&(a, b)).is_some_and(|&n| n > 0) || self.broken.get(&(a, b)).is_some_and(|&n| n > 0)
+        self.cuts.get(&(a, b)).is_some_and(|&n| n > 0)
+            || self.broken.get(&(a, b)).is_some_and(|&n| n > 0)
     }
 
     fn tell(&mut self, from: usize, to: usize, message: Message) {
         self.messages += 1;
         if self.fleet.measure {
             self.bytes += peers::write(&peers::Frame::Body(message.clone())).len() as u64;
-            let held = self.nodes[from].custody.as_ref().map_or(0, |custody| custody.sizes().1);
+            let held = self.nodes[from]
+                .custody
+                .as_ref()
+                .map_or(0, |custody| custody.sizes().1);
             self.most_entries = self.most_entries.max(held);
         }
         if self.is_cut(from, to) || !self.is_up(to) {
@@ -569,7 +618,16 @@
         at = at.max(*last + 1);
         *last = at;
         let (birth, from_birth) = (self.nodes[to].birth, self.nodes[from].birth);
-        self.at(at, Event::Deliver { to, birth, from, from_birth, message });
+        self.at(
+            at,
+            Event::Deliver {
+                to,
+                birth,
+                from,
+                from_birth,
+                message,
+            },
+        );
     }
 
     // ---- members ----
@@ -587,7 +645,9 @@
         self.nodes[by].view[at] = truth;
         let place = at as u16;
         if let Some(birth) = held {
-            self.with(by, |custody, now, out| custody.member_down(now, place, birth, out));
+            self.with(by, |custody, now, out| {
+                custody.member_down(now, place, birth, out)
+            });
         }
         if let Some(birth) = truth {
             self.with(by, |custody, now, _| custody.member_up(now, place, birth));
@@ -632,7 +692,9 @@
                     let now = self.now;
                     let mut acts = Acts::default();
                     let custody = self.nodes[gateway].custody.as_mut();
-                    let handed = custody.map(|custody| custody.hand_over(now, &mut acts)).unwrap_or_default();
+                    let handed = custody
+                        .map(|custody| custody.hand_over(now, &mut acts))
+                        .unwrap_or_default();
                     for id in handed {
                         self.nodes[gateway].own.remove(&id);
                     }
@@ -697,7 +759,10 @@
             _ => false,
         };
         let all = 0..self.fleet.gateways;
-        all.clone().flat_map(|a| all.clone().map(move |b| (a, b))).filter(|&(a, b)| apart(a, b)).collect()
+        all.clone()
+            .flat_map(|a| all.clone().map(move |b| (a, b)))
+            .filter(|&(a, b)| apart(a, b))
+            .collect()
     }
 
     fn heal(&mut self, i: usize) {
@@ -733,14 +798,27 @@
     }
 
     fn clients_of(&self, gateway: usize) -> Vec<(usize, u64)> {
-        let at = |s: &Statement| s.at.filter(|&(g, ..)| g == gateway).map(|(_, _, token)| token);
-        self.stmts.iter().enumerate().filter_map(|(i, s)| Some((i, at(s)?))).collect()
+        let at = |s: &Statement| {
+            s.at.filter(|&(g, ..)| g == gateway)
+                .map(|(_, _, token)| token)
+        };
+        self.stmts
+            .iter()
+            .enumerate()
+            .filter_map(|(i, s)| Some((i, at(s)?)))
+            .collect()
     }
 
     fn die(&mut self, gateway: usize) {
         let node = &mut self.nodes[gateway];
-        self.totals.extend(node.custody.as_ref().map(Custody::totals));
-        let out: Vec<Id> = node.own.iter().filter(|(_, own)| own.out).map(|(&id, _)| id).collect();
+        self.totals
+            .extend(node.custody.as_ref().map(Custody::totals));
+        let out: Vec<Id> = node
+            .own
+            .iter()
+            .filter(|(_, own)| own.out)
+            .map(|(&id, _)| id)
+            .collect();
         node.custody = None;
         node.birth = 0;
         node.own.clear();
@@ -801,7 +879,10 @@
         let token = self.next_token;
         self.tokens.insert(token, stmt);
         let id = self.id_of(stmt);
-        let facts = Facts { left_ms: (left / MS) as u32, ..self.stmts[stmt].facts.clone() };
+        let facts = Facts {
+            left_ms: (left / MS) as u32,
+            ..self.stmts[stmt].facts.clone()
+        };
         self.stmts[stmt].at = Some((g, self.nodes[g].birth, token));
         // A gateway that is stopped takes nothing; the client has patience for a while.
         let patience = left.min(self.between(5000, 7000));
@@ -837,7 +918,9 @@
     }
 
     fn tell_client(&mut self, g: usize, token: u64, told: Told) {
-        let Some(&stmt) = self.tokens.get(&token) else { return };
+        let Some(&stmt) = self.tokens.get(&token) else {
+            return;
+        };
         let here = self.stmts[stmt].at == Some((g, self.nodes[g].birth, token));
         if !here || self.stmts[stmt].over {
             return;
@@ -884,24 +967,46 @@
             None => self.attempt(g, id),
             Some(engine) => {
                 let birth = self.nodes[g].birth;
-                let Some(own) = self.nodes[g].own.get_mut(&id) else { return };
+                let Some(own) = self.nodes[g].own.get_mut(&id) else {
+                    return;
+                };
                 own.engine = engine as usize;
                 own.out = true;
                 own.may_have_run = true;
                 own.numbers = 1;
                 let (serial, deadline) = (own.serial, own.deadline);
-                self.at(deadline, Event::Deadline { by: g, birth, id, serial });
-                self.after(MS / 2, Event::Poll { by: g, birth, id, serial });
+                self.at(
+                    deadline,
+                    Event::Deadline {
+                        by: g,
+                        birth,
+                        id,
+                        serial,
+                    },
+                );
+                self.after(
+                    MS / 2,
+                    Event::Poll {
+                        by: g,
+                        birth,
+                        id,
+                        serial,
+                    },
+                );
             }
         }
     }
 
     /// The next execution, as the module would.
     fn attempt(&mut self, g: usize, id: Id) {
-        let engines: Vec<usize> = (0..self.engines.len()).filter(|&e| !self.engines[e].drains).collect();
+        let engines: Vec<usize> = (0..self.engines.len())
+            .filter(|&e| !self.engines[e].drains)
+            .collect();
         let now = self.now;
         let birth = self.nodes[g].birth;
-        let Some(own) = self.nodes[g].own.get_mut(&id) else { return };
+        let Some(own) = self.nodes[g].own.get_mut(&id) else {
+            return;
+        };
         if engines.is_empty() || own.tries > 3 || now >= own.deadline {
             return self.give_up(g, id);
         }
@@ -913,7 +1018,15 @@
         let first = number == 0;
         let (serial, deadline) = (own.serial, own.deadline);
         if first {
-            self.at(deadline, Event::Deadline { by: g, birth, id, serial });
+            self.at(
+                deadline,
+                Event::Deadline {
+                    by: g,
+                    birth,
+                    id,
+                    serial,
+                },
+            );
         }
         let mut acts = Acts::default();
         let granted = self.fleet.grants;
@@ -932,7 +1045,15 @@
     /// Decided; the process may be stopped before it is written.
     fn go(&mut self, g: usize, id: Id, number: u32) {
         let birth = self.nodes[g].birth;
-        self.after(MS / 10, Event::Send { by: g, birth, id, number });
+        self.after(
+            MS / 10,
+            Event::Send {
+                by: g,
+                birth,
+                id,
+                number,
+            },
+        );
     }
 
     fn send(&mut self, g: usize, birth: u64, id: Id, number: u32) {
@@ -941,7 +1062,11 @@
             return;
         }
         let stmt = self.by_id[&id];
-        let Some(own) = self.nodes[g].own.get_mut(&id).filter(|own| own.numbers == number + 1) else {
+        let Some(own) = self.nodes[g]
+            .own
+            .get_mut(&id)
+            .filter(|own| own.numbers == number + 1)
+        else {
             return;
         };
         if now >= own.deadline {
@@ -953,23 +1078,46 @@
         self.stmts[stmt].starts += 1;
         self.trace(|| format!("{g} starts {id:x} at engine {engine}"));
         let ends_at = now + self.stmts[stmt].work;
-        self.engines[engine].queries.insert(id, Query { ends_at, asked_at: now, by: (g, birth) });
-        self.after(POLL, Event::Poll { by: g, birth, id, serial });
+        self.engines[engine].queries.insert(
+            id,
+            Query {
+                ends_at,
+                asked_at: now,
+                by: (g, birth),
+            },
+        );
+        self.after(
+            POLL,
+            Event::Poll {
+                by: g,
+                birth,
+                id,
+                serial,
+            },
+        );
     }
 
     fn poll(&mut self, g: usize, birth: u64, id: Id, serial: u64) {
         let now = self.now;
         let same = self.nodes[g].birth == birth;
-        let Some(own) = self.nodes[g].own.get(&id).filter(|own| same && own.out && own.serial == serial)
+        let Some(own) = self.nodes[g]
+            .own
+            .get(&id)
+            .filter(|own| same && own.out && own.serial == serial)
         else {
             return;
         };
         let engine = own.engine;
-        let known = self.engines[engine].queries.get_mut(&id).filter(|q| now <= q.asked_at + UNASKED);
+        let known = self.engines[engine]
+            .queries
+            .get_mut(&id)
+            .filter(|q| now <= q.asked_at + UNASKED);
         let Some(query) = known else {
             // The engine knows nothing of it.
             self.engines[engine].queries.remove(&id);
-            let Some(own) = self.nodes[g].own.get_mut(&id) else { return };
+            let Some(own) = self.nodes[g].own.get_mut(&id) else {
+                return;
+            };
             own.out = false;
             if own.facts.idempotent {
                 return self.attempt(g, id);
@@ -986,11 +1134,21 @@
         if now >= query.ends_at {
             return self.answer_own(g, id, Told::Rows);
         }
-        self.after(POLL, Event::Poll { by: g, birth, id, serial });
+        self.after(
+            POLL,
+            Event::Poll {
+                by: g,
+                birth,
+                id,
+                serial,
+            },
+        );
     }
 
     fn give_up(&mut self, g: usize, id: Id) {
-        let Some(own) = self.nodes[g].own.get(&id) else { return };
+        let Some(own) = self.nodes[g].own.get(&id) else {
+            return;
+        };
         let clean = own.facts.idempotent || !own.may_have_run;
         let told = if clean { Told::Rejected } else { Told::Aborted };
         self.answer_own(g, id, told);
@@ -998,7 +1156,9 @@
 
     fn answer_own(&mut self, g: usize, id: Id, told: Told) {
         let now = self.now;
-        let Some(own) = self.nodes[g].own.remove(&id) else { return };
+        let Some(own) = self.nodes[g].own.remove(&id) else {
+            return;
+        };
         let word = match told {
             Told::Rows => Word::Rows(vec![serde_bytes::ByteBuf::from(b"a\tb\tc\n".to_vec())]),
             Told::Completed => Word::Completed,
@@ -1006,7 +1166,9 @@
             Told::Aborted => Word::Aborted,
         };
         let mut later = None;
-        self.with(g, |custody, _, out| later = custody.answered(now, id, word, out));
+        self.with(g, |custody, _, out| {
+            later = custody.answered(now, id, word, out)
+        });
         if let Some(token) = own.token.filter(|_| later.is_none()) {
             self.tell_client(g, token, told);
         }
@@ -1023,7 +1185,11 @@
             faults: self.plan.faults.len() as u64,
             ..Verdict::default()
         };
-        self.totals.extend(self.nodes.iter().filter_map(|n| n.custody.as_ref().map(Custody::totals)));
+        self.totals.extend(
+            self.nodes
+                .iter()
+                .filter_map(|n| n.custody.as_ref().map(Custody::totals)),
+        );
         verdict.watched = self.totals.iter().map(|t| t.watched).sum();
         for stmt in &self.stmts {
             let id = stmt.id;
--- a/crates/ivypitch-lab/src/virtual_time/engine.rs
+++ b/crates/ivypitch-lab/src/virtual_time/engine.rs
@@ -33,7 +33,14 @@
 
 impl Default for Model {
     fn default() -> Self {
-        Model { cores: 8.0, places: 200, bad_plans: 0.0, errors: 0.0, cold_from: 0.4, warm_up: 10 * SECOND }
+        Model {
+            cores: 8.0,
+            places: 200,
+            bad_plans: 0.0,
+            errors: 0.0,
+            cold_from: 0.4,
+            warm_up: 10 * SECOND,
+        }
     }
 }
 
@@ -114,7 +121,11 @@
         self.started = now;
         self.warm.clear();
         let lost: Vec<u64> = self.running.iter().map(|r| r.query.id).collect();
-        self.wasted += self.running.iter().map(|r| r.true_work - r.left).sum::<f64>();
+        self.wasted += self
+            .running
+            .iter()
+            .map(|r| r.true_work - r.left)
+            .sum::<f64>();
         self.running.clear();
         lost
     }
@@ -132,10 +143,20 @@
             self.warm.pop_front();
         }
         let bad = self.rng.random_bool(self.model.bad_plans);
-        let times = if bad { self.rng.random_range(BAD_PLAN) } else { 1.0 };
+        let times = if bad {
+            self.rng.random_range(BAD_PLAN)
+        } else {
+            1.0
+        };
         let true_work = query.work * times * if warm { 1.0 - WARM_GAIN } else { 1.0 };
         let fails = self.rng.random_bool(self.model.errors);
-        self.running.push(Running { query, left: true_work, true_work, rate: 0.0, fails });
+        self.running.push(Running {
+            query,
+            left: true_work,
+            true_work,
+            rate: 0.0,
+            fails,
+        });
         self.share_out();
         true
     }
@@ -186,7 +207,11 @@
 
     /// When the next query ends, as things stand.
     pub fn next_end(&self) -> Option<Nanos> {
-        let soonest = self.running.iter().filter(|r| r.rate > 0.0).map(|r| r.left / r.rate);
+        let soonest = self
+            .running
+            .iter()
+            .filter(|r| r.rate > 0.0)
+            .map(|r| r.left / r.rate);
         let soonest = soonest.min_by(f64::total_cmp)?;
         Some(self.at.max(self.stalled_until) + (soonest.max(0.0) * 1e9) as Nanos + 1)
     }
--- a/crates/ivypitch-lab/src/virtual_time/faults.rs
+++ b/crates/ivypitch-lab/src/virtual_time/faults.rs
@@ -23,7 +23,12 @@
     /// Nothing from one to the other arrives; back it does.
     Mute { from: usize, to: usize, span: u64 },
     /// All from one to the other comes so much later.
-    Late { from: usize, to: usize, by: u64, span: u64 },
+    Late {
+        from: usize,
+        to: usize,
+        by: u64,
+        span: u64,
+    },
     /// All links between the two break once.
     Reset { from: usize, to: usize },
     /// The engine's process dies and begins anew.
@@ -65,10 +70,14 @@
             What::CutZone { zone, span } => write!(f, "cut-zone zone={zone} span={span}"),
             What::CutOff { gateway, span } => write!(f, "cut-off gateway={gateway} span={span}"),
             What::Mute { from, to, span } => write!(f, "mute from={from} to={to} span={span}"),
-            What::Late { from, to, by, span } => write!(f, "late from={from} to={to} by={by} span={span}"),
+            What::Late { from, to, by, span } => {
+                write!(f, "late from={from} to={to} by={by} span={span}")
+            }
             What::Reset { from, to } => write!(f, "reset from={from} to={to}"),
             What::EngineDies { engine } => write!(f, "engine-dies engine={engine}"),
-            What::EngineDrains { engine, span } => write!(f, "engine-drains engine={engine} span={span}"),
+            What::EngineDrains { engine, span } => {
+                write!(f, "engine-drains engine={engine} span={span}")
+            }
         }
     }
 }
@@ -79,32 +88,68 @@
     fn from_str(line: &str) -> Result<Fault, String> {
         let words: Vec<&str> = line.split_whitespace().collect();
         let number = |name: &str| {
-            let value = words.iter().find_map(|w| w.strip_prefix(name)?.strip_prefix('='));
+            let value = words
+                .iter()
+                .find_map(|w| w.strip_prefix(name)?.strip_prefix('='));
             value
                 .and_then(|v| v.parse::<u64>().ok())
                 .ok_or_else(|| format!("{line:?}: {name}=NUMBER is missing"))
         };
         let index = |name: &str| number(name).map(|n| n as usize);
-        let kind = words.iter().find(|w| !w.contains('=')).copied().unwrap_or_default();
+        let kind = words
+            .iter()
+            .find(|w| !w.contains('='))
+            .copied()
+            .unwrap_or_default();
         let what = match kind {
-            "kill" => What::Kill { gateway: index("gateway")?, back: number("back")? },
-            "stop" => What::Stop { gateway: index("gateway")?, span: number("span")? },
-            "end" => What::End { gateway: index("gateway")?, back: number("back")? },
-            "cut-zone" => What::CutZone { zone: index("zone")?, span: number("span")? },
-            "cut-off" => What::CutOff { gateway: index("gateway")?, span: number("span")? },
-            "mute" => What::Mute { from: index("from")?, to: index("to")?, span: number("span")? },
+            "kill" => What::Kill {
+                gateway: index("gateway")?,
+                back: number("back")?,
+            },
+            "stop" => What::Stop {
+                gateway: index("gateway")?,
+                span: number("span")?,
+            },
+            "end" => What::End {
+                gateway: index("gateway")?,
+                back: number("back")?,
+            },
+            "cut-zone" => What::CutZone {
+                zone: index("zone")?,
+                span: number("span")?,
+            },
+            "cut-off" => What::CutOff {
+                gateway: index("gateway")?,
+                span: number("span")?,
+            },
+            "mute" => What::Mute {
+                from: index("from")?,
+                to: index("to")?,
+                span: number("span")?,
+            },
             "late" => What::Late {
                 from: index("from")?,
                 to: index("to")?,
                 by: number("by")?,
                 span: number("span")?,
             },
-            "reset" => What::Reset { from: index("from")?, to: index("to")? },
-            "engine-dies" => What::EngineDies { engine: index("engine")? },
-            "engine-drains" => What::EngineDrains { engine: index("engine")?, span: number("span")? },
+            "reset" => What::Reset {
+                from: index("from")?,
+                to: index("to")?,
+            },
+            "engine-dies" => What::EngineDies {
+                engine: index("engine")?,
+            },
+            "engine-drains" => What::EngineDrains {
+                engine: index("engine")?,
+                span: number("span")?,
+            },
             other => return Err(format!("{line:?}: no fault is called {other:?}")),
         };
-        Ok(Fault { at: number("at")?, what })
+        Ok(Fault {
+            at: number("at")?,
+            what,
+        })
     }
 }
 
@@ -115,7 +160,9 @@
 
 impl fmt::Display for Plan {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        self.faults.iter().try_for_each(|fault| writeln!(f, "{fault}"))
+        self.faults
+            .iter()
+            .try_for_each(|fault| writeln!(f, "{fault}"))
     }
 }
 
@@ -124,8 +171,13 @@
 
     /// A fault a line; empty lines and what follows `#` are passed over.
     fn from_str(text: &str) -> Result<Plan, String> {
-        let lines = text.lines().map(|line| line.split('#').next().unwrap_or("").trim());
-        let faults = lines.filter(|line| !line.is_empty()).map(str::parse).collect::<Result<_, _>>()?;
+        let lines = text
+            .lines()
+            .map(|line| line.split('#').next().unwrap_or("").trim());
+        let faults = lines
+            .filter(|line| !line.is_empty())
+            .map(str::parse)
+            .collect::<Result<_, _>>()?;
         Ok(Plan { faults })
     }
 }
@@ -159,15 +211,38 @@
             let kinds = if field.losses_only { 4 } else { 12 };
             let what = match rng.random_range(0..kinds) {
                 0 | 1 => What::Kill { gateway, back },
-                2 => What::Stop { gateway, span: [700, 2500, 5000][rng.random_range(0..3usize)] },
+                2 => What::Stop {
+                    gateway,
+                    span: [700, 2500, 5000][rng.random_range(0..3usize)],
+                },
                 3 => What::End { gateway, back },
-                4 => What::CutZone { zone: rng.random_range(0..field.zones.max(1)), span },
+                4 => What::CutZone {
+                    zone: rng.random_range(0..field.zones.max(1)),
+                    span,
+                },
                 5 => What::CutOff { gateway, span },
-                6 | 7 => What::Mute { from: gateway, to: other, span },
-                8 | 9 => What::Late { from: gateway, to: other, by: rng.random_range(20..2000), span },
-                10 => What::Reset { from: gateway, to: other },
-                _ if rng.random_bool(0.5) => What::EngineDies { engine: rng.random_range(0..field.engines) },
-                _ => What::EngineDrains { engine: rng.random_range(0..field.engines), span },
+                6 | 7 => What::Mute {
+                    from: gateway,
+                    to: other,
+                    span,
+                },
+                8 | 9 => What::Late {
+                    from: gateway,
+                    to: other,
+                    by: rng.random_range(20..2000),
+                    span,
+                },
+                10 => What::Reset {
+                    from: gateway,
+                    to: other,
+                },
+                _ if rng.random_bool(0.5) => What::EngineDies {
+                    engine: rng.random_range(0..field.engines),
+                },
+                _ => What::EngineDrains {
+                    engine: rng.random_range(0..field.engines),
+                    span,
+                },
             };
             let until = match what {
                 What::Kill { back, .. } | What::End { back, .. } => at + back + 1000,
--- a/crates/ivypitch-lab/src/virtual_time/feed_fleet.rs
+++ b/crates/ivypitch-lab/src/virtual_time/feed_fleet.rs
@@ -72,7 +72,10 @@
 impl Reached {
     pub fn ms(&self, quantile: f64) -> u32 {
         let last = self.times.len().saturating_sub(1);
-        self.times.get((last as f64 * quantile).round() as usize).copied().unwrap_or(0)
+        self.times
+            .get((last as f64 * quantile).round() as usize)
+            .copied()
+            .unwrap_or(0)
     }
 }
 
@@ -187,7 +190,10 @@
         sim.at(begin + fleet.cut.1 * SECOND, What::Cut(false));
     }
     if fleet.zone_lost.1 > fleet.zone_lost.0 {
-        let (from, until) = (begin + fleet.zone_lost.0 * SECOND, begin + fleet.zone_lost.1 * SECOND);
+        let (from, until) = (
+            begin + fleet.zone_lost.0 * SECOND,
+            begin + fleet.zone_lost.1 * SECOND,
+        );
         (0..fleet.gateways)
             .filter(|g| g % fleet.zones == 1)
             .for_each(|at| sim.at(from, What::Down { at, until }));
@@ -206,7 +212,11 @@
         }
     }
     let last = sim.changes.len() as u64;
-    sim.reached.behind = sim.nodes.iter().filter(|node| node.feed.last() < last).count() as u64;
+    sim.reached.behind = sim
+        .nodes
+        .iter()
+        .filter(|node| node.feed.last() < last)
+        .count() as u64;
     sim.reached.changes = last;
     sim.reached.busiest_server_s = sim.sent.values().copied().max().unwrap_or(0);
     sim.reached.busiest_connects_s = sim.connects.values().copied().max().unwrap_or(0);
@@ -252,7 +262,14 @@
         arrives = arrives.max(node.last_arrival + 1);
         node.last_arrival = arrives;
         let connection = node.connection;
-        self.at(arrives, What::Line { to, connection, told });
+        self.at(
+            arrives,
+            What::Line {
+                to,
+                connection,
+                told,
+            },
+        );
     }
 
     /// A connection stands: what is behind the last event held comes at once.
@@ -292,7 +309,11 @@
                 self.tell_all(Told::Event(self.changes.len() as u64), bytes);
             }
             What::Last => self.tell_all(Told::Last(self.changes.len() as u64), LAST_BYTES),
-            What::Line { to, connection, told } => {
+            What::Line {
+                to,
+                connection,
+                told,
+            } => {
                 let apart = self.is_apart(to);
                 let node = &mut self.nodes[to];
                 if !node.up || node.connection != connection || apart {
@@ -338,7 +359,10 @@
                 }
             }
             What::Connect { at, process } => {
-                if !self.nodes[at].up || self.nodes[at].process != process || self.nodes[at].connected {
+                if !self.nodes[at].up
+                    || self.nodes[at].process != process
+                    || self.nodes[at].connected
+                {
                     return;
                 }
                 if self.is_apart(at) {
@@ -367,7 +391,13 @@
             What::RestartOne => {
                 let at = self.rng.random_range(0..self.nodes.len());
                 self.reached.restarts += 1;
-                self.at(now, What::Down { at, until: now + AWAY });
+                self.at(
+                    now,
+                    What::Down {
+                        at,
+                        until: now + AWAY,
+                    },
+                );
                 let next = now + (SECOND as f64 / self.fleet.restarts) as Nanos;
                 if next < last_restart {
                     self.at(next, What::RestartOne);
@@ -376,8 +406,12 @@
             What::Cut(is_cut) => {
                 self.is_cut = is_cut;
                 if !is_cut {
-                    let apart: Vec<usize> = (0..self.nodes.len()).filter(|&g| self.region(g) == 0).collect();
-                    apart.into_iter().for_each(|g| self.nodes[g].since = self.nodes[g].since.max(now));
+                    let apart: Vec<usize> = (0..self.nodes.len())
+                        .filter(|&g| self.region(g) == 0)
+                        .collect();
+                    apart
+                        .into_iter()
+                        .for_each(|g| self.nodes[g].since = self.nodes[g].since.max(now));
                 }
             }
         }
--- a/crates/ivypitch-lab/src/virtual_time/fleet.rs
+++ b/crates/ivypitch-lab/src/virtual_time/fleet.rs
@@ -38,15 +38,37 @@
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Arrive { stmt: usize },
-    AtEngine { execution: usize },
-    EngineEnds { engine: usize },
-    GiveUp { execution: usize },
-    Told { execution: usize, how: u8 },
-    TimedOut { execution: usize },
-    Wake { gateway: usize, mark: u64 },
-    TeamsWake { gateway: usize },
-    Over { gateway: usize, slot: usize, serial: u64 },
+    Arrive {
+        stmt: usize,
+    },
+    AtEngine {
+        execution: usize,
+    },
+    EngineEnds {
+        engine: usize,
+    },
+    GiveUp {
+        execution: usize,
+    },
+    Told {
+        execution: usize,
+        how: u8,
+    },
+    TimedOut {
+        execution: usize,
+    },
+    Wake {
+        gateway: usize,
+        mark: u64,
+    },
+    TeamsWake {
+        gateway: usize,
+    },
+    Over {
+        gateway: usize,
+        slot: usize,
+        serial: u64,
+    },
 }
 
 const HOW_GOOD: u8 = 0;
@@ -82,12 +104,29 @@
 }
 
 enum Act {
-    Send { slot: usize, engine: usize, timeout: Nanos },
-    Withdraw { slot: usize, execution: u32 },
-    Reject { slot: usize, come_back: Nanos },
-    Abort { slot: usize },
-    Forget { slot: usize },
-    Wake { mark: u64, after: Nanos },
+    Send {
+        slot: usize,
+        engine: usize,
+        timeout: Nanos,
+    },
+    Withdraw {
+        slot: usize,
+        execution: u32,
+    },
+    Reject {
+        slot: usize,
+        come_back: Nanos,
+    },
+    Abort {
+        slot: usize,
+    },
+    Forget {
+        slot: usize,
+    },
+    Wake {
+        mark: u64,
+        after: Nanos,
+    },
 }
 
 /// What a module asks for; emptied after each call.
@@ -99,17 +138,28 @@
 
 impl Output for Desk {
     fn send(&mut self, stmt: StmtIx, engine: EngineIx, timeout: Nanos) {
-        self.acts.push(Act::Send { slot: stmt.0, engine: engine.0, timeout });
+        self.acts.push(Act::Send {
+            slot: stmt.0,
+            engine: engine.0,
+            timeout,
+        });
     }
     fn withdraw(&mut self, stmt: StmtIx, execution: u32) {
-        self.acts.push(Act::Withdraw { slot: stmt.0, execution });
+        self.acts.push(Act::Withdraw {
+            slot: stmt.0,
+            execution,
+        });
     }
     fn set_terms(&mut self, stmt: StmtIx, _grant_mb: f64, priority: u8) {
-        self.priorities.resize(self.priorities.len().max(stmt.0 + 1), 1);
+        self.priorities
+            .resize(self.priorities.len().max(stmt.0 + 1), 1);
         self.priorities[stmt.0] = priority;
     }
     fn reject(&mut self, stmt: StmtIx, come_back: Nanos) {
-        self.acts.push(Act::Reject { slot: stmt.0, come_back });
+        self.acts.push(Act::Reject {
+            slot: stmt.0,
+            come_back,
+        });
     }
     fn abort(&mut self, stmt: StmtIx) {
         self.acts.push(Act::Abort { slot: stmt.0 });
@@ -201,14 +251,19 @@
     let rate = |core_s: &f64| {
         let parts: f64 = plan.works.iter().map(|w| w.part).sum();
         let mean: f64 = plan.works.iter().map(|w| w.work * w.part / parts).sum();
-        Customer { allowance_per_s: core_s / mean }
+        Customer {
+            allowance_per_s: core_s / mean,
+        }
     };
     Deployment {
         gateways: plan.gateways,
         me,
         tick: SECOND / 1000,
         workloads: plan.works.iter().map(workload).collect(),
-        kinds: vec![EngineKind { cores: plan.model.cores, memory_mb: 65536.0 }],
+        kinds: vec![EngineKind {
+            cores: plan.model.cores,
+            memory_mb: 65536.0,
+        }],
         customers: plan.allowances.iter().map(rate).collect(),
         over_share_importance: 0.1,
         most_held: usize::MAX,
@@ -226,7 +281,11 @@
         warm_up: plan.model.warm_up,
         overload_factor: 2.5,
         overload_window: 3 * SECOND,
-        execution_budget: Some(ExecutionBudget { window: 5 * SECOND, free: 5.0, per_statement: 0.2 }),
+        execution_budget: Some(ExecutionBudget {
+            window: 5 * SECOND,
+            free: 5.0,
+            per_statement: 0.2,
+        }),
         ..Deployment::default()
     }
 }
@@ -265,7 +324,11 @@
         for me in 0..fleet.plan.gateways {
             let seed = fleet.plan.seed.wrapping_mul(1_000).wrapping_add(me as u64);
             let module = Gateway::new(facts(&fleet.plan, me), seed, 0);
-            let teams = fleet.plan.budgets.clone().map(|budgets| Teams::new(budgets, seed, 0));
+            let teams = fleet
+                .plan
+                .budgets
+                .clone()
+                .map(|budgets| Teams::new(budgets, seed, 0));
             fleet.nodes.push(Node {
                 module,
                 teams,
@@ -277,9 +340,11 @@
                 woken_at: None,
             });
             let node = &mut fleet.nodes[me];
-            node.module.engines_listed(0, ListKind::Full, &rows, &mut node.desk);
+            node.module
+                .engines_listed(0, ListKind::Full, &rows, &mut node.desk);
             if let Some(teams) = &mut node.teams {
-                let cores = fleet.plan.engines as f64 * fleet.plan.model.cores / fleet.plan.gateways as f64;
+                let cores =
+                    fleet.plan.engines as f64 * fleet.plan.model.cores / fleet.plan.gateways as f64;
                 teams.capacity(0, cores, &mut node.teams_desk);
             }
             fleet.settle(me);
@@ -304,7 +369,8 @@
 
     fn at(&mut self, when: Nanos, event: Event) {
         self.order += 1;
-        self.events.push(Reverse((when.max(self.now), self.order, event)));
+        self.events
+            .push(Reverse((when.max(self.now), self.order, event)));
     }
 
     fn happen(&mut self, event: Event) {
@@ -351,9 +417,15 @@
                 }
                 self.settle(gateway);
             }
-            Event::Over { gateway, slot, serial } => {
+            Event::Over {
+                gateway,
+                slot,
+                serial,
+            } => {
                 let node = &mut self.nodes[gateway];
-                let same = node.slots[slot].as_ref().filter(|open| open.serial == serial && !open.answered);
+                let same = node.slots[slot]
+                    .as_ref()
+                    .filter(|open| open.serial == serial && !open.answered);
                 if let Some(stmt) = same.map(|open| open.stmt) {
                     self.clients[stmt].answers += 1;
                     self.expire(gateway, slot);
@@ -389,18 +461,33 @@
         let (team, workload) = (asked.team, asked.workload);
         if let Some(teams) = &mut node.teams {
             let told_work = (asked.told_work * 1e9) as Nanos;
-            let claim = Claim { team, workload, told_work, bytes: 200, deadline };
+            let claim = Claim {
+                team,
+                workload,
+                told_work,
+                bytes: 200,
+                deadline,
+            };
             teams.arrive(now, StmtIx(slot), claim, &mut node.teams_desk);
         } else {
             self.pass_on(gateway, slot, false);
         }
-        self.at(deadline + 5_000_000, Event::Over { gateway, slot, serial });
+        self.at(
+            deadline + 5_000_000,
+            Event::Over {
+                gateway,
+                slot,
+                serial,
+            },
+        );
         self.settle(gateway);
     }
 
     fn pass_on(&mut self, gateway: usize, slot: usize, within: bool) {
         let node = &mut self.nodes[gateway];
-        let Some(open) = &node.slots[slot] else { return };
+        let Some(open) = &node.slots[slot] else {
+            return;
+        };
         let asked = &self.plan.statements[open.stmt];
         let arrival = Arrival {
             workload: asked.workload,
@@ -413,7 +500,8 @@
             estimated_mb: 0.0,
             estimated_work: (asked.told_work * 1e9) as Nanos,
         };
-        node.module.arrive(self.now, StmtIx(slot), arrival, &mut node.desk);
+        node.module
+            .arrive(self.now, StmtIx(slot), arrival, &mut node.desk);
     }
 
     /// Does all that module and queues of a gateway ask for.
@@ -451,10 +539,21 @@
     fn act(&mut self, gateway: usize, act: Act) {
         let now = self.now;
         match act {
-            Act::Send { slot, engine, timeout } => {
-                let priority = self.nodes[gateway].desk.priorities.get(slot).copied().unwrap_or(1);
+            Act::Send {
+                slot,
+                engine,
+                timeout,
+            } => {
+                let priority = self.nodes[gateway]
+                    .desk
+                    .priorities
+                    .get(slot)
+                    .copied()
+                    .unwrap_or(1);
                 let execution = self.executions.len();
-                let Some(open) = &mut self.nodes[gateway].slots[slot] else { return };
+                let Some(open) = &mut self.nodes[gateway].slots[slot] else {
+                    return;
+                };
                 open.priority = priority;
                 open.out = Some(execution);
                 self.executions.push(Execution {
@@ -475,7 +574,9 @@
                 self.at(now + timeout, Event::TimedOut { execution });
             }
             Act::Withdraw { slot, execution } => {
-                let out = self.nodes[gateway].slots[slot].as_ref().and_then(|open| open.out);
+                let out = self.nodes[gateway].slots[slot]
+                    .as_ref()
+                    .and_then(|open| open.out);
                 if let Some(out) = out.filter(|&out| self.executions[out].number == execution) {
                     self.at(now + NETWORK, Event::GiveUp { execution: out });
                 }
@@ -507,7 +608,9 @@
 
     /// A final answer that is no result: `Some`: refused, and when to come back.
     fn answer(&mut self, gateway: usize, slot: usize, refused: Option<Nanos>) {
-        let Some(open) = &mut self.nodes[gateway].slots[slot] else { return };
+        let Some(open) = &mut self.nodes[gateway].slots[slot] else {
+            return;
+        };
         if std::mem::replace(&mut open.answered, true) {
             self.clients[open.stmt].answers += 2;
             return;
@@ -528,7 +631,10 @@
         if let Some(open) = &mut node.slots[slot] {
             open.answered = true;
         }
-        let left = node.teams.as_mut().is_some_and(|t| t.leave(self.now, StmtIx(slot), &mut node.teams_desk));
+        let left = node
+            .teams
+            .as_mut()
+            .is_some_and(|t| t.leave(self.now, StmtIx(slot), &mut node.teams_desk));
         if left {
             self.free(gateway, slot);
         } else {
@@ -606,12 +712,21 @@
             _ => Outcome::TimedOut,
         };
         let node = &mut self.nodes[gateway];
-        let Some(open) = node.slots[slot].as_mut().filter(|open| open.out == Some(execution)) else { return };
+        let Some(open) = node.slots[slot]
+            .as_mut()
+            .filter(|open| open.out == Some(execution))
+        else {
+            return;
+        };
         open.out = None;
         let threads = self.plan.works[self.plan.statements[open.stmt].workload].threads;
         if !outcome.never_ran() {
             let on_engine = (took as f64 * threads) as Nanos;
-            let real = if how == HOW_GOOD { (work * 1e9) as Nanos } else { on_engine };
+            let real = if how == HOW_GOOD {
+                (work * 1e9) as Nanos
+            } else {
+                on_engine
+            };
             open.real = Some(open.real.unwrap_or(0) + real);
         }
         if how == HOW_GOOD {
@@ -629,14 +744,24 @@
             took,
             closed: open.answered,
             true_cost: (how == HOW_GOOD).then_some((work * 1000.0, 0.0)),
-            report: if matches!(how, HOW_GOOD | HOW_ERROR) { &report } else { &[] },
+            report: if matches!(how, HOW_GOOD | HOW_ERROR) {
+                &report
+            } else {
+                &[]
+            },
         };
-        node.module.execution_ended(now, StmtIx(slot), &ended, &mut node.desk);
+        node.module
+            .execution_ended(now, StmtIx(slot), &ended, &mut node.desk);
         self.settle(gateway);
     }
 
     fn figures(self) -> Figures {
-        let mut teams: Vec<TeamFigures> = self.plan.teams.iter().map(|name| TeamFigures::new(name)).collect();
+        let mut teams: Vec<TeamFigures> = self
+            .plan
+            .teams
+            .iter()
+            .map(|name| TeamFigures::new(name))
+            .collect();
         let (mut doubled, mut unanswered, mut twice) = (0, 0, 0);
         for (client, asked) in self.clients.iter().zip(self.plan.statements) {
             let work = &self.plan.works[asked.workload];
@@ -650,7 +775,13 @@
             team.used = *used;
             (team.refused_waiting, team.refused_later) = *refused;
         }
-        let mut figures = Figures { teams, doubled, unanswered, twice, ..Figures::default() };
+        let mut figures = Figures {
+            teams,
+            doubled,
+            unanswered,
+            twice,
+            ..Figures::default()
+        };
         let errors = Histogram::new_with_bounds(1, 10_000, 2);
         let mut errors = errors.unwrap_or_else(|_| unreachable!());
         for node in &self.nodes {
--- a/crates/ivypitch-lab/src/virtual_time/members_fleet.rs
+++ b/crates/ivypitch-lab/src/virtual_time/members_fleet.rs
@@ -93,8 +93,15 @@
     fn start(&mut self, i: usize) {
         self.births[i] += 1;
         let seed = self.rng.random();
-        let members =
-            Members::new(self.roster(), i as u16, self.births[i], 1, self.fleet.terms, seed, self.now);
+        let members = Members::new(
+            self.roster(),
+            i as u16,
+            self.births[i],
+            1,
+            self.fleet.terms,
+            seed,
+            self.now,
+        );
         self.members[i] = Some(members);
         self.wakes[i] = Nanos::MAX;
         self.carry(i);
@@ -120,7 +127,9 @@
             let way = (self.rng.random_range(low..high) * MS as f64) as Nanos;
             self.push(self.now + way, to, Some((i, data)));
         }
-        let Some(next) = self.members[i].as_ref().map(Members::next_wake) else { return };
+        let Some(next) = self.members[i].as_ref().map(Members::next_wake) else {
+            return;
+        };
         if next < self.wakes[i] {
             self.wakes[i] = next.max(self.now + 1);
             self.push(self.wakes[i], i, None);
@@ -129,12 +138,18 @@
 
     /// Until then; each piece of news goes to `news`.
     fn run(&mut self, until: Nanos, news: &mut impl FnMut(&Sim, Nanos, usize, News)) {
-        while let Some(&Reverse((at, serial))) = self.queue.peek().filter(|Reverse((at, _))| *at <= until) {
+        while let Some(&Reverse((at, serial))) =
+            self.queue.peek().filter(|Reverse((at, _))| *at <= until)
+        {
             self.queue.pop();
-            let Some((to, datagram)) = self.events.remove(&serial) else { continue };
+            let Some((to, datagram)) = self.events.remove(&serial) else {
+                continue;
+            };
             self.now = at;
             let now = at;
-            let Some(members) = self.members[to].as_mut() else { continue };
+            let Some(members) = self.members[to].as_mut() else {
+                continue;
+            };
             match datagram {
                 Some((_, data)) => members.datagram(now, &data),
                 None if self.wakes[to] == at => {
@@ -174,7 +189,12 @@
         sim.start(i);
     }
     // Until all hear all, and the news of it have gone round.
-    let all = |sim: &Sim| sim.members.iter().flatten().all(|m| usize::from(m.hearing().all_heard()) == n);
+    let all = |sim: &Sim| {
+        sim.members
+            .iter()
+            .flatten()
+            .all(|m| usize::from(m.hearing().all_heard()) == n)
+    };
     let mut settled = Nanos::MAX;
     let mut by_second: BTreeMap<Nanos, u64> = BTreeMap::new();
     while sim.now < settled {
@@ -187,7 +207,8 @@
         sim.run(until, &mut |_, _, _, _| {});
         *by_second.entry(sim.now / (1000 * MS)).or_default() += sim.bytes - before;
     }
-    told.busiest_bytes_a_member_s = by_second.values().copied().max().unwrap_or(0) as f64 / n as f64;
+    told.busiest_bytes_a_member_s =
+        by_second.values().copied().max().unwrap_or(0) as f64 / n as f64;
     told.started_bytes_a_member = sim.bytes as f64 / n as f64;
     told.memory_a_member = (cost::resident() - held).max(0.0) / n as f64;
     (sim.sent, sim.bytes) = (0, 0);
@@ -199,10 +220,17 @@
     let mut times: Vec<u64> = Vec::new();
     let mut falsely: BTreeMap<usize, u64> = BTreeMap::new();
     let mut doubts = (0, 0);
-    let mut next_kill = if fleet.kill_each > 0 { begun + fleet.kill_each * MS } else { Nanos::MAX };
+    let mut next_kill = if fleet.kill_each > 0 {
+        begun + fleet.kill_each * MS
+    } else {
+        Nanos::MAX
+    };
     let (cut_from, cut_to) = match fleet.cut {
         0 => (Nanos::MAX, Nanos::MAX),
-        span => (begun + fleet.seconds * 500 * MS, begun + (fleet.seconds * 500 + span) * MS),
+        span => (
+            begun + fleet.seconds * 500 * MS,
+            begun + (fleet.seconds * 500 + span) * MS,
+        ),
     };
     while sim.now < end {
         let next_back = back.first().map_or(Nanos::MAX, |b| b.0);
@@ -213,7 +241,11 @@
             }
         }
         sim.run(until, &mut |sim, now, by, news| match news {
-            News::Down { place, birth, left: false } => {
+            News::Down {
+                place,
+                birth,
+                left: false,
+            } => {
                 let key = (usize::from(place), birth);
                 if let Some((at, heard)) = killed.get_mut(&key) {
                     times.push((now - *at) / MS);
@@ -247,15 +279,20 @@
         sim.is_cut = sim.now >= cut_from && sim.now < cut_to;
     }
     times.sort_unstable();
-    let at =
-        |q: f64| times.get(((times.len() as f64 * q) as usize).min(times.len().saturating_sub(1))).copied();
+    let at = |q: f64| {
+        times
+            .get(((times.len() as f64 * q) as usize).min(times.len().saturating_sub(1)))
+            .copied()
+    };
     told.kills = killed.len() as u64;
     told.p50_ms = at(0.5).unwrap_or(0);
     told.p99_ms = at(0.99).unwrap_or(0);
     told.most_ms = at(1.0).unwrap_or(0);
     // The last ones are not judged: the run may have ended before.
     let judged = killed.values().filter(|(at, _)| *at + 1500 * MS < end);
-    told.unheard = judged.map(|(_, heard)| (n as u64 - 2).saturating_sub(*heard)).sum();
+    told.unheard = judged
+        .map(|(_, heard)| (n as u64 - 2).saturating_sub(*heard))
+        .sum();
     told.false_lost = falsely.len() as u64;
     told.false_words = falsely.values().sum();
     let member_seconds = n as f64 * fleet.seconds as f64;
--- a/crates/ivypitch-lab/src/virtual_time/shares_fleet.rs
+++ b/crates/ivypitch-lab/src/virtual_time/shares_fleet.rs
@@ -108,16 +108,40 @@
 }
 
 enum Event {
-    Say { to: usize, birth: u64, from: usize, from_birth: u64, message: Message },
-    Gossip { to: usize, birth: u64, gossip: Gossip },
-    Wake { at: usize, birth: u64 },
-    Look { by: usize, at: usize },
+    Say {
+        to: usize,
+        birth: u64,
+        from: usize,
+        from_birth: u64,
+        message: Message,
+    },
+    Gossip {
+        to: usize,
+        birth: u64,
+        gossip: Gossip,
+    },
+    Wake {
+        at: usize,
+        birth: u64,
+    },
+    Look {
+        by: usize,
+        at: usize,
+    },
     Step,
     Fault(Fault),
     Heal(Fault),
     Restart(usize),
-    Send { by: usize, birth: u64 },
-    Over { by: usize, birth: u64, engine: usize, saw: Saw },
+    Send {
+        by: usize,
+        birth: u64,
+    },
+    Over {
+        by: usize,
+        birth: u64,
+        engine: usize,
+        saw: Saw,
+    },
 }
 
 #[derive(Default)]
@@ -275,7 +299,9 @@
         for at in (0..fleet.gateways).filter(|&at| at != by) {
             let (now, birth) = (sim.clock(by, first), sim.nodes[at].birth);
             sim.nodes[by].view[at] = Some(birth);
-            sim.nodes[by].shares.member_up(now, at as u16, birth, &mut Acts::default());
+            sim.nodes[by]
+                .shares
+                .member_up(now, at as u16, birth, &mut Acts::default());
         }
         let birth = sim.nodes[by].birth;
         sim.at(first + 1 + by as u64, Event::Wake { at: by, birth });
@@ -312,12 +338,21 @@
     fn new_node(&mut self, g: usize, began: Nanos) -> Node {
         self.births += 1;
         let birth = self.births;
-        let zones = (0..self.fleet.gateways).map(|g| (g % self.fleet.zones) as u16).collect();
-        let me = Process { place: g as u16, birth };
+        let zones = (0..self.fleet.gateways)
+            .map(|g| (g % self.fleet.zones) as u16)
+            .collect();
+        let me = Process {
+            place: g as u16,
+            birth,
+        };
         let mut shares = Shares::new(me, zones, terms(self.fleet.gateways), 1, 7, began);
         let listed: Vec<u64> = (0..self.fleet.engines).map(id).collect();
         shares.listed(&listed);
-        let rate = if self.fleet.clocks_apart { 0.995 + 0.01 * (g % 11) as f64 / 10.0 } else { 1.0 };
+        let rate = if self.fleet.clocks_apart {
+            0.995 + 0.01 * (g % 11) as f64 / 10.0
+        } else {
+            1.0
+        };
         Node {
             shares,
             birth,
@@ -343,7 +378,8 @@
     /// Who asks for how much: nine tenths of the bound in all.
     fn draw_demand(&mut self, moved: bool) {
         let n = self.fleet.gateways;
-        let heavy = |g: usize| self.fleet.uneven && (g + if moved { 5 } else { 0 }).is_multiple_of(10);
+        let heavy =
+            |g: usize| self.fleet.uneven && (g + if moved { 5 } else { 0 }).is_multiple_of(10);
         let weights: Vec<f64> = (0..n).map(|g| if heavy(g) { 10.0 } else { 1.0 }).collect();
         let all: f64 = weights.iter().sum();
         let units = f64::from(UNITS_EACH) * n as f64;
@@ -380,8 +416,11 @@
             }
         }
         if self.trace {
-            let parts: Vec<String> =
-                self.series.iter().map(|(asked, used)| format!("{:.2}", used / asked.max(1e-9))).collect();
+            let parts: Vec<String> = self
+                .series
+                .iter()
+                .map(|(asked, used)| format!("{:.2}", used / asked.max(1e-9)))
+                .collect();
             eprintln!("usable by quarter second: {}", parts.join(" "));
         }
         let seconds = span as f64 / SECOND as f64 * self.fleet.gateways as f64;
@@ -391,7 +430,8 @@
         verdict.link_bytes /= seconds;
         verdict.lost = self.sent_bad as f64 / verdict.sent.max(1) as f64;
         verdict.falsely_out = self.false_out / self.fleet.gateways as f64;
-        let after = |at: Option<Nanos>, from: Nanos| at.map_or(u64::MAX, |at| at.saturating_sub(from) / MS);
+        let after =
+            |at: Option<Nanos>, from: Nanos| at.map_or(u64::MAX, |at| at.saturating_sub(from) / MS);
         (verdict.out_ms, verdict.back_ms) = (after(self.out_at, fails), after(self.back_at, well));
         self.verdict
     }
@@ -412,10 +452,18 @@
             }
         }
         match event {
-            Event::Say { to, birth, from, from_birth, message } => {
+            Event::Say {
+                to,
+                birth,
+                from,
+                from_birth,
+                message,
+            } => {
                 let alive = self.nodes[to].birth == birth && self.nodes[from].birth == from_birth;
                 if alive && !self.is_cut(from, to) {
-                    self.with(to, |shares, now, out| shares.heard(now, from as u16, message, out));
+                    self.with(to, |shares, now, out| {
+                        shares.heard(now, from as u16, message, out)
+                    });
                 }
             }
             Event::Gossip { to, birth, gossip } => {
@@ -435,18 +483,31 @@
             Event::Heal(fault) => self.heal(fault),
             Event::Restart(g) => {
                 if !self.nodes[g].up {
-                    let (level, spends, sends) =
-                        (self.nodes[g].level, self.nodes[g].spends, self.nodes[g].sends);
+                    let (level, spends, sends) = (
+                        self.nodes[g].level,
+                        self.nodes[g].spends,
+                        self.nodes[g].sends,
+                    );
                     let node = self.new_node(g, self.now);
                     let birth = node.birth;
-                    self.nodes[g] = Node { level, spends, sends, ..node };
+                    self.nodes[g] = Node {
+                        level,
+                        spends,
+                        sends,
+                        ..node
+                    };
                     self.look_soon(&BTreeSet::from([g]), 20, 300);
                     self.at(self.now + 1, Event::Wake { at: g, birth });
                     self.at(self.now + 1, Event::Send { by: g, birth });
                 }
             }
             Event::Send { by, birth } => self.send(by, birth),
-            Event::Over { by, birth, engine, saw } => self.over(by, birth, engine, saw),
+            Event::Over {
+                by,
+                birth,
+                engine,
+                saw,
+            } => self.over(by, birth, engine, saw),
         }
     }
 
@@ -486,7 +547,8 @@
     }
 
     fn say(&mut self, from: usize, to: usize, message: Message) {
-        self.verdict.link_bytes += peers::write(&peers::Frame::Shares(message.clone())).len() as f64;
+        self.verdict.link_bytes +=
+            peers::write(&peers::Frame::Shares(message.clone())).len() as f64;
         if self.is_cut(from, to) || !self.nodes[to].up {
             return;
         }
@@ -496,7 +558,16 @@
         at = at.max(*last + 1);
         *last = at;
         let (birth, from_birth) = (self.nodes[to].birth, self.nodes[from].birth);
-        self.at(at, Event::Say { to, birth, from, from_birth, message });
+        self.at(
+            at,
+            Event::Say {
+                to,
+                birth,
+                from,
+                from_birth,
+                message,
+            },
+        );
     }
 
     fn tell(&mut self, from: usize, to: usize, gossip: Gossip) {
@@ -525,10 +596,14 @@
         }
         self.nodes[by].view[at] = truth;
         if let Some(birth) = held {
-            self.with(by, |shares, now, out| shares.member_down(now, at as u16, birth, out));
+            self.with(by, |shares, now, out| {
+                shares.member_down(now, at as u16, birth, out)
+            });
         }
         if let Some(birth) = truth {
-            self.with(by, |shares, now, out| shares.member_up(now, at as u16, birth, out));
+            self.with(by, |shares, now, out| {
+                shares.member_up(now, at as u16, birth, out)
+            });
         }
     }
 
@@ -561,7 +636,10 @@
             _ => false,
         };
         let n = self.fleet.gateways;
-        (0..n * n).map(|i| (i / n, i % n)).filter(|&(a, b)| apart(a, b)).collect()
+        (0..n * n)
+            .map(|i| (i / n, i % n))
+            .filter(|&(a, b)| apart(a, b))
+            .collect()
     }
 
     fn fault(&mut self, fault: Fault) {
@@ -672,12 +750,20 @@
                 self.in_window += spent;
             }
         }
-        while self.spent.front().is_some_and(|&(at, _)| at + WINDOW_SPAN <= self.now) {
+        while self
+            .spent
+            .front()
+            .is_some_and(|&(at, _)| at + WINDOW_SPAN <= self.now)
+        {
             self.in_window -= self.spent.pop_front().map_or(0, |(_, spent)| spent);
         }
         let verdict = &mut self.verdict;
-        verdict.most_held = verdict.most_held.max(f64::from(held_by_all) / f64::from(units));
-        verdict.most_spent = verdict.most_spent.max(f64::from(self.in_window) / f64::from(units));
+        verdict.most_held = verdict
+            .most_held
+            .max(f64::from(held_by_all) / f64::from(units));
+        verdict.most_spent = verdict
+            .most_spent
+            .max(f64::from(self.in_window) / f64::from(units));
         verdict.passed_level += u64::from(held_by_all > units);
         verdict.passed_window += u64::from(self.in_window > units);
         self.watch_engines(fails, well);
@@ -685,19 +771,28 @@
 
     fn leaves_out(&self, g: usize, engine: usize) -> bool {
         let node = &self.nodes[g];
-        let advised = node.advice.get(&id(engine)).is_some_and(|advice| advice.is_out);
+        let advised = node
+            .advice
+            .get(&id(engine))
+            .is_some_and(|advice| advice.is_out);
         node.failing.contains(&engine) || advised
     }
 
     fn watch_engines(&mut self, fails: Nanos, well: Nanos) {
-        let up: Vec<usize> =
-            (0..self.fleet.gateways).filter(|&g| self.nodes[g].up && !self.nodes[g].stopped).collect();
+        let up: Vec<usize> = (0..self.fleet.gateways)
+            .filter(|&g| self.nodes[g].up && !self.nodes[g].stopped)
+            .collect();
         let part = |engine: usize| {
-            up.iter().filter(|&&g| self.leaves_out(g, engine)).count() as f64 / up.len().max(1) as f64
+            up.iter().filter(|&&g| self.leaves_out(g, engine)).count() as f64
+                / up.len().max(1) as f64
         };
         let failing = 0..self.fleet.failing;
         // The one that sees it as good goes on; it is one.
-        let blind = if self.fleet.liars { 1.0 / up.len().max(1) as f64 } else { 0.0 };
+        let blind = if self.fleet.liars {
+            1.0 / up.len().max(1) as f64
+        } else {
+            0.0
+        };
         let all_out = failing.clone().all(|e| part(e) >= 0.99 - blind);
         let all_back = failing.clone().all(|e| part(e) <= 0.01 + blind);
         if self.out_at.is_none() && self.now >= fails && all_out {
@@ -710,13 +805,18 @@
         for engine in self.fleet.failing..self.fleet.engines {
             // Not by one that is ill, nor by those that can't reach it.
             let rightly = |g: usize| {
-                self.fleet.liars && (g == 3 || engine == self.fleet.engines - 1 && g.is_multiple_of(2))
+                self.fleet.liars
+                    && (g == 3 || engine == self.fleet.engines - 1 && g.is_multiple_of(2))
             };
-            false_out += up.iter().filter(|&&g| !rightly(g) && self.leaves_out(g, engine)).count();
+            false_out += up
+                .iter()
+                .filter(|&&g| !rightly(g) && self.leaves_out(g, engine))
+                .count();
         }
         self.false_out += false_out as f64 * STEP as f64 / SECOND as f64;
         if (self.now / STEP).is_multiple_of(12) {
-            let usual = self.fleet.rate * self.fleet.gateways as f64 / self.fleet.engines as f64 * 0.24;
+            let usual =
+                self.fleet.rate * self.fleet.gateways as f64 / self.fleet.engines as f64 * 0.24;
             if self.now >= well {
                 for engine in failing {
                     let over = f64::from(self.quarter[engine]) / usual.max(1.0);
@@ -737,7 +837,11 @@
         self.at(next, Event::Send { by, birth });
         // Any engine that is not left out; a trial now and then, as the module does.
         let engine = self.rng.random_range(0..self.fleet.engines);
-        let advice = self.nodes[by].advice.get(&id(engine)).copied().unwrap_or_default();
+        let advice = self.nodes[by]
+            .advice
+            .get(&id(engine))
+            .copied()
+            .unwrap_or_default();
         let node = &mut self.nodes[by];
         node.since_trial += 1;
         if node.failing.contains(&engine) || advice.is_out {
@@ -764,7 +868,15 @@
             Saw::Success
         };
         let span = self.rng.random_range(2 * MS..120 * MS);
-        self.at(self.now + span, Event::Over { by, birth, engine, saw });
+        self.at(
+            self.now + span,
+            Event::Over {
+                by,
+                birth,
+                engine,
+                saw,
+            },
+        );
     }
 
     fn over(&mut self, by: usize, birth: u64, engine: usize, saw: Saw) {
--- a/crates/ivypitch-lab/src/virtual_time/traffic.rs
+++ b/crates/ivypitch-lab/src/virtual_time/traffic.rs
@@ -108,7 +108,9 @@
     fn most(self) -> f64 {
         match self {
             Flood::None => 1.0,
-            Flood::Step { times, .. } | Flood::Ramp { times, .. } | Flood::Pulses { times, .. } => times,
+            Flood::Step { times, .. } | Flood::Ramp { times, .. } | Flood::Pulses { times, .. } => {
+                times
+            }
         }
     }
 }
@@ -147,15 +149,24 @@
     let mean: f64 = works.iter().map(|w| w.work * w.part / parts).sum();
     let mut all = Vec::new();
     for (t, team) in teams.iter().enumerate() {
-        let mut rng = ChaCha8Rng::seed_from_u64(seed.wrapping_mul(1_000_003).wrapping_add(t as u64));
-        let mut extra = ChaCha8Rng::seed_from_u64(seed.wrapping_mul(7_000_003).wrapping_add(t as u64));
+        let mut rng =
+            ChaCha8Rng::seed_from_u64(seed.wrapping_mul(1_000_003).wrapping_add(t as u64));
+        let mut extra =
+            ChaCha8Rng::seed_from_u64(seed.wrapping_mul(7_000_003).wrapping_add(t as u64));
         let rate = team.demand / mean;
         draw(works, team, t, rate, span, &mut rng, &mut all, |_| 1.0);
         if team.flood != Flood::None {
             let most = team.flood.most() - 1.0;
-            draw(works, team, t, rate * most, span, &mut extra, &mut all, |at| {
-                (team.flood.times(at) - 1.0) / most
-            });
+            draw(
+                works,
+                team,
+                t,
+                rate * most,
+                span,
+                &mut extra,
+                &mut all,
+                |at| (team.flood.times(at) - 1.0) / most,
+            );
         }
     }
     all.sort_by_key(|s| (s.at, s.team));
@@ -199,7 +210,15 @@
         if rng.random_bool(kept(when).clamp(0.0, 1.0)) {
             let slo = w.slo + (w.stretch * work / w.threads * 1e9) as Nanos;
             let told_work = work * told * team.tells;
-            all.push(Statement { at: when, team: t, workload, group, work, told_work, slo });
+            all.push(Statement {
+                at: when,
+                team: t,
+                workload,
+                group,
+                work,
+                told_work,
+                slo,
+            });
         }
     }
 }
--- a/crates/ivypitch-lab/tests/relay.rs
+++ b/crates/ivypitch-lab/tests/relay.rs
@@ -61,6 +61,10 @@
         drop(written(at, "whole"));
         seen.wait_for("whole link", round, |came| came == "whole");
     }
-    let arrived = seen.all().into_iter().filter(|came| came.contains("lost")).count();
+    let arrived = seen
+        .all()
+        .into_iter()
+        .filter(|came| came.contains("lost"))
+        .count();
     assert_eq!(arrived, 0, "of {ROUNDS} that were to be lost");
 }
--- a/crates/ivypitch-lab/tests/scale.rs
+++ b/crates/ivypitch-lab/tests/scale.rs
@@ -12,16 +12,25 @@
 fn a_slope_finds_its_line_and_its_power_and_what_they_miss() {
     let line: Vec<(f64, f64)> = [30.0, 300.0, 3800.0].map(|x| (x, 7.0 + 0.5 * x)).to_vec();
     let slope = Slope::of(&line);
-    assert!((slope.base - 7.0).abs() < 1e-6 && (slope.per - 0.5).abs() < 1e-9, "{slope:?}");
+    assert!(
+        (slope.base - 7.0).abs() < 1e-6 && (slope.per - 0.5).abs() < 1e-9,
+        "{slope:?}"
+    );
     assert!(slope.residual < 1e-9, "{slope:?}");
     let square: Vec<(f64, f64)> = [30.0, 300.0, 3800.0].map(|x| (x, 2.0 * x * x)).to_vec();
     let slope = Slope::of(&square);
-    assert!((slope.exponent - 2.0).abs() < 1e-9 && slope.residual > 0.3, "a square is no line: {slope:?}");
+    assert!(
+        (slope.exponent - 2.0).abs() < 1e-9 && slope.residual > 0.3,
+        "a square is no line: {slope:?}"
+    );
     // Between the points and beyond them, on log axes.
     assert!((at(&square, 100.0) - 20_000.0).abs() < 1e-6);
     assert!((at(&square, 10_000.0) - 2e8).abs() < 1e-3);
     let passed = passes_at(|x| at(&square, x), 20_000.0, 2.0, 100_000.0);
-    assert!(passed.is_some_and(|x| (100.0..102.0).contains(&x)), "{passed:?}");
+    assert!(
+        passed.is_some_and(|x| (100.0..102.0).contains(&x)),
+        "{passed:?}"
+    );
     assert_eq!(passes_at(|_| 1.0, 2.0, 2.0, 100_000.0), None);
 }
 
@@ -45,9 +54,15 @@
     for seed in [1, 2] {
         let (few, many) = (members(20, seed), members(80, seed));
         let ratio = many.datagrams_a_member_s / few.datagrams_a_member_s;
-        assert!(ratio < 1.3, "seed {seed}: {ratio:.2} times the datagrams at four times the members");
+        assert!(
+            ratio < 1.3,
+            "seed {seed}: {ratio:.2} times the datagrams at four times the members"
+        );
         let ratio = many.bytes_a_member_s / few.bytes_a_member_s;
-        assert!(ratio < 2.0, "seed {seed}: {ratio:.2} times the bytes at four times the members");
+        assert!(
+            ratio < 2.0,
+            "seed {seed}: {ratio:.2} times the bytes at four times the members"
+        );
     }
 }
 
@@ -64,7 +79,10 @@
         };
         let verdict = custody_fleet::play(&fleet, &Plan::default(), 1);
         let statements = verdict.statements as f64;
-        (verdict.messages as f64 / statements, verdict.bytes as f64 / statements)
+        (
+            verdict.messages as f64 / statements,
+            verdict.bytes as f64 / statements,
+        )
     };
     let (few, many) = (each(20), each(160));
     assert!(many.0 / few.0 < 1.3, "messages {few:?}, {many:?}");
@@ -75,11 +93,21 @@
 fn links_and_lists_grow_with_the_fleet_and_not_faster() {
     for measure in links() {
         let slope = measure.slope();
-        assert!((slope.exponent - 1.0).abs() < 0.05 && slope.residual < 0.01, "{}", measure.line());
+        assert!(
+            (slope.exponent - 1.0).abs() < 0.05 && slope.residual < 0.01,
+            "{}",
+            measure.line()
+        );
     }
     let (few, many) = (line(80, true).len() as f64, line(8000, true).len() as f64);
-    assert!(many / few < 105.0, "a row takes more bytes in a longer list: {few}, {many}");
-    assert!(line(1, false).len() < 256, "a change is no more than one row and its frame");
+    assert!(
+        many / few < 105.0,
+        "a row takes more bytes in a longer list: {few}, {many}"
+    );
+    assert!(
+        line(1, false).len() < 256,
+        "a change is no more than one row and its frame"
+    );
 }
 
 #[test]
@@ -87,7 +115,17 @@
     let held = |engines: u64| {
         let mut table = Table::new(300, ivypitch_shares::shares::MOST_ENGINES, 0);
         for engine in 0..engines {
-            table.put(engine, 1, 1, Sight { successes: 1, failures: 0, unreached: 0 }, 1_000_000_000);
+            table.put(
+                engine,
+                1,
+                1,
+                Sight {
+                    successes: 1,
+                    failures: 0,
+                    unreached: 0,
+                },
+                1_000_000_000,
+            );
         }
         table.bytes()
     };
@@ -119,10 +157,20 @@
 }
 
 fn holds(what: &str, seed: u64, reached: &Reached) {
-    assert!(reached.changes > 100, "{what}, seed {seed}: only {} changes", reached.changes);
-    assert_eq!(reached.behind, 0, "{what}, seed {seed}: gateways that do not act by the last change");
+    assert!(
+        reached.changes > 100,
+        "{what}, seed {seed}: only {} changes",
+        reached.changes
+    );
+    assert_eq!(
+        reached.behind, 0,
+        "{what}, seed {seed}: gateways that do not act by the last change"
+    );
     let last = reached.ms(1.0);
-    assert!(last <= 6000, "{what}, seed {seed}: the last gateway acts after {last} ms");
+    assert!(
+        last <= 6000,
+        "{what}, seed {seed}: the last gateway acts after {last} ms"
+    );
 }
 
 #[test]
@@ -130,20 +178,48 @@
     for seed in 0..4 {
         let base = feeds(150);
         holds("calm", seed, &feed_fleet::play(base, seed));
-        let restarts = feed_fleet::play(feed_fleet::Fleet { restarts: 2.0, ..base }, seed);
-        assert!(restarts.restarts > 20, "seed {seed}: restarts were not played");
+        let restarts = feed_fleet::play(
+            feed_fleet::Fleet {
+                restarts: 2.0,
+                ..base
+            },
+            seed,
+        );
+        assert!(
+            restarts.restarts > 20,
+            "seed {seed}: restarts were not played"
+        );
         holds("restarts", seed, &restarts);
         let calm = feed_fleet::play(base, seed);
-        let cut = feed_fleet::play(feed_fleet::Fleet { cut: (3, 11), ..base }, seed);
-        assert!(cut.connects > calm.connects, "seed {seed}: nobody had to connect again");
+        let cut = feed_fleet::play(
+            feed_fleet::Fleet {
+                cut: (3, 11),
+                ..base
+            },
+            seed,
+        );
+        assert!(
+            cut.connects > calm.connects,
+            "seed {seed}: nobody had to connect again"
+        );
         holds("a region cut off", seed, &cut);
-        let lost = feed_fleet::Fleet { zone_lost: (3, 11), ..base };
+        let lost = feed_fleet::Fleet {
+            zone_lost: (3, 11),
+            ..base
+        };
         holds("a zone lost", seed, &feed_fleet::play(lost, seed));
     }
 }
 
 #[test]
 fn a_server_too_slow_for_the_fleet_is_seen_as_late() {
-    let slow = feed_fleet::Fleet { servers: 1, bytes_a_second: 200_000.0, ..feeds(300) };
-    assert!(feed_fleet::play(slow, 1).ms(1.0) > 6000, "the play would pass whatever the servers can do");
+    let slow = feed_fleet::Fleet {
+        servers: 1,
+        bytes_a_second: 200_000.0,
+        ..feeds(300)
+    };
+    assert!(
+        feed_fleet::play(slow, 1).ms(1.0) > 6000,
+        "the play would pass whatever the servers can do"
+    );
 }
--- a/crates/ivypitch-lab/tests/shares.rs
+++ b/crates/ivypitch-lab/tests/shares.rs
@@ -4,7 +4,11 @@
 
 #[test]
 fn no_bound_is_passed_whatever_is_cut_or_restarted() {
-    let fleet = Fleet { gateways: 12, span: 6_000, ..Fleet::default() };
+    let fleet = Fleet {
+        gateways: 12,
+        span: 6_000,
+        ..Fleet::default()
+    };
     for seed in 0..10 {
         let plan = draw(&fleet, seed);
         let verdict = play(&fleet, &plan, seed);
--- a/crates/ivypitch-members/src/doubt.rs
+++ b/crates/ivypitch-members/src/doubt.rs
@@ -53,7 +53,11 @@
 
 impl Doubts {
     pub(crate) fn new(now: Nanos, period: Nanos) -> Doubts {
-        Doubts { period, last_heard: now, losses: VecDeque::new() }
+        Doubts {
+            period,
+            last_heard: now,
+            losses: VecDeque::new(),
+        }
     }
 
     pub(crate) fn heard(&mut self, now: Nanos) {
@@ -79,11 +83,19 @@
 
     /// `heard` are the others that count as there.
     pub(crate) fn doubt(&self, now: Nanos, heard: usize) -> Doubt {
-        let lately = self.losses.iter().filter(|&&at| at + ONE_EVENT >= now).count();
+        let lately = self
+            .losses
+            .iter()
+            .filter(|&&at| at + ONE_EVENT >= now)
+            .count();
         if heard + lately > 0 && now >= self.last_heard + DEAF_PERIODS * self.period {
             return Doubt::Deaf;
         }
         // This gateway counts to what it hears.
-        if lately > heard + 1 { Doubt::Smaller } else { Doubt::None }
+        if lately > heard + 1 {
+            Doubt::Smaller
+        } else {
+            Doubt::None
+        }
     }
 }
--- a/crates/ivypitch-members/src/members.rs
+++ b/crates/ivypitch-members/src/members.rs
@@ -128,8 +128,15 @@
         seed: u64,
         now: Nanos,
     ) -> Members {
-        let me = Who { place, birth, bump: 0, version, roster: roster.mark() };
-        let rng = ChaCha8Rng::seed_from_u64(seed ^ u64::from(place).wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        let me = Who {
+            place,
+            birth,
+            bump: 0,
+            version,
+            roster: roster.mark(),
+        };
+        let rng =
+            ChaCha8Rng::seed_from_u64(seed ^ u64::from(place).wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let config = terms.of_library(roster.seats.len());
         let seats = roster.seats.len();
         Members {
@@ -164,7 +171,10 @@
     }
 
     pub fn life(&self, place: u16) -> Life {
-        self.lives.get(usize::from(place)).copied().unwrap_or_default()
+        self.lives
+            .get(usize::from(place))
+            .copied()
+            .unwrap_or_default()
     }
 
     /// Its process is there, as far as is known.
@@ -178,7 +188,9 @@
             return;
         }
         self.asked.now = now;
-        let Some(from) = self.sender(data) else { return };
+        let Some(from) = self.sender(data) else {
+            return;
+        };
         if from.place == self.me.place || usize::from(from.place) >= self.lives.len() {
             return;
         }
@@ -187,7 +199,11 @@
             if *told != from.birth {
                 *told = from.birth;
                 let (place, version, roster) = (from.place, from.version, from.roster);
-                self.news.push_back(News::Stranger { place, version, roster });
+                self.news.push_back(News::Stranger {
+                    place,
+                    version,
+                    roster,
+                });
             }
             return;
         }
@@ -199,7 +215,10 @@
 
     fn sender(&self, data: &[u8]) -> Option<Who> {
         use foca::Codec;
-        PostcardCodec.decode_header(data).ok().map(|header: foca::Header<Who>| header.src)
+        PostcardCodec
+            .decode_header(data)
+            .ok()
+            .map(|header: foca::Header<Who>| header.src)
     }
 
     pub fn woken(&mut self, now: Nanos) {
@@ -233,14 +252,27 @@
             }
             asked += 1;
             // Any process there may answer.
-            let any = Who { place, birth: 0, bump: 0, ..self.me };
+            let any = Who {
+                place,
+                birth: 0,
+                bump: 0,
+                ..self.me
+            };
             let _ = self.foca.announce(any, &mut self.asked);
         }
     }
 
     pub fn next_wake(&self) -> Nanos {
-        let timer = self.asked.timers.first_key_value().map_or(Nanos::MAX, |((at, _), _)| *at);
-        if self.left { timer } else { timer.min(self.next_ask) }
+        let timer = self
+            .asked
+            .timers
+            .first_key_value()
+            .map_or(Nanos::MAX, |((at, _), _)| *at);
+        if self.left {
+            timer
+        } else {
+            timer.min(self.next_ask)
+        }
     }
 
     /// Tells the others that this process ends; nothing is heard after.
@@ -269,7 +301,12 @@
             seats[zone] += 1;
             heard[zone] += u16::from(self.is_heard(place as u16));
         }
-        Hearing { heard, seats, since: self.changed, doubt: self.doubt }
+        Hearing {
+            heard,
+            seats,
+            since: self.changed,
+            doubt: self.doubt,
+        }
     }
 
     /// Turns what the library said into news.
@@ -294,7 +331,11 @@
             }
         }
         self.read_suspicions(now);
-        let others = self.lives.iter().filter(|l| matches!(l.state, State::Heard | State::Suspected)).count();
+        let others = self
+            .lives
+            .iter()
+            .filter(|l| matches!(l.state, State::Heard | State::Suspected))
+            .count();
         let doubt = self.doubts.doubt(now, others);
         if doubt != self.doubt {
             self.doubt = doubt;
@@ -305,7 +346,9 @@
     /// The library does not say whom it suspects; it is read off its list.
     fn read_suspicions(&mut self, now: Nanos) {
         for member in self.foca.iter_members() {
-            let Some(life) = self.lives.get_mut(usize::from(member.id().place)) else { continue };
+            let Some(life) = self.lives.get_mut(usize::from(member.id().place)) else {
+                continue;
+            };
             let is = match (member.state(), life.state) {
                 (foca::State::Suspect, State::Heard) => State::Suspected,
                 (foca::State::Alive, State::Suspected) => State::Heard,
@@ -319,14 +362,20 @@
     /// The one function that changes what is held of a member's life.
     fn turn(&mut self, now: Nanos, who: Who, to: State) {
         let place = who.place;
-        let Some(life) = self.lives.get_mut(usize::from(place)) else { return };
+        let Some(life) = self.lives.get_mut(usize::from(place)) else {
+            return;
+        };
         if place == self.me.place || who.birth < life.birth {
             return;
         }
         let was_there = matches!(life.state, State::Heard | State::Suspected);
         let other = who.birth != life.birth;
         if other && was_there && life.birth > 0 {
-            self.news.push_back(News::Down { place, birth: life.birth, left: false });
+            self.news.push_back(News::Down {
+                place,
+                birth: life.birth,
+                left: false,
+            });
             self.doubts.lost(now);
         }
         let is_there = to == State::Heard;
@@ -334,12 +383,24 @@
             if !other && life.state == State::Lost {
                 self.doubts.back(now);
             }
-            self.news.push_back(News::Up { place, birth: who.birth });
+            self.news.push_back(News::Up {
+                place,
+                birth: who.birth,
+            });
         } else if !is_there && was_there && !other {
-            self.news.push_back(News::Down { place, birth: who.birth, left: to == State::Left });
+            self.news.push_back(News::Down {
+                place,
+                birth: who.birth,
+                left: to == State::Left,
+            });
             self.doubts.lost(now);
         }
-        *life = Life { state: to, birth: who.birth, since: now, version: who.version };
+        *life = Life {
+            state: to,
+            birth: who.birth,
+            since: now,
+            version: who.version,
+        };
         self.changed = now;
     }
 }
--- a/crates/ivypitch-members/src/roster.rs
+++ b/crates/ivypitch-members/src/roster.rs
@@ -30,14 +30,21 @@
         for seat in &self.seats {
             hasher.write(seat.name.as_bytes());
             hasher.write_u8(0);
-            hasher.write(self.zones.get(usize::from(seat.zone)).map_or(&b""[..], |z| z.as_bytes()));
+            hasher.write(
+                self.zones
+                    .get(usize::from(seat.zone))
+                    .map_or(&b""[..], |z| z.as_bytes()),
+            );
             hasher.write_u8(1);
         }
         hasher.finish() as u32
     }
 
     pub fn place_of(&self, name: &str) -> Option<u16> {
-        self.seats.iter().position(|seat| seat.name == name).and_then(|place| u16::try_from(place).ok())
+        self.seats
+            .iter()
+            .position(|seat| seat.name == name)
+            .and_then(|place| u16::try_from(place).ok())
     }
 
     pub fn zone_of(&self, place: u16) -> Option<u16> {
@@ -65,7 +72,10 @@
     type Addr = u16;
 
     fn renew(&self) -> Option<Who> {
-        Some(Who { bump: self.bump.wrapping_add(1), ..*self })
+        Some(Who {
+            bump: self.bump.wrapping_add(1),
+            ..*self
+        })
     }
 
     fn addr(&self) -> u16 {
--- a/crates/ivypitch-members/src/terms.rs
+++ b/crates/ivypitch-members/src/terms.rs
@@ -22,7 +22,12 @@
     /// Loss within a second at 300 members: a member is asked by somebody within 4.6 periods with 0.99 (each period
     /// with 1 - 1/e), then a period until it is suspected, then the suspicion, and few datagrams until all know.
     fn default() -> Terms {
-        Terms { period: 100 * MS, round_trip: 30 * MS, suspicion: 280 * MS, indirect: 8 }
+        Terms {
+            period: 100 * MS,
+            round_trip: 30 * MS,
+            suspicion: 280 * MS,
+            indirect: 8,
+        }
     }
 }
 
@@ -42,7 +47,12 @@
         // Each piece of news goes out so often: three times the logarithm reaches all but one in some thousands.
         let times = 3.0 * (members.max(2) as f64).log2() + 4.0;
         let (part, of, to) = GOSSIP_PERIODS;
-        let every = |frequency, num_members| Some(foca::PeriodicParams { frequency, num_members });
+        let every = |frequency, num_members| {
+            Some(foca::PeriodicParams {
+                frequency,
+                num_members,
+            })
+        };
         foca::Config {
             probe_period: span(self.period),
             probe_rtt: span(self.round_trip.min(self.period * 2 / 5)),
--- a/crates/ivypitch-pool/src/lib.rs
+++ b/crates/ivypitch-pool/src/lib.rs
@@ -31,7 +31,11 @@
     /// `idle_close`: when engines close idle connections; 0: not told, and none is kept.
     pub fn new(gateways: usize, idle_close: Nanos) -> PoolParams {
         PoolParams {
-            most: if idle_close == 0 { 0 } else { (AT_AN_ENGINE / gateways.max(1)).clamp(1, MOST_EACH) },
+            most: if idle_close == 0 {
+                0
+            } else {
+                (AT_AN_ENGINE / gateways.max(1)).clamp(1, MOST_EACH)
+            },
             longest: (idle_close as f64 * OF_IDLE_CLOSE) as Nanos,
         }
     }
@@ -55,7 +59,13 @@
 
 impl<T> Pool<T> {
     pub fn new(params: PoolParams) -> Pool<T> {
-        Pool { params, kept: VecDeque::new(), exact: 0, wanted: EXACT_RUN, is_over: false }
+        Pool {
+            params,
+            kept: VecDeque::new(),
+            exact: 0,
+            wanted: EXACT_RUN,
+            is_over: false,
+        }
     }
 
     pub fn len(&self) -> usize {
@@ -95,7 +105,10 @@
         if !trusted || self.kept.len() >= self.params.most {
             return Some(connection);
         }
-        self.kept.push_back(Kept { connection, since: now });
+        self.kept.push_back(Kept {
+            connection,
+            since: now,
+        });
         None
     }
 
@@ -112,11 +125,15 @@
     /// Those whose time is over, to be closed.
     pub fn over(&mut self, now: Nanos) -> Vec<T> {
         let longest = self.params.longest;
-        let old = self.kept.partition_point(|kept| now >= kept.since + longest);
+        let old = self
+            .kept
+            .partition_point(|kept| now >= kept.since + longest);
         self.kept.drain(..old).map(|kept| kept.connection).collect()
     }
 
     pub fn next_over(&self) -> Option<Nanos> {
-        self.kept.front().map(|kept| kept.since + self.params.longest)
+        self.kept
+            .front()
+            .map(|kept| kept.since + self.params.longest)
     }
 }
--- a/crates/ivypitch-records/src/lib.rs
+++ b/crates/ivypitch-records/src/lib.rs
@@ -20,9 +20,13 @@
 /// The file's value, or what stands in the way of having one.
 pub fn read(path: &Path) -> Result<Node, Vec<Fault>> {
     let fault = |what: String| vec![Fault::new("", what)];
-    let size = std::fs::metadata(path).map_err(|e| fault(e.to_string()))?.len();
+    let size = std::fs::metadata(path)
+        .map_err(|e| fault(e.to_string()))?
+        .len();
     if size > LARGEST {
-        return Err(fault(format!("{size} bytes; a settings file has {LARGEST} at most")));
+        return Err(fault(format!(
+            "{size} bytes; a settings file has {LARGEST} at most"
+        )));
     }
     let text = std::fs::read_to_string(path).map_err(|e| fault(e.to_string()))?;
     if path.extension().is_some_and(|ending| ending == "json") {
@@ -35,7 +39,10 @@
 }
 
 fn at_line(line: usize, what: String) -> Fault {
-    Fault { line: Some(line), ..Fault::new("", what) }
+    Fault {
+        line: Some(line),
+        ..Fault::new("", what)
+    }
 }
 
 fn evaluate(mut program: Program<CacheImpl>) -> Result<Node, Vec<Fault>> {
@@ -60,12 +67,19 @@
     depth: usize,
 ) -> Result<Node, Vec<Fault>> {
     let line_of = |pos: TermPos| {
-        let span = pos.into_opt().filter(|span| !files.is_stdlib(span.src_id))?;
+        let span = pos
+            .into_opt()
+            .filter(|span| !files.is_stdlib(span.src_id))?;
         let before = files.source(span.src_id).get(..span.start.0 as usize)?;
         Some(before.bytes().filter(|&b| b == b'\n').count() + 1)
     };
     let line = line_of(named_at).or_else(|| line_of(value.pos(positions)));
-    let wrong = |what: &str| vec![Fault { line, ..Fault::new(path, what) }];
+    let wrong = |what: &str| {
+        vec![Fault {
+            line,
+            ..Fault::new(path, what)
+        }]
+    };
     if depth > DEEPEST {
         return Err(wrong("records nest too deeply"));
     }
@@ -79,10 +93,16 @@
         ValueContentRef::String(text) => Plain::Text(text.to_string()),
         ValueContentRef::EnumVariant(tag) if tag.arg.is_none() => Plain::Text(tag.tag.to_string()),
         ValueContentRef::Array(list) => {
-            let each = list
-                .iter()
-                .enumerate()
-                .map(|(i, v)| node(v, TermPos::None, files, positions, &format!("{path}[{i}]"), depth + 1));
+            let each = list.iter().enumerate().map(|(i, v)| {
+                node(
+                    v,
+                    TermPos::None,
+                    files,
+                    positions,
+                    &format!("{path}[{i}]"),
+                    depth + 1,
+                )
+            });
             Plain::List(gathered(each)?)
         }
         ValueContentRef::Record(record) => {
@@ -110,5 +130,9 @@
             Err(more) => faults.extend(more),
         }
     }
-    if faults.is_empty() { Ok(good) } else { Err(faults) }
+    if faults.is_empty() {
+        Ok(good)
+    } else {
+        Err(faults)
+    }
 }
--- a/crates/ivypitch-roster/src/lib.rs
+++ b/crates/ivypitch-roster/src/lib.rs
@@ -52,7 +52,15 @@
 
 impl Feed {
     pub fn new(last: u64, seed: u64) -> Feed {
-        Feed { last, began_at: last, spoilt: 0, ahead: None, tries: 0, seed, chances: 0 }
+        Feed {
+            last,
+            began_at: last,
+            spoilt: 0,
+            ahead: None,
+            tries: 0,
+            seed,
+            chances: 0,
+        }
     }
 
     /// The number of the last event taken.
@@ -120,7 +128,11 @@
     }
 
     fn spoil(&mut self) -> Verdict {
-        self.spoilt = if self.last == self.began_at { self.spoilt + 1 } else { 1 };
+        self.spoilt = if self.last == self.began_at {
+            self.spoilt + 1
+        } else {
+            1
+        };
         self.began_at = self.last;
         Verdict::AskAgain
     }
--- a/crates/ivypitch-roster/tests/scenarios.rs
+++ b/crates/ivypitch-roster/tests/scenarios.rs
@@ -56,14 +56,22 @@
 fn many_that_lose_a_feed_in_one_moment_ask_at_different_times_and_ever_less_often() {
     let tries = |seed: u64| {
         let mut feed = Feed::new(4, seed);
-        (0..8).map(|_| feed.ask_again() / 1_000_000).collect::<Vec<_>>()
+        (0..8)
+            .map(|_| feed.ask_again() / 1_000_000)
+            .collect::<Vec<_>>()
     };
     let all: Vec<Vec<u64>> = (0..300).map(tries).collect();
     for at in 0..10 {
         let there = all.iter().filter(|t| t[0] / 10 == at).count();
-        assert!((10..=60).contains(&there), "{there} first tries in the {at}th hundredth of a second");
+        assert!(
+            (10..=60).contains(&there),
+            "{there} first tries in the {at}th hundredth of a second"
+        );
     }
-    assert!(all.iter().all(|t| t[1] >= 100 && t[3..].iter().all(|ms| (300..=600).contains(ms))));
+    assert!(
+        all.iter()
+            .all(|t| t[1] >= 100 && t[3..].iter().all(|ms| (300..=600).contains(ms)))
+    );
     let mean = all.iter().flat_map(|t| &t[3..]).sum::<u64>() as f64 / (300.0 * 5.0);
     assert!((420.0..480.0).contains(&mean), "{mean} ms");
 }
--- a/crates/ivypitch-shares/benches/table.rs
+++ b/crates/ivypitch-shares/benches/table.rs
@@ -15,12 +15,16 @@
 
 fn words() -> impl Iterator<Item = (u64, u16, u32, Sight, Nanos)> {
     let pairs = (0..ENGINES).flat_map(|engine| (0..MEMBERS).map(move |member| (engine, member)));
-    pairs.filter(|(engine, member)| (engine * 7 + u64::from(*member)).is_multiple_of(10)).map(
-        |(engine, member)| {
-            let sight = Sight { successes: (member % 3) as u8, failures: (engine % 2) as u8, unreached: 0 };
+    pairs
+        .filter(|(engine, member)| (engine * 7 + u64::from(*member)).is_multiple_of(10))
+        .map(|(engine, member)| {
+            let sight = Sight {
+                successes: (member % 3) as u8,
+                failures: (engine % 2) as u8,
+                unreached: 0,
+            };
             (engine, member, engine as u32 + 1, sight, NOW - LIFE / 2)
-        },
-    )
+        })
 }
 
 fn table(c: &mut Criterion) {
@@ -30,7 +34,11 @@
         made.put(engine, member, version, sight, at);
         plain.insert((engine, member), (version, sight, at));
     }
-    println!("table: {} bytes; {} words in the plain map", made.bytes(), plain.len());
+    println!(
+        "table: {} bytes; {} words in the plain map",
+        made.bytes(),
+        plain.len()
+    );
     let mut version = 1000;
     c.bench_function("a word comes, table", |b| {
         b.iter(|| {
@@ -41,17 +49,23 @@
     c.bench_function("a word comes, plain map", |b| {
         b.iter(|| {
             version += 1;
-            plain.insert((black_box(40), black_box(17)), (version, Sight::default(), NOW))
+            plain.insert(
+                (black_box(40), black_box(17)),
+                (version, Sight::default(), NOW),
+            )
         })
     });
-    let sum = |words: &mut dyn Iterator<Item = Sight>| words.map(|s| u32::from(s.failures)).sum::<u32>();
+    let sum =
+        |words: &mut dyn Iterator<Item = Sight>| words.map(|s| u32::from(s.failures)).sum::<u32>();
     c.bench_function("all words on an engine, table", |b| {
         b.iter(|| sum(&mut made.fresh(black_box(41), NOW).map(|(_, sight, _)| sight)))
     });
     c.bench_function("all words on an engine, plain map", |b| {
         b.iter(|| {
             let engine = black_box(41);
-            let all = plain.range((engine, 0)..(engine + 1, 0)).filter(|(_, word)| NOW < word.2 + LIFE);
+            let all = plain
+                .range((engine, 0)..(engine + 1, 0))
+                .filter(|(_, word)| NOW < word.2 + LIFE);
             sum(&mut all.map(|(_, word)| word.1))
         })
     });
--- a/crates/ivypitch-shares/src/escrow.rs
+++ b/crates/ivypitch-shares/src/escrow.rs
@@ -10,7 +10,9 @@
 use ivypitch::interface::{Nanos, SECOND};
 
 /// A process: its place in the list, and the time of its start.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize)]
+#[derive(
+    Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
+)]
 pub struct Process {
     pub place: u16,
     pub birth: u64,
@@ -78,7 +80,9 @@
 }
 
 /// What a borrower asks for.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, serde::Serialize, serde::Deserialize)]
+#[derive(
+    Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, serde::Serialize, serde::Deserialize,
+)]
 pub struct Ask {
     pub serial: Serial,
     pub units: u32,
@@ -86,7 +90,9 @@
 }
 
 /// A lender's yes; `loan` is the one prolonged, or the question's own serial.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, serde::Serialize, serde::Deserialize)]
+#[derive(
+    Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, serde::Serialize, serde::Deserialize,
+)]
 pub struct Yes {
     pub serial: Serial,
     pub loan: Serial,
@@ -164,7 +170,11 @@
     pub fn parts(&self) -> (u32, u32, u32) {
         let lent = self.lent.values().map(|lent| lent.units).sum();
         let borrowed = self.loans.values().map(|loan| loan.units).sum();
-        let away = if self.sure < self.whole_from { self.home - self.floor } else { 0 };
+        let away = if self.sure < self.whole_from {
+            self.home - self.floor
+        } else {
+            0
+        };
         (lent, borrowed, away)
     }
 
@@ -192,7 +202,11 @@
         self.loans.retain(|_, loan| last < loan.until);
         let holds = self.borrower_holds;
         self.asked.retain(|_, asked| last < asked.asked_at + holds);
-        while self.spent.front().is_some_and(|&(at, _)| at + self.window <= sure) {
+        while self
+            .spent
+            .front()
+            .is_some_and(|&(at, _)| at + self.window <= sure)
+        {
             self.in_window -= self.spent.pop_front().map_or(0, |(_, units)| units);
         }
     }
@@ -235,13 +249,20 @@
         let at_home = self.home - lent;
         let free = at_home.saturating_sub(keeps.max(self.floor));
         // One that was spent within the window is not lent: its borrower could spend it again.
-        if self.window > 0 { free.min(at_home.saturating_sub(self.in_window)) } else { free }
+        if self.window > 0 {
+            free.min(at_home.saturating_sub(self.in_window))
+        } else {
+            free
+        }
     }
 
     /// `None`: nothing is lent, or this question was answered before.
     pub fn answer(&mut self, now: Nanos, from: Process, ask: Ask, keeps: u32) -> Option<Yes> {
         self.tick(now);
-        let echo = self.heard.get(&from.place).is_some_and(|&known| known >= (from.birth, ask.serial));
+        let echo = self
+            .heard
+            .get(&from.place)
+            .is_some_and(|&known| known >= (from.birth, ask.serial));
         if echo || from.place == self.place {
             return None;
         }
@@ -251,19 +272,29 @@
             && let Some(lent) = self.lent.get(&(from, loan)).copied()
         {
             // Prolonged as far as the lender itself has no need of it; the rest ends as it was to.
-            let short = keeps.max(self.floor).saturating_sub(self.home - self.lent_units());
+            let short = keeps
+                .max(self.floor)
+                .saturating_sub(self.home - self.lent_units());
             if short >= lent.units {
                 return None;
             }
             self.lent.insert((from, loan), Lent { until, ..lent });
-            return Some(Yes { serial: ask.serial, loan, units: lent.units });
+            return Some(Yes {
+                serial: ask.serial,
+                loan,
+                units: lent.units,
+            });
         }
         let units = ask.units.min(self.lendable(keeps));
         if units == 0 {
             return None;
         }
         self.lent.insert((from, ask.serial), Lent { units, until });
-        Some(Yes { serial: ask.serial, loan: ask.serial, units })
+        Some(Yes {
+            serial: ask.serial,
+            loan: ask.serial,
+            units,
+        })
     }
 
     fn lent_units(&self) -> u32 {
@@ -280,8 +311,11 @@
 
     /// Loans to be asked back, the largest first, until so many units would be home.
     pub fn to_recall(&self, units: u32) -> Vec<(Process, Serial)> {
-        let mut all: Vec<(u32, (Process, Serial))> =
-            self.lent.iter().map(|(&key, lent)| (lent.units, key)).collect();
+        let mut all: Vec<(u32, (Process, Serial))> = self
+            .lent
+            .iter()
+            .map(|(&key, lent)| (lent.units, key))
+            .collect();
         all.sort_unstable_by(|a, b| b.cmp(a));
         let mut back = 0;
         let enough = |(lent, _): &(u32, (Process, Serial))| {
@@ -289,7 +323,10 @@
             back += lent;
             wanted
         };
-        all.into_iter().take_while(enough).map(|(_, key)| key).collect()
+        all.into_iter()
+            .take_while(enough)
+            .map(|(_, key)| key)
+            .collect()
     }
 
     // ---- as a borrower ----
@@ -298,15 +335,28 @@
         self.tick(now);
         self.serial += 1;
         let asked_at = self.last;
-        self.asked.insert(self.serial, Question { lender, asked_at, prolongs });
-        Ask { serial: self.serial, units, prolongs }
+        self.asked.insert(
+            self.serial,
+            Question {
+                lender,
+                asked_at,
+                prolongs,
+            },
+        );
+        Ask {
+            serial: self.serial,
+            units,
+            prolongs,
+        }
     }
 
     /// False: it answers no question that is open.
     pub fn lent_to(&mut self, now: Nanos, lender: u16, yes: Yes) -> bool {
         self.tick(now);
         let fits = |asked: &Question| asked.lender == lender;
-        let Some(asked) = self.asked.get(&yes.serial).copied().filter(fits) else { return false };
+        let Some(asked) = self.asked.get(&yes.serial).copied().filter(fits) else {
+            return false;
+        };
         self.asked.remove(&yes.serial);
         let until = asked.asked_at + self.borrower_holds;
         match asked.prolongs.filter(|&loan| loan == yes.loan) {
@@ -316,7 +366,13 @@
                 None => return false,
             },
             None if yes.loan == yes.serial => {
-                self.loans.insert((lender, yes.loan), Loan { units: yes.units, until });
+                self.loans.insert(
+                    (lender, yes.loan),
+                    Loan {
+                        units: yes.units,
+                        until,
+                    },
+                );
                 // What it was used for at its lender, that one has counted: it lends none that was spent.
             }
             None => return false,
@@ -329,8 +385,11 @@
     pub fn give_back(&mut self, now: Nanos, stay: u32, from: Option<u16>) -> Vec<(u16, Serial)> {
         self.tick(now);
         let mut borrowed: u32 = self.loans.values().map(|loan| loan.units).sum();
-        let mut order: Vec<(Nanos, (u16, Serial), u32)> =
-            self.loans.iter().map(|(&key, loan)| (loan.until, key, loan.units)).collect();
+        let mut order: Vec<(Nanos, (u16, Serial), u32)> = self
+            .loans
+            .iter()
+            .map(|(&key, loan)| (loan.until, key, loan.units))
+            .collect();
         order.sort_unstable();
         let mut given = Vec::new();
         for (_, key, units) in order {
@@ -361,13 +420,16 @@
     fn drop_loan(&mut self, key: (u16, Serial)) {
         self.loans.remove(&key);
         // A yes to a question that would prolong it is to find nothing.
-        self.asked.retain(|_, asked| asked.prolongs != Some(key.1) || asked.lender != key.0);
+        self.asked
+            .retain(|_, asked| asked.prolongs != Some(key.1) || asked.lender != key.0);
     }
 
     /// Loans that end within so long and are not being prolonged: lender, loan, units.
     pub fn ending(&self, within: Nanos) -> Vec<(u16, Serial, u32)> {
         let asked = |lender: u16, serial: Serial| {
-            self.asked.values().any(|q| q.lender == lender && q.prolongs == Some(serial))
+            self.asked
+                .values()
+                .any(|q| q.lender == lender && q.prolongs == Some(serial))
         };
         let soon = |(&(lender, serial), loan): (&(u16, Serial), &Loan)| {
             (loan.until <= self.last + within && !asked(lender, serial))
@@ -383,11 +445,16 @@
 
     /// Questions for new loans that may still be answered soon; a later yes counts all the same.
     pub fn open_questions(&self) -> usize {
-        self.asked.values().filter(|asked| self.is_open(asked)).count()
+        self.asked
+            .values()
+            .filter(|asked| self.is_open(asked))
+            .count()
     }
 
     pub fn is_asking(&self, lender: u16) -> bool {
-        self.asked.values().any(|asked| asked.lender == lender && self.is_open(asked))
+        self.asked
+            .values()
+            .any(|asked| asked.lender == lender && self.is_open(asked))
     }
 
     fn is_open(&self, asked: &Question) -> bool {
--- a/crates/ivypitch-shares/src/journal.rs
+++ b/crates/ivypitch-shares/src/journal.rs
@@ -85,8 +85,12 @@
         if !self.is_silent(now) || now < self.asked_at + ASK_AGAIN {
             return None;
         }
-        let ahead: Vec<u16> =
-            self.theirs.iter().filter(|(_, number)| **number > self.last).map(|(&place, _)| place).collect();
+        let ahead: Vec<u16> = self
+            .theirs
+            .iter()
+            .filter(|(_, number)| **number > self.last)
+            .map(|(&place, _)| place)
+            .collect();
         if ahead.is_empty() {
             return None;
         }
@@ -97,7 +101,11 @@
 
     pub fn next_ask(&self) -> Nanos {
         let is_behind = self.theirs.values().any(|&number| number > self.last);
-        if is_behind { (self.heard_at + SILENT).max(self.asked_at + ASK_AGAIN) } else { Nanos::MAX }
+        if is_behind {
+            (self.heard_at + SILENT).max(self.asked_at + ASK_AGAIN)
+        } else {
+            Nanos::MAX
+        }
     }
 
     /// The events behind that number, in order, as far as they are held without a gap.
@@ -106,6 +114,10 @@
         if number + 1 < first {
             return Vec::new();
         }
-        self.held.iter().filter(|(held, _)| *held > number).cloned().collect()
+        self.held
+            .iter()
+            .filter(|(held, _)| *held > number)
+            .cloned()
+            .collect()
     }
 }
--- a/crates/ivypitch-shares/src/market.rs
+++ b/crates/ivypitch-shares/src/market.rs
@@ -27,7 +27,9 @@
 const KEEPS: f64 = 0.05;
 
 /// To another member, about one bound.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, serde::Serialize, serde::Deserialize)]
+#[derive(
+    Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, serde::Serialize, serde::Deserialize,
+)]
 pub enum Word {
     Ask(Ask),
     Yes(Yes),
@@ -191,13 +193,22 @@
     /// The own home is asked back first: it need not be lent.
     fn recall(&mut self, need: u32, say: &mut dyn FnMut(u16, Word)) {
         let (lent, ..) = self.escrow.parts();
-        let missing = need.min(self.escrow.home()).saturating_sub(self.escrow.home() - lent);
+        let missing = need
+            .min(self.escrow.home())
+            .saturating_sub(self.escrow.home() - lent);
         for (borrower, loan) in self.escrow.to_recall(missing) {
             say(borrower.place, Word::Recall(loan));
         }
     }
 
-    fn prolong(&mut self, now: Nanos, need: u32, held: u32, heard: &[u16], say: &mut dyn FnMut(u16, Word)) {
+    fn prolong(
+        &mut self,
+        now: Nanos,
+        need: u32,
+        held: u32,
+        heard: &[u16],
+        say: &mut dyn FnMut(u16, Word),
+    ) {
         let mut over = held.saturating_sub(need);
         let within = (self.span as f64 * PROLONGS_AT) as Nanos;
         for (lender, loan, units) in self.escrow.ending(within) {
@@ -239,7 +250,9 @@
             Word::Yes(yes) => {
                 // Not wanted any more, or too late: returned sooner than by its end. The second copy of one that was
                 // taken returns nothing.
-                if !self.escrow.lent_to(now, from.place, yes) && !self.escrow.holds(from.place, yes.loan) {
+                if !self.escrow.lent_to(now, from.place, yes)
+                    && !self.escrow.holds(from.place, yes.loan)
+                {
                     say(from.place, Word::Return(yes.loan));
                 }
             }
--- a/crates/ivypitch-shares/src/shares.rs
+++ b/crates/ivypitch-shares/src/shares.rs
@@ -158,14 +158,29 @@
 
 impl Shares {
     /// `zones`: of each seat of the list. `journal`: the number of the last event that is known.
-    pub fn new(me: Process, zones: Vec<u16>, terms: Terms, journal: u64, seed: u64, now: Nanos) -> Shares {
+    pub fn new(
+        me: Process,
+        zones: Vec<u16>,
+        terms: Terms,
+        journal: u64,
+        seed: u64,
+        now: Nanos,
+    ) -> Shares {
         let members = zones.len();
-        let bounds = terms.bounds.iter().map(|bound| Bound::new(me.place, &bound.terms, now)).collect();
+        let bounds = terms
+            .bounds
+            .iter()
+            .map(|bound| Bound::new(me.place, &bound.terms, now))
+            .collect();
         Shares {
             me,
             heard: vec![None; members],
             places: Vec::new(),
-            hearing: if members > 1 { Hearing::Alone } else { Hearing::Most },
+            hearing: if members > 1 {
+                Hearing::Alone
+            } else {
+                Hearing::Most
+            },
             bounds,
             parts: vec![-1.0; terms.bounds.len()],
             table: Table::new(members, terms.most_engines, now),
@@ -190,15 +205,26 @@
     // ---- the members ----
 
     pub fn member_up(&mut self, now: Nanos, place: u16, birth: u64, out: &mut dyn Output) {
-        let Some(seat) = self.heard.get_mut(usize::from(place)).filter(|_| place != self.me.place) else {
+        let Some(seat) = self
+            .heard
+            .get_mut(usize::from(place))
+            .filter(|_| place != self.me.place)
+        else {
             return;
         };
         let before = seat.replace(birth);
         if before.is_some_and(|before| before != birth) {
-            self.forget(Process { place, birth: before.unwrap_or_default() });
+            self.forget(Process {
+                place,
+                birth: before.unwrap_or_default(),
+            });
         }
         // What a former process of that place said counts its versions apart.
-        if self.spread.known_of(place).is_some_and(|known| known.of.birth != birth) {
+        if self
+            .spread
+            .known_of(place)
+            .is_some_and(|known| known.of.birth != birth)
+        {
             self.table.forget_member(place);
         }
         self.heard_changed(now, out);
@@ -206,19 +232,28 @@
 
     pub fn member_down(&mut self, now: Nanos, place: u16, birth: u64, out: &mut dyn Output) {
         let seat = self.heard.get_mut(usize::from(place));
-        if seat.and_then(|seat| seat.take_if(|held| *held == birth)).is_some() {
+        if seat
+            .and_then(|seat| seat.take_if(|held| *held == birth))
+            .is_some()
+        {
             self.forget(Process { place, birth });
             self.heard_changed(now, out);
         }
     }
 
     fn forget(&mut self, process: Process) {
-        self.bounds.iter_mut().for_each(|bound| bound.lost(process.place));
+        self.bounds
+            .iter_mut()
+            .for_each(|bound| bound.lost(process.place));
         self.news.lost(process.place);
     }
 
     fn heard_changed(&mut self, now: Nanos, out: &mut dyn Output) {
-        let places = self.heard.iter().enumerate().filter(|(_, seat)| seat.is_some());
+        let places = self
+            .heard
+            .iter()
+            .enumerate()
+            .filter(|(_, seat)| seat.is_some());
         self.places = places.map(|(place, _)| place as u16).collect();
         let (heard, seats) = (self.places.len() + 1, self.heard.len());
         let hearing = match heard {
@@ -233,7 +268,10 @@
                 .iter()
                 .zip(&self.terms.bounds)
                 .map(|(bound, BoundTerms { name, terms, .. })| {
-                    format!("{name} {:.4}", f64::from(bound.escrow.held()) / f64::from(terms.units.max(1)))
+                    format!(
+                        "{name} {:.4}",
+                        f64::from(bound.escrow.held()) / f64::from(terms.units.max(1))
+                    )
                 })
                 .collect();
             out.log(&format!(
@@ -277,12 +315,17 @@
     }
 
     pub fn held(&self, bound: usize) -> u32 {
-        self.bounds.get(bound).map_or(0, |bound| bound.escrow.held())
+        self.bounds
+            .get(bound)
+            .map_or(0, |bound| bound.escrow.held())
     }
 
     /// Units of the whole bound.
     pub fn units(&self, bound: usize) -> u32 {
-        self.terms.bounds.get(bound).map_or(0, |bound| bound.terms.units)
+        self.terms
+            .bounds
+            .get(bound)
+            .map_or(0, |bound| bound.terms.units)
     }
 
     fn look(&mut self, now: Nanos, out: &mut dyn Output) {
@@ -298,16 +341,25 @@
 
     fn send(&self, said: BTreeMap<u16, Vec<(u16, Word)>>, out: &mut dyn Output) {
         for (place, words) in said {
-            let Some(to) = self.heard.get(usize::from(place)).copied().flatten() else { continue };
+            let Some(to) = self.heard.get(usize::from(place)).copied().flatten() else {
+                continue;
+            };
             for words in words.chunks(MOST_TOGETHER) {
-                out.say(place, Message::Words { to, words: words.to_vec() });
+                out.say(
+                    place,
+                    Message::Words {
+                        to,
+                        words: words.to_vec(),
+                    },
+                );
             }
         }
     }
 
     fn tell_parts(&mut self, out: &mut dyn Output) {
         for (i, bound) in self.bounds.iter().enumerate() {
-            let part = f64::from(bound.escrow.held()) / f64::from(self.terms.bounds[i].terms.units.max(1));
+            let part =
+                f64::from(bound.escrow.held()) / f64::from(self.terms.bounds[i].terms.units.max(1));
             if part != self.parts[i] {
                 self.parts[i] = part;
                 out.part(i, part);
@@ -334,7 +386,9 @@
         }
         let own = self.own.entry(engine).or_default();
         own.outcomes.push_back((now, saw));
-        while own.outcomes.len() > LAST_FEW || own.outcomes.front().is_some_and(|&(at, _)| at + LIFE < now) {
+        while own.outcomes.len() > LAST_FEW
+            || own.outcomes.front().is_some_and(|&(at, _)| at + LIFE < now)
+        {
             own.outcomes.pop_front();
         }
         let count = |what: Saw| own.outcomes.iter().filter(|(_, saw)| *saw == what).count() as u8;
@@ -346,11 +400,20 @@
         if now < own.told_at + WORDS_APART || !self.worth_a_word(now, engine, saw, sight) {
             return;
         }
-        let Some(own) = self.own.get_mut(&engine) else { return };
+        let Some(own) = self.own.get_mut(&engine) else {
+            return;
+        };
         (own.told_at, own.told) = (now, sight);
         self.version += 1;
-        let item = Item { of: self.me, engine, version: self.version, age_ms: 0, sight };
-        self.table.put(engine, self.me.place, self.version, sight, now);
+        let item = Item {
+            of: self.me,
+            engine,
+            version: self.version,
+            age_ms: 0,
+            sight,
+        };
+        self.table
+            .put(engine, self.me.place, self.version, sight, now);
         self.spread.pass_on(now, item, now);
     }
 
@@ -363,7 +426,10 @@
                 defend += usize::from(word.successes > word.failures + word.unreached);
             }
         }
-        let told_fault = self.own.get(&engine).is_some_and(|own| own.told.failures + own.told.unreached > 0);
+        let told_fault = self
+            .own
+            .get(&engine)
+            .is_some_and(|own| own.told.failures + own.told.unreached > 0);
         match saw {
             Saw::Success => (accuse > 0 || told_fault) && defend < ENOUGH,
             // One among many that went well is no news of the engine.
@@ -374,7 +440,9 @@
     fn judge(&mut self, now: Nanos, out: &mut dyn Output) {
         self.next_judge = now + JUDGE;
         let before = self.verdicts.out().len();
-        self.shown = self.verdicts.judge(now, &self.table, &self.zones, &self.listed);
+        self.shown = self
+            .verdicts
+            .judge(now, &self.table, &self.zones, &self.listed);
         let heard = self.places.len() + 1;
         for verdict in &self.shown {
             let engine = verdict.engine;
@@ -382,7 +450,8 @@
             if was.is_out && !verdict.is_out && !self.returns.contains_key(&engine) {
                 // Not all at the moment at which all hear it.
                 let after = tries_at(engine, self.me.place, self.seed);
-                self.returns.insert(engine, now + (RETURNS as f64 * after) as Nanos);
+                self.returns
+                    .insert(engine, now + (RETURNS as f64 * after) as Nanos);
             }
             if verdict.is_out || self.returns.get(&engine).is_some_and(|&at| now >= at) {
                 self.returns.remove(&engine);
@@ -390,7 +459,11 @@
             let is_out = verdict.is_out || self.returns.contains_key(&engine);
             let tries = verdict.is_out && tries(now, engine, self.me.place, heard, self.seed);
             let is_well = verdict.is_well && !is_out;
-            let advice = Advice { is_out, tries, is_well };
+            let advice = Advice {
+                is_out,
+                tries,
+                is_well,
+            };
             if advice != was {
                 self.advised.insert(engine, advice);
                 out.advise(engine, advice);
@@ -399,7 +472,9 @@
         let after = self.verdicts.out().len();
         if before != after {
             let (all, heard) = (self.listed.len(), self.places.len() + 1);
-            out.log(&format!("shares: {after} of {all} engines left out, by {heard} members heard"));
+            out.log(&format!(
+                "shares: {after} of {all} engines left out, by {heard} members heard"
+            ));
         }
     }
 
@@ -421,13 +496,17 @@
     // ---- what is heard ----
 
     pub fn heard(&mut self, now: Nanos, from: u16, message: Message, out: &mut dyn Output) {
-        let Some(birth) = self.heard.get(usize::from(from)).copied().flatten() else { return };
+        let Some(birth) = self.heard.get(usize::from(from)).copied().flatten() else {
+            return;
+        };
         let process = Process { place: from, birth };
         match message {
             Message::Words { to, words } if to == self.me.birth => {
                 let mut said: BTreeMap<u16, Vec<(u16, Word)>> = BTreeMap::new();
                 for (bound, word) in words {
-                    let Some(held) = self.bounds.get_mut(usize::from(bound)) else { continue };
+                    let Some(held) = self.bounds.get_mut(usize::from(bound)) else {
+                        continue;
+                    };
                     held.heard(now, process, word, &mut |to, word| {
                         said.entry(to).or_default().push((bound, word));
                     });
@@ -462,9 +541,17 @@
         {
             return;
         }
-        let Some(delay) = self.spread.delay(now, from, said_ms) else { return };
+        let Some(delay) = self.spread.delay(now, from, said_ms) else {
+            return;
+        };
         match gossip {
-            Gossip::News { journal, spares, items, upto, .. } => {
+            Gossip::News {
+                journal,
+                spares,
+                items,
+                upto,
+                ..
+            } => {
                 if journal > 0 {
                     self.news.member_at(from.place, journal);
                 }
@@ -504,11 +591,18 @@
             let before = items.len();
             for &engine in self.table.engines() {
                 let held = self.table.get(engine, of.of.place);
-                let Some((version, sight, seen_at)) = held.filter(|held| held.0 > of.version) else {
+                let Some((version, sight, seen_at)) = held.filter(|held| held.0 > of.version)
+                else {
                     continue;
                 };
                 if now < seen_at + LIFE {
-                    items.push(Item { of: of.of, engine, version, age_ms: age_ms(now, seen_at), sight });
+                    items.push(Item {
+                        of: of.of,
+                        engine,
+                        version,
+                        age_ms: age_ms(now, seen_at),
+                        sight,
+                    });
                 }
             }
             if items.len() > MOST_ITEMS {
@@ -532,7 +626,15 @@
         }
         let seen_at = now.saturating_sub(age);
         let listed = self.listed.contains(&item.engine);
-        if listed && self.table.put(item.engine, item.of.place, item.version, item.sight, seen_at) {
+        if listed
+            && self.table.put(
+                item.engine,
+                item.of.place,
+                item.version,
+                item.sight,
+                seen_at,
+            )
+        {
             self.spread.pass_on(now, item, seen_at);
         }
     }
@@ -540,8 +642,14 @@
     // ---- time ----
 
     pub fn next_wake(&self) -> Nanos {
-        let look = if self.bounds.is_empty() { Nanos::MAX } else { self.next_look };
-        look.min(self.next_judge).min(self.spread.next_wake()).min(self.news.next_ask())
+        let look = if self.bounds.is_empty() {
+            Nanos::MAX
+        } else {
+            self.next_look
+        };
+        look.min(self.next_judge)
+            .min(self.spread.next_wake())
+            .min(self.news.next_ask())
     }
 
     pub fn woken(&mut self, now: Nanos, out: &mut dyn Output) {
@@ -553,9 +661,17 @@
             self.judge(now, out);
         }
         if now >= self.spread.next_wake() {
-            let spares: Vec<u32> = self.bounds.iter().take(MOST_SPARES).map(Bound::spare).collect();
+            let spares: Vec<u32> = self
+                .bounds
+                .iter()
+                .take(MOST_SPARES)
+                .map(Bound::spare)
+                .collect();
             let journal = self.news.last();
-            for (to, gossip) in self.spread.woken(now, &self.places, journal, &spares, &mut self.rng) {
+            for (to, gossip) in
+                self.spread
+                    .woken(now, &self.places, journal, &spares, &mut self.rng)
+            {
                 out.gossip(to, gossip);
             }
         }
@@ -584,14 +700,21 @@
         let engine = |verdict: &Verdict| EngineView {
             engine: verdict.engine,
             out: verdict.is_out,
-            tries: self.advised.get(&verdict.engine).is_some_and(|advice| advice.tries),
+            tries: self
+                .advised
+                .get(&verdict.engine)
+                .is_some_and(|advice| advice.tries),
             unreached: verdict.unreached,
             failures: verdict.failures,
             outcomes: verdict.outcomes,
             by: self
                 .table
                 .fresh(verdict.engine, now)
-                .map(|(member, sight, weight)| Said { member, age_ms: age_of(weight), sight })
+                .map(|(member, sight, weight)| Said {
+                    member,
+                    age_ms: age_of(weight),
+                    sight,
+                })
                 .collect(),
         };
         View {
@@ -601,8 +724,18 @@
             heard: self.places.clone(),
             journal: self.news.last(),
             journal_silent: self.news.is_silent(now),
-            bounds: self.bounds.iter().zip(&self.terms.bounds).map(bound).collect(),
-            engines: self.shown.iter().filter(|v| v.members > 0).map(engine).collect(),
+            bounds: self
+                .bounds
+                .iter()
+                .zip(&self.terms.bounds)
+                .map(bound)
+                .collect(),
+            engines: self
+                .shown
+                .iter()
+                .filter(|v| v.members > 0)
+                .map(engine)
+                .collect(),
             sent_bytes: self.spread.sent_bytes,
             late: self.spread.late,
             events_by_members: self.news.by_members,
--- a/crates/ivypitch-shares/src/sights.rs
+++ b/crates/ivypitch-shares/src/sights.rs
@@ -8,7 +8,9 @@
 pub const LIFE: Nanos = 3 * SECOND;
 
 /// The last few outcomes of one member at one engine.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize,
+)]
 pub struct Sight {
     pub successes: u8,
     pub failures: u8,
@@ -69,32 +71,54 @@
     }
 
     /// False: older than what is known, or of no use.
-    pub fn put(&mut self, engine: u64, member: u16, version: u32, sight: Sight, seen_at: Nanos) -> bool {
+    pub fn put(
+        &mut self,
+        engine: u64,
+        member: u16,
+        version: u32,
+        sight: Sight,
+        seen_at: Nanos,
+    ) -> bool {
         let row = match self.row(engine) {
             Some(row) => row,
             None if self.engines.len() >= self.most_engines => return false,
             None => {
                 self.engines.push(engine);
-                self.cells.resize(self.engines.len() * self.members, Cell::default());
+                self.cells
+                    .resize(self.engines.len() * self.members, Cell::default());
                 self.engines.len() - 1
             }
         };
         let seen_ms = self.ms(seen_at).max(1);
-        let Some(cell) = self.cells[row * self.members..].get_mut(usize::from(member)) else { return false };
+        let Some(cell) = self.cells[row * self.members..].get_mut(usize::from(member)) else {
+            return false;
+        };
         if usize::from(member) >= self.members || cell.version >= version {
             return false;
         }
-        *cell = Cell { seen_ms, version, sight };
+        *cell = Cell {
+            seen_ms,
+            version,
+            sight,
+        };
         true
     }
 
     pub fn get(&self, engine: u64, member: u16) -> Option<(u32, Sight, Nanos)> {
-        let cell = self.words(engine).get(usize::from(member)).filter(|cell| cell.version > 0)?;
-        Some((cell.version, cell.sight, self.began + Nanos::from(cell.seen_ms) * 1_000_000))
+        let cell = self
+            .words(engine)
+            .get(usize::from(member))
+            .filter(|cell| cell.version > 0)?;
+        Some((
+            cell.version,
+            cell.sight,
+            self.began + Nanos::from(cell.seen_ms) * 1_000_000,
+        ))
     }
 
     fn words(&self, engine: u64) -> &[Cell] {
-        self.row(engine).map_or(&[], |row| &self.cells[row * self.members..][..self.members])
+        self.row(engine)
+            .map_or(&[], |row| &self.cells[row * self.members..][..self.members])
     }
 
     /// Words on an engine that still count: member, sight, and what is left of its weight, 0 to 1.
@@ -102,8 +126,13 @@
         let (now, life) = (self.ms(now), (LIFE / 1_000_000) as u32);
         let counts = move |(member, cell): (usize, &Cell)| {
             let age = now.saturating_sub(cell.seen_ms);
-            (cell.version > 0 && age < life)
-                .then(|| (member as u16, cell.sight, 1.0 - f64::from(age) / f64::from(life)))
+            (cell.version > 0 && age < life).then(|| {
+                (
+                    member as u16,
+                    cell.sight,
+                    1.0 - f64::from(age) / f64::from(life),
+                )
+            })
         };
         self.words(engine).iter().enumerate().filter_map(counts)
     }
@@ -112,7 +141,11 @@
     pub fn forget_member(&mut self, member: u16) {
         let at = usize::from(member);
         if at < self.members {
-            self.cells.iter_mut().skip(at).step_by(self.members).for_each(|cell| *cell = Cell::default());
+            self.cells
+                .iter_mut()
+                .skip(at)
+                .step_by(self.members)
+                .for_each(|cell| *cell = Cell::default());
         }
     }
 
@@ -126,7 +159,8 @@
             }
             let (last, members) = (self.engines.len() - 1, self.members);
             self.engines.swap_remove(row);
-            self.cells.copy_within(last * members..(last + 1) * members, row * members);
+            self.cells
+                .copy_within(last * members..(last + 1) * members, row * members);
             self.cells.truncate(last * members);
         }
     }
--- a/crates/ivypitch-shares/src/spread.rs
+++ b/crates/ivypitch-shares/src/spread.rs
@@ -66,9 +66,17 @@
         upto: Vec<Known>,
     },
     /// What stands here of all members, part by part.
-    Digest { said_ms: u64, from: Process, parts: Vec<u32> },
+    Digest {
+        said_ms: u64,
+        from: Process,
+        parts: Vec<u32>,
+    },
     /// Of the members of parts that differ.
-    Versions { said_ms: u64, from: Process, known: Vec<Known> },
+    Versions {
+        said_ms: u64,
+        from: Process,
+        known: Vec<Known>,
+    },
 }
 
 impl Gossip {
@@ -152,17 +160,28 @@
 
     /// A new word, of this member or another: it goes on.
     pub fn pass_on(&mut self, now: Nanos, item: Item, seen_at: Nanos) {
-        let known = self.newest.entry(item.of.place).or_insert(Known { of: item.of, version: 0 });
+        let known = self.newest.entry(item.of.place).or_insert(Known {
+            of: item.of,
+            version: 0,
+        });
         if known.of != item.of {
-            *known = Known { of: item.of, version: 0 };
+            *known = Known {
+                of: item.of,
+                version: 0,
+            };
         }
         // One that is missing in between leaves a gap, which the digests show.
         if item.version == known.version + 1 {
             known.version = item.version;
         }
         // An older word of the same member on the same engine need not travel any more.
-        self.passing.retain(|held| (held.item.of, held.item.engine) != (item.of, item.engine));
-        self.passing.push_back(Passing { item, seen_at, left: self.times() });
+        self.passing
+            .retain(|held| (held.item.of, held.item.engine) != (item.of, item.engine));
+        self.passing.push_back(Passing {
+            item,
+            seen_at,
+            left: self.times(),
+        });
         if self.passing.len() > self.most_passing {
             self.passing.pop_front();
         }
@@ -189,10 +208,18 @@
 
     /// A process that is gone: what is known of its versions ends with it.
     pub fn forget(&mut self, process: Process) {
-        if self.newest.get(&process.place).is_some_and(|known| known.of == process) {
+        if self
+            .newest
+            .get(&process.place)
+            .is_some_and(|known| known.of == process)
+        {
             self.newest.remove(&process.place);
         }
-        if self.quickest.get(&process.place).is_some_and(|quickest| quickest.birth == process.birth) {
+        if self
+            .quickest
+            .get(&process.place)
+            .is_some_and(|quickest| quickest.birth == process.birth)
+        {
             self.quickest.remove(&process.place);
         }
     }
@@ -200,13 +227,20 @@
     /// How long this datagram was under way beyond the quickest of its sender; `None`: it is no news any more.
     pub fn delay(&mut self, now: Nanos, from: Process, said_ms: u64) -> Option<Nanos> {
         let offset = now as i64 - (said_ms * MS) as i64;
-        let quickest =
-            self.quickest.entry(from.place).or_insert(Quickest { birth: from.birth, offset, at: now });
+        let quickest = self.quickest.entry(from.place).or_insert(Quickest {
+            birth: from.birth,
+            offset,
+            at: now,
+        });
         if quickest.birth > from.birth {
             return None;
         }
         if quickest.birth < from.birth {
-            *quickest = Quickest { birth: from.birth, offset, at: now };
+            *quickest = Quickest {
+                birth: from.birth,
+                offset,
+                at: now,
+            };
         }
         let drifted = (now.saturating_sub(quickest.at) as f64 * DRIFT) as i64;
         if offset <= quickest.offset + drifted {
@@ -250,7 +284,14 @@
                 }
                 self.allowance -= size as f64;
                 let spares = spares.to_vec();
-                let news = Gossip::News { said_ms, from, journal, spares, items, upto: Vec::new() };
+                let news = Gossip::News {
+                    said_ms,
+                    from,
+                    journal,
+                    spares,
+                    items,
+                    upto: Vec::new(),
+                };
                 out.push((to, news));
             }
             self.passing.retain(|passing| passing.left > 0);
@@ -264,7 +305,14 @@
                 && self.allowance >= 4.0 * BUCKETS as f64
             {
                 self.allowance -= 4.0 * BUCKETS as f64;
-                out.push((to, Gossip::Digest { said_ms, from, parts: self.parts() }));
+                out.push((
+                    to,
+                    Gossip::Digest {
+                        said_ms,
+                        from,
+                        parts: self.parts(),
+                    },
+                ));
                 // Spares and the journal's number are told in quiet times too.
                 let news = Gossip::News {
                     said_ms,
@@ -292,7 +340,10 @@
                 continue;
             }
             passing.left -= 1;
-            items.push(Item { age_ms: age_ms(now, passing.seen_at), ..passing.item });
+            items.push(Item {
+                age_ms: age_ms(now, passing.seen_at),
+                ..passing.item
+            });
         }
         items
     }
@@ -319,9 +370,17 @@
         if parts == own {
             return None;
         }
-        let known = self.newest.values().filter(|known| differs(known.of.place)).copied();
+        let known = self
+            .newest
+            .values()
+            .filter(|known| differs(known.of.place))
+            .copied();
         let known = known.take(MOST_BYTES / 14).collect();
-        Some(Gossip::Versions { said_ms: self.ms(now), from: self.me, known })
+        Some(Gossip::Versions {
+            said_ms: self.ms(now),
+            from: self.me,
+            known,
+        })
     }
 
     /// Of which members the other knows less than this one: from which version on.
@@ -334,7 +393,10 @@
         };
         let less = |known: &Known| {
             let version = known_there(known)?;
-            (version < known.version).then_some(Known { of: known.of, version })
+            (version < known.version).then_some(Known {
+                of: known.of,
+                version,
+            })
         };
         self.newest.values().filter_map(less).collect()
     }
@@ -352,16 +414,30 @@
             .iter()
             .map(|t| {
                 let own = self.newest.get(&t.of.place).filter(|own| own.of == t.of);
-                Known { of: t.of, version: own.map_or(0, |own| own.version) }
+                Known {
+                    of: t.of,
+                    version: own.map_or(0, |own| own.version),
+                }
             })
             .collect();
-        Gossip::Versions { said_ms: self.ms(now), from: self.me, known }
+        Gossip::Versions {
+            said_ms: self.ms(now),
+            from: self.me,
+            known,
+        }
     }
 
     /// What closes the other's gaps.
     pub fn repair(&self, now: Nanos, items: Vec<Item>, upto: Vec<Known>) -> Gossip {
         let (said_ms, from) = (self.ms(now), self.me);
-        Gossip::News { said_ms, from, journal: 0, spares: Vec::new(), items, upto }
+        Gossip::News {
+            said_ms,
+            from,
+            journal: 0,
+            spares: Vec::new(),
+            items,
+            upto,
+        }
     }
 
     pub fn known_of(&self, place: u16) -> Option<Known> {
--- a/crates/ivypitch-shares/src/verdicts.rs
+++ b/crates/ivypitch-shares/src/verdicts.rs
@@ -62,15 +62,25 @@
     }
 
     /// `zones`: of each member, by place. `listed`: engines that are ready.
-    pub fn judge(&mut self, now: Nanos, table: &Table, zones: &[u16], listed: &[u64]) -> Vec<Verdict> {
+    pub fn judge(
+        &mut self,
+        now: Nanos,
+        table: &Table,
+        zones: &[u16],
+        listed: &[u64],
+    ) -> Vec<Verdict> {
         let ill = ill(now, table, zones.len());
-        let mut all: Vec<Verdict> =
-            listed.iter().map(|&engine| self.one(now, table, zones, &ill, engine)).collect();
+        let mut all: Vec<Verdict> = listed
+            .iter()
+            .map(|&engine| self.one(now, table, zones, &ill, engine))
+            .collect();
         let most = (listed.len() as f64 * MOST_OUT).floor() as usize;
         let worst = |v: &Verdict| v.failures / v.outcomes.max(1.0);
         let mut out: Vec<usize> = (0..all.len()).filter(|&i| all[i].is_out).collect();
         out.sort_by(|&a, &b| {
-            worst(&all[b]).total_cmp(&worst(&all[a])).then(all[a].engine.cmp(&all[b].engine))
+            worst(&all[b])
+                .total_cmp(&worst(&all[a]))
+                .then(all[a].engine.cmp(&all[b].engine))
         });
         for &i in out.iter().skip(most) {
             all[i].is_out = false;
@@ -80,10 +90,13 @@
     }
 
     fn one(&self, now: Nanos, table: &Table, zones: &[u16], ill: &[bool], engine: u64) -> Verdict {
-        let (mut failures, mut outcomes, mut members, mut accusers, mut defenders) = (0.0, 0.0, 0, 0, 0);
+        let (mut failures, mut outcomes, mut members, mut accusers, mut defenders) =
+            (0.0, 0.0, 0, 0, 0);
         let is_ill = |member: u16| ill.get(usize::from(member)) == Some(&true);
-        let mut words: Vec<(u16, Sight, f64)> =
-            table.fresh(engine, now).filter(|&(member, ..)| !is_ill(member)).collect();
+        let mut words: Vec<(u16, Sight, f64)> = table
+            .fresh(engine, now)
+            .filter(|&(member, ..)| !is_ill(member))
+            .collect();
         words.sort_by(|a, b| b.2.total_cmp(&a.2).then(a.0.cmp(&b.0)));
         // By zone: weight of members that can't reach it, and of all that speak.
         let mut ways: Vec<(u16, f64, f64)> = Vec::new();
@@ -109,13 +122,20 @@
                     ways.last_mut().unwrap_or_else(|| unreachable!())
                 }
             };
-            way.1 += if sight.unreached > 0 && told == 0.0 { weight } else { 0.0 };
+            way.1 += if sight.unreached > 0 && told == 0.0 {
+                weight
+            } else {
+                0.0
+            };
             way.2 += weight;
         }
         let dark = ways.iter().filter(|way| way.1 > 0.5 * way.2).count();
         // All of one zone alone may be that zone's own way.
         let unreached = dark as f64 > ZONES_UNREACHED * ways.len() as f64
-            && (dark > 1 || zones.iter().all(|&zone| Some(zone) == zones.first().copied()))
+            && (dark > 1
+                || zones
+                    .iter()
+                    .all(|&zone| Some(zone) == zones.first().copied()))
             && members >= FEWEST_MEMBERS.min(zones.len() / 2 + 1);
         let fewest = FEWEST_MEMBERS.min(zones.len() / 2 + 1);
         let good = 1.0 - failures / outcomes.max(1e-9);
@@ -123,10 +143,20 @@
         let is_out = unreached
             || match was_out {
                 true => failures > 0.0 && good < BACK_FROM,
-                false => failures >= FEWEST_FAILURES && accusers >= fewest && good < FEWEST_SUCCESSES,
+                false => {
+                    failures >= FEWEST_FAILURES && accusers >= fewest && good < FEWEST_SUCCESSES
+                }
             };
         let is_well = !is_out && defenders >= WELL_BY && good >= BACK_FROM;
-        Verdict { engine, is_out, failures, outcomes, members, unreached, is_well }
+        Verdict {
+            engine,
+            is_out,
+            failures,
+            outcomes,
+            members,
+            unreached,
+            is_well,
+        }
     }
 }
 
@@ -142,7 +172,9 @@
             }
         }
     }
-    let (all, bad) = said.iter().fold((0, 0), |(a, b), &(all, bad)| (a + all, b + bad));
+    let (all, bad) = said
+        .iter()
+        .fold((0, 0), |(a, b), &(all, bad)| (a + all, b + bad));
     let judge = |&(own, own_bad): &(usize, usize)| {
         let others = (bad - own_bad) as f64 / ((all - own).max(1)) as f64;
         let part = own_bad as f64 / own.max(1) as f64;
--- a/crates/ivypitch-shares/tests/merge.rs
+++ b/crates/ivypitch-shares/tests/merge.rs
@@ -17,11 +17,17 @@
 }
 
 fn bad(failures: u8) -> Sight {
-    Sight { failures, ..Sight::default() }
+    Sight {
+        failures,
+        ..Sight::default()
+    }
 }
 
 fn good(successes: u8) -> Sight {
-    Sight { successes, ..Sight::default() }
+    Sight {
+        successes,
+        ..Sight::default()
+    }
 }
 
 /// Words of members on one engine, all a tenth of a second old.
@@ -44,9 +50,18 @@
         let mut words: Vec<(u64, u16, u32, Sight, Nanos)> = Vec::new();
         for version in 1..30 {
             let (engine, member) = (rng.random_range(0..4), rng.random_range(0..6));
-            let sight =
-                Sight { successes: rng.random_range(0..4), failures: rng.random_range(0..4), unreached: 0 };
-            words.push((engine, member, version, sight, NOW - rng.random_range(0..LIFE)));
+            let sight = Sight {
+                successes: rng.random_range(0..4),
+                failures: rng.random_range(0..4),
+                unreached: 0,
+            };
+            words.push((
+                engine,
+                member,
+                version,
+                sight,
+                NOW - rng.random_range(0..LIFE),
+            ));
         }
         let fill = |words: &[(u64, u16, u32, Sight, Nanos)]| {
             let mut table = Table::new(MEMBERS, 10, NOW - 50 * SECOND);
@@ -72,14 +87,21 @@
 #[test_case(&[(0, 2), (1, 2), (2, 2)], &[3, 4, 5, 6, 7, 8], false; "not against six that it serves")]
 #[test_case(&[(0, 2), (1, 2), (2, 2), (3, 2), (4, 2), (5, 2)], &[6], true; "one that sees it as good keeps no bad one in")]
 fn what_members_can_say_against_an_engine(accuse: &[(u16, u8)], defend: &[u16], out: bool) {
-    let accused = accuse.iter().map(|&(member, failures)| (member, bad(failures)));
-    let words: Vec<_> = accused.chain(defend.iter().map(|&member| (member, good(3)))).collect();
+    let accused = accuse
+        .iter()
+        .map(|&(member, failures)| (member, bad(failures)));
+    let words: Vec<_> = accused
+        .chain(defend.iter().map(|&member| (member, good(3))))
+        .collect();
     assert_eq!(is_out(&words), out);
 }
 
 #[test]
 fn no_way_from_one_zone_is_no_fault_of_the_engine() {
-    let unreached = Sight { unreached: 2, ..Sight::default() };
+    let unreached = Sight {
+        unreached: 2,
+        ..Sight::default()
+    };
     // Members 0, 3, 6 .. stand in the first zone; the other zones are served.
     let mut words: Vec<(u16, Sight)> = (0..30).step_by(3).map(|m| (m, unreached)).collect();
     words.extend([(1, good(2)), (2, good(2)), (4, good(2))]);
@@ -115,18 +137,32 @@
         }
     }
     let mut verdicts = Verdicts::default();
-    let out = |all: Vec<ivypitch_shares::verdicts::Verdict>| all.iter().filter(|v| v.is_out).count();
-    assert_eq!(out(verdicts.judge(NOW, &table, &zones(), &listed)), (20.0 * MOST_OUT) as usize);
-    assert_eq!(out(verdicts.judge(NOW + LIFE, &table, &zones(), &listed)), 0, "all are forgotten");
+    let out =
+        |all: Vec<ivypitch_shares::verdicts::Verdict>| all.iter().filter(|v| v.is_out).count();
+    assert_eq!(
+        out(verdicts.judge(NOW, &table, &zones(), &listed)),
+        (20.0 * MOST_OUT) as usize
+    );
+    assert_eq!(
+        out(verdicts.judge(NOW + LIFE, &table, &zones(), &listed)),
+        0,
+        "all are forgotten"
+    );
 }
 
 #[test]
 fn few_try_a_suspected_engine_and_not_always_the_same() {
-    let triers =
-        |second: u64| (0..300).filter(|&m| tries(second * SECOND, 7, m, 300, 1)).collect::<Vec<u16>>();
+    let triers = |second: u64| {
+        (0..300)
+            .filter(|&m| tries(second * SECOND, 7, m, 300, 1))
+            .collect::<Vec<u16>>()
+    };
     let counts: Vec<usize> = (0..60).map(|second| triers(second).len()).collect();
     let mean = counts.iter().sum::<usize>() as f64 / 60.0;
-    assert!((2.0..4.0).contains(&mean) && counts.iter().all(|&n| n <= 12), "{counts:?}");
+    assert!(
+        (2.0..4.0).contains(&mean) && counts.iter().all(|&n| n <= 12),
+        "{counts:?}"
+    );
     assert_ne!(triers(1), triers(2));
 }
 
@@ -134,16 +170,29 @@
 fn events_are_taken_in_the_order_of_their_numbers_whoever_tells_them() {
     let mut news = News::new(4, 3, 1000, 0);
     news.member_at(2, 6);
-    assert_eq!(news.to_ask(SECOND / 10), None, "the journal spoke a moment ago");
+    assert_eq!(
+        news.to_ask(SECOND / 10),
+        None,
+        "the journal spoke a moment ago"
+    );
     assert_eq!(news.to_ask(SECOND), Some(2));
     news.taken(6, b"six");
     assert_eq!(news.last(), 4, "never with a gap");
-    for (number, line) in [(5, b"five"), (6, b"six "), (6, b"six "), (7, b"sevn"), (8, b"eigt")] {
+    for (number, line) in [
+        (5, b"five"),
+        (6, b"six "),
+        (6, b"six "),
+        (7, b"sevn"),
+        (8, b"eigt"),
+    ] {
         news.taken(number, line);
     }
     assert_eq!(news.last(), 8);
     // Three are held: who is further behind is told nothing, and asks another.
-    assert_eq!(news.behind(5).iter().map(|(n, _)| *n).collect::<Vec<_>>(), [6, 7, 8]);
+    assert_eq!(
+        news.behind(5).iter().map(|(n, _)| *n).collect::<Vec<_>>(),
+        [6, 7, 8]
+    );
     assert!(news.behind(4).is_empty());
     assert_eq!(news.to_ask(2 * SECOND), None, "nobody is ahead");
 }
--- a/crates/ivypitch-shares/tests/model.rs
+++ b/crates/ivypitch-shares/tests/model.rs
@@ -77,8 +77,19 @@
 
 impl Fleet {
     fn terms(&self) -> Terms {
-        let drift = if self.without == Without::Drift { 0.0 } else { 0.5 };
-        Terms { units: 6, members: MEMBERS as u16, floor: 0.5, window: 0, span: SPAN, drift }
+        let drift = if self.without == Without::Drift {
+            0.0
+        } else {
+            0.5
+        };
+        Terms {
+            units: 6,
+            members: MEMBERS as u16,
+            floor: 0.5,
+            window: 0,
+            span: SPAN,
+            drift,
+        }
     }
 
     fn now(&self, state: &State, m: usize) -> u64 {
@@ -86,7 +97,10 @@
     }
 
     fn process(&self, state: &State, m: usize) -> Process {
-        Process { place: m as u16, birth: state.births[m] }
+        Process {
+            place: m as u16,
+            birth: state.births[m],
+        }
     }
 }
 
@@ -162,7 +176,11 @@
             }
             Action::Return(m) => {
                 let terms = match self.without {
-                    Without::Youth => Terms { span: 0, drift: 0.0, ..self.terms() },
+                    Without::Youth => Terms {
+                        span: 0,
+                        drift: 0.0,
+                        ..self.terms()
+                    },
                     _ => self.terms(),
                 };
                 let mut escrow = Escrow::new(m as u16, &terms, now(m).saturating_sub(1));
@@ -174,7 +192,11 @@
                 let from = self.process(last, by);
                 let to = self.process(last, of);
                 let ask = state.members[by].as_mut()?.ask(now(by), of as u16, 1, None);
-                state.letters.insert(Letter { from, to, word: Word::Ask(ask) });
+                state.letters.insert(Letter {
+                    from,
+                    to,
+                    word: Word::Ask(ask),
+                });
                 state.asks += 1;
             }
             Action::Prolong { by } => {
@@ -184,7 +206,11 @@
                 let &(lender, loan, units) = escrow.ending(SPAN).first()?;
                 let ask = escrow.ask(now(by), lender, units, Some(loan));
                 let to = self.process(last, usize::from(lender));
-                state.letters.insert(Letter { from, to, word: Word::Ask(ask) });
+                state.letters.insert(Letter {
+                    from,
+                    to,
+                    word: Word::Ask(ask),
+                });
                 state.prolongs += 1;
             }
             Action::GiveBack { by } => {
@@ -192,14 +218,22 @@
                 let from = self.process(last, by);
                 for (lender, loan) in state.members[by].as_mut()?.give_back(now(by), 0, None) {
                     let to = self.process(last, usize::from(lender));
-                    state.letters.insert(Letter { from, to, word: Word::Return(loan) });
+                    state.letters.insert(Letter {
+                        from,
+                        to,
+                        word: Word::Return(loan),
+                    });
                 }
             }
             Action::Recall { by } => {
                 state.recalls += 1;
                 let from = self.process(last, by);
                 for (to, loan) in state.members[by].as_ref()?.to_recall(6) {
-                    state.letters.insert(Letter { from, to, word: Word::Recall(loan) });
+                    state.letters.insert(Letter {
+                        from,
+                        to,
+                        word: Word::Recall(loan),
+                    });
                 }
             }
             Action::Deliver(Letter { from, to, word }) => {
@@ -215,7 +249,11 @@
                                 return None;
                             }
                             let again = escrow.ask(now(m), from.place, 1, None);
-                            yes = Yes { serial: again.serial, loan: again.serial, ..yes };
+                            yes = Yes {
+                                serial: again.serial,
+                                loan: again.serial,
+                                ..yes
+                            };
                         }
                         let taken = escrow.lent_to(now(m), from.place, yes);
                         let returns = match self.without {
@@ -228,12 +266,16 @@
                         escrow.returned(now(m), from, loan);
                         None
                     }
-                    Word::Recall(loan) => {
-                        escrow.recalled(now(m), from.place, loan).then_some(Word::Return(loan))
-                    }
+                    Word::Recall(loan) => escrow
+                        .recalled(now(m), from.place, loan)
+                        .then_some(Word::Return(loan)),
                 };
                 if let Some(word) = answer {
-                    state.letters.insert(Letter { from: me, to: from, word });
+                    state.letters.insert(Letter {
+                        from: me,
+                        to: from,
+                        word,
+                    });
                 }
             }
         }
@@ -246,7 +288,9 @@
         if self.without != Without::Birth {
             // What is for a process that is gone is taken by nobody.
             let births = state.births.clone();
-            state.letters.retain(|letter| births[usize::from(letter.to.place)] == letter.to.birth);
+            state
+                .letters
+                .retain(|letter| births[usize::from(letter.to.place)] == letter.to.birth);
         }
         (state != *last).then_some(state)
     }
@@ -254,13 +298,27 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("all hold no more than the bound", |_, state: &State| {
-                state.members.iter().flatten().map(Escrow::held).sum::<u32>() <= 6
+                state
+                    .members
+                    .iter()
+                    .flatten()
+                    .map(Escrow::held)
+                    .sum::<u32>()
+                    <= 6
             }),
             Property::always("nobody holds less than its floor", |_, state: &State| {
-                state.members.iter().flatten().all(|escrow| escrow.held() >= escrow.floor())
+                state
+                    .members
+                    .iter()
+                    .flatten()
+                    .all(|escrow| escrow.held() >= escrow.floor())
             }),
             Property::sometimes("something is lent and used", |_, state: &State| {
-                state.members.iter().flatten().any(|escrow| escrow.held() > escrow.home())
+                state
+                    .members
+                    .iter()
+                    .flatten()
+                    .any(|escrow| escrow.held() > escrow.home())
             }),
         ]
     }
@@ -268,12 +326,14 @@
 
 #[test]
 fn with_all_guards_the_sum_holds_in_every_state() {
-    let checker = Fleet { without: Without::Nothing }
-        .checker()
-        .threads(4)
-        .target_state_count(4_000_000)
-        .spawn_bfs()
-        .join();
+    let checker = Fleet {
+        without: Without::Nothing,
+    }
+    .checker()
+    .threads(4)
+    .target_state_count(4_000_000)
+    .spawn_bfs()
+    .join();
     println!("{} states", checker.unique_state_count());
     checker.assert_properties();
 }
@@ -285,8 +345,17 @@
 #[test_case(Without::Copies)]
 fn without_a_guard_it_does_not(without: Without) {
     let fails = HasDiscoveries::AnyFailures;
-    let checker = Fleet { without }.checker().threads(4).finish_when(fails).spawn_bfs().join();
+    let checker = Fleet { without }
+        .checker()
+        .threads(4)
+        .finish_when(fails)
+        .spawn_bfs()
+        .join();
     let path = checker.discovery("all hold no more than the bound");
-    println!("{} states, {:?}", checker.unique_state_count(), path.clone().map(|path| path.into_actions()));
+    println!(
+        "{} states, {:?}",
+        checker.unique_state_count(),
+        path.clone().map(|path| path.into_actions())
+    );
     assert!(path.is_some(), "{without:?} guards against nothing");
 }
--- a/crates/ivypitch-simhost/src/codec.rs
+++ b/crates/ivypitch-simhost/src/codec.rs
@@ -38,30 +38,55 @@
 
 /// The next batch; `None` at a clean end of the input.
 pub fn read_batch(input: &mut impl Read) -> io::Result<Result<Option<Batch>, Malformed>> {
-    let malformed = |offset, what: String| Ok(Err(Malformed { record: "batch header", offset, what }));
+    let malformed = |offset, what: String| {
+        Ok(Err(Malformed {
+            record: "batch header",
+            offset,
+            what,
+        }))
+    };
     let mut header = Vec::with_capacity(BATCH_HEADER);
-    input.by_ref().take(BATCH_HEADER as u64).read_to_end(&mut header)?;
+    input
+        .by_ref()
+        .take(BATCH_HEADER as u64)
+        .read_to_end(&mut header)?;
     if header.is_empty() {
         return Ok(Ok(None));
     }
     if header.len() < BATCH_HEADER {
         return malformed(header.len(), "the input ends inside the header".into());
     }
-    let mut fields = Cursor { bytes: &header, at: 0, base: 0, record: "batch header" };
-    let (length, records, clock, number) = match (fields.u32(), fields.u32(), fields.u64(), fields.u32()) {
-        (Ok(length), Ok(records), Ok(clock), Ok(number)) => (length as usize, records, clock, number),
-        _ => return malformed(0, "unreadable".into()),
+    let mut fields = Cursor {
+        bytes: &header,
+        at: 0,
+        base: 0,
+        record: "batch header",
     };
+    let (length, records, clock, number) =
+        match (fields.u32(), fields.u32(), fields.u64(), fields.u32()) {
+            (Ok(length), Ok(records), Ok(clock), Ok(number)) => {
+                (length as usize, records, clock, number)
+            }
+            _ => return malformed(0, "unreadable".into()),
+        };
     if !(BATCH_HEADER..=LARGEST_FRAME).contains(&length) {
         return malformed(0, format!("a length of {length} bytes is out of range"));
     }
     let mut body = Vec::new();
-    input.by_ref().take((length - BATCH_HEADER) as u64).read_to_end(&mut body)?;
+    input
+        .by_ref()
+        .take((length - BATCH_HEADER) as u64)
+        .read_to_end(&mut body)?;
     if body.len() < length - BATCH_HEADER {
         let what = format!("the input ends inside a frame of {length} bytes");
         return malformed(BATCH_HEADER + body.len(), what);
     }
-    Ok(Ok(Some(Batch { records, clock, number, body })))
+    Ok(Ok(Some(Batch {
+        records,
+        clock,
+        number,
+        body,
+    })))
 }
 
 /// Reads fields in turn; offsets in its errors count from the start of the frame.
@@ -74,7 +99,11 @@
 
 impl<'a> Cursor<'a> {
     pub fn malformed(&self, what: impl Into<String>) -> Malformed {
-        Malformed { record: self.record, offset: self.base + self.at, what: what.into() }
+        Malformed {
+            record: self.record,
+            offset: self.base + self.at,
+            what: what.into(),
+        }
     }
 
     pub fn take(&mut self, n: usize) -> Result<&'a [u8], Malformed> {
--- a/crates/ivypitch-simhost/src/host.rs
+++ b/crates/ivypitch-simhost/src/host.rs
@@ -56,20 +56,26 @@
 impl Wire<'_> {
     fn on(&mut self, code: u8, stmt: StmtIx) -> &mut Reply {
         let xid = self.names.xids[stmt.0];
-        self.reply.record(code, self.instance).put(&xid.to_le_bytes())
+        self.reply
+            .record(code, self.instance)
+            .put(&xid.to_le_bytes())
     }
 }
 
 impl Output for Wire<'_> {
     fn send(&mut self, stmt: StmtIx, engine: EngineIx, timeout: Nanos) {
         let engine = self.names.engines[engine.0];
-        self.on(70, stmt).put(&engine).put(&timeout.min(i64::MAX as u64).to_le_bytes());
+        self.on(70, stmt)
+            .put(&engine)
+            .put(&timeout.min(i64::MAX as u64).to_le_bytes());
     }
     fn withdraw(&mut self, stmt: StmtIx, execution: u32) {
         self.on(90, stmt).put(&(execution as u16).to_le_bytes());
     }
     fn set_terms(&mut self, stmt: StmtIx, grant_mb: f64, priority: u8) {
-        self.on(10, stmt).put(&(grant_mb as f32).to_le_bytes()).put(&[priority]);
+        self.on(10, stmt)
+            .put(&(grant_mb as f32).to_le_bytes())
+            .put(&[priority]);
     }
     fn reject(&mut self, stmt: StmtIx, come_back: Nanos) {
         self.on(120, stmt).put(&come_back.to_le_bytes());
@@ -83,7 +89,10 @@
         self.names.free.push(stmt.0);
     }
     fn wake(&mut self, mark: u64, after: Nanos) {
-        self.reply.record(40, self.instance).put(&mark.to_le_bytes()).put(&after.to_le_bytes());
+        self.reply
+            .record(40, self.instance)
+            .put(&mark.to_le_bytes())
+            .put(&after.to_le_bytes());
     }
     fn probe(&mut self, engine: EngineIx) {
         let engine = self.names.engines[engine.0];
@@ -91,13 +100,18 @@
     }
     fn publish(&mut self, bytes: &[u8]) {
         let bytes = &bytes[..bytes.len().min(256)];
-        self.reply.record(20, self.instance).put(&u32::MAX.to_le_bytes()).put_counted(bytes);
+        self.reply
+            .record(20, self.instance)
+            .put(&u32::MAX.to_le_bytes())
+            .put_counted(bytes);
     }
     fn watch_list(&mut self) {
         self.reply.record(100, self.instance).put(&[1]);
     }
     fn log(&mut self, line: &str) {
-        self.reply.record(110, self.instance).put_counted(line.as_bytes());
+        self.reply
+            .record(110, self.instance)
+            .put_counted(line.as_bytes());
     }
 }
 
@@ -118,16 +132,22 @@
     /// Plays one batch; the reply is left in `reply`.
     pub fn play(&mut self, batch: &Batch, reply: &mut Reply) -> Result<(), Malformed> {
         reply.start();
-        let mut fields = Cursor { bytes: &batch.body, at: 0, base: BATCH_HEADER, record: "record" };
+        let mut fields = Cursor {
+            bytes: &batch.body,
+            at: 0,
+            base: BATCH_HEADER,
+            record: "record",
+        };
         for _ in 0..batch.records {
             fields.record = "record";
             self.record(&mut fields, batch.clock, reply)?;
         }
         if fields.at < batch.body.len() {
             fields.record = "batch";
-            return Err(
-                fields.malformed(format!("{} bytes follow the last record", batch.body.len() - fields.at))
-            );
+            return Err(fields.malformed(format!(
+                "{} bytes follow the last record",
+                batch.body.len() - fields.at
+            )));
         }
         Ok(())
     }
@@ -139,7 +159,9 @@
         reply: &mut Reply,
         f: impl FnOnce(&mut Gateway, &mut Names, &mut Reply),
     ) {
-        let Some(held) = self.instances.get_mut(&instance) else { return };
+        let Some(held) = self.instances.get_mut(&instance) else {
+            return;
+        };
         let Instance { gateway, names } = held;
         if let Err(panic) = catch_unwind(AssertUnwindSafe(|| f(gateway, names, &mut *reply))) {
             let text = panic
@@ -190,11 +212,21 @@
                             },
                         );
                         self.call(instance, reply, |gateway, names, reply| {
-                            gateway.start(now, &mut Wire { reply, instance, names })
+                            gateway.start(
+                                now,
+                                &mut Wire {
+                                    reply,
+                                    instance,
+                                    names,
+                                },
+                            )
                         });
                     }
                     Err(what) => {
-                        eprintln!("ivypitch-simhost: {}", c.malformed(format!("settings: {what}")));
+                        eprintln!(
+                            "ivypitch-simhost: {}",
+                            c.malformed(format!("settings: {what}"))
+                        );
                         self.instances.remove(&instance);
                         give_in(reply, instance, &format!("settings: {what}"));
                     }
@@ -214,13 +246,23 @@
                 let rows = match (&kind, self.lists.remove(&page)) {
                     (None, listed) => listed.map(|l| (page, l)),
                     (Some(_), Some(listed)) => Some((page, listed)),
-                    (Some(_), None) => return Err(c.malformed(format!("no list has the number {page}"))),
+                    (Some(_), None) => {
+                        return Err(c.malformed(format!("no list has the number {page}")));
+                    }
                 };
                 self.call(instance, reply, |gateway, names, reply| {
                     let listed = rows.iter().flat_map(|(_, l)| l);
-                    let rows: Vec<EngineRow> =
-                        listed.map(|l| EngineRow { engine: names.engine(l.engine), ..l.row }).collect();
-                    let out = &mut Wire { reply, instance, names };
+                    let rows: Vec<EngineRow> = listed
+                        .map(|l| EngineRow {
+                            engine: names.engine(l.engine),
+                            ..l.row
+                        })
+                        .collect();
+                    let out = &mut Wire {
+                        reply,
+                        instance,
+                        names,
+                    };
                     match kind {
                         Some(kind) => gateway.engines_listed(now, kind, &rows, out),
                         None => gateway.list_failed(now, out),
@@ -256,7 +298,16 @@
                 };
                 self.call(instance, reply, |gateway, names, reply| {
                     let stmt = names.arrive(xid);
-                    gateway.arrive(now, stmt, arrival, &mut Wire { reply, instance, names });
+                    gateway.arrive(
+                        now,
+                        stmt,
+                        arrival,
+                        &mut Wire {
+                            reply,
+                            instance,
+                            names,
+                        },
+                    );
                 });
             }
             40 => {
@@ -273,31 +324,51 @@
                 let execution = u32::from(c.u16()?);
                 let engine = c.engine()?;
                 let result = c.u16()?;
-                let outcome =
-                    outcome(result).ok_or_else(|| c.malformed(format!("unknown result {result}")))?;
+                let outcome = outcome(result)
+                    .ok_or_else(|| c.malformed(format!("unknown result {result}")))?;
                 let took = c.u64()?;
                 let closed = c.u8()? != 0;
                 let cost = c.u32()?;
                 let mut report = std::mem::take(&mut self.report);
                 c.report(&mut report)?;
-                let true_cost = (cost != 0).then_some((f64::from(cost >> 12), f64::from(cost & 0xfff) * 4.0));
+                let true_cost =
+                    (cost != 0).then_some((f64::from(cost >> 12), f64::from(cost & 0xfff) * 4.0));
                 self.on_stmt(instance, xid, reply, |gateway, stmt, out| {
-                    let Some(&engine) = out.names.engine_index.get(&engine) else { return };
+                    let Some(&engine) = out.names.engine_index.get(&engine) else {
+                        return;
+                    };
                     let engine = EngineIx(engine);
-                    let ended =
-                        Ended { execution, engine, outcome, took, closed, true_cost, report: &report };
+                    let ended = Ended {
+                        execution,
+                        engine,
+                        outcome,
+                        took,
+                        closed,
+                        true_cost,
+                        report: &report,
+                    };
                     gateway.execution_ended(now, stmt, &ended, out);
                 });
                 self.report = report;
             }
             60 => {
                 let xid = c.u32()?;
-                self.on_stmt(instance, xid, reply, |gateway, stmt, out| gateway.expired(now, stmt, out));
+                self.on_stmt(instance, xid, reply, |gateway, stmt, out| {
+                    gateway.expired(now, stmt, out)
+                });
             }
             70 => {
                 let mark = c.u64()?;
                 self.call(instance, reply, |gateway, names, reply| {
-                    gateway.woken(now, mark, &mut Wire { reply, instance, names })
+                    gateway.woken(
+                        now,
+                        mark,
+                        &mut Wire {
+                            reply,
+                            instance,
+                            names,
+                        },
+                    )
                 });
             }
             80 => {
@@ -308,8 +379,14 @@
                 let mut report = std::mem::take(&mut self.report);
                 c.report(&mut report)?;
                 self.call(instance, reply, |gateway, names, reply| {
-                    let Some(&engine) = names.engine_index.get(&engine) else { return };
-                    let out = &mut Wire { reply, instance, names };
+                    let Some(&engine) = names.engine_index.get(&engine) else {
+                        return;
+                    };
+                    let out = &mut Wire {
+                        reply,
+                        instance,
+                        names,
+                    };
                     gateway.probed(now, EngineIx(engine), &report, out);
                 });
                 self.report = report;
@@ -318,7 +395,9 @@
                 let _from = c.u32()?;
                 let n = c.u16()? as usize;
                 let bytes = c.take(n)?;
-                self.call(instance, reply, |gateway, _, _| gateway.peer_said(now, bytes));
+                self.call(instance, reply, |gateway, _, _| {
+                    gateway.peer_said(now, bytes)
+                });
             }
             100 => {
                 self.instances.remove(&instance);
@@ -353,8 +432,18 @@
         f: impl FnOnce(&mut Gateway, StmtIx, &mut Wire),
     ) {
         self.call(instance, reply, |gateway, names, reply| {
-            let Some(&stmt) = names.stmt_index.get(&xid) else { return };
-            f(gateway, StmtIx(stmt), &mut Wire { reply, instance, names });
+            let Some(&stmt) = names.stmt_index.get(&xid) else {
+                return;
+            };
+            f(
+                gateway,
+                StmtIx(stmt),
+                &mut Wire {
+                    reply,
+                    instance,
+                    names,
+                },
+            );
         });
     }
 
@@ -377,7 +466,16 @@
             let weight = f64::from(c.f32()?);
             let started_at = c.u64()?;
             let id = engine.iter().fold(0, |id, &byte| id << 8 | u64::from(byte));
-            let row = EngineRow { engine: EngineIx(0), id, zone, kind, cell, phase, weight, started_at };
+            let row = EngineRow {
+                engine: EngineIx(0),
+                id,
+                zone,
+                kind,
+                cell,
+                phase,
+                weight,
+                started_at,
+            };
             rows.push(ListedRow { engine, row });
         }
         self.lists.insert(page, rows);
--- a/crates/ivypitch-simhost/src/main.rs
+++ b/crates/ivypitch-simhost/src/main.rs
@@ -11,9 +11,14 @@
     let mut output = BufWriter::with_capacity(1 << 20, io::stdout().lock());
     let mut host = Host::default();
     let mut reply = Reply::default();
-    while let Some(batch) = read_batch(&mut input).map_err(|e| e.to_string())?.map_err(|e| e.to_string())? {
+    while let Some(batch) = read_batch(&mut input)
+        .map_err(|e| e.to_string())?
+        .map_err(|e| e.to_string())?
+    {
         host.play(&batch, &mut reply).map_err(|e| e.to_string())?;
-        output.write_all(reply.finish(batch.number)).map_err(|e| e.to_string())?;
+        output
+            .write_all(reply.finish(batch.number))
+            .map_err(|e| e.to_string())?;
         output.flush().map_err(|e| e.to_string())?;
     }
     Ok(())
--- a/crates/ivypitch-simhost/tests/wire.rs
+++ b/crates/ivypitch-simhost/tests/wire.rs
@@ -8,7 +8,10 @@
 
 fn hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
-    digits.chunks(2).map(|d| u8::from_str_radix(std::str::from_utf8(d).unwrap(), 16).unwrap()).collect()
+    digits
+        .chunks(2)
+        .map(|d| u8::from_str_radix(std::str::from_utf8(d).unwrap(), 16).unwrap())
+        .collect()
 }
 
 fn frame(records: u32, body: &[u8]) -> Vec<u8> {
@@ -62,23 +65,46 @@
 #[test]
 fn the_events_of_the_page_are_read_and_answered() {
     let mut body = begin(3, SETTINGS);
-    for record in [LIST, KNOWN, INBOUND, "46 03000000 4d00000000000000", "3c 05000000 192b6f0e", DONE] {
+    for record in [
+        LIST,
+        KNOWN,
+        INBOUND,
+        "46 03000000 4d00000000000000",
+        "3c 05000000 192b6f0e",
+        DONE,
+    ] {
         body.extend(hex(record));
     }
     let output = run(&frame(7, &body));
     assert!(output.status.success(), "{output:?}");
     let issue = hex("46 03000000 c4913a5d 0a124a07 931f");
-    assert!(output.stdout.windows(issue.len()).any(|w| w == issue), "{:x?}", output.stdout);
+    assert!(
+        output.stdout.windows(issue.len()).any(|w| w == issue),
+        "{:x?}",
+        output.stdout
+    );
 }
 
 #[test]
 fn an_instance_ended_and_begun_in_one_batch_starts_empty() {
     let mut body = begin(3, SETTINGS);
-    body.extend([hex(LIST), hex(KNOWN), hex("64 03000000"), begin(3, SETTINGS), hex(INBOUND)].concat());
+    body.extend(
+        [
+            hex(LIST),
+            hex(KNOWN),
+            hex("64 03000000"),
+            begin(3, SETTINGS),
+            hex(INBOUND),
+        ]
+        .concat(),
+    );
     let output = run(&frame(6, &body));
     assert!(output.status.success());
     let issue = hex("46 03000000 c4913a5d");
-    assert!(!output.stdout.windows(issue.len()).any(|w| w == issue), "it has no list yet");
+    assert!(
+        !output.stdout.windows(issue.len()).any(|w| w == issue),
+        "it has no list yet"
+    );
 }
 
 #[test]
@@ -98,7 +124,10 @@
     let output = run(&frame(5, &body));
     assert!(output.status.success());
     let (give_in, issue) = (hex("32 04000000"), hex("46 03000000"));
-    assert!(output.stdout.windows(5).any(|w| w == give_in) && output.stdout.windows(5).any(|w| w == issue));
+    assert!(
+        output.stdout.windows(5).any(|w| w == give_in)
+            && output.stdout.windows(5).any(|w| w == issue)
+    );
     assert!(String::from_utf8_lossy(&output.stderr).contains("BEGIN at byte"));
 }
 
@@ -116,7 +145,10 @@
     let output = run(&input);
     let line = String::from_utf8_lossy(&output.stderr).into_owned();
     assert_eq!(output.status.code(), Some(1), "{line}");
-    assert!(line.contains(wanted) && line.trim_end().lines().count() == 1, "{line}");
+    assert!(
+        line.contains(wanted) && line.trim_end().lines().count() == 1,
+        "{line}"
+    );
 }
 
 #[test]
--- a/crates/ivypitch-teams/benches/index.rs
+++ b/crates/ivypitch-teams/benches/index.rs
@@ -35,7 +35,9 @@
     }
     fn push(&mut self, n: usize, team: usize) {
         let numbers = &mut self.numbers;
-        let number = self.lanes[team].push(StmtIx(n), n as u64, 100, |ix, number| numbers[ix.0] = number);
+        let number = self.lanes[team].push(StmtIx(n), n as u64, 100, |ix, number| {
+            numbers[ix.0] = number
+        });
         self.numbers[n] = number;
         self.ranks.set(team, (0, self.tags[team]));
     }
@@ -57,7 +59,10 @@
 
 impl Plain {
     fn filled(waiting: usize, teams: usize) -> Plain {
-        let mut plain = Plain { teams: vec![BinaryHeap::new(); teams], tags: vec![0; teams] };
+        let mut plain = Plain {
+            teams: vec![BinaryHeap::new(); teams],
+            tags: vec![0; teams],
+        };
         (0..waiting).for_each(|n| plain.teams[n % teams].push(Reverse((n as u64, n))));
         plain
     }
@@ -71,7 +76,10 @@
         self.teams[team].retain(|Reverse((_, m))| *m != n);
     }
     fn ahead(&self, team: usize, n: u64) -> usize {
-        self.teams[team].iter().filter(|Reverse((due, _))| *due < n).count()
+        self.teams[team]
+            .iter()
+            .filter(|Reverse((due, _))| *due < n)
+            .count()
     }
 }
 
@@ -125,7 +133,10 @@
             });
         });
         let bytes: usize = made.lanes.iter().map(Lane::bytes).sum();
-        println!("{waiting} waiting, {teams} teams: {} bytes a statement in the lanes", bytes / waiting);
+        println!(
+            "{waiting} waiting, {teams} teams: {} bytes a statement in the lanes",
+            bytes / waiting
+        );
     }
 }
 
@@ -188,7 +199,11 @@
                 });
             },
         );
-        println!("{} waiting, {teams} teams: {} bytes a statement", all.queued(), all.bytes_held() / waiting);
+        println!(
+            "{} waiting, {teams} teams: {} bytes a statement",
+            all.queued(),
+            all.bytes_held() / waiting
+        );
     }
 }
 
@@ -230,8 +245,16 @@
             );
         });
         c.bench_function(&name("heap: fire all"), |b| {
-            let fill = || (0..count).map(|n| Reverse((far(n), n))).collect::<BinaryHeap<_>>();
-            b.iter_batched(fill, |mut heap| while black_box(heap.pop()).is_some() {}, BatchSize::LargeInput);
+            let fill = || {
+                (0..count)
+                    .map(|n| Reverse((far(n), n)))
+                    .collect::<BinaryHeap<_>>()
+            };
+            b.iter_batched(
+                fill,
+                |mut heap| while black_box(heap.pop()).is_some() {},
+                BatchSize::LargeInput,
+            );
         });
     }
 }
--- a/crates/ivypitch-teams/src/budgets.rs
+++ b/crates/ivypitch-teams/src/budgets.rs
@@ -41,7 +41,11 @@
 
 impl Default for LaneBudget {
     fn default() -> Self {
-        LaneBudget { most_released: f64::INFINITY, most_queued: usize::MAX, longest_wait: None }
+        LaneBudget {
+            most_released: f64::INFINITY,
+            most_queued: usize::MAX,
+            longest_wait: None,
+        }
     }
 }
 
@@ -81,11 +85,15 @@
     }
 
     pub(crate) fn most_queued_in(&self, workload: usize) -> usize {
-        self.lanes.get(workload).map_or(usize::MAX, |lane| lane.most_queued)
+        self.lanes
+            .get(workload)
+            .map_or(usize::MAX, |lane| lane.most_queued)
     }
 
     pub(crate) fn most_released_in(&self, workload: usize) -> f64 {
-        self.lanes.get(workload).map_or(f64::INFINITY, |lane| lane.most_released)
+        self.lanes
+            .get(workload)
+            .map_or(f64::INFINITY, |lane| lane.most_released)
     }
 }
 
@@ -122,7 +130,10 @@
 
 impl Bucket {
     pub fn new(budget: &TeamBudget, now: Nanos) -> Bucket {
-        Bucket { left: budget.burst, at: now }
+        Bucket {
+            left: budget.burst,
+            at: now,
+        }
     }
 
     pub fn fill(&mut self, budget: &TeamBudget, now: Nanos) {
@@ -148,7 +159,9 @@
         if budget.work_per_s <= 0.0 {
             return Nanos::MAX / 4;
         }
-        ((-self.left / budget.work_per_s * 1e9) as Nanos).saturating_add(1).min(Nanos::MAX / 4)
+        ((-self.left / budget.work_per_s * 1e9) as Nanos)
+            .saturating_add(1)
+            .min(Nanos::MAX / 4)
     }
 
     pub fn left(&self) -> f64 {
--- a/crates/ivypitch-teams/src/lane.rs
+++ b/crates/ivypitch-teams/src/lane.rs
@@ -26,7 +26,10 @@
         self.work = self.work.wrapping_add(other.work);
     }
     fn negative(self) -> Sum {
-        Sum { count: self.count.wrapping_neg(), work: self.work.wrapping_neg() }
+        Sum {
+            count: self.count.wrapping_neg(),
+            work: self.work.wrapping_neg(),
+        }
     }
 }
 
@@ -64,19 +67,31 @@
     }
 
     pub fn back(&self) -> Option<(StmtIx, u64)> {
-        (self.head..self.tail).rev().find_map(|n| self.places[self.at(n)].stmt.map(|stmt| (stmt, n)))
+        (self.head..self.tail)
+            .rev()
+            .find_map(|n| self.places[self.at(n)].stmt.map(|stmt| (stmt, n)))
     }
 
     /// Times never go back along a lane: one that came again comes with the time of its coming again. `moved` is
     /// told the new number of each that stands elsewhere now.
-    pub fn push(&mut self, stmt: StmtIx, came: Nanos, work: u64, moved: impl FnMut(StmtIx, u64)) -> u64 {
+    pub fn push(
+        &mut self,
+        stmt: StmtIx,
+        came: Nanos,
+        work: u64,
+        moved: impl FnMut(StmtIx, u64),
+    ) -> u64 {
         if self.tail - self.head == self.places.len() as u64 {
             self.make_room(moved);
         }
         let number = self.tail;
         self.tail += 1;
         let at = self.at(number);
-        self.places[at] = Place { stmt: Some(stmt), came, work };
+        self.places[at] = Place {
+            stmt: Some(stmt),
+            came,
+            work,
+        };
         self.change(at, Sum { count: 1, work });
         number
     }
@@ -145,7 +160,11 @@
     }
 
     fn up_to_but(&self, at: usize) -> Sum {
-        if at == 0 { Sum::default() } else { self.up_to(at - 1) }
+        if at == 0 {
+            Sum::default()
+        } else {
+            self.up_to(at - 1)
+        }
     }
 
     fn up_to(&self, at: usize) -> Sum {
@@ -174,7 +193,11 @@
             .map(|n| (n, self.places[self.at(n)]))
             .filter(|(_, place)| place.stmt.is_some())
             .collect();
-        let size = if kept.len() * 2 > self.places.len() { self.places.len() * 2 } else { self.places.len() };
+        let size = if kept.len() * 2 > self.places.len() {
+            self.places.len() * 2
+        } else {
+            self.places.len()
+        };
         let size = size.max(LEAST);
         self.places = vec![Place::default(); size];
         self.sums = vec![Sum::default(); size];
@@ -185,7 +208,13 @@
             self.tail += 1;
             let at = self.at(number);
             self.places[at] = place;
-            self.change(at, Sum { count: 1, work: place.work });
+            self.change(
+                at,
+                Sum {
+                    count: 1,
+                    work: place.work,
+                },
+            );
             if let Some(stmt) = place.stmt.filter(|_| old != number) {
                 moved(stmt, number);
             }
--- a/crates/ivypitch-teams/src/ranks.rs
+++ b/crates/ivypitch-teams/src/ranks.rs
@@ -53,7 +53,9 @@
     }
 
     pub fn remove(&mut self, team: usize) {
-        let Some(&place) = self.places.get(team).filter(|&&place| place != OUT) else { return };
+        let Some(&place) = self.places.get(team).filter(|&&place| place != OUT) else {
+            return;
+        };
         self.places[team] = OUT;
         let at = place as usize;
         self.heap.swap_remove(at);
@@ -79,7 +81,9 @@
     fn sink(&mut self, mut at: usize) {
         loop {
             let children = at * CHILDREN + 1..(at * CHILDREN + 1 + CHILDREN).min(self.heap.len());
-            let Some(least) = children.min_by_key(|&c| self.heap[c]) else { return };
+            let Some(least) = children.min_by_key(|&c| self.heap[c]) else {
+                return;
+            };
             if self.heap[at] <= self.heap[least] {
                 return;
             }
