--- a/crates/ivypitch-teams/src/teams.rs
+++ b/crates/ivypitch-teams/src/teams.rs
@@ -234,7 +234,11 @@
 
 impl Teams {
     pub fn new(budgets: Budgets, seed: u64, now: Nanos) -> Teams {
-        let widest = budgets.workloads.iter().map(|w| w.threads).fold(1.0, f64::max);
+        let widest = budgets
+            .workloads
+            .iter()
+            .map(|w| w.threads)
+            .fold(1.0, f64::max);
         let mut teams = Teams {
             tickets: Vec::new(),
             rows: Vec::new(),
@@ -315,7 +319,9 @@
         if !self.within_bounds(ix) && !self.push_out_for(now, ix, out) {
             return self.reject(now, ix, out);
         }
-        let Some(ticket) = &self.tickets[ix.0] else { return };
+        let Some(ticket) = &self.tickets[ix.0] else {
+            return;
+        };
         let (team, workload) = (ticket.team as usize, usize::from(ticket.workload));
         let until = self.may_wait_until(ticket);
         let mut wait = self.wait(now, ix);
@@ -323,7 +329,10 @@
         if now.saturating_add(wait) > told_until && self.preempts(workload) {
             // Its lane goes ahead of what matters less; that goes back in line.
             let row = &mut self.rows[team];
-            if row.urgent_lane.is_none_or(|urgent| row.lanes[urgent].is_empty()) {
+            if row
+                .urgent_lane
+                .is_none_or(|urgent| row.lanes[urgent].is_empty())
+            {
                 row.urgent_lane = Some(workload);
             }
             wait = self.wait(now, ix);
@@ -370,11 +379,17 @@
         took: Option<Nanos>,
         out: &mut dyn Output,
     ) {
-        let Some(ticket) = self.tickets.get(ix.0).and_then(Option::as_ref) else { return };
+        let Some(ticket) = self.tickets.get(ix.0).and_then(Option::as_ref) else {
+            return;
+        };
         if !matches!(ticket.place, Place::Released | Place::Lent) {
             return;
         }
-        let (team, workload, charged) = (ticket.team as usize, usize::from(ticket.workload), ticket.work);
+        let (team, workload, charged) = (
+            ticket.team as usize,
+            usize::from(ticket.workload),
+            ticket.work,
+        );
         let (told, lent) = (ticket.told, ticket.place == Place::Lent);
         let threads = self.budgets.workloads[workload].threads.max(1.0);
         self.turn(now, ix, Place::Over);
@@ -382,7 +397,8 @@
         if let Some(real) = real {
             self.learn(team, workload, told, real);
             if let Some(took) = took {
-                self.window.ended(now, took, real, (real as f64 / threads) as Nanos);
+                self.window
+                    .ended(now, took, real, (real as f64 / threads) as Nanos);
             }
         }
         self.rank(team);
@@ -391,7 +407,11 @@
 
     /// New budgets. What waits stays; bounds that it is now over only keep out what comes.
     pub fn reload(&mut self, now: Nanos, budgets: Budgets, out: &mut dyn Output) {
-        let widest = budgets.workloads.iter().map(|w| w.threads).fold(1.0, f64::max);
+        let widest = budgets
+            .workloads
+            .iter()
+            .map(|w| w.threads)
+            .fold(1.0, f64::max);
         self.window.set_way(budgets.window, widest);
         self.budgets = budgets;
         self.have_rows(self.budgets.teams.len(), now);
@@ -404,7 +424,11 @@
             }
             self.rank(team);
         }
-        let paced = |&team: &usize| self.ranks.rank(team).is_some_and(|(class, _)| class == PACED);
+        let paced = |&team: &usize| {
+            self.ranks
+                .rank(team)
+                .is_some_and(|(class, _)| class == PACED)
+        };
         let waiting = (0..self.rows.len()).filter(paced);
         self.waiting_shares = waiting.map(|team| self.budgets.team(team).share).sum();
         self.count_shares();
@@ -413,12 +437,18 @@
 
     /// The program ends: what can't be met by then is rejected now.
     pub fn ending(&mut self, now: Nanos, by: Nanos, out: &mut dyn Output) {
-        let queued: Vec<StmtIx> =
-            (0..self.tickets.len()).map(StmtIx).filter(|&ix| self.is_queued(ix)).collect();
+        let queued: Vec<StmtIx> = (0..self.tickets.len())
+            .map(StmtIx)
+            .filter(|&ix| self.is_queued(ix))
+            .collect();
         for ix in queued {
-            let Some(ticket) = &mut self.tickets[ix.0] else { continue };
+            let Some(ticket) = &mut self.tickets[ix.0] else {
+                continue;
+            };
             ticket.deadline = ticket.deadline.min(by);
-            let until = self.tickets[ix.0].as_ref().map_or(0, |ticket| self.may_wait_until(ticket));
+            let until = self.tickets[ix.0]
+                .as_ref()
+                .map_or(0, |ticket| self.may_wait_until(ticket));
             if now.saturating_add(self.wait(now, ix)) > until {
                 self.reject(now, ix, out);
             } else {
@@ -455,7 +485,10 @@
     // ---- what can be seen ----
 
     pub fn is_queued(&self, ix: StmtIx) -> bool {
-        self.tickets.get(ix.0).and_then(Option::as_ref).is_some_and(|t| t.place == Place::Queued)
+        self.tickets
+            .get(ix.0)
+            .and_then(Option::as_ref)
+            .is_some_and(|t| t.place == Place::Queued)
     }
 
     pub fn queued(&self) -> usize {
@@ -486,18 +519,30 @@
 
     /// Bytes held for what waits, its text not counted.
     pub fn bytes_held(&self) -> usize {
-        let lanes: usize = self.rows.iter().flat_map(|row| &row.lanes).map(Lane::bytes).sum();
+        let lanes: usize = self
+            .rows
+            .iter()
+            .flat_map(|row| &row.lanes)
+            .map(Lane::bytes)
+            .sum();
         lanes + self.tickets.capacity() * size_of::<Option<Ticket>>()
     }
 
     pub fn queued_row(&self, now: Nanos, ix: StmtIx) -> Option<Queued> {
-        let ticket = self.tickets.get(ix.0)?.as_ref().filter(|t| t.place == Place::Queued)?;
+        let ticket = self
+            .tickets
+            .get(ix.0)?
+            .as_ref()
+            .filter(|t| t.place == Place::Queued)?;
         let (team, workload) = (ticket.team as usize, usize::from(ticket.workload));
         Some(Queued {
             stmt: ix,
             team,
             workload,
-            position: self.rows[team].lanes[workload].ahead_of(ticket.number).count + 1,
+            position: self.rows[team].lanes[workload]
+                .ahead_of(ticket.number)
+                .count
+                + 1,
             wait: self.record.wait(self.wait(now, ix)),
             age: now.saturating_sub(ticket.came),
         })
@@ -507,7 +552,10 @@
     pub fn queued_rows(&self, now: Nanos, most: usize) -> Vec<Queued> {
         let lanes = self.rows.iter().flat_map(|row| &row.lanes);
         let waiting = lanes.flat_map(|lane| lane.iter().map(|(ix, _)| ix));
-        waiting.take(most).filter_map(|ix| self.queued_row(now, ix)).collect()
+        waiting
+            .take(most)
+            .filter_map(|ix| self.queued_row(now, ix))
+            .collect()
     }
 
     // ---- the order ----
@@ -569,13 +617,18 @@
                 }
                 charged = true;
             }
-            let Some((ix, _, _)) = self.rows[team].lanes[workload].front() else { break };
+            let Some((ix, _, _)) = self.rows[team].lanes[workload].front() else {
+                break;
+            };
             self.release(now, ix, team, workload, charged, out);
         }
         self.contended = self.waiting_shares > 0.0;
         if self.queued == 0 && self.queueing.is_some() && now >= self.waited_at + CALM_AFTER {
             let since = self.queueing.take().unwrap_or(now);
-            let line = format!("Queueing -> Direct: after {:.1} s", (now - since) as f64 / 1e9);
+            let line = format!(
+                "Queueing -> Direct: after {:.1} s",
+                (now - since) as f64 / 1e9
+            );
             out.mode(None, &line);
         }
     }
@@ -629,12 +682,18 @@
         charged: bool,
         out: &mut dyn Output,
     ) {
-        let within = self.ranks.rank(team).is_some_and(|(class, _)| class == WITHIN);
-        let Some(ticket) = &self.tickets[ix.0] else { return };
+        let within = self
+            .ranks
+            .rank(team)
+            .is_some_and(|(class, _)| class == WITHIN);
+        let Some(ticket) = &self.tickets[ix.0] else {
+            return;
+        };
         let (work, told_wait, came) = (ticket.work, ticket.told_wait, ticket.came);
         if told_wait > 0 {
             let estimated = ticket.estimated;
-            self.record.released(now, told_wait, estimated, now.saturating_sub(came));
+            self.record
+                .released(now, told_wait, estimated, now.saturating_sub(came));
         }
         let share = self.lane_share(now, team, workload);
         let row = &mut self.rows[team];
@@ -646,7 +705,8 @@
         }
         row.bucket.take(work as f64 / 1e9);
         if told_wait > 0 {
-            row.pace.went_on(work as f64, now.saturating_sub(row.paced_at));
+            row.pace
+                .went_on(work as f64, now.saturating_sub(row.paced_at));
             row.paced_at = now;
         }
         match row.urgent_lane {
@@ -675,10 +735,16 @@
         if paced {
             return filled.min_by_key(|&w| (row.tags[w], due(w)));
         }
-        let urgent = row.urgent_lane.filter(|&w| !row.lanes[w].is_empty() && may_go(w));
+        let urgent = row
+            .urgent_lane
+            .filter(|&w| !row.lanes[w].is_empty() && may_go(w));
         match urgent {
             Some(lane) if row.urgent < URGENT_IN_A_ROW => Some(lane),
-            Some(lane) => filled.clone().filter(|&w| w != lane).min_by_key(|&w| due(w)).or(Some(lane)),
+            Some(lane) => filled
+                .clone()
+                .filter(|&w| w != lane)
+                .min_by_key(|&w| due(w))
+                .or(Some(lane)),
             None => filled.min_by_key(|&w| due(w)),
         }
     }
@@ -693,22 +759,37 @@
         let waits = |w: &usize| *w == workload || pays(*w);
         let all: f64 = (0..row.lanes.len()).filter(waits).map(wanted).sum();
         let part = wanted(workload) / all;
-        let Some(urgent) = row.urgent_lane.filter(waits) else { return share * part };
+        let Some(urgent) = row.urgent_lane.filter(waits) else {
+            return share * part;
+        };
         let its = wanted(urgent) / all;
         let most = its.max(URGENT_PART);
-        share * if urgent == workload { most } else { part * (1.0 - most) / (1.0 - its).max(1e-9) }
+        share
+            * if urgent == workload {
+                most
+            } else {
+                part * (1.0 - most) / (1.0 - its).max(1e-9)
+            }
     }
 
     /// The virtual start of the team's next statement.
     fn tag(&self, team: usize) -> u64 {
         let row = &self.rows[team];
-        (0..row.lanes.len()).filter(|&w| !row.lanes[w].is_empty()).map(|w| row.tags[w]).min().unwrap_or(0)
+        (0..row.lanes.len())
+            .filter(|&w| !row.lanes[w].is_empty())
+            .map(|w| row.tags[w])
+            .min()
+            .unwrap_or(0)
     }
 
     /// A team's own part of the window.
     fn part(&self, team: usize) -> f64 {
         let share = self.budgets.team(team).share;
-        if share <= 0.0 { 0.0 } else { self.window.threads() * share / self.shares }
+        if share <= 0.0 {
+            0.0
+        } else {
+            self.window.threads() * share / self.shares
+        }
     }
 
     /// Ranks a team by what it has waiting, or takes it out.
@@ -747,9 +828,20 @@
         let row = &mut self.rows[team];
         if was != Some(PACED) && class == PACED {
             // The first of all to wait does so as long as it costs: the window is full.
-            let front = row.lanes.iter().filter_map(Lane::front).map(|(ix, _, _)| ix).next();
-            let work = front.and_then(|ix| self.tickets[ix.0].as_ref()).map_or(0, |ticket| ticket.work);
-            let first = if self.contended { 0 } else { span(work, self.budgets.team(team).share) };
+            let front = row
+                .lanes
+                .iter()
+                .filter_map(Lane::front)
+                .map(|(ix, _, _)| ix)
+                .next();
+            let work = front
+                .and_then(|ix| self.tickets[ix.0].as_ref())
+                .map_or(0, |ticket| ticket.work);
+            let first = if self.contended {
+                0
+            } else {
+                span(work, self.budgets.team(team).share)
+            };
             let least = self.virtual_now.saturating_add(first);
             row.tags.iter_mut().for_each(|tag| *tag = (*tag).max(least));
             self.waiting_shares += self.budgets.team(team).share;
@@ -761,7 +853,11 @@
     }
 
     fn unrank(&mut self, team: usize) {
-        if self.ranks.rank(team).is_some_and(|(class, _)| class == PACED) {
+        if self
+            .ranks
+            .rank(team)
+            .is_some_and(|(class, _)| class == PACED)
+        {
             self.no_longer_paced(team);
         }
         self.ranks.remove(team);
@@ -778,7 +874,11 @@
     /// Whether a team asks for no more than its share.
     fn see_whether_within(&mut self, now: Nanos, team: usize) {
         let share = self.budgets.team(team).share;
-        let part = if self.shares > 0.0 { share / self.shares } else { 0.0 };
+        let part = if self.shares > 0.0 {
+            share / self.shares
+        } else {
+            0.0
+        };
         let row = &mut self.rows[team];
         let costliest = row.learned.iter().map(|l| l.usual).fold(0.0, f64::max);
         let own = self.window.cores() * part * 1e9 + LUMPS * costliest / ASKED_FADE;
@@ -788,13 +888,19 @@
 
     /// The one function that changes a statement's place.
     fn turn(&mut self, now: Nanos, ix: StmtIx, to: Place) {
-        let Some(ticket) = &mut self.tickets[ix.0] else { return };
+        let Some(ticket) = &mut self.tickets[ix.0] else {
+            return;
+        };
         let from = ticket.place;
         ticket.place = to;
         let (team, workload) = (ticket.team as usize, usize::from(ticket.workload));
         let (work, bytes, number) = (ticket.work, ticket.bytes, ticket.number);
         let threads = self.budgets.workloads[workload].threads.max(1.0);
-        let timer = if to == Place::Queued { None } else { ticket.timer.take() };
+        let timer = if to == Place::Queued {
+            None
+        } else {
+            ticket.timer.take()
+        };
         if let Some(timer) = timer {
             self.wheel.remove(timer);
         }
@@ -873,7 +979,11 @@
                     .iter()
                     .map(|w| {
                         let usual = w.usual_work.max(1) as f64;
-                        Learned { real: usual, told: usual, usual }
+                        Learned {
+                            real: usual,
+                            told: usual,
+                            usual,
+                        }
                     })
                     .collect(),
                 tags: vec![self.virtual_now; workloads.len()],
@@ -902,14 +1012,20 @@
     }
 
     fn count_shares(&mut self) {
-        self.shares = (0..self.rows.len()).map(|team| self.budgets.team(team).share).sum();
+        self.shares = (0..self.rows.len())
+            .map(|team| self.budgets.team(team).share)
+            .sum();
     }
 
     /// What a statement is charged: its estimate, as its team's estimates of that workload have proved, or the
     /// usual. So a team whose estimates are too low gains only until its first few statements are over.
     fn charge(&self, team: usize, workload: usize, told: Nanos) -> u64 {
         let learned = &self.rows[team].learned[workload];
-        let work = if told == 0 { learned.usual } else { told as f64 * learned.real / learned.told.max(1.0) };
+        let work = if told == 0 {
+            learned.usual
+        } else {
+            told as f64 * learned.real / learned.told.max(1.0)
+        };
         (work as u64).max(1)
     }
 
@@ -924,7 +1040,14 @@
 
     /// Sets what was charged right by what it really was: in the budget at once, in the order with what the team
     /// releases next.
-    fn settle(&mut self, now: Nanos, (team, workload): (usize, usize), lent: bool, charged: u64, real: u64) {
+    fn settle(
+        &mut self,
+        now: Nanos,
+        (team, workload): (usize, usize),
+        lent: bool,
+        charged: u64,
+        real: u64,
+    ) {
         if lent || !self.rows[team].within || self.rows[team].beyond_by_hold {
             self.done_for_waiting += real as f64;
         } else {
@@ -944,7 +1067,9 @@
     }
 
     fn within_bounds(&self, ix: StmtIx) -> bool {
-        let Some(ticket) = &self.tickets[ix.0] else { return false };
+        let Some(ticket) = &self.tickets[ix.0] else {
+            return false;
+        };
         let (team, workload) = (ticket.team as usize, usize::from(ticket.workload));
         self.team_within(team, workload) && self.all_within()
     }
@@ -969,21 +1094,29 @@
     /// Makes room for one that is over a bound: by what matters less in its own team, where that is over its own
     /// bounds, else by the team that has most waiting for its share. Only what was never released is touched.
     fn push_out_for(&mut self, now: Nanos, ix: StmtIx, out: &mut dyn Output) -> bool {
-        let Some(ticket) = &self.tickets[ix.0] else { return false };
+        let Some(ticket) = &self.tickets[ix.0] else {
+            return false;
+        };
         let (team, workload) = (ticket.team as usize, usize::from(ticket.workload));
         for _ in 0..MOST_PUSHED_OUT {
             if self.within_bounds(ix) {
                 return true;
             }
             let victim = if !self.team_within(team, workload) {
-                if self.rows[team].lanes[workload].len() > self.budgets.team(team).most_queued_in(workload) {
+                if self.rows[team].lanes[workload].len()
+                    > self.budgets.team(team).most_queued_in(workload)
+                {
                     return false;
                 }
-                self.preempts(workload).then(|| self.least_waiting(team, workload)).flatten()
+                self.preempts(workload)
+                    .then(|| self.least_waiting(team, workload))
+                    .flatten()
             } else {
                 self.fullest.first().and_then(|fullest| {
                     if fullest == team {
-                        self.preempts(workload).then(|| self.least_waiting(team, workload)).flatten()
+                        self.preempts(workload)
+                            .then(|| self.least_waiting(team, workload))
+                            .flatten()
                     } else {
                         self.newest_of_fullest(fullest, team)
                     }
@@ -1016,8 +1149,8 @@
             return None;
         }
         let terms = &self.budgets.workloads;
-        let lanes =
-            (0..terms.len()).filter(|&w| !terms[w].is_load && !self.rows[fullest].lanes[w].is_empty());
+        let lanes = (0..terms.len())
+            .filter(|&w| !terms[w].is_load && !self.rows[fullest].lanes[w].is_empty());
         let least = lanes.min_by(|&a, &b| terms[a].importance.total_cmp(&terms[b].importance))?;
         self.rows[fullest].lanes[least].back().map(|(ix, _)| ix)
     }
@@ -1025,7 +1158,9 @@
     // ---- turning away ----
 
     fn reject(&mut self, now: Nanos, ix: StmtIx, out: &mut dyn Output) {
-        let Some(ticket) = &self.tickets[ix.0] else { return };
+        let Some(ticket) = &self.tickets[ix.0] else {
+            return;
+        };
         let (team, work) = (ticket.team as usize, ticket.work);
         let come_back = self.come_back(now, ix, team, work);
         self.turn(now, ix, Place::Over);
@@ -1055,17 +1190,29 @@
             return 0;
         }
         // Without engines nobody can tell.
-        let wait = if self.window.threads() > 0.0 { self.wait(now, ix).min(most) } else { most };
+        let wait = if self.window.threads() > 0.0 {
+            self.wait(now, ix).min(most)
+        } else {
+            most
+        };
         let per_s = (self.pace_of(now, team) / 1e9).max(1e-9);
         let row = &mut self.rows[team];
         let its_turn = (work as f64 / 1e9 / per_s * 1e9).min(most as f64) as Nanos;
-        row.appointment = row.appointment.max(now).saturating_add(its_turn).min(now + most);
+        row.appointment = row
+            .appointment
+            .max(now)
+            .saturating_add(its_turn)
+            .min(now + most);
         let back = wait.max(row.appointment - now).max(SOONEST_BACK);
         self.chances += 1;
         let chance = unit_hash(&(self.seed, self.chances));
         // At the longest the spread goes below it, or all of them would come back at once then.
         let spread = (back as f64 * SPREAD_BACK * chance) as Nanos;
-        if back + spread > most { most.saturating_sub(spread) } else { back + spread }
+        if back + spread > most {
+            most.saturating_sub(spread)
+        } else {
+            back + spread
+        }
     }
 
     fn may_wait_until(&self, ticket: &Ticket) -> Nanos {
@@ -1073,12 +1220,17 @@
         let own = self.budgets.team(team).lane(workload).longest_wait;
         let longest = own.unwrap_or(self.budgets.workloads[workload].longest_wait);
         let left = ticket.deadline.saturating_sub(ticket.came);
-        ticket.came.saturating_add(longest).min(ticket.deadline - (left / LAST_PART).min(ticket.deadline))
+        ticket
+            .came
+            .saturating_add(longest)
+            .min(ticket.deadline - (left / LAST_PART).min(ticket.deadline))
     }
 
     fn time(&mut self, ix: StmtIx, until: Nanos) {
         let timer = self.wheel.set(until, Due::Waited(ix));
-        let old = self.tickets[ix.0].as_mut().and_then(|ticket| ticket.timer.replace(timer));
+        let old = self.tickets[ix.0]
+            .as_mut()
+            .and_then(|ticket| ticket.timer.replace(timer));
         if let Some(old) = old {
             self.wheel.remove(old);
         }
@@ -1109,21 +1261,31 @@
             return 0.0;
         }
         // Before the first are over, what is out will be in the longest usual time.
-        let usual = self.budgets.workloads.iter().map(|w| w.usual_work as f64 / 1e9 / w.threads.max(1.0));
+        let usual = self
+            .budgets
+            .workloads
+            .iter()
+            .map(|w| w.usual_work as f64 / 1e9 / w.threads.max(1.0));
         let promised = self.out / usual.fold(1e-3, f64::max);
         over / self.freed.per_s(now).max(promised).max(1e-3) * 1e9
     }
 
     /// How long a queued statement will wait from now, by what is ahead of it and the pace of its team.
     fn wait(&self, now: Nanos, ix: StmtIx) -> Nanos {
-        let Some(ticket) = &self.tickets[ix.0] else { return 0 };
+        let Some(ticket) = &self.tickets[ix.0] else {
+            return 0;
+        };
         let (team, workload) = (ticket.team as usize, usize::from(ticket.workload));
         if self.window.threads() <= 0.0 {
             return 0;
         }
         let row = &self.rows[team];
         let mut ahead = row.lanes[workload].ahead_of(ticket.number).work as f64;
-        let in_order = if self.ranks.rank(team).is_some_and(|(class, _)| class == PACED) {
+        let in_order = if self
+            .ranks
+            .rank(team)
+            .is_some_and(|(class, _)| class == PACED)
+        {
             // Its workload's own part of the share, however much of others comes.
             let share = self.lane_share(now, team, workload).max(LEAST_SHARE);
             let behind = row.tags[workload].saturating_sub(self.virtual_now) as f64;
@@ -1134,7 +1296,9 @@
             let turn = (ahead / share + behind) / self.usual_pace(now).max(1e-9) * 1e9;
             turn.max(self.until_room(now, workload, FULL))
         } else {
-            let due = ticket.came.saturating_add(self.budgets.workloads[workload].slack);
+            let due = ticket
+                .came
+                .saturating_add(self.budgets.workloads[workload].slack);
             for (w, lane) in row.lanes.iter().enumerate().filter(|&(w, _)| w != workload) {
                 let earlier = due.saturating_sub(self.budgets.workloads[w].slack);
                 ahead += lane.before(earlier).work as f64;
--- a/crates/ivypitch-teams/src/waits.rs
+++ b/crates/ivypitch-teams/src/waits.rs
@@ -60,7 +60,11 @@
 
 impl Rate {
     pub fn fading(fade: f64) -> Rate {
-        Rate { fade, sum: 0.0, at: 0 }
+        Rate {
+            fade,
+            sum: 0.0,
+            at: 0,
+        }
     }
 
     pub fn add(&mut self, now: Nanos, amount: f64) {
@@ -110,7 +114,11 @@
 impl Record {
     pub fn wait(&self, mid: Nanos) -> Wait {
         let off = (mid as f64 * (SPREAD * self.error).min(0.9)) as Nanos;
-        Wait { low: mid.saturating_sub(off), mid, high: mid.saturating_add(off).saturating_add(GRAIN) }
+        Wait {
+            low: mid.saturating_sub(off),
+            mid,
+            high: mid.saturating_add(off).saturating_add(GRAIN),
+        }
     }
 
     /// What an estimate is multiplied by so that it is right in the mean.
@@ -132,7 +140,8 @@
             self.estimated.add(now, estimated as f64);
         }
         if was > GRAIN {
-            self.errors_percent.saturating_record((relative * 100.0) as u64);
+            self.errors_percent
+                .saturating_record((relative * 100.0) as u64);
             self.error += LEARN * (relative.min(1.0) - self.error);
         }
     }
--- a/crates/ivypitch-teams/src/wheel.rs
+++ b/crates/ivypitch-teams/src/wheel.rs
@@ -58,7 +58,13 @@
     /// Never fires before `at`, and at the latest one tick behind it.
     pub fn set(&mut self, at: Nanos, what: T) -> Handle {
         let at = (at >> TICK_BITS) + 1;
-        let node = Node { what: Some(what), at: at.max(self.tick + 1), slot: 0, prev: NONE, next: NONE };
+        let node = Node {
+            what: Some(what),
+            at: at.max(self.tick + 1),
+            slot: 0,
+            prev: NONE,
+            next: NONE,
+        };
         let ix = match self.free {
             NONE => {
                 self.nodes.push(node);
@@ -151,7 +157,9 @@
     }
 
     fn unfile(&mut self, ix: u32) {
-        let Node { slot, prev, next, .. } = self.nodes[ix as usize];
+        let Node {
+            slot, prev, next, ..
+        } = self.nodes[ix as usize];
         let place = usize::from(slot);
         match prev {
             NONE => self.heads[place] = next,
--- a/crates/ivypitch-teams/src/window.rs
+++ b/crates/ivypitch-teams/src/window.rs
@@ -94,7 +94,11 @@
     /// The engines that are ready have changed. Without any, nothing is released.
     pub fn set_cores(&mut self, cores: f64) {
         let keeps = self.cores > 0.0 && self.way != Way::Fixed;
-        let part = if keeps { self.threads / self.start() } else { 1.0 };
+        let part = if keeps {
+            self.threads / self.start()
+        } else {
+            1.0
+        };
         self.cores = cores;
         self.threads = part * self.start();
         self.hold_ends();
@@ -102,7 +106,11 @@
 
     fn start(&self) -> f64 {
         let threads = START * self.cores;
-        if self.way == Way::Fixed { threads } else { threads + HEADROOM * threads.sqrt() }
+        if self.way == Way::Fixed {
+            threads
+        } else {
+            threads + HEADROOM * threads.sqrt()
+        }
     }
 
     fn hold_ends(&mut self) {
@@ -111,7 +119,10 @@
             return;
         }
         let start = self.start();
-        self.threads = self.threads.clamp(LEAST * start, MOST * start).max(self.widest);
+        self.threads = self
+            .threads
+            .clamp(LEAST * start, MOST * start)
+            .max(self.widest);
     }
 
     pub fn was_full(&mut self) {
@@ -141,7 +152,11 @@
             self.used += LEARN * (self.done / span / self.cores.max(1e-9) - self.used);
         }
         let ratio = TOLERANCE * self.best / self.slowness.max(1e-9);
-        let ratio = if self.used < WELL_USED { ratio.max(STEP_UP) } else { ratio };
+        let ratio = if self.used < WELL_USED {
+            ratio.max(STEP_UP)
+        } else {
+            ratio
+        };
         match self.way {
             Way::Fixed => {}
             Way::Gradient => {
--- a/crates/ivypitch-teams/tests/scenarios.rs
+++ b/crates/ivypitch-teams/tests/scenarios.rs
@@ -23,10 +23,13 @@
 
 impl<'a> Fields<'a> {
     fn text(&self, name: &str) -> Option<&'a str> {
-        self.0.iter().find_map(|w| w.strip_prefix(name)?.strip_prefix('='))
+        self.0
+            .iter()
+            .find_map(|w| w.strip_prefix(name)?.strip_prefix('='))
     }
     fn number(&self, name: &str, otherwise: f64) -> f64 {
-        self.text(name).map_or(otherwise, |v| v.parse().expect(name))
+        self.text(name)
+            .map_or(otherwise, |v| v.parse().expect(name))
     }
     fn ms(&self, name: &str, otherwise: f64) -> Nanos {
         (self.number(name, otherwise) * MS as f64) as Nanos
@@ -85,20 +88,31 @@
         let longest = self.longest.entry((stmt.team, stmt.workload)).or_default();
         *longest = (*longest).max(self.now - stmt.came);
         self.order.push(stmt.name.clone());
-        self.events.push(Reverse((self.now + took, Event::End(ix.0, took))));
+        self.events
+            .push(Reverse((self.now + took, Event::End(ix.0, took))));
     }
     fn reject(&mut self, ix: StmtIx, come_back: Nanos) {
         let stmt = &mut self.stmts[ix.0];
         assert_eq!(stmt.state, State::Waiting, "{} rejected", stmt.name);
         stmt.state = State::Rejected;
         if stmt.again && come_back > 0 {
-            let again = Stmt { came: self.now + come_back, state: State::Waiting, ..stmt.clone() };
+            let again = Stmt {
+                came: self.now + come_back,
+                state: State::Waiting,
+                ..stmt.clone()
+            };
             self.stmts.push(again);
-            self.events.push(Reverse((self.now + come_back, Event::Come(self.stmts.len() - 1))));
+            self.events.push(Reverse((
+                self.now + come_back,
+                Event::Come(self.stmts.len() - 1),
+            )));
         }
     }
     fn mode(&mut self, team: Option<usize>, line: &str) {
-        self.said.push(format!("{} {line}", team.map_or("all".into(), |t| t.to_string())));
+        self.said.push(format!(
+            "{} {line}",
+            team.map_or("all".into(), |t| t.to_string())
+        ));
     }
 }
 
@@ -117,9 +131,16 @@
 
     fn team(&self, name: &str) -> usize {
         // One that our file does not name has a number behind the others.
-        self.teams.iter().position(|t| t == name).unwrap_or_else(|| {
-            self.teams.len() + name.trim_start_matches('t').parse::<usize>().unwrap_or_default()
-        })
+        self.teams
+            .iter()
+            .position(|t| t == name)
+            .unwrap_or_else(|| {
+                self.teams.len()
+                    + name
+                        .trim_start_matches('t')
+                        .parse::<usize>()
+                        .unwrap_or_default()
+            })
     }
 
     fn workload(&self, name: &str) -> usize {
@@ -127,22 +148,36 @@
     }
 
     fn wake_and_end(&mut self, until: Nanos) {
-        let Some(teams) = &mut self.started else { return };
+        let Some(teams) = &mut self.started else {
+            return;
+        };
         loop {
             let wake = teams.next_wake().map(|at| at.max(self.world.now));
             let event = self.world.events.peek().map(|Reverse((at, _))| *at);
-            let at = wake.into_iter().chain(event).min().filter(|&at| at <= until);
+            let at = wake
+                .into_iter()
+                .chain(event)
+                .min()
+                .filter(|&at| at <= until);
             let Some(at) = at else { break };
             self.world.now = self.world.now.max(at);
             if event == Some(at) {
-                let Some(Reverse((_, event))) = self.world.events.pop() else { break };
+                let Some(Reverse((_, event))) = self.world.events.pop() else {
+                    break;
+                };
                 match event {
                     Event::End(ix, took) => {
                         let stmt = &mut self.world.stmts[ix];
                         stmt.state = State::Done;
                         let real = stmt.real;
                         self.world.out -= self.world.threads[stmt.workload];
-                        teams.over(self.world.now, StmtIx(ix), Some(real), Some(took), &mut self.world);
+                        teams.over(
+                            self.world.now,
+                            StmtIx(ix),
+                            Some(real),
+                            Some(took),
+                            &mut self.world,
+                        );
                     }
                     Event::Come(ix) => {
                         let stmt = &self.world.stmts[ix];
@@ -172,19 +207,34 @@
             bytes: fields.number("bytes", 100.0) as usize,
             deadline: at + fields.ms("left", 20_000.0),
         };
-        let name = fields.text("as").map_or_else(|| format!("#{}", self.world.stmts.len()), str::to_owned);
+        let name = fields
+            .text("as")
+            .map_or_else(|| format!("#{}", self.world.stmts.len()), str::to_owned);
         // Work scatters by the statement's number, alike at every run.
         let scatter = fields.number("vary", 0.0);
         let chance = (self.world.stmts.len() as f64 * 0.618_033_988_7).fract() - 0.5;
         let real = (fields.ms("real", usual) as f64 * (1.0 + 2.0 * scatter * chance)) as Nanos;
         let again = fields.number("again", 0.0) > 0.0;
-        let stmt = Stmt { name, team, workload, came: at, real, claim, state: State::Waiting, again };
+        let stmt = Stmt {
+            name,
+            team,
+            workload,
+            came: at,
+            real,
+            claim,
+            state: State::Waiting,
+            again,
+        };
         self.world.stmts.push(stmt);
         self.world.stmts.len() - 1
     }
 
     fn named(&self, name: &str) -> usize {
-        self.world.stmts.iter().rposition(|s| s.name == name).expect(name)
+        self.world
+            .stmts
+            .iter()
+            .rposition(|s| s.name == name)
+            .expect(name)
     }
 
     fn step(&mut self, words: &[&str]) {
@@ -200,7 +250,10 @@
                 most_queued_bytes: fields.number("bytes", old.most_queued_bytes as f64) as usize,
                 lanes: fields.text("lane-queue").map_or(old.lanes, |most| {
                     let most_queued = most.parse().unwrap();
-                    let lane = LaneBudget { most_queued, ..LaneBudget::default() };
+                    let lane = LaneBudget {
+                        most_queued,
+                        ..LaneBudget::default()
+                    };
                     vec![lane; self.workloads.len()]
                 }),
             }
@@ -219,7 +272,9 @@
                     usual_work: fields.ms("work", 100.0),
                     slack: fields
                         .text("slack")
-                        .map_or(WorkloadTerms::slack_of(slo, importance, 1.0), |_| fields.ms("slack", 0.0)),
+                        .map_or(WorkloadTerms::slack_of(slo, importance, 1.0), |_| {
+                            fields.ms("slack", 0.0)
+                        }),
                     longest_wait: fields.ms("wait", 400.0),
                 });
             }
@@ -237,7 +292,9 @@
                 let cores: f64 = cores.parse().unwrap();
                 self.world.cores = cores;
                 let (budgets, now) = (&self.budgets, self.world.now);
-                let teams = self.started.get_or_insert_with(|| Teams::new(budgets.clone(), 7, now));
+                let teams = self
+                    .started
+                    .get_or_insert_with(|| Teams::new(budgets.clone(), 7, now));
                 teams.capacity(now, cores, &mut self.world);
             }
             ["at", at] => self.wake_and_end(at.parse::<u64>().unwrap() * MS),
@@ -248,12 +305,18 @@
                 self.wake_and_end(now);
             }
             ["come", team, workload, ..] => {
-                let times = words.iter().find_map(|w| w.strip_prefix('x')?.parse().ok()).unwrap_or(1);
+                let times = words
+                    .iter()
+                    .find_map(|w| w.strip_prefix('x')?.parse().ok())
+                    .unwrap_or(1);
                 for _ in 0..times {
                     let ix = self.stmt(team, workload, &fields, self.now());
                     let claim = self.world.stmts[ix].claim;
                     let now = self.world.now;
-                    self.started.as_mut().unwrap().arrive(now, StmtIx(ix), claim, &mut self.world);
+                    self.started
+                        .as_mut()
+                        .unwrap()
+                        .arrive(now, StmtIx(ix), claim, &mut self.world);
                 }
             }
             ["flood", team, workload, ..] => {
@@ -268,24 +331,39 @@
             ["leave", name] => {
                 let ix = self.named(name);
                 let now = self.world.now;
-                let left = self.started.as_mut().unwrap().leave(now, StmtIx(ix), &mut self.world);
-                assert_eq!(left, self.world.stmts[ix].state == State::Waiting, "{name} leaves");
+                let left = self
+                    .started
+                    .as_mut()
+                    .unwrap()
+                    .leave(now, StmtIx(ix), &mut self.world);
+                assert_eq!(
+                    left,
+                    self.world.stmts[ix].state == State::Waiting,
+                    "{name} leaves"
+                );
                 if left {
                     self.world.stmts[ix].state = State::Gone;
                 }
             }
             ["stop", by] => {
                 let (now, by) = (self.world.now, by.parse::<u64>().unwrap() * MS);
-                self.started.as_mut().unwrap().ending(now, by, &mut self.world);
+                self.started
+                    .as_mut()
+                    .unwrap()
+                    .ending(now, by, &mut self.world);
             }
             ["budget", team, ..] => {
                 let team = self.team(team);
                 self.budgets.teams[team] = budget(self.budgets.teams[team].clone());
                 let (budgets, now) = (self.budgets.clone(), self.world.now);
-                self.started.as_mut().unwrap().reload(now, budgets, &mut self.world);
+                self.started
+                    .as_mut()
+                    .unwrap()
+                    .reload(now, budgets, &mut self.world);
             }
             ["is", name, state] => {
-                let found = format!("{:?}", self.world.stmts[self.named(name)].state).to_lowercase();
+                let found =
+                    format!("{:?}", self.world.stmts[self.named(name)].state).to_lowercase();
                 assert_eq!(found, *state, "{name} at {} ms", self.now() / MS);
             }
             ["count", team, state, low, high] => {
@@ -297,7 +375,11 @@
                 };
                 let found = self.world.stmts.iter().filter(fits).count();
                 let bounds = low.parse::<usize>().unwrap()..=high.parse().unwrap();
-                assert!(bounds.contains(&found), "{team} {state}: {found}, at {} ms", self.now() / MS);
+                assert!(
+                    bounds.contains(&found),
+                    "{team} {state}: {found}, at {} ms",
+                    self.now() / MS
+                );
             }
             ["used", team, low, high] => {
                 let used = self.started.as_ref().unwrap().used(self.team(team));
@@ -307,28 +389,48 @@
             ["longest", team, workload, most] => {
                 let key = (self.team(team), self.workload(workload));
                 let longest = self.world.longest.get(&key).copied().unwrap_or(Nanos::MAX) / MS;
-                assert!(longest <= most.parse::<u64>().unwrap(), "{team} {workload}: longest {longest} ms");
+                assert!(
+                    longest <= most.parse::<u64>().unwrap(),
+                    "{team} {workload}: longest {longest} ms"
+                );
             }
             ["order", names @ ..] => {
-                let found: Vec<&str> =
-                    self.world.order.iter().map(String::as_str).filter(|n| names.contains(n)).collect();
+                let found: Vec<&str> = self
+                    .world
+                    .order
+                    .iter()
+                    .map(String::as_str)
+                    .filter(|n| names.contains(n))
+                    .collect();
                 assert_eq!(found, names);
             }
             ["estimates", least] => {
                 let record = self.started.as_ref().unwrap().record();
                 assert!(record.told > 20, "{} estimates", record.told);
                 let percent = record.good * 100 / record.told;
-                assert!(percent >= least.parse::<u64>().unwrap(), "{percent}% of {} good", record.told);
+                assert!(
+                    percent >= least.parse::<u64>().unwrap(),
+                    "{percent}% of {} good",
+                    record.told
+                );
             }
             ["said", words @ ..] => {
                 let words = words.join(" ");
-                assert!(self.world.said.iter().any(|l| l.starts_with(&words)), "{:?}", self.world.said);
+                assert!(
+                    self.world.said.iter().any(|l| l.starts_with(&words)),
+                    "{:?}",
+                    self.world.said
+                );
             }
             other => panic!("step not understood: {other:?}"),
         }
         if let Some(teams) = &self.started {
             let count = |state| self.world.stmts.iter().filter(|s| s.state == state).count();
-            assert_eq!(count(State::Out) > 0, teams.threads_out() > 1e-9, "threads out");
+            assert_eq!(
+                count(State::Out) > 0,
+                teams.threads_out() > 1e-9,
+                "threads out"
+            );
             assert!(teams.queued() <= count(State::Waiting), "waiting");
         }
     }
--- a/crates/ivypitch/src/interface.rs
+++ b/crates/ivypitch/src/interface.rs
@@ -195,7 +195,10 @@
 impl Outcome {
     /// The outcome itself proves that the execution never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot | Outcome::Unsent)
+        matches!(
+            self,
+            Outcome::Full | Outcome::ConnectFailed | Outcome::Moot | Outcome::Unsent
+        )
     }
 }
 
--- a/crates/ivypitch/src/rules.rs
+++ b/crates/ivypitch/src/rules.rs
@@ -85,7 +85,11 @@
 const PLACES_FREE: f64 = 0.95;
 const EARNS_FULL: f64 = 1.4;
 /// Further executions by own doubt, where no rule bounds them: if more seem lost or bad, all are slow.
-const OWN_BUDGET: ExecutionBudget = ExecutionBudget { window: SECOND * 5, free: 5.0, per_statement: 0.3 };
+const OWN_BUDGET: ExecutionBudget = ExecutionBudget {
+    window: SECOND * 5,
+    free: 5.0,
+    per_statement: 0.3,
+};
 const HOUSEKEEPING: Nanos = SECOND / 100;
 /// A long statement asks its engine first, where no report is fresh: so long, and no more than so many.
 const ASK_WAIT: Nanos = SECOND * 3 / 100;
@@ -243,7 +247,12 @@
 impl Gateway {
     pub fn new(mut facts: Deployment, seed: u64, now: Nanos) -> Self {
         facts.gateways = facts.gateways.max(1);
-        let least_slo = facts.workloads.iter().map(|w| w.slo_time).min().unwrap_or(0);
+        let least_slo = facts
+            .workloads
+            .iter()
+            .map(|w| w.slo_time)
+            .min()
+            .unwrap_or(0);
         let row = |w: &Workload| WorkloadRow {
             long: w.slo_time >= LONG_SLO * least_slo.max(1),
             estimate: seconds(w.slo_time) / 3.0,
@@ -253,8 +262,16 @@
             ..WorkloadRow::default()
         };
         let work = |w: &Workload| seconds(w.slo_time) * w.threads.max(1.0);
-        let lightest = facts.workloads.iter().map(work).fold(1e6, f64::min).max(1e-3);
-        let burst = |c: &Customer| Allowance { left: c.allowance_per_s * ALLOWANCE_BURST_S, at: now };
+        let lightest = facts
+            .workloads
+            .iter()
+            .map(work)
+            .fold(1e6, f64::min)
+            .max(1e-3);
+        let burst = |c: &Customer| Allowance {
+            left: c.allowance_per_s * ALLOWANCE_BURST_S,
+            at: now,
+        };
         Gateway {
             wlms: facts.workloads.iter().map(row).collect(),
             allowances: facts.customers.iter().map(burst).collect(),
@@ -275,18 +292,32 @@
         self.facts.must_ask_for_list.then(|| out.watch_list());
     }
 
-    pub fn engines_listed(&mut self, now: Nanos, kind: ListKind, rows: &[EngineRow], out: &mut dyn Output) {
+    pub fn engines_listed(
+        &mut self,
+        now: Nanos,
+        kind: ListKind,
+        rows: &[EngineRow],
+        out: &mut dyn Output,
+    ) {
         if kind != ListKind::Delta {
             let told = indices(rows, self.engines.len());
-            (0..told.len()).filter(|&at| !told[at]).for_each(|at| self.enlist(at, false));
+            (0..told.len())
+                .filter(|&at| !told[at])
+                .for_each(|at| self.enlist(at, false));
         }
         for row in rows {
             let at = row.engine.0;
-            self.engines.resize_with(self.engines.len().max(at + 1), Engine::default);
+            self.engines
+                .resize_with(self.engines.len().max(at + 1), Engine::default);
             if self.engines[at].row.id != row.id || self.engines[at].row.engine != row.engine {
                 self.enlist(at, false);
                 let key = Key::new(row.id, self.facts.me, self.facts.gateways, row.engine);
-                self.engines[at] = Engine { row: *row, key, best: f64::MAX, ..Engine::default() };
+                self.engines[at] = Engine {
+                    row: *row,
+                    key,
+                    best: f64::MAX,
+                    ..Engine::default()
+                };
             }
             let engine = &mut self.engines[at];
             (!engine.listed).then(|| engine.ema_point = point_of(row.id));
@@ -311,15 +342,26 @@
         self.listed = self.listed + usize::from(listed) - usize::from(engine.listed);
         engine.listed = listed;
         let (row, key, ready) = (engine.row, engine.key, engine.ready());
-        for (wlm, _) in self.wlms.iter_mut().zip(&self.facts.workloads).filter(|(_, f)| placed(f, &row)) {
-            if ready { wlm.open.enter(key, row.kind) } else { wlm.open.leave(key, row.kind) }
+        for (wlm, _) in self
+            .wlms
+            .iter_mut()
+            .zip(&self.facts.workloads)
+            .filter(|(_, f)| placed(f, &row))
+        {
+            if ready {
+                wlm.open.enter(key, row.kind)
+            } else {
+                wlm.open.leave(key, row.kind)
+            }
         }
     }
 
     /// The subset of each workload's engines, by place: those that own traffic keeps heard of. Guards against
     /// traffic so thin that no report is fresh. Hurts where what few engines have warm is in few subsets.
     fn narrow(&mut self, now: Nanos) {
-        let span = now.saturating_sub(self.started).clamp(SECOND, self.budget.window.max(SECOND));
+        let span = now
+            .saturating_sub(self.started)
+            .clamp(SECOND, self.budget.window.max(SECOND));
         let arrivals = self.taken.count_since(now - span.min(now)) as f64;
         let heard = arrivals / seconds(span) * seconds(REPORT_FRESH) / HEARD;
         for row in &mut self.wlms {
@@ -329,17 +371,38 @@
             let kept = heard.min(MOST_KEPT).max(fewest).ceil();
             // More than a part gains little, and table groups have their homes in all.
             let kept = if kept > MOST_PART * open { open } else { kept };
-            (row.kept, row.holders) = (kept as usize, self.facts.gateways as f64 * kept / open.max(1.0));
+            (row.kept, row.holders) = (
+                kept as usize,
+                self.facts.gateways as f64 * kept / open.max(1.0),
+            );
         }
-        let narrowed = self.wlms.iter().filter(|row| row.kept < row.open.len()).map(|row| row.kept);
+        let narrowed = self
+            .wlms
+            .iter()
+            .filter(|row| row.kept < row.open.len())
+            .map(|row| row.kept);
         self.spread = narrowed.max().unwrap_or(self.listed);
     }
 
     /// Asks the rules once more as an execution begins to leave; windows count from then. Refused: unsent.
     pub fn begins(&mut self, now: Nanos, ix: StmtIx, execution: u32) -> bool {
-        let stmt = self.stmts.get(ix.0).and_then(Option::as_ref).filter(|stmt| stmt.stage == Stage::Running);
-        let out = stmt.and_then(|stmt| stmt.out.as_ref()).filter(|e| e.number == execution);
-        let Some(&Execution { engine: to, since, cold_cost: cost, .. }) = out else { return false };
+        let stmt = self
+            .stmts
+            .get(ix.0)
+            .and_then(Option::as_ref)
+            .filter(|stmt| stmt.stage == Stage::Running);
+        let out = stmt
+            .and_then(|stmt| stmt.out.as_ref())
+            .filter(|e| e.number == execution);
+        let Some(&Execution {
+            engine: to,
+            since,
+            cold_cost: cost,
+            ..
+        }) = out
+        else {
+            return false;
+        };
         let permitted = self.permitted(now, ix, Act::Begin(to));
         if permitted {
             let (sent, further) = self.uncount(ix, to, (since, cost));
@@ -351,13 +414,20 @@
 
     /// Takes a send out of its engine's window, and out of the budget's: whether it was there.
     fn uncount(&mut self, ix: StmtIx, to: EngineIx, (at, cost): (Nanos, f64)) -> (bool, bool) {
-        let again = self.stmts[ix.0].as_ref().is_some_and(|stmt| stmt.sent() > 1);
-        (self.engines[to.0].sends.take(at, cost), again && self.further.take(at, 0.0))
+        let again = self.stmts[ix.0]
+            .as_ref()
+            .is_some_and(|stmt| stmt.sent() > 1);
+        (
+            self.engines[to.0].sends.take(at, cost),
+            again && self.further.take(at, 0.0),
+        )
     }
 
     /// What all gateways together say of an engine. One that others found well again is judged anew.
     pub fn advised(&mut self, ix: EngineIx, advice: Advice, out: &mut dyn Output) {
-        let Some(engine) = self.engines.get_mut(ix.0) else { return };
+        let Some(engine) = self.engines.get_mut(ix.0) else {
+            return;
+        };
         (engine.shunned, engine.may_try) = (advice.is_out, advice.tries);
         if advice.is_well {
             engine.outcomes.clear();
@@ -366,18 +436,26 @@
     }
 
     pub fn set_part(&mut self, customer: usize, part: f64) {
-        self.parts.get_mut(customer).into_iter().for_each(|held| *held = part);
+        self.parts
+            .get_mut(customer)
+            .into_iter()
+            .for_each(|held| *held = part);
     }
 
     /// Something hangs on this engine; else its index may stand for another.
     pub fn names(&self, ix: EngineIx) -> bool {
         let ran_there = |s: &Stmt| s.may_have_run.is_some_and(|(first, _)| first == ix);
-        self.engines.get(ix.0).is_some_and(|e| e.listed || e.out > 0 || e.recent > 0)
+        self.engines
+            .get(ix.0)
+            .is_some_and(|e| e.listed || e.out > 0 || e.recent > 0)
             || self.stmts.iter().flatten().any(ran_there)
     }
 
     pub fn list_failed(&mut self, _now: Nanos, out: &mut dyn Output) {
-        out.wake(MARK_ASK, TRIAL_GAP + (self.chance() * TRIAL_GAP as f64) as Nanos);
+        out.wake(
+            MARK_ASK,
+            TRIAL_GAP + (self.chance() * TRIAL_GAP as f64) as Nanos,
+        );
     }
 
     pub fn probed(&mut self, now: Nanos, ix: EngineIx, report: &[f32], out: &mut dyn Output) {
@@ -387,11 +465,20 @@
 
     /// A peer tells where a load of its own begins or ends: `load_tag` times two, plus one at its begin.
     pub fn peer_said(&mut self, now: Nanos, bytes: &[u8]) {
-        let Ok(word) = bytes.try_into().map(u32::from_le_bytes) else { return };
+        let Ok(word) = bytes.try_into().map(u32::from_le_bytes) else {
+            return;
+        };
         self.note_load(now, word >> 1, word & 1 == 1);
     }
 
-    fn load_moves(&mut self, now: Nanos, engine: EngineIx, group: u32, begins: bool, out: &mut dyn Output) {
+    fn load_moves(
+        &mut self,
+        now: Nanos,
+        engine: EngineIx,
+        group: u32,
+        begins: bool,
+        out: &mut dyn Output,
+    ) {
         let tag = load_tag(self.engines[engine.0].row.id, group);
         self.note_load(now, tag, begins);
         if self.facts.may_publish && self.facts.gateways > 1 {
@@ -400,7 +487,13 @@
     }
 
     fn note_load(&mut self, now: Nanos, tag: u32, begins: bool) {
-        let longest = self.facts.workloads.iter().map(|w| w.statement_timeout).max().unwrap_or(0);
+        let longest = self
+            .facts
+            .workloads
+            .iter()
+            .map(|w| w.statement_timeout)
+            .max()
+            .unwrap_or(0);
         self.loads.note(now, tag, begins, longest);
     }
 
@@ -426,9 +519,14 @@
                 _ => {}
             }
         }
-        engine.pressure_until = if busy { now + PRESSURE_HOLD } else { engine.pressure_until };
+        engine.pressure_until = if busy {
+            now + PRESSURE_HOLD
+        } else {
+            engine.pressure_until
+        };
         if !report.is_empty() {
-            busy |= engine.threads[0] + engine.threads[1] + LATE * engine.others >= BUSY_THREADS * cores;
+            busy |= engine.threads[0] + engine.threads[1] + LATE * engine.others
+                >= BUSY_THREADS * cores;
             self.pressed += LEARN * (f64::from(busy) - self.pressed);
         }
     }
@@ -442,7 +540,8 @@
         while engine.outcomes.len() > LAST_FEW || engine.outcomes[0].0 + EVIDENCE_AGE < now {
             engine.outcomes.pop_front();
         }
-        let part = engine.outcomes.iter().filter(|o| o.1).count() as f64 / engine.outcomes.len() as f64;
+        let part =
+            engine.outcomes.iter().filter(|o| o.1).count() as f64 / engine.outcomes.len() as f64;
         if success || part < FEWEST_SUCCESSES {
             engine.turn(part < FEWEST_SUCCESSES, "successes", part, out);
         }
@@ -453,19 +552,34 @@
     /// an idempotent statement is tried elsewhere, once: where all are slow that doubles the work.
     fn listen(&mut self, now: Nanos, out: &mut dyn Output) {
         for s in 0..self.stmts.len() {
-            let Some(stmt) = self.stmts[s].as_mut() else { continue };
+            let Some(stmt) = self.stmts[s].as_mut() else {
+                continue;
+            };
             let (facts, row) = (&self.facts.workloads[stmt.wlm], &self.wlms[stmt.wlm]);
-            let Some(execution) = stmt.out.as_mut() else { continue };
+            let Some(execution) = stmt.out.as_mut() else {
+                continue;
+            };
             let usual = stmt.work / facts.threads.max(1.0) * LOST * row.slowness;
             let pace = self.facts.progress_pace * 3 / 2 + SECOND / 2;
             let silent = execution.word == execution.since;
-            let patience = if silent { nanos(usual).max(LEAST_PATIENCE) } else { Nanos::MAX };
-            let patience = if self.facts.progress_pace > 0 { patience.min(pace) } else { patience };
+            let patience = if silent {
+                nanos(usual).max(LEAST_PATIENCE)
+            } else {
+                Nanos::MAX
+            };
+            let patience = if self.facts.progress_pace > 0 {
+                patience.min(pace)
+            } else {
+                patience
+            };
             if now.saturating_sub(execution.word) < patience {
                 continue;
             }
             execution.word = Nanos::MAX;
-            let (engine, again) = (execution.engine, facts.effect == Effect::Idempotent && stmt.sent() == 1);
+            let (engine, again) = (
+                execution.engine,
+                facts.effect == Effect::Idempotent && stmt.sent() == 1,
+            );
             self.judge(now, engine, false, out);
             if again && self.within_budget(now, 1) {
                 self.withdraw(StmtIx(s), out);
@@ -484,18 +598,34 @@
 
     /// A statement whose execution a lost gateway sent to this engine: out here from now on, a further one in
     /// the budget; nothing more is judged by its first error.
-    pub fn adopt(&mut self, now: Nanos, ix: StmtIx, arrival: Arrival, at: EngineIx, out: &mut dyn Output) {
+    pub fn adopt(
+        &mut self,
+        now: Nanos,
+        ix: StmtIx,
+        arrival: Arrival,
+        at: EngineIx,
+        out: &mut dyn Output,
+    ) {
         if !self.enter(now, ix, arrival, out) {
             return;
         }
         self.turn(ix, Stage::Running);
-        let Some(stmt) = self.stmts[ix.0].as_mut() else { return };
-        stmt.out = Some(Execution { engine: at, since: now, number: 0, cold_cost: 0.0, word: now });
+        let Some(stmt) = self.stmts[ix.0].as_mut() else {
+            return;
+        };
+        stmt.out = Some(Execution {
+            engine: at,
+            since: now,
+            number: 0,
+            cold_cost: 0.0,
+            word: now,
+        });
         (stmt.executions, stmt.errors, stmt.may_have_run) = (1, 1, Some((at, now)));
         let (wlm, group) = (stmt.wlm, stmt.group);
         self.engines[at.0].out += 1;
         self.wlms[wlm].out += 1;
-        self.engines[at.0].threads[usize::from(self.wlms[wlm].long)] += self.facts.workloads[wlm].threads;
+        self.engines[at.0].threads[usize::from(self.wlms[wlm].long)] +=
+            self.facts.workloads[wlm].threads;
         self.further.push(now, 0.0);
         if self.facts.workloads[wlm].is_load {
             self.load_moves(now, at, group, true, out);
@@ -525,14 +655,16 @@
         }
         let mut importance = facts.importance;
         if let Some(allowance) = self.allowances.get_mut(arrival.customer) {
-            let rate = self.facts.customers[arrival.customer].allowance_per_s * self.parts[arrival.customer];
+            let rate = self.facts.customers[arrival.customer].allowance_per_s
+                * self.parts[arrival.customer];
             if !allowance.take(now, rate, (rate * ALLOWANCE_BURST_S).max(1.0)) {
                 importance *= self.facts.over_share_importance;
             }
         }
         self.importance += DEMAND_LEARN * (importance - self.importance);
         let (told, estimate) = (self.wlms[wlm].told_work, self.wlms[wlm].estimate);
-        self.mean_work = (self.mean_work + DEMAND_LEARN * (told - self.mean_work)).max(self.lightest);
+        self.mean_work =
+            (self.mean_work + DEMAND_LEARN * (told - self.mean_work)).max(self.lightest);
         let apart = u64::from(self.loads_block_others && facts.is_load);
         let group = point_of(u64::from(arrival.table_group) | apart << 32);
         let slo = seconds(facts.slo_time) + facts.slo_stretch * work / facts.threads.max(1.0);
@@ -553,7 +685,8 @@
         if stmt.key != 0 {
             self.keys.entry(stmt.key).or_default().line.push_back(ix);
         }
-        self.stmts.resize_with(self.stmts.len().max(ix.0 + 1), || None);
+        self.stmts
+            .resize_with(self.stmts.len().max(ix.0 + 1), || None);
         self.stmts[ix.0] = Some(stmt);
         self.in_hand += 1;
         self.taken.push(now, 0.0);
@@ -566,17 +699,35 @@
     }
 
     pub fn under_way(&mut self, _now: Nanos, ix: StmtIx, execution: u32) {
-        let stmt = self.stmts.get(ix.0).and_then(Option::as_ref).filter(|s| s.stage != Stage::Answered);
-        if stmt.and_then(|s| s.out.as_ref()).is_some_and(|e| e.number == execution) {
+        let stmt = self
+            .stmts
+            .get(ix.0)
+            .and_then(Option::as_ref)
+            .filter(|s| s.stage != Stage::Answered);
+        if stmt
+            .and_then(|s| s.out.as_ref())
+            .is_some_and(|e| e.number == execution)
+        {
             self.turn(ix, Stage::Streaming);
         }
     }
 
     /// Guards against bad plans: one projected to take many times what its work should take is withdrawn and
     /// drawn anew; covers executions that stand still. Hurts when estimates are far too low: work is lost.
-    pub fn noted(&mut self, now: Nanos, ix: StmtIx, execution: u32, note: Note, out: &mut dyn Output) {
-        let Some(stmt) = self.stmts.get_mut(ix.0).and_then(Option::as_mut) else { return };
-        let Some(e) = stmt.out.as_mut().filter(|e| e.number == execution) else { return };
+    pub fn noted(
+        &mut self,
+        now: Nanos,
+        ix: StmtIx,
+        execution: u32,
+        note: Note,
+        out: &mut dyn Output,
+    ) {
+        let Some(stmt) = self.stmts.get_mut(ix.0).and_then(Option::as_mut) else {
+            return;
+        };
+        let Some(e) = stmt.out.as_mut().filter(|e| e.number == execution) else {
+            return;
+        };
         e.word = now;
         if let Note::SpillsMb(missing) = note {
             return self.learn_memory(ix, missing);
@@ -594,21 +745,29 @@
     }
 
     pub fn execution_ended(&mut self, now: Nanos, ix: StmtIx, ended: &Ended, out: &mut dyn Output) {
-        let Some(stmt) = self.stmts.get_mut(ix.0).and_then(Option::as_mut) else { return };
-        let Some(execution) = stmt.out.take_if(|e| e.number == ended.execution) else { return };
+        let Some(stmt) = self.stmts.get_mut(ix.0).and_then(Option::as_mut) else {
+            return;
+        };
+        let Some(execution) = stmt.out.take_if(|e| e.number == ended.execution) else {
+            return;
+        };
         let (wlm, group, threads) = (stmt.wlm, stmt.group, self.facts.workloads[stmt.wlm].threads);
         let engine = &mut self.engines[execution.engine.0];
         engine.out -= 1;
         self.wlms[wlm].out -= 1;
         engine.threads[usize::from(self.wlms[wlm].long)] -= threads;
         if !ended.outcome.never_ran() {
-            stmt.may_have_run.get_or_insert((execution.engine, execution.since));
+            stmt.may_have_run
+                .get_or_insert((execution.engine, execution.since));
         }
         // Where two good engines answer with errors the statement may be at fault: one is judged by it.
         stmt.errors += u32::from(ended.outcome == Outcome::Error && !engine.failing);
         let faulty = ended.outcome == Outcome::Error && stmt.errors < 2
             || matches!(ended.outcome, Outcome::Reset | Outcome::ConnectFailed);
-        let doubt = matches!(ended.outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
+        let doubt = matches!(
+            ended.outcome,
+            Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled
+        );
         if doubt && let Some(line) = self.keys.get_mut(&stmt.key) {
             line.rest_until = now + self.facts.key_rest.unwrap_or(0);
         }
@@ -617,7 +776,9 @@
             Outcome::Full => engine.full_until = now + TRIAL_GAP,
             Outcome::Unsent => {
                 self.uncount(ix, execution.engine, (execution.since, execution.cold_cost));
-                self.stmts[ix.0].iter_mut().for_each(|stmt| stmt.unsent += 1);
+                self.stmts[ix.0]
+                    .iter_mut()
+                    .for_each(|stmt| stmt.unsent += 1);
             }
             _ => {}
         }
@@ -629,13 +790,18 @@
             self.load_moves(now, execution.engine, group, false, out);
         }
         self.read_report(now, execution.engine, ended.report);
-        let Some(stmt) = self.stmts[ix.0].as_mut() else { return };
+        let Some(stmt) = self.stmts[ix.0].as_mut() else {
+            return;
+        };
         if ended.closed {
             self.turn(ix, Stage::Answered);
         } else if stmt.stage != Stage::Answered {
             stmt.wait_until = now + stmt.deadline.saturating_sub(now) / 8;
             let facts = &self.facts.workloads[wlm];
-            let ran_at = stmt.may_have_run.filter(|_| facts.effect != Effect::Idempotent).map(|(_, at)| at);
+            let ran_at = stmt
+                .may_have_run
+                .filter(|_| facts.effect != Effect::Idempotent)
+                .map(|(_, at)| at);
             let in_window = |at| now + self.facts.tick < at + facts.dedup_window;
             let dropped = |at| facts.effect == Effect::Deduplicated && in_window(at);
             let left = stmt.sent() < self.facts.max_executions && ended.outcome != Outcome::Moot;
@@ -661,7 +827,10 @@
 
     /// The gateway ends: what is open has to be answered by then.
     pub fn ending(&mut self, by: Nanos) {
-        self.stmts.iter_mut().flatten().for_each(|stmt| stmt.deadline = stmt.deadline.min(by));
+        self.stmts
+            .iter_mut()
+            .flatten()
+            .for_each(|stmt| stmt.deadline = stmt.deadline.min(by));
     }
 
     pub fn woken(&mut self, now: Nanos, mark: u64, out: &mut dyn Output) {
@@ -674,7 +843,11 @@
         let last_moment = now + 2 * self.facts.tick.max(SECOND / 1000);
         for s in 0..self.stmts.len() {
             let open = |s: &&Stmt| !matches!(s.stage, Stage::Answered | Stage::Streaming);
-            if self.stmts[s].as_ref().filter(open).is_some_and(|stmt| stmt.deadline <= last_moment) {
+            if self.stmts[s]
+                .as_ref()
+                .filter(open)
+                .is_some_and(|stmt| stmt.deadline <= last_moment)
+            {
                 self.give_up(now, StmtIx(s), out);
             }
         }
@@ -693,9 +866,15 @@
     /// Follows the factor on the estimates that is enough for most statements of a workload. Guards against
     /// estimates too low or too high by workload: the one spills, the other takes memory from others.
     fn learn_memory(&mut self, ix: StmtIx, missing: f64) {
-        let Some(stmt) = &mut self.stmts[ix.0] else { return };
+        let Some(stmt) = &mut self.stmts[ix.0] else {
+            return;
+        };
         if !stmt.spilled {
-            let step = if missing > 0.0 { MEMORY_STEP } else { -MEMORY_STEP * SPILLS_WANTED };
+            let step = if missing > 0.0 {
+                MEMORY_STEP
+            } else {
+                -MEMORY_STEP * SPILLS_WANTED
+            };
             let factor = &mut self.wlms[stmt.wlm].memory_factor;
             *factor = (*factor * (1.0 + step)).clamp(0.5, MOST_MEMORY_FACTOR);
         }
@@ -704,7 +883,9 @@
 
     fn learn(&mut self, now: Nanos, ix: StmtIx, execution: &Execution, ended: &Ended) {
         self.learn_memory(ix, 0.0);
-        let Some(stmt) = &self.stmts[ix.0] else { return };
+        let Some(stmt) = &self.stmts[ix.0] else {
+            return;
+        };
         let (row, facts) = (&mut self.wlms[stmt.wlm], &self.facts.workloads[stmt.wlm]);
         if let Some((work_ms, _)) = ended.true_cost {
             row.told_work += LEARN * (work_ms / 1000.0 - row.told_work);
@@ -725,7 +906,12 @@
 
     pub fn in_hand(&self) -> (usize, u32, f64) {
         let threads = |(row, facts): (&WorkloadRow, &Workload)| f64::from(row.out) * facts.threads;
-        let all = self.wlms.iter().zip(&self.facts.workloads).map(threads).sum();
+        let all = self
+            .wlms
+            .iter()
+            .zip(&self.facts.workloads)
+            .map(threads)
+            .sum();
         (self.in_hand, self.wlms.iter().map(|row| row.out).sum(), all)
     }
 
@@ -737,16 +923,29 @@
             return;
         }
         self.dispatched = now;
-        let value = |ix: &StmtIx| Some((self.stmts[ix.0].as_ref().map(|s| s.importance / s.work)?, *ix));
-        let mut waiting: Vec<_> = self.wlms.iter().flat_map(|w| &w.queue).filter_map(value).collect();
+        let value = |ix: &StmtIx| {
+            Some((
+                self.stmts[ix.0].as_ref().map(|s| s.importance / s.work)?,
+                *ix,
+            ))
+        };
+        let mut waiting: Vec<_> = self
+            .wlms
+            .iter()
+            .flat_map(|w| &w.queue)
+            .filter_map(value)
+            .collect();
         waiting.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
         // Where one of a kind finds no room, none that earns less does; looking would cost the day its CPU.
         let mut no_room = Vec::new();
         for (_, ix) in waiting {
-            let Some(stmt) = &self.stmts[ix.0] else { continue };
+            let Some(stmt) = &self.stmts[ix.0] else {
+                continue;
+            };
             let facts = &self.facts.workloads[stmt.wlm];
             let kind = (stmt.wlm, stmt.importance < facts.importance, stmt.asks);
-            let alike = stmt.key == 0 && stmt.sent() == 0 && !facts.is_load && !facts.waits_for_loads;
+            let alike =
+                stmt.key == 0 && stmt.sent() == 0 && !facts.is_load && !facts.waits_for_loads;
             let place = self.has_place(stmt);
             if place && (!alike || !no_room.contains(&kind)) {
                 if let Some(engine) = self.pick(now, ix) {
@@ -757,7 +956,9 @@
                 }
                 no_room.extend(alike.then_some(kind));
             }
-            let Some(stmt) = &self.stmts[ix.0] else { continue };
+            let Some(stmt) = &self.stmts[ix.0] else {
+                continue;
+            };
             let line = self.keys.get(&stmt.key);
             let held = line.is_some_and(|l| !l.is_first(ix) || now < l.rest_until);
             if !place || now >= stmt.wait_until && !(held && now + SECOND < stmt.deadline) {
@@ -769,7 +970,9 @@
     /// A long statement learns how loaded its engine is before it goes there. Guards against gateways so many
     /// that each sees little of what an engine holds; also tells one that answers nothing; a round trip.
     fn ask_first(&mut self, now: Nanos, ix: StmtIx, at: EngineIx, out: &mut dyn Output) -> bool {
-        let Some(stmt) = self.stmts[ix.0].as_mut() else { return false };
+        let Some(stmt) = self.stmts[ix.0].as_mut() else {
+            return false;
+        };
         let engine = &mut self.engines[at.0];
         let known = now < engine.reported_at + REPORT_FRESH || engine.unanswered(now);
         let ask = !known && self.facts.may_probe && self.wlms[stmt.wlm].long;
@@ -787,14 +990,29 @@
         let stmt = self.stmts[ix.0].as_ref()?;
         let row = &self.wlms[stmt.wlm];
         // A repeat that only some engines drop may leave the subset: all of them are looked at.
-        let looks = if stmt.may_have_run.is_some() { usize::MAX } else { LOOKS * row.kept };
+        let looks = if stmt.may_have_run.is_some() {
+            usize::MAX
+        } else {
+            LOOKS * row.kept
+        };
         let permitted = |at: &EngineIx| self.permitted(now, ix, Act::Send(*at));
-        let open = row.open.iter().take(looks).filter(permitted).take(WIDENS * row.kept);
+        let open = row
+            .open
+            .iter()
+            .take(looks)
+            .filter(permitted)
+            .take(WIDENS * row.kept);
         let open: Vec<&Engine> = open.map(|at| &self.engines[at.0]).collect();
-        let good = open.iter().filter(|e| !e.failing && !e.shunned && !e.unanswered(now)).count();
+        let good = open
+            .iter()
+            .filter(|e| !e.failing && !e.shunned && !e.unanswered(now))
+            .count();
         let trust_all = (good as f64) < (1.0 - MOST_SUSPECTED) * open.len() as f64;
         let apart = self.loads_block_others && self.facts.workloads[stmt.wlm].is_load;
-        let held = open.iter().filter(|e| apart && self.holds(now, e, stmt.group)).count();
+        let held = open
+            .iter()
+            .filter(|e| apart && self.holds(now, e, stmt.group))
+            .count();
         if held > 0 && (held + 1) as f64 > MOST_HELD * open.len() as f64 {
             return None;
         }
@@ -817,15 +1035,23 @@
                 continue;
             }
             used += 1;
-            let Some(pressed) = self.room(now, stmt, engine) else { continue };
+            let Some(pressed) = self.room(now, stmt, engine) else {
+                continue;
+            };
             if asked_out && engine.asked.is_none() && now >= engine.reported_at + REPORT_FRESH {
                 continue;
             }
             let away = [0, 1].map(|axis| engine.ema_point[axis] - stmt.point[axis]);
             let distance = away[0].hypot(away[1]).max(FLOOR);
-            let mut weighted = distance * (engine.recent + 1) as f64 / self.cores_left(stmt.wlm, engine);
+            let mut weighted =
+                distance * (engine.recent + 1) as f64 / self.cores_left(stmt.wlm, engine);
             if apart {
-                weighted *= 1.0 + self.recent.iter().filter(|&&s| s == (at, stmt.group)).count() as f64;
+                weighted *= 1.0
+                    + self
+                        .recent
+                        .iter()
+                        .filter(|&&s| s == (at, stmt.group))
+                        .count() as f64;
             }
             if best.is_none_or(|least| (pressed, weighted, at) < least) {
                 best = Some((pressed, weighted, at));
@@ -848,31 +1074,49 @@
         let own = engine.threads[0] + engine.threads[1];
         let gateways = self.wlms[stmt.wlm].holders;
         let fresh = now < engine.reported_at + REPORT_FRESH;
-        let all = if fresh { own + LATE * engine.others } else { own * gateways };
+        let all = if fresh {
+            own + LATE * engine.others
+        } else {
+            own * gateways
+        };
         if now >= engine.pressure_until && all < BUSY_THREADS * cores {
             return Some(false);
         }
         let long = self.wlms[stmt.wlm].long;
-        let over_share = if stmt.importance < facts.importance { OVER_SHARE_BOUND } else { 1.0 };
+        let over_share = if stmt.importance < facts.importance {
+            OVER_SHARE_BOUND
+        } else {
+            1.0
+        };
         let usual = self.wlms[stmt.wlm].told_work;
-        let worth_it = (WORTH_FULL * usual / stmt.work).clamp(WORTH_LEAST, 1.0).powf(self.pressed);
+        let worth_it = (WORTH_FULL * usual / stmt.work)
+            .clamp(WORTH_LEAST, 1.0)
+            .powf(self.pressed);
         let kind_bound = over_share * worth_it * if long { LONG_BOUND } else { SHORT_BOUND };
         let within = |held: f64, per_core: f64| {
             let bound = per_core * cores;
-            let left = if fresh { bound - engine.others } else { facts.threads };
+            let left = if fresh {
+                bound - engine.others
+            } else {
+                facts.threads
+            };
             held + facts.threads <= left.max(bound / gateways)
         };
-        (within(engine.threads[usize::from(long)], kind_bound) && within(own, TOTAL_BOUND)).then_some(true)
+        (within(engine.threads[usize::from(long)], kind_bound) && within(own, TOTAL_BOUND))
+            .then_some(true)
     }
 
     /// The last of the places are for what earns much for its time. Guards against few that run long keeping
     /// out many. Hurts where estimates mislead.
     fn has_place(&self, stmt: &Stmt) -> bool {
         let time = |work: f64, wlm: usize| work / self.facts.workloads[wlm].threads.max(1.0);
-        let usual: f64 = (0..self.wlms.len()).map(|w| time(self.wlms[w].demand, w)).sum();
+        let usual: f64 = (0..self.wlms.len())
+            .map(|w| time(self.wlms[w].demand, w))
+            .sum();
         let earns = stmt.importance / time(stmt.work, stmt.wlm);
         let part = (earns * usual / self.importance.max(1e-9) / EARNS_FULL).min(1.0);
-        self.in_hand as f64 <= self.facts.most_held as f64 * (PLACES_FREE + (1.0 - PLACES_FREE) * part)
+        self.in_hand as f64
+            <= self.facts.most_held as f64 * (PLACES_FREE + (1.0 - PLACES_FREE) * part)
     }
 
     /// An engine's cores, less what workloads bound to fewer engines need there. Guards against statements
@@ -882,12 +1126,17 @@
         let open = self.wlms[wlm].open_cores;
         let bound = self.wlms.iter().zip(&self.facts.workloads);
         let bound = bound.filter(|(r, f)| r.open_cores < open && placed(f, &engine.row));
-        let taken: f64 = bound.map(|(r, _)| r.demand / all * open / r.open_cores).sum();
+        let taken: f64 = bound
+            .map(|(r, _)| r.demand / all * open / r.open_cores)
+            .sum();
         self.cores(engine.row.engine) * (1.0 - taken).max(LEAST_LEFT)
     }
 
     fn cores(&self, ix: EngineIx) -> f64 {
-        let kind = self.facts.kinds.get(usize::from(self.engines[ix.0].row.kind));
+        let kind = self
+            .facts
+            .kinds
+            .get(usize::from(self.engines[ix.0].row.kind));
         kind.map_or(1.0, |k| k.cores).max(1.0)
     }
 
@@ -896,28 +1145,51 @@
             return;
         }
         self.turn(ix, Stage::Running);
-        let Some(stmt) = &mut self.stmts[ix.0] else { return };
+        let Some(stmt) = &mut self.stmts[ix.0] else {
+            return;
+        };
         let (wlm, facts) = (&self.wlms[stmt.wlm], &self.facts.workloads[stmt.wlm]);
         (stmt.sent() > 0).then(|| self.further.push(now, 0.0));
         if self.facts.priority_heeded || self.facts.memory_heeded {
             let over_share = stmt.importance < facts.importance;
-            let grant_mb = if self.facts.memory_heeded { stmt.estimated_mb * wlm.memory_factor } else { 0.0 };
+            let grant_mb = if self.facts.memory_heeded {
+                stmt.estimated_mb * wlm.memory_factor
+            } else {
+                0.0
+            };
             let priority = if wlm.long { 1 } else { 3 };
             out.set_terms(ix, grant_mb, if over_share { 0 } else { priority });
         }
-        let timeout = stmt.deadline.saturating_sub(now + 2 * self.facts.tick).max(1);
+        let timeout = stmt
+            .deadline
+            .saturating_sub(now + 2 * self.facts.tick)
+            .max(1);
         out.send(ix, to, timeout);
-        let (group, is_load, wlm_ix, cold_cost) = (stmt.group, facts.is_load, stmt.wlm, stmt.cold_work);
-        stmt.out = Some(Execution { engine: to, since: now, number: stmt.executions, cold_cost, word: now });
+        let (group, is_load, wlm_ix, cold_cost) =
+            (stmt.group, facts.is_load, stmt.wlm, stmt.cold_work);
+        stmt.out = Some(Execution {
+            engine: to,
+            since: now,
+            number: stmt.executions,
+            cold_cost,
+            word: now,
+        });
         stmt.executions += 1;
         let engine = &mut self.engines[to.0];
         engine.out += 1;
         engine.threads[usize::from(wlm.long)] += facts.threads;
         engine.next_trial = now + TRIAL_GAP;
-        self.since_trial = if engine.failing || engine.shunned { 0 } else { self.since_trial + 1 };
-        engine.ema_point = [0, 1].map(|i| ALPHA * stmt.point[i] + (1.0 - ALPHA) * engine.ema_point[i]);
+        self.since_trial = if engine.failing || engine.shunned {
+            0
+        } else {
+            self.since_trial + 1
+        };
+        engine.ema_point =
+            [0, 1].map(|i| ALPHA * stmt.point[i] + (1.0 - ALPHA) * engine.ema_point[i]);
         engine.sends.push(now, cold_cost);
-        engine.sends.drop_before(now.saturating_sub(self.facts.overload_window));
+        engine
+            .sends
+            .drop_before(now.saturating_sub(self.facts.overload_window));
         self.wlms[wlm_ix].out += 1;
         if is_load {
             self.load_moves(now, to, group, true, out);
@@ -932,7 +1204,12 @@
     }
 
     fn withdraw(&mut self, ix: StmtIx, out: &mut dyn Output) {
-        let Some(stmt) = self.stmts[ix.0].as_ref().filter(|s| s.stage == Stage::Running) else { return };
+        let Some(stmt) = self.stmts[ix.0]
+            .as_ref()
+            .filter(|s| s.stage == Stage::Running)
+        else {
+            return;
+        };
         if let Some(execution) = stmt.out.as_ref().filter(|_| self.facts.may_withdraw) {
             out.withdraw(ix, execution.number);
             self.turn(ix, Stage::Withdrawing);
@@ -943,7 +1220,11 @@
     /// it, with a time to come back, else an abort.
     fn give_up(&mut self, now: Nanos, ix: StmtIx, out: &mut dyn Output) {
         if self.permitted(now, ix, Act::Reject) {
-            let come_back = if self.facts.come_back_heeded { self.facts.longest_come_back } else { 0 };
+            let come_back = if self.facts.come_back_heeded {
+                self.facts.longest_come_back
+            } else {
+                0
+            };
             out.reject(ix, come_back);
         } else if self.permitted(now, ix, Act::Abort) {
             out.abort(ix);
@@ -957,7 +1238,9 @@
 
     /// The one function that changes a statement's state.
     fn turn(&mut self, ix: StmtIx, to: Stage) {
-        let Some(stmt) = &mut self.stmts[ix.0] else { return };
+        let Some(stmt) = &mut self.stmts[ix.0] else {
+            return;
+        };
         if stmt.stage == Stage::Waiting && to != Stage::Waiting {
             self.wlms[stmt.wlm].queue.retain(|&q| q != ix);
         }
@@ -966,7 +1249,9 @@
 
     fn forget_if_over(&mut self, ix: StmtIx, out: &mut dyn Output) {
         let over = |s: &Stmt| s.stage == Stage::Answered && s.out.is_none();
-        let Some(stmt) = self.stmts[ix.0].take_if(|s| over(s)) else { return };
+        let Some(stmt) = self.stmts[ix.0].take_if(|s| over(s)) else {
+            return;
+        };
         if let Some(line) = self.keys.get_mut(&stmt.key) {
             line.line.retain(|&s| s != ix);
         }
@@ -978,7 +1263,9 @@
 
     /// The seven rules, asked before every send, rejection and abort.
     fn permitted(&self, now: Nanos, ix: StmtIx, act: Act) -> bool {
-        let Some(stmt) = &self.stmts[ix.0] else { return false };
+        let Some(stmt) = &self.stmts[ix.0] else {
+            return false;
+        };
         let facts = &self.facts.workloads[stmt.wlm];
         // Rule 1: one final answer, and nothing after it.
         if matches!(stmt.stage, Stage::Answered | Stage::Streaming) {
@@ -1000,7 +1287,10 @@
         let begins = matches!(act, Act::Begin(_));
         let before = stmt.sent() - u32::from(begins);
         // Rule 1 and second copies: never two executions out, none after the client's time.
-        if stmt.out.is_some() != begins || before >= self.facts.max_executions || stmt.deadline <= now {
+        if stmt.out.is_some() != begins
+            || before >= self.facts.max_executions
+            || stmt.deadline <= now
+        {
             return false;
         }
         let engine = &self.engines[to.0];
@@ -1024,17 +1314,28 @@
         }
         // Rule 4: in each window a cold engine gets its budget of work, and no more calls than that over mean
         // work; parts by gateways' places. One that began later doesn't know what its former self sent.
-        if engine.row.started_at > 0 && now < engine.row.started_at.saturating_add(self.facts.warm_up) {
-            let age = seconds(now.saturating_sub(engine.row.started_at)) / seconds(self.facts.warm_up);
-            let warm = self.facts.cold_from + COLD_GROWTH * (1.0 - self.facts.cold_from).max(0.0) * age;
+        if engine.row.started_at > 0
+            && now < engine.row.started_at.saturating_add(self.facts.warm_up)
+        {
+            let age =
+                seconds(now.saturating_sub(engine.row.started_at)) / seconds(self.facts.warm_up);
+            let warm =
+                self.facts.cold_from + COLD_GROWTH * (1.0 - self.facts.cold_from).max(0.0) * age;
             let window = seconds(self.facts.overload_window);
             let budget = COLD_SAFETY * self.facts.overload_factor * self.cores(to) * warm * window;
-            let (gateways, calls) = (self.facts.gateways as f64, (budget / self.mean_work).floor().max(1.0));
+            let (gateways, calls) = (
+                self.facts.gateways as f64,
+                (budget / self.mean_work).floor().max(1.0),
+            );
             let sharing = calls.min(gateways);
             let place = f64::from(engine.key.place());
             let part = ((calls + place) / sharing).floor();
             let from = now.saturating_sub(self.facts.overload_window);
-            let more = if begins { (0, 0.0) } else { (1, stmt.cold_work) };
+            let more = if begins {
+                (0, 0.0)
+            } else {
+                (1, stmt.cold_work)
+            };
             let sent = (engine.sends.count_since(from) + more.0) as f64;
             let work = engine.sends.cost_since(from) + more.1;
             let knows = engine.row.started_at.max(from) >= self.started;
@@ -1059,7 +1360,9 @@
 
     fn within_budget(&self, now: Nanos, more: usize) -> bool {
         let (window, ticks) = (self.budget.window, 2 * self.facts.tick);
-        let taken = self.taken.count_since(now.saturating_sub(window.saturating_sub(ticks))) as f64;
+        let taken =
+            self.taken
+                .count_since(now.saturating_sub(window.saturating_sub(ticks))) as f64;
         let further = self.further.count_since(now.saturating_sub(window)) + more;
         further as f64 <= self.budget.free + self.budget.per_statement * taken
     }
@@ -1079,8 +1382,15 @@
 impl Engine {
     fn turn(&mut self, failing: bool, why: &str, figure: f64, out: &mut dyn Output) {
         if self.failing != failing {
-            let mode = if failing { "Good -> Failing" } else { "Failing -> Good" };
-            out.log(&format!("engine {} {mode}: {why} {figure:.2}", self.row.engine.0));
+            let mode = if failing {
+                "Good -> Failing"
+            } else {
+                "Failing -> Good"
+            };
+            out.log(&format!(
+                "engine {} {mode}: {why} {figure:.2}",
+                self.row.engine.0
+            ));
         }
         self.failing = failing;
     }
@@ -1090,7 +1400,8 @@
     }
 
     fn unanswered(&self, now: Nanos) -> bool {
-        self.asked.is_some_and(|t| now >= t + ASK_WAIT && now < t + TRIAL_GAP)
+        self.asked
+            .is_some_and(|t| now >= t + ASK_WAIT && now < t + TRIAL_GAP)
     }
 }
 
--- a/crates/ivypitch/src/state.rs
+++ b/crates/ivypitch/src/state.rs
@@ -10,7 +10,11 @@
 
 impl Key {
     pub fn new(id: u64, me: usize, gateways: usize, ix: EngineIx) -> Self {
-        Key(place_of(id, me, gateways) as u32, (unit_hash(&id) * f64::from(u32::MAX)) as u32, ix)
+        Key(
+            place_of(id, me, gateways) as u32,
+            (unit_hash(&id) * f64::from(u32::MAX)) as u32,
+            ix,
+        )
     }
 
     pub fn place(self) -> u32 {
@@ -52,7 +56,11 @@
     /// The cores of all; a kind that is not told has one.
     pub fn cores(&self, kinds: &[EngineKind]) -> f64 {
         let cores = |kind: usize| kinds.get(kind).map_or(1.0, |k| k.cores).max(1.0);
-        self.kinds.iter().zip(0..).map(|(&count, kind)| f64::from(count) * cores(kind)).sum()
+        self.kinds
+            .iter()
+            .zip(0..)
+            .map(|(&count, kind)| f64::from(count) * cores(kind))
+            .sum()
     }
 }
 
@@ -82,7 +90,11 @@
 
     /// What those from then on cost.
     pub fn cost_since(&self, time: Nanos) -> f64 {
-        self.0.iter().filter(|(at, _)| *at >= time).map(|(_, cost)| cost).sum()
+        self.0
+            .iter()
+            .filter(|(at, _)| *at >= time)
+            .map(|(_, cost)| cost)
+            .sum()
     }
 }
 
@@ -99,7 +111,8 @@
         } else if let Some(held) = self.0.get_mut(&tag) {
             held.0 -= 1;
         }
-        self.0.retain(|_, (count, until)| *count > 0 && *until > now);
+        self.0
+            .retain(|_, (count, until)| *count > 0 && *until > now);
     }
 
     pub fn hold(&self, now: Nanos, tag: u32) -> bool {
--- a/crates/ivypitch/tests/deal.rs
+++ b/crates/ivypitch/tests/deal.rs
@@ -5,7 +5,13 @@
 
 /// The engines with the lowest places at a gateway, so many of them.
 fn kept(engines: &[u64], me: usize, gateways: usize, count: usize) -> Vec<u64> {
-    let key = |id: &u64| (place_of(*id, me, gateways), (unit_hash(id) * 1e9) as u64, *id);
+    let key = |id: &u64| {
+        (
+            place_of(*id, me, gateways),
+            (unit_hash(id) * 1e9) as u64,
+            *id,
+        )
+    };
     let mut keys: Vec<_> = engines.iter().map(key).collect();
     keys.select_nth_unstable(count - 1);
     let mut ids: Vec<u64> = keys[..count].iter().map(|key| key.2).collect();
@@ -22,11 +28,17 @@
     let all = ids(engines);
     let mut held = vec![0u32; engines];
     for me in 0..gateways {
-        kept(&all, me, gateways, count).iter().for_each(|id| held[((id - 17) / 7919) as usize] += 1);
+        kept(&all, me, gateways, count)
+            .iter()
+            .for_each(|id| held[((id - 17) / 7919) as usize] += 1);
     }
     let mean = (gateways * count) as f64 / engines as f64;
     let (least, most) = (held.iter().min().unwrap(), held.iter().max().unwrap());
-    (f64::from(*least) / mean, f64::from(*most) / mean, held.iter().filter(|&&n| n == 0).count())
+    (
+        f64::from(*least) / mean,
+        f64::from(*most) / mean,
+        held.iter().filter(|&&n| n == 0).count(),
+    )
 }
 
 #[test_case(1)]
@@ -38,17 +50,31 @@
     for id in ids(5) {
         let mut places: Vec<usize> = (0..gateways).map(|me| place_of(id, me, gateways)).collect();
         places.sort_unstable();
-        assert!(places.iter().enumerate().all(|(i, place)| i == *place), "{gateways} gateways, engine {id}");
+        assert!(
+            places.iter().enumerate().all(|(i, place)| i == *place),
+            "{gateways} gateways, engine {id}"
+        );
     }
 }
 
 #[test_case(273, 80, 5, 0.5, 1.5)]
 #[test_case(303, 61, 5, 0.5, 1.5)]
 #[test_case(380, 4400, 82, 0.4, 1.7)]
-fn engines_are_held_by_nearly_as_many(gateways: usize, engines: usize, count: usize, low: f64, high: f64) {
+fn engines_are_held_by_nearly_as_many(
+    gateways: usize,
+    engines: usize,
+    count: usize,
+    low: f64,
+    high: f64,
+) {
     let (least, most, nobody) = holders(gateways, engines, count);
-    println!("{gateways} x {engines}, {count} kept: {least:.2} to {most:.2} of the mean, {nobody} by nobody");
-    assert!(least >= low && most <= high && nobody == 0, "{least:.2} to {most:.2}, {nobody} by nobody");
+    println!(
+        "{gateways} x {engines}, {count} kept: {least:.2} to {most:.2} of the mean, {nobody} by nobody"
+    );
+    assert!(
+        least >= low && most <= high && nobody == 0,
+        "{least:.2} to {most:.2}, {nobody} by nobody"
+    );
 }
 
 /// Two minutes unoptimized: by hand, with `--ignored` on a release build.
@@ -57,7 +83,10 @@
 fn engines_are_held_by_nearly_as_many_at_the_size_to_plan_with() {
     let (least, most, nobody) = holders(3800, 44_000, 82);
     println!("3,800 x 44,000, 82 kept: {least:.2} to {most:.2} of the mean, {nobody} by nobody");
-    assert!(least >= 0.3 && most <= 2.0 && nobody == 0, "{least:.2} to {most:.2}, {nobody} by nobody");
+    assert!(
+        least >= 0.3 && most <= 2.0 && nobody == 0,
+        "{least:.2} to {most:.2}, {nobody} by nobody"
+    );
 }
 
 #[test]
@@ -66,7 +95,10 @@
     let (all, less) = (ids(80), ids(79));
     let mut moved = 0;
     for me in 0..gateways {
-        let (with, without) = (kept(&all, me, gateways, count), kept(&less, me, gateways, count));
+        let (with, without) = (
+            kept(&all, me, gateways, count),
+            kept(&less, me, gateways, count),
+        );
         let gone = with.iter().filter(|id| !without.contains(id)).count();
         assert!(gone <= 1, "gateway {me}: {with:?}, {without:?}");
         moved += gone;
@@ -78,11 +110,16 @@
 #[test]
 fn gateways_that_share_one_engine_share_few_others() {
     let (gateways, count) = (273, 5);
-    let all: Vec<_> = (0..gateways).map(|me| kept(&ids(80), me, gateways, count)).collect();
+    let all: Vec<_> = (0..gateways)
+        .map(|me| kept(&ids(80), me, gateways, count))
+        .collect();
     let mut alike = 0;
     for a in 0..gateways {
         alike += (0..a).filter(|&b| all[a] == all[b]).count();
     }
     // Closed cells of 17 gateways would make 2,184 such pairs.
-    assert!(alike < 50, "{alike} pairs of gateways with the same engines");
+    assert!(
+        alike < 50,
+        "{alike} pairs of gateways with the same engines"
+    );
 }
--- a/crates/ivypitch/tests/scenarios.rs
+++ b/crates/ivypitch/tests/scenarios.rs
@@ -34,7 +34,8 @@
 
 impl Seen {
     fn act(&mut self, verb: &str, stmt: StmtIx, more: &str) {
-        self.actions.push(format!("{verb} {} {more}", self.stmts[stmt.0]));
+        self.actions
+            .push(format!("{verb} {} {more}", self.stmts[stmt.0]));
     }
 }
 
@@ -65,7 +66,8 @@
         self.wakes.push((self.now + after, mark));
     }
     fn probe(&mut self, engine: EngineIx) {
-        self.actions.push(format!("probe {}", self.engines[engine.0]));
+        self.actions
+            .push(format!("probe {}", self.engines[engine.0]));
     }
     fn publish(&mut self, bytes: &[u8]) {
         self.actions.push(format!("publish {}", bytes[0] & 1));
@@ -82,16 +84,20 @@
 
 impl Fields<'_> {
     fn text(&self, name: &str) -> Option<&str> {
-        self.0.iter().find_map(|w| w.strip_prefix(name)?.strip_prefix('='))
+        self.0
+            .iter()
+            .find_map(|w| w.strip_prefix(name)?.strip_prefix('='))
     }
     fn number(&self, name: &str, otherwise: f64) -> f64 {
-        self.text(name).map_or(otherwise, |v| v.parse().expect(name))
+        self.text(name)
+            .map_or(otherwise, |v| v.parse().expect(name))
     }
     fn ms(&self, name: &str, otherwise: f64) -> Nanos {
         (self.number(name, otherwise) * MS as f64) as Nanos
     }
     fn list<T: std::str::FromStr<Err: std::fmt::Debug>>(&self, name: &str) -> Option<Vec<T>> {
-        self.text(name).map(|v| v.split(',').map(|n| n.parse().expect(name)).collect())
+        self.text(name)
+            .map(|v| v.split(',').map(|n| n.parse().expect(name)).collect())
     }
 }
 
@@ -130,7 +136,11 @@
         "priority" => facts.priority_heeded = on,
         "budget-free" => {
             let window = 5 * SECOND;
-            facts.execution_budget = Some(ExecutionBudget { window, free: value, per_statement: 0.0 });
+            facts.execution_budget = Some(ExecutionBudget {
+                window,
+                free: value,
+                per_statement: 0.0,
+            });
         }
         other => panic!("unknown fact {other}"),
     }
@@ -207,16 +217,27 @@
 
     /// `@S` stands for the engine that S was sent to last.
     fn home(&self, word: &str) -> String {
-        let Some(stmt) = word.strip_prefix('@') else { return word.into() };
+        let Some(stmt) = word.strip_prefix('@') else {
+            return word.into();
+        };
         self.seen.engines[self.seen.sent[&self.stmt(stmt).0].0.0].clone()
     }
 
     fn stmt(&self, name: &str) -> StmtIx {
-        StmtIx(self.seen.stmts.iter().position(|s| s == name).expect("a statement that came"))
+        StmtIx(
+            self.seen
+                .stmts
+                .iter()
+                .position(|s| s == name)
+                .expect("a statement that came"),
+        )
     }
 
     fn step(&mut self, line: &str) {
-        let homes: Vec<String> = line.split_whitespace().map(|word| self.home(word)).collect();
+        let homes: Vec<String> = line
+            .split_whitespace()
+            .map(|word| self.home(word))
+            .collect();
         let words: Vec<&str> = homes.iter().map(String::as_str).collect();
         let f = Fields(words.clone());
         let now = self.seen.now;
@@ -226,8 +247,13 @@
                 self.names.push(words[1].into());
                 self.facts.workloads.push(workload(&f));
             }
-            "kind" => self.facts.kinds.push(EngineKind { cores: f.number("cores", 8.0), memory_mb: 16384.0 }),
-            "customer" => self.facts.customers.push(Customer { allowance_per_s: f.number("allowance", 1.0) }),
+            "kind" => self.facts.kinds.push(EngineKind {
+                cores: f.number("cores", 8.0),
+                memory_mb: 16384.0,
+            }),
+            "customer" => self.facts.customers.push(Customer {
+                allowance_per_s: f.number("allowance", 1.0),
+            }),
             "list" => {
                 let mut rows = Vec::new();
                 for part in words[2..].split(|&w| w == "/").filter(|p| !p.is_empty()) {
@@ -235,7 +261,9 @@
                     let engine = self.engine(part[0]);
                     rows.push(EngineRow {
                         engine,
-                        id: engine.0 as u64 * 77 + 5 + self.passed.get(&engine.0).copied().unwrap_or(0),
+                        id: engine.0 as u64 * 77
+                            + 5
+                            + self.passed.get(&engine.0).copied().unwrap_or(0),
                         zone: f.number("zone", 0.0) as u16,
                         kind: f.number("kind", 0.0) as u16,
                         cell: f.number("cell", 0.0) as u16,
@@ -262,7 +290,14 @@
             }
             "at" => {
                 let until = words[1].parse::<Nanos>().unwrap() * MS;
-                while let Some(next) = self.seen.wakes.iter().copied().filter(|w| w.0 <= until).min() {
+                while let Some(next) = self
+                    .seen
+                    .wakes
+                    .iter()
+                    .copied()
+                    .filter(|w| w.0 <= until)
+                    .min()
+                {
                     self.seen.wakes.retain(|w| *w != next);
                     self.seen.now = next.0;
                     let (gateway, seen) = self.gateway();
@@ -273,8 +308,11 @@
             "advise" => {
                 let engine = self.engine(words[1]);
                 let is = |what: &str| words[2] == what;
-                let advice =
-                    Advice { is_out: is("out") || is("tries"), tries: is("tries"), is_well: is("well") };
+                let advice = Advice {
+                    is_out: is("out") || is("tries"),
+                    tries: is("tries"),
+                    is_well: is("well"),
+                };
                 let (gateway, seen) = self.gateway();
                 gateway.advised(engine, advice, seen);
             }
@@ -286,7 +324,11 @@
                 let stmt = StmtIx(self.seen.stmts.len());
                 self.seen.stmts.push(words[1].into());
                 let arrival = Arrival {
-                    workload: self.names.iter().position(|n| n == words[2]).unwrap_or(usize::MAX),
+                    workload: self
+                        .names
+                        .iter()
+                        .position(|n| n == words[2])
+                        .unwrap_or(usize::MAX),
                     key: f.number("key", 0.0) as u64,
                     table_group: f.number("group", 1.0) as u32,
                     time_left: f.ms("left", 4000.0),
@@ -295,7 +337,10 @@
                     estimated_mb: f.number("mb", 0.0),
                     estimated_work: f.ms("work", 100.0),
                 };
-                let at = words.iter().position(|w| *w == "/").map(|i| self.engine(words[i + 1]));
+                let at = words
+                    .iter()
+                    .position(|w| *w == "/")
+                    .map(|i| self.engine(words[i + 1]));
                 if let Some(at) = at {
                     self.seen.sent.insert(stmt.0, (at, 0));
                 }
@@ -352,7 +397,11 @@
             "begin" => {
                 let stmt = self.stmt(words[1]);
                 let number = self.seen.sent[&stmt.0].1;
-                assert_eq!(self.gateway().0.begins(now, stmt, number), words[2] == "yes", "{line}");
+                assert_eq!(
+                    self.gateway().0.begins(now, stmt, number),
+                    words[2] == "yes",
+                    "{line}"
+                );
             }
             "names" => {
                 let engine = self.engine(words[1]);
@@ -378,14 +427,20 @@
                     // As often as it is sent, once each.
                     while self.seen.sent.get(&stmt).map(|sent| sent.1) != ended {
                         ended = self.seen.sent.get(&stmt).map(|sent| sent.1);
-                        self.step(&format!("end {name} {}", f.text("outcome").unwrap_or("completed")));
+                        self.step(&format!(
+                            "end {name} {}",
+                            f.text("outcome").unwrap_or("completed")
+                        ));
                     }
                 }
             }
             "used" => {
                 let bounds: Vec<usize> = words[1..].iter().map(|n| n.parse().unwrap()).collect();
                 let used = self.seen.used.len();
-                assert!((bounds[0]..=bounds[1]).contains(&used), "{used} engines used, {bounds:?} wanted");
+                assert!(
+                    (bounds[0]..=bounds[1]).contains(&used),
+                    "{used} engines used, {bounds:?} wanted"
+                );
             }
             "restart" => self.gateway = None,
             "first" => {
@@ -400,7 +455,10 @@
             "list-many" => {
                 let rows = words[1].parse::<usize>().unwrap();
                 let line = (0..rows).map(|i| format!("e{i} {}", words[2..].join(" ")));
-                self.step(&format!("list full {}", line.collect::<Vec<_>>().join(" / ")));
+                self.step(&format!(
+                    "list full {}",
+                    line.collect::<Vec<_>>().join(" / ")
+                ));
             }
             "peer" => {
                 let engine = self.engine(words[3]);
@@ -421,7 +479,11 @@
             }
             "idle" => {
                 let (gateway, _) = self.gateway();
-                assert_eq!(gateway.in_hand(), (0, 0, 0.0), "statements, executions, threads");
+                assert_eq!(
+                    gateway.in_hand(),
+                    (0, 0, 0.0),
+                    "statements, executions, threads"
+                );
             }
             other => panic!("unknown step {other}"),
         }
@@ -447,7 +509,10 @@
     // Each `scenario` line starts afresh.
     for scenario in text.split("\nscenario ").skip(1) {
         let (title, steps) = scenario.split_once('\n').expect("a title and steps");
-        let fleet = steps.lines().find_map(|l| l.strip_prefix("fleet ")).map_or(1, |n| n.parse().unwrap());
+        let fleet = steps
+            .lines()
+            .find_map(|l| l.strip_prefix("fleet "))
+            .map_or(1, |n| n.parse().unwrap());
         let (mut sends, mut holders) = (0, BTreeMap::<EngineIx, usize>::new());
         for me in 0..fleet {
             let mut play = Play {
@@ -467,15 +532,30 @@
                 println!("{title}, line {}: {line}", i + 1);
                 line.split("; ").for_each(|step| play.step(step));
             }
-            play.seen.used.iter().for_each(|&engine| *holders.entry(engine).or_default() += 1);
-            sends += play.seen.actions.iter().filter(|a| a.starts_with("send ")).count();
+            play.seen
+                .used
+                .iter()
+                .for_each(|&engine| *holders.entry(engine).or_default() += 1);
+            sends += play
+                .seen
+                .actions
+                .iter()
+                .filter(|a| a.starts_with("send "))
+                .count();
         }
         let bounds = |word: &str| {
             let line = steps.lines().find_map(|l| l.strip_prefix(word))?;
-            Some(line.split(' ').map(|n| n.parse().unwrap()).collect::<Vec<usize>>())
+            Some(
+                line.split(' ')
+                    .map(|n| n.parse().unwrap())
+                    .collect::<Vec<usize>>(),
+            )
         };
         if let Some(bounds) = bounds("together ") {
-            assert!((bounds[0]..=bounds[1]).contains(&sends), "{title}: {sends} sends together");
+            assert!(
+                (bounds[0]..=bounds[1]).contains(&sends),
+                "{title}: {sends} sends together"
+            );
         }
         if let Some(bounds) = bounds("held ") {
             println!("{title}: {holders:?}");
