--- a/crates/ivypitch/src/rules.rs
+++ b/crates/ivypitch-scheduler/src/scheduler.rs
@@ -6,6 +6,10 @@
 use crate::interface::*;
 use crate::state::*;
 use crate::units::*;
+use ivypitch_types::{
+    EngineIndex, Nanos, Outcome, SECOND, StatementIndex, nanos_from_secs, secs_from_nanos,
+    unit_hash,
+};
 use std::collections::{BTreeMap, VecDeque};
 
 /// How far the winner's EMA point moves towards the query point (the paper's best is near 0.1).
@@ -85,7 +89,7 @@
 const PLACES_FREE: f64 = 0.95;
 const EARNS_FULL: f64 = 1.4;
 /// Further executions by own doubt, where no rule bounds them: if more seem lost or bad, all are slow.
-const OWN_BUDGET: ExecutionBudget = ExecutionBudget {
+const OWN_BUDGET: RetryBudget = RetryBudget {
     window: SECOND * 5,
     free: 5.0,
     per_statement: 0.3,
@@ -113,15 +117,15 @@
 
 #[derive(Clone, Copy, PartialEq)]
 enum Act {
-    Send(EngineIx),
+    Send(EngineIndex),
     /// The first byte of an execution that is out leaves.
-    Begin(EngineIx),
+    Begin(EngineIndex),
     Reject,
     Abort,
 }
 
-struct Execution {
-    engine: EngineIx,
+struct Attempt {
+    engine: EngineIndex,
     since: Nanos,
     number: u32,
     cold_cost: f64,
@@ -141,14 +145,14 @@
     cold_work: f64,
     estimated_mb: f64,
     spilled: bool,
-    importance: f64,
+    priority_weight: f64,
     stage: Stage,
-    executions: u32,
+    attempts: u32,
     unsent: u32,
     errors: u32,
-    out: Option<Execution>,
+    out: Option<Attempt>,
     /// Of the first execution that may have run.
-    may_have_run: Option<(EngineIx, Nanos)>,
+    may_have_run: Option<(EngineIndex, Nanos)>,
     wait_until: Nanos,
     asks: usize,
 }
@@ -171,12 +175,12 @@
     holders: f64,
     out: u32,
     /// Emptied as statements are sent or answered.
-    queue: Vec<StmtIx>,
+    queue: Vec<StatementIndex>,
 }
 
 #[derive(Default)]
 struct Engine {
-    row: EngineRow,
+    row: EngineEndpoint,
     listed: bool,
     key: Key,
     ema_point: [f64; 2],
@@ -206,7 +210,7 @@
 }
 
 #[derive(Default)]
-pub struct Gateway {
+pub struct Scheduler {
     facts: Deployment,
     seed: u64,
     chances: u64,
@@ -216,11 +220,11 @@
     /// By index; one that nothing names is given to another engine.
     engines: Vec<Engine>,
     /// Engine and table group of the own last N sends; the oldest leaves as one comes.
-    recent: VecDeque<(EngineIx, u32)>,
+    recent: VecDeque<(EngineIndex, u32)>,
     keys: BTreeMap<u64, KeyLine>,
     loads: Loads,
     /// Times within the budget's window; older ones are dropped at each use.
-    budget: ExecutionBudget,
+    budget: RetryBudget,
     taken: Window,
     further: Window,
     allowances: Vec<Allowance>,
@@ -232,7 +236,7 @@
     /// How many engines the own sends go to.
     spread: usize,
     /// Importance of a statement, smoothed, and its work, which is never taken for less than settings tell.
-    importance: f64,
+    priority_weight: f64,
     mean_work: f64,
     lightest: f64,
     started: Nanos,
@@ -244,62 +248,62 @@
     wake_is_set: bool,
 }
 
-impl Gateway {
+impl Scheduler {
     pub fn new(mut facts: Deployment, seed: u64, now: Nanos) -> Self {
         facts.gateways = facts.gateways.max(1);
         let least_slo = facts
             .workloads
             .iter()
-            .map(|w| w.slo_time)
+            .map(|w| w.latency_objective)
             .min()
             .unwrap_or(0);
         let row = |w: &Workload| WorkloadRow {
-            long: w.slo_time >= LONG_SLO * least_slo.max(1),
-            estimate: seconds(w.slo_time) / 3.0,
-            told_work: seconds(w.slo_time) / 3.0,
+            long: w.latency_objective >= LONG_SLO * least_slo.max(1),
+            estimate: secs_from_nanos(w.latency_objective) / 3.0,
+            told_work: secs_from_nanos(w.latency_objective) / 3.0,
             slowness: 1.5,
             memory_factor: ENGINES_OWN_FACTOR,
             ..WorkloadRow::default()
         };
-        let work = |w: &Workload| seconds(w.slo_time) * w.threads.max(1.0);
+        let work = |w: &Workload| secs_from_nanos(w.latency_objective) * w.threads.max(1.0);
         let lightest = facts
             .workloads
             .iter()
             .map(work)
             .fold(1e6, f64::min)
             .max(1e-3);
-        let burst = |c: &Customer| Allowance {
-            left: c.allowance_per_s * ALLOWANCE_BURST_S,
+        let burst = |c: &Tenant| Allowance {
+            left: c.quota_per_second * ALLOWANCE_BURST_S,
             at: now,
         };
-        Gateway {
+        Scheduler {
             wlms: facts.workloads.iter().map(row).collect(),
-            allowances: facts.customers.iter().map(burst).collect(),
-            parts: vec![1.0 / facts.gateways as f64; facts.customers.len()],
-            loads_block_others: facts.workloads.iter().any(|w| w.waits_for_loads),
+            allowances: facts.tenants.iter().map(burst).collect(),
+            parts: vec![1.0 / facts.gateways as f64; facts.tenants.len()],
+            loads_block_others: facts.workloads.iter().any(|w| w.waits_for_bulk_loads),
             mean_work: lightest,
             lightest,
             started: now,
-            budget: facts.execution_budget.clone().unwrap_or(OWN_BUDGET),
+            budget: facts.retry_budget.clone().unwrap_or(OWN_BUDGET),
             facts,
             seed,
             since_trial: SENDS_PER_TRIAL,
-            ..Gateway::default()
+            ..Scheduler::default()
         }
     }
 
     pub fn start(&mut self, _now: Nanos, out: &mut dyn Output) {
-        self.facts.must_ask_for_list.then(|| out.watch_list());
+        self.facts.must_ask_for_list.then(|| out.watch_endpoints());
     }
 
-    pub fn engines_listed(
+    pub fn on_endpoints_updated(
         &mut self,
         now: Nanos,
-        kind: ListKind,
-        rows: &[EngineRow],
+        kind: EndpointUpdateKind,
+        rows: &[EngineEndpoint],
         out: &mut dyn Output,
     ) {
-        if kind != ListKind::Delta {
+        if kind != EndpointUpdateKind::Delta {
             let told = indices(rows, self.engines.len());
             (0..told.len())
                 .filter(|&at| !told[at])
@@ -326,11 +330,11 @@
                 engine.outcomes.clear();
                 engine.turn(false, "restarted", 0.0, out);
             }
-            let open = |row: &EngineRow| (row.phase, row.zone, row.kind);
+            let open = |row: &EngineEndpoint| (row.phase, row.zone, row.kind);
             let stays = engine.listed && open(&engine.row) == open(row);
             (!stays).then(|| self.enlist(at, false));
             self.engines[at].row = *row;
-            (!stays).then(|| self.enlist(at, row.phase != EnginePhase::Gone));
+            (!stays).then(|| self.enlist(at, row.phase != EngineState::Gone));
         }
         self.narrow(now);
         self.dispatch(now, out);
@@ -363,7 +367,7 @@
             .saturating_sub(self.started)
             .clamp(SECOND, self.budget.window.max(SECOND));
         let arrivals = self.taken.count_since(now - span.min(now)) as f64;
-        let heard = arrivals / seconds(span) * seconds(REPORT_FRESH) / HEARD;
+        let heard = arrivals / secs_from_nanos(span) * secs_from_nanos(REPORT_FRESH) / HEARD;
         for row in &mut self.wlms {
             row.open_cores = row.open.cores(&self.facts.kinds).max(1.0);
             let open = row.open.len() as f64;
@@ -385,7 +389,7 @@
     }
 
     /// Asks the rules once more as an execution begins to leave; windows count from then. Refused: unsent.
-    pub fn begins(&mut self, now: Nanos, ix: StmtIx, execution: u32) -> bool {
+    pub fn confirm_send(&mut self, now: Nanos, ix: StatementIndex, attempt: u32) -> bool {
         let stmt = self
             .stmts
             .get(ix.0)
@@ -393,8 +397,8 @@
             .filter(|stmt| stmt.stage == Stage::Running);
         let out = stmt
             .and_then(|stmt| stmt.out.as_ref())
-            .filter(|e| e.number == execution);
-        let Some(&Execution {
+            .filter(|e| e.number == attempt);
+        let Some(&Attempt {
             engine: to,
             since,
             cold_cost: cost,
@@ -413,7 +417,12 @@
     }
 
     /// Takes a send out of its engine's window, and out of the budget's: whether it was there.
-    fn uncount(&mut self, ix: StmtIx, to: EngineIx, (at, cost): (Nanos, f64)) -> (bool, bool) {
+    fn uncount(
+        &mut self,
+        ix: StatementIndex,
+        to: EngineIndex,
+        (at, cost): (Nanos, f64),
+    ) -> (bool, bool) {
         let again = self.stmts[ix.0]
             .as_ref()
             .is_some_and(|stmt| stmt.sent() > 1);
@@ -424,7 +433,12 @@
     }
 
     /// What all gateways together say of an engine. One that others found well again is judged anew.
-    pub fn advised(&mut self, ix: EngineIx, advice: Advice, out: &mut dyn Output) {
+    pub fn on_outlier_status(
+        &mut self,
+        ix: EngineIndex,
+        advice: OutlierStatus,
+        out: &mut dyn Output,
+    ) {
         let Some(engine) = self.engines.get_mut(ix.0) else {
             return;
         };
@@ -435,15 +449,15 @@
         }
     }
 
-    pub fn set_part(&mut self, customer: usize, part: f64) {
+    pub fn set_quota_share(&mut self, tenant: usize, part: f64) {
         self.parts
-            .get_mut(customer)
+            .get_mut(tenant)
             .into_iter()
             .for_each(|held| *held = part);
     }
 
     /// Something hangs on this engine; else its index may stand for another.
-    pub fn names(&self, ix: EngineIx) -> bool {
+    pub fn is_engine_referenced(&self, ix: EngineIndex) -> bool {
         let ran_there = |s: &Stmt| s.may_have_run.is_some_and(|(first, _)| first == ix);
         self.engines
             .get(ix.0)
@@ -451,20 +465,26 @@
             || self.stmts.iter().flatten().any(ran_there)
     }
 
-    pub fn list_failed(&mut self, _now: Nanos, out: &mut dyn Output) {
-        out.wake(
+    pub fn on_endpoint_watch_failed(&mut self, _now: Nanos, out: &mut dyn Output) {
+        out.set_timer(
             MARK_ASK,
             TRIAL_GAP + (self.chance() * TRIAL_GAP as f64) as Nanos,
         );
     }
 
-    pub fn probed(&mut self, now: Nanos, ix: EngineIx, report: &[f32], out: &mut dyn Output) {
+    pub fn on_load_report(
+        &mut self,
+        now: Nanos,
+        ix: EngineIndex,
+        report: &[f32],
+        out: &mut dyn Output,
+    ) {
         self.read_report(now, ix, report);
         self.dispatch(now, out);
     }
 
     /// A peer tells where a load of its own begins or ends: `load_tag` times two, plus one at its begin.
-    pub fn peer_said(&mut self, now: Nanos, bytes: &[u8]) {
+    pub fn on_peer_message(&mut self, now: Nanos, bytes: &[u8]) {
         let Ok(word) = bytes.try_into().map(u32::from_le_bytes) else {
             return;
         };
@@ -474,7 +494,7 @@
     fn load_moves(
         &mut self,
         now: Nanos,
-        engine: EngineIx,
+        engine: EngineIndex,
         group: u32,
         begins: bool,
         out: &mut dyn Output,
@@ -482,7 +502,7 @@
         let tag = load_tag(self.engines[engine.0].row.id, group);
         self.note_load(now, tag, begins);
         if self.facts.may_publish && self.facts.gateways > 1 {
-            out.publish(&(tag << 1 | u32::from(begins)).to_le_bytes());
+            out.broadcast(&(tag << 1 | u32::from(begins)).to_le_bytes());
         }
     }
 
@@ -501,9 +521,9 @@
         self.loads.hold(now, load_tag(engine.row.id, group))
     }
 
-    fn read_report(&mut self, now: Nanos, ix: EngineIx, report: &[f32]) {
+    fn read_report(&mut self, now: Nanos, ix: EngineIndex, report: &[f32]) {
         let cores = self.cores(ix);
-        let (_, out, threads) = self.in_hand();
+        let (_, out, threads) = self.in_flight();
         let threads_each = (threads + 1.0) / f64::from(out + 1);
         let (engine, mut busy) = (&mut self.engines[ix.0], false);
         engine.asked = engine.asked.filter(|_| report.is_empty());
@@ -534,7 +554,7 @@
     /// An engine is judged by the successes among its last few, recent outcomes. Guards against engines that
     /// fail fast and draw work, crashes, refused connections and lost executions before the list knows. Hurts
     /// when statements are at fault: then most of the fleet stays in use all the same.
-    fn judge(&mut self, now: Nanos, ix: EngineIx, success: bool, out: &mut dyn Output) {
+    fn judge(&mut self, now: Nanos, ix: EngineIndex, success: bool, out: &mut dyn Output) {
         let engine = &mut self.engines[ix.0];
         engine.outcomes.push_back((now, success));
         while engine.outcomes.len() > LAST_FEW || engine.outcomes[0].0 + EVIDENCE_AGE < now {
@@ -556,14 +576,14 @@
                 continue;
             };
             let (facts, row) = (&self.facts.workloads[stmt.wlm], &self.wlms[stmt.wlm]);
-            let Some(execution) = stmt.out.as_mut() else {
+            let Some(attempt) = stmt.out.as_mut() else {
                 continue;
             };
             let usual = stmt.work / facts.threads.max(1.0) * LOST * row.slowness;
             let pace = self.facts.progress_pace * 3 / 2 + SECOND / 2;
-            let silent = execution.word == execution.since;
+            let silent = attempt.word == attempt.since;
             let patience = if silent {
-                nanos(usual).max(LEAST_PATIENCE)
+                nanos_from_secs(usual).max(LEAST_PATIENCE)
             } else {
                 Nanos::MAX
             };
@@ -572,24 +592,30 @@
             } else {
                 patience
             };
-            if now.saturating_sub(execution.word) < patience {
+            if now.saturating_sub(attempt.word) < patience {
                 continue;
             }
-            execution.word = Nanos::MAX;
+            attempt.word = Nanos::MAX;
             let (engine, again) = (
-                execution.engine,
-                facts.effect == Effect::Idempotent && stmt.sent() == 1,
+                attempt.engine,
+                facts.effect == Idempotency::Idempotent && stmt.sent() == 1,
             );
             self.judge(now, engine, false, out);
             if again && self.within_budget(now, 1) {
-                self.withdraw(StmtIx(s), out);
+                self.withdraw(StatementIndex(s), out);
             }
         }
     }
 
     // ---- statements ----
 
-    pub fn arrive(&mut self, now: Nanos, ix: StmtIx, arrival: Arrival, out: &mut dyn Output) {
+    pub fn on_statement_arrived(
+        &mut self,
+        now: Nanos,
+        ix: StatementIndex,
+        arrival: Arrival,
+        out: &mut dyn Output,
+    ) {
         if self.enter(now, ix, arrival, out) {
             self.dispatch(now, out);
             self.set_wake(out);
@@ -598,12 +624,12 @@
 
     /// A statement whose execution a lost gateway sent to this engine: out here from now on, a further one in
     /// the budget; nothing more is judged by its first error.
-    pub fn adopt(
+    pub fn adopt_statement(
         &mut self,
         now: Nanos,
-        ix: StmtIx,
+        ix: StatementIndex,
         arrival: Arrival,
-        at: EngineIx,
+        at: EngineIndex,
         out: &mut dyn Output,
     ) {
         if !self.enter(now, ix, arrival, out) {
@@ -613,14 +639,14 @@
         let Some(stmt) = self.stmts[ix.0].as_mut() else {
             return;
         };
-        stmt.out = Some(Execution {
+        stmt.out = Some(Attempt {
             engine: at,
             since: now,
             number: 0,
             cold_cost: 0.0,
             word: now,
         });
-        (stmt.executions, stmt.errors, stmt.may_have_run) = (1, 1, Some((at, now)));
+        (stmt.attempts, stmt.errors, stmt.may_have_run) = (1, 1, Some((at, now)));
         let (wlm, group) = (stmt.wlm, stmt.group);
         self.engines[at.0].out += 1;
         self.wlms[wlm].out += 1;
@@ -633,7 +659,13 @@
         self.set_wake(out);
     }
 
-    fn enter(&mut self, now: Nanos, ix: StmtIx, arrival: Arrival, out: &mut dyn Output) -> bool {
+    fn enter(
+        &mut self,
+        now: Nanos,
+        ix: StatementIndex,
+        arrival: Arrival,
+        out: &mut dyn Output,
+    ) -> bool {
         let wlm = arrival.workload;
         let Some(facts) = self.facts.workloads.get(wlm) else {
             out.abort(ix);
@@ -643,7 +675,7 @@
         let row = &mut self.wlms[wlm];
         let mut work = row.told_work;
         if arrival.estimated_work > 0 {
-            let estimate = seconds(arrival.estimated_work);
+            let estimate = secs_from_nanos(arrival.estimated_work);
             row.estimate += LEARN * (estimate - row.estimate);
             if !self.facts.tells_cost {
                 row.told_work = row.estimate;
@@ -653,22 +685,27 @@
         for (w, row) in self.wlms.iter_mut().enumerate() {
             row.demand += DEMAND_LEARN * (if w == wlm { work } else { 0.0 } - row.demand);
         }
-        let mut importance = facts.importance;
-        if let Some(allowance) = self.allowances.get_mut(arrival.customer) {
-            let rate = self.facts.customers[arrival.customer].allowance_per_s
-                * self.parts[arrival.customer];
+        let mut priority_weight = facts.priority_weight;
+        if let Some(allowance) = self.allowances.get_mut(arrival.tenant) {
+            let rate =
+                self.facts.tenants[arrival.tenant].quota_per_second * self.parts[arrival.tenant];
             if !allowance.take(now, rate, (rate * ALLOWANCE_BURST_S).max(1.0)) {
-                importance *= self.facts.over_share_importance;
+                priority_weight *= self.facts.over_quota_priority_weight;
             }
         }
-        self.importance += DEMAND_LEARN * (importance - self.importance);
+        self.priority_weight += DEMAND_LEARN * (priority_weight - self.priority_weight);
         let (told, estimate) = (self.wlms[wlm].told_work, self.wlms[wlm].estimate);
         self.mean_work =
             (self.mean_work + DEMAND_LEARN * (told - self.mean_work)).max(self.lightest);
         let apart = u64::from(self.loads_block_others && facts.is_load);
         let group = point_of(u64::from(arrival.table_group) | apart << 32);
-        let slo = seconds(facts.slo_time) + facts.slo_stretch * work / facts.threads.max(1.0);
-        let key = if facts.keeps_order { arrival.key } else { 0 };
+        let slo = secs_from_nanos(facts.latency_objective)
+            + facts.latency_objective_stretch * work / facts.threads.max(1.0);
+        let key = if facts.is_ordered_by_key {
+            arrival.key
+        } else {
+            0
+        };
         let stmt = Stmt {
             wlm,
             key,
@@ -678,8 +715,8 @@
             work: work.max(1e-4),
             cold_work: told.max(estimate),
             estimated_mb: arrival.estimated_mb,
-            importance,
-            wait_until: now + nanos(WAIT_PART * slo).min(arrival.time_left / 2),
+            priority_weight,
+            wait_until: now + nanos_from_secs(WAIT_PART * slo).min(arrival.time_left / 2),
             ..Stmt::default()
         };
         if stmt.key != 0 {
@@ -698,7 +735,7 @@
         true
     }
 
-    pub fn under_way(&mut self, _now: Nanos, ix: StmtIx, execution: u32) {
+    pub fn on_response_started(&mut self, _now: Nanos, ix: StatementIndex, attempt: u32) {
         let stmt = self
             .stmts
             .get(ix.0)
@@ -706,7 +743,7 @@
             .filter(|s| s.stage != Stage::Answered);
         if stmt
             .and_then(|s| s.out.as_ref())
-            .is_some_and(|e| e.number == execution)
+            .is_some_and(|e| e.number == attempt)
         {
             self.turn(ix, Stage::Streaming);
         }
@@ -714,51 +751,59 @@
 
     /// Guards against bad plans: one projected to take many times what its work should take is withdrawn and
     /// drawn anew; covers executions that stand still. Hurts when estimates are far too low: work is lost.
-    pub fn noted(
+    pub fn on_progress(
         &mut self,
         now: Nanos,
-        ix: StmtIx,
-        execution: u32,
-        note: Note,
+        ix: StatementIndex,
+        attempt: u32,
+        note: AttemptProgress,
         out: &mut dyn Output,
     ) {
         let Some(stmt) = self.stmts.get_mut(ix.0).and_then(Option::as_mut) else {
             return;
         };
-        let Some(e) = stmt.out.as_mut().filter(|e| e.number == execution) else {
+        let Some(e) = stmt.out.as_mut().filter(|e| e.number == attempt) else {
             return;
         };
         e.word = now;
-        if let Note::SpillsMb(missing) = note {
+        if let AttemptProgress::SpilledMb(missing) = note {
             return self.learn_memory(ix, missing);
         }
-        let Note::ShareDone(done) = note else { return };
+        let AttemptProgress::FractionDone(done) = note else {
+            return;
+        };
         let facts = &self.facts.workloads[stmt.wlm];
-        let elapsed = seconds(now - e.since);
+        let elapsed = secs_from_nanos(now - e.since);
         let left = elapsed * (1.0 - done).max(0.0) / done.max(0.01);
         let usual = stmt.work / facts.threads.max(1.0) * self.wlms[stmt.wlm].slowness;
-        let again = stmt.stage == Stage::Running && facts.effect == Effect::Idempotent;
+        let again = stmt.stage == Stage::Running && facts.effect == Idempotency::Idempotent;
         let bad = again && left > 2.0 * usual && elapsed + left > BAD_PLAN * usual;
-        if bad && stmt.sent() < self.facts.max_executions && self.within_budget(now, 1) {
+        if bad && stmt.sent() < self.facts.max_attempts && self.within_budget(now, 1) {
             self.withdraw(ix, out);
         }
     }
 
-    pub fn execution_ended(&mut self, now: Nanos, ix: StmtIx, ended: &Ended, out: &mut dyn Output) {
+    pub fn on_attempt_ended(
+        &mut self,
+        now: Nanos,
+        ix: StatementIndex,
+        ended: &AttemptEnded,
+        out: &mut dyn Output,
+    ) {
         let Some(stmt) = self.stmts.get_mut(ix.0).and_then(Option::as_mut) else {
             return;
         };
-        let Some(execution) = stmt.out.take_if(|e| e.number == ended.execution) else {
+        let Some(attempt) = stmt.out.take_if(|e| e.number == ended.attempt) else {
             return;
         };
         let (wlm, group, threads) = (stmt.wlm, stmt.group, self.facts.workloads[stmt.wlm].threads);
-        let engine = &mut self.engines[execution.engine.0];
+        let engine = &mut self.engines[attempt.engine.0];
         engine.out -= 1;
         self.wlms[wlm].out -= 1;
         engine.threads[usize::from(self.wlms[wlm].long)] -= threads;
         if !ended.outcome.never_ran() {
             stmt.may_have_run
-                .get_or_insert((execution.engine, execution.since));
+                .get_or_insert((attempt.engine, attempt.since));
         }
         // Where two good engines answer with errors the statement may be at fault: one is judged by it.
         stmt.errors += u32::from(ended.outcome == Outcome::Error && !engine.failing);
@@ -772,10 +817,10 @@
             line.rest_until = now + self.facts.key_rest.unwrap_or(0);
         }
         match ended.outcome {
-            Outcome::Completed => self.learn(now, ix, &execution, ended),
-            Outcome::Full => engine.full_until = now + TRIAL_GAP,
-            Outcome::Unsent => {
-                self.uncount(ix, execution.engine, (execution.since, execution.cold_cost));
+            Outcome::Completed => self.learn(now, ix, &attempt, ended),
+            Outcome::Overloaded => engine.full_until = now + TRIAL_GAP,
+            Outcome::NotSent => {
+                self.uncount(ix, attempt.engine, (attempt.since, attempt.cold_cost));
                 self.stmts[ix.0]
                     .iter_mut()
                     .for_each(|stmt| stmt.unsent += 1);
@@ -784,12 +829,12 @@
         }
         let completed = ended.outcome == Outcome::Completed;
         if completed || faulty {
-            self.judge(now, execution.engine, completed, out);
+            self.judge(now, attempt.engine, completed, out);
         }
         if self.facts.workloads[wlm].is_load {
-            self.load_moves(now, execution.engine, group, false, out);
+            self.load_moves(now, attempt.engine, group, false, out);
         }
-        self.read_report(now, execution.engine, ended.report);
+        self.read_report(now, attempt.engine, ended.report);
         let Some(stmt) = self.stmts[ix.0].as_mut() else {
             return;
         };
@@ -800,11 +845,12 @@
             let facts = &self.facts.workloads[wlm];
             let ran_at = stmt
                 .may_have_run
-                .filter(|_| facts.effect != Effect::Idempotent)
+                .filter(|_| facts.effect != Idempotency::Idempotent)
                 .map(|(_, at)| at);
-            let in_window = |at| now + self.facts.tick < at + facts.dedup_window;
-            let dropped = |at| facts.effect == Effect::Deduplicated && in_window(at);
-            let left = stmt.sent() < self.facts.max_executions && ended.outcome != Outcome::Moot;
+            let in_window = |at| now + self.facts.tick < at + facts.deduplication_window;
+            let dropped = |at| facts.effect == Idempotency::IdempotentWithKey && in_window(at);
+            let left =
+                stmt.sent() < self.facts.max_attempts && ended.outcome != Outcome::NeverDispatched;
             if left && ran_at.is_none_or(dropped) {
                 self.turn(ix, Stage::Waiting);
                 self.wlms[wlm].queue.push(ix);
@@ -816,7 +862,7 @@
         self.dispatch(now, out);
     }
 
-    pub fn expired(&mut self, now: Nanos, ix: StmtIx, out: &mut dyn Output) {
+    pub fn on_statement_expired(&mut self, now: Nanos, ix: StatementIndex, out: &mut dyn Output) {
         if self.stmts.get(ix.0).is_some_and(Option::is_some) {
             self.withdraw(ix, out);
             self.turn(ix, Stage::Answered);
@@ -826,16 +872,16 @@
     }
 
     /// The gateway ends: what is open has to be answered by then.
-    pub fn ending(&mut self, by: Nanos) {
+    pub fn begin_shutdown(&mut self, by: Nanos) {
         self.stmts
             .iter_mut()
             .flatten()
             .for_each(|stmt| stmt.deadline = stmt.deadline.min(by));
     }
 
-    pub fn woken(&mut self, now: Nanos, mark: u64, out: &mut dyn Output) {
+    pub fn on_timer(&mut self, now: Nanos, mark: u64, out: &mut dyn Output) {
         if mark == MARK_ASK {
-            return out.watch_list();
+            return out.watch_endpoints();
         }
         self.wake_is_set = false;
         self.listen(now, out);
@@ -848,7 +894,7 @@
                 .filter(open)
                 .is_some_and(|stmt| stmt.deadline <= last_moment)
             {
-                self.give_up(now, StmtIx(s), out);
+                self.give_up(now, StatementIndex(s), out);
             }
         }
         self.dispatch(now, out);
@@ -859,13 +905,13 @@
     fn set_wake(&mut self, out: &mut dyn Output) {
         if self.in_hand > 0 && !self.wake_is_set {
             self.wake_is_set = true;
-            out.wake(MARK_HOUSEKEEPING, HOUSEKEEPING);
+            out.set_timer(MARK_HOUSEKEEPING, HOUSEKEEPING);
         }
     }
 
     /// Follows the factor on the estimates that is enough for most statements of a workload. Guards against
     /// estimates too low or too high by workload: the one spills, the other takes memory from others.
-    fn learn_memory(&mut self, ix: StmtIx, missing: f64) {
+    fn learn_memory(&mut self, ix: StatementIndex, missing: f64) {
         let Some(stmt) = &mut self.stmts[ix.0] else {
             return;
         };
@@ -881,7 +927,7 @@
         stmt.spilled |= missing > 0.0;
     }
 
-    fn learn(&mut self, now: Nanos, ix: StmtIx, execution: &Execution, ended: &Ended) {
+    fn learn(&mut self, now: Nanos, ix: StatementIndex, attempt: &Attempt, ended: &AttemptEnded) {
         self.learn_memory(ix, 0.0);
         let Some(stmt) = &self.stmts[ix.0] else {
             return;
@@ -890,13 +936,13 @@
         if let Some((work_ms, _)) = ended.true_cost {
             row.told_work += LEARN * (work_ms / 1000.0 - row.told_work);
         }
-        let took = seconds(ended.took);
+        let took = secs_from_nanos(ended.took);
         let ratio = (took * facts.threads.max(1.0) / stmt.work).clamp(0.2, 10.0);
         row.slowness += LEARN * (ratio - row.slowness);
         if row.long {
             return;
         }
-        let engine = &mut self.engines[execution.engine.0];
+        let engine = &mut self.engines[attempt.engine.0];
         engine.slowness += 0.1 * (ratio - engine.slowness);
         engine.best = (engine.best * 1.001).min(engine.slowness);
         if engine.slowness > FAR_ABOVE_BEST * engine.best {
@@ -904,7 +950,7 @@
         }
     }
 
-    pub fn in_hand(&self) -> (usize, u32, f64) {
+    pub fn in_flight(&self) -> (usize, u32, f64) {
         let threads = |(row, facts): (&WorkloadRow, &Workload)| f64::from(row.out) * facts.threads;
         let all = self
             .wlms
@@ -923,9 +969,11 @@
             return;
         }
         self.dispatched = now;
-        let value = |ix: &StmtIx| {
+        let value = |ix: &StatementIndex| {
             Some((
-                self.stmts[ix.0].as_ref().map(|s| s.importance / s.work)?,
+                self.stmts[ix.0]
+                    .as_ref()
+                    .map(|s| s.priority_weight / s.work)?,
                 *ix,
             ))
         };
@@ -943,9 +991,13 @@
                 continue;
             };
             let facts = &self.facts.workloads[stmt.wlm];
-            let kind = (stmt.wlm, stmt.importance < facts.importance, stmt.asks);
+            let kind = (
+                stmt.wlm,
+                stmt.priority_weight < facts.priority_weight,
+                stmt.asks,
+            );
             let alike =
-                stmt.key == 0 && stmt.sent() == 0 && !facts.is_load && !facts.waits_for_loads;
+                stmt.key == 0 && stmt.sent() == 0 && !facts.is_load && !facts.waits_for_bulk_loads;
             let place = self.has_place(stmt);
             if place && (!alike || !no_room.contains(&kind)) {
                 if let Some(engine) = self.pick(now, ix) {
@@ -969,7 +1021,13 @@
 
     /// A long statement learns how loaded its engine is before it goes there. Guards against gateways so many
     /// that each sees little of what an engine holds; also tells one that answers nothing; a round trip.
-    fn ask_first(&mut self, now: Nanos, ix: StmtIx, at: EngineIx, out: &mut dyn Output) -> bool {
+    fn ask_first(
+        &mut self,
+        now: Nanos,
+        ix: StatementIndex,
+        at: EngineIndex,
+        out: &mut dyn Output,
+    ) -> bool {
         let Some(stmt) = self.stmts[ix.0].as_mut() else {
             return false;
         };
@@ -977,7 +1035,7 @@
         let known = now < engine.reported_at + REPORT_FRESH || engine.unanswered(now);
         let ask = !known && self.facts.may_probe && self.wlms[stmt.wlm].long;
         if ask && engine.asked.is_none_or(|t| now >= t + TRIAL_GAP) {
-            out.probe(at);
+            out.request_load_report(at);
             engine.asked = Some(now);
             stmt.asks += 1;
         }
@@ -986,7 +1044,7 @@
 
     /// The design's pick within the subset: distance, at least the floor, times the own recent sends a core;
     /// the next best where one has no room. Suspects and what may not be sent to make place for the next.
-    fn pick(&self, now: Nanos, ix: StmtIx) -> Option<EngineIx> {
+    fn pick(&self, now: Nanos, ix: StatementIndex) -> Option<EngineIndex> {
         let stmt = self.stmts[ix.0].as_ref()?;
         let row = &self.wlms[stmt.wlm];
         // A repeat that only some engines drop may leave the subset: all of them are looked at.
@@ -995,7 +1053,7 @@
         } else {
             LOOKS * row.kept
         };
-        let permitted = |at: &EngineIx| self.permitted(now, ix, Act::Send(*at));
+        let permitted = |at: &EngineIndex| self.permitted(now, ix, Act::Send(*at));
         let open = row
             .open
             .iter()
@@ -1017,11 +1075,11 @@
             return None;
         }
         let (facts, long) = (&self.facts.workloads[stmt.wlm], self.wlms[stmt.wlm].long);
-        let cheap = !long && facts.effect == Effect::Idempotent && stmt.sent() == 0;
+        let cheap = !long && facts.effect == Idempotency::Idempotent && stmt.sent() == 0;
         let trial = cheap && self.since_trial >= SENDS_PER_TRIAL;
         let unanswered = open.iter().filter(|e| e.unanswered(now)).count();
         let asked_out = self.facts.may_probe && long && stmt.asks >= ASKS + unanswered;
-        let mut best: Option<(bool, f64, EngineIx)> = None;
+        let mut best: Option<(bool, f64, EngineIndex)> = None;
         let mut used = 0;
         for engine in &open {
             if used >= row.kept && best.is_some() {
@@ -1065,7 +1123,8 @@
     /// pressed.
     fn room(&self, now: Nanos, stmt: &Stmt, engine: &Engine) -> Option<bool> {
         let facts = &self.facts.workloads[stmt.wlm];
-        let held = (facts.waits_for_loads || facts.is_load) && self.holds(now, engine, stmt.group);
+        let held =
+            (facts.waits_for_bulk_loads || facts.is_load) && self.holds(now, engine, stmt.group);
         if held || now < engine.full_until {
             return None;
         }
@@ -1083,7 +1142,7 @@
             return Some(false);
         }
         let long = self.wlms[stmt.wlm].long;
-        let over_share = if stmt.importance < facts.importance {
+        let over_share = if stmt.priority_weight < facts.priority_weight {
             OVER_SHARE_BOUND
         } else {
             1.0
@@ -1113,10 +1172,10 @@
         let usual: f64 = (0..self.wlms.len())
             .map(|w| time(self.wlms[w].demand, w))
             .sum();
-        let earns = stmt.importance / time(stmt.work, stmt.wlm);
-        let part = (earns * usual / self.importance.max(1e-9) / EARNS_FULL).min(1.0);
+        let earns = stmt.priority_weight / time(stmt.work, stmt.wlm);
+        let part = (earns * usual / self.priority_weight.max(1e-9) / EARNS_FULL).min(1.0);
         self.in_hand as f64
-            <= self.facts.most_held as f64 * (PLACES_FREE + (1.0 - PLACES_FREE) * part)
+            <= self.facts.max_open_statements as f64 * (PLACES_FREE + (1.0 - PLACES_FREE) * part)
     }
 
     /// An engine's cores, less what workloads bound to fewer engines need there. Guards against statements
@@ -1132,7 +1191,7 @@
         self.cores(engine.row.engine) * (1.0 - taken).max(LEAST_LEFT)
     }
 
-    fn cores(&self, ix: EngineIx) -> f64 {
+    fn cores(&self, ix: EngineIndex) -> f64 {
         let kind = self
             .facts
             .kinds
@@ -1140,7 +1199,7 @@
         kind.map_or(1.0, |k| k.cores).max(1.0)
     }
 
-    fn send(&mut self, now: Nanos, ix: StmtIx, to: EngineIx, out: &mut dyn Output) {
+    fn send(&mut self, now: Nanos, ix: StatementIndex, to: EngineIndex, out: &mut dyn Output) {
         if !self.permitted(now, ix, Act::Send(to)) {
             return;
         }
@@ -1151,14 +1210,14 @@
         let (wlm, facts) = (&self.wlms[stmt.wlm], &self.facts.workloads[stmt.wlm]);
         (stmt.sent() > 0).then(|| self.further.push(now, 0.0));
         if self.facts.priority_heeded || self.facts.memory_heeded {
-            let over_share = stmt.importance < facts.importance;
+            let over_share = stmt.priority_weight < facts.priority_weight;
             let grant_mb = if self.facts.memory_heeded {
                 stmt.estimated_mb * wlm.memory_factor
             } else {
                 0.0
             };
             let priority = if wlm.long { 1 } else { 3 };
-            out.set_terms(ix, grant_mb, if over_share { 0 } else { priority });
+            out.set_resources(ix, grant_mb, if over_share { 0 } else { priority });
         }
         let timeout = stmt
             .deadline
@@ -1167,14 +1226,14 @@
         out.send(ix, to, timeout);
         let (group, is_load, wlm_ix, cold_cost) =
             (stmt.group, facts.is_load, stmt.wlm, stmt.cold_work);
-        stmt.out = Some(Execution {
+        stmt.out = Some(Attempt {
             engine: to,
             since: now,
-            number: stmt.executions,
+            number: stmt.attempts,
             cold_cost,
             word: now,
         });
-        stmt.executions += 1;
+        stmt.attempts += 1;
         let engine = &mut self.engines[to.0];
         engine.out += 1;
         engine.threads[usize::from(wlm.long)] += facts.threads;
@@ -1203,29 +1262,29 @@
         }
     }
 
-    fn withdraw(&mut self, ix: StmtIx, out: &mut dyn Output) {
+    fn withdraw(&mut self, ix: StatementIndex, out: &mut dyn Output) {
         let Some(stmt) = self.stmts[ix.0]
             .as_ref()
             .filter(|s| s.stage == Stage::Running)
         else {
             return;
         };
-        if let Some(execution) = stmt.out.as_ref().filter(|_| self.facts.may_withdraw) {
-            out.withdraw(ix, execution.number);
+        if let Some(attempt) = stmt.out.as_ref().filter(|_| self.facts.may_withdraw) {
+            out.cancel(ix, attempt.number);
             self.turn(ix, Stage::Withdrawing);
         }
     }
 
     /// The final answer to a statement that will not be completed, at once: a rejection where the rules allow
     /// it, with a time to come back, else an abort.
-    fn give_up(&mut self, now: Nanos, ix: StmtIx, out: &mut dyn Output) {
+    fn give_up(&mut self, now: Nanos, ix: StatementIndex, out: &mut dyn Output) {
         if self.permitted(now, ix, Act::Reject) {
-            let come_back = if self.facts.come_back_heeded {
+            let retry_after = if self.facts.come_back_heeded {
                 self.facts.longest_come_back
             } else {
                 0
             };
-            out.reject(ix, come_back);
+            out.reject(ix, retry_after);
         } else if self.permitted(now, ix, Act::Abort) {
             out.abort(ix);
         } else {
@@ -1237,7 +1296,7 @@
     }
 
     /// The one function that changes a statement's state.
-    fn turn(&mut self, ix: StmtIx, to: Stage) {
+    fn turn(&mut self, ix: StatementIndex, to: Stage) {
         let Some(stmt) = &mut self.stmts[ix.0] else {
             return;
         };
@@ -1247,7 +1306,7 @@
         stmt.stage = to;
     }
 
-    fn forget_if_over(&mut self, ix: StmtIx, out: &mut dyn Output) {
+    fn forget_if_over(&mut self, ix: StatementIndex, out: &mut dyn Output) {
         let over = |s: &Stmt| s.stage == Stage::Answered && s.out.is_none();
         let Some(stmt) = self.stmts[ix.0].take_if(|s| over(s)) else {
             return;
@@ -1262,7 +1321,7 @@
     // ---- the gate ----
 
     /// The seven rules, asked before every send, rejection and abort.
-    fn permitted(&self, now: Nanos, ix: StmtIx, act: Act) -> bool {
+    fn permitted(&self, now: Nanos, ix: StatementIndex, act: Act) -> bool {
         let Some(stmt) = &self.stmts[ix.0] else {
             return false;
         };
@@ -1277,9 +1336,11 @@
             Act::Reject => {
                 let clean = stmt.out.is_none() && stmt.may_have_run.is_none();
                 return match facts.effect {
-                    Effect::Idempotent => true,
-                    Effect::Deduplicated => clean || facts.dedup_group == DedupGroup::All,
-                    Effect::NonIdempotent => clean,
+                    Idempotency::Idempotent => true,
+                    Idempotency::IdempotentWithKey => {
+                        clean || facts.deduplication_scope == DeduplicationScope::All
+                    }
+                    Idempotency::NonIdempotent => clean,
                 };
             }
             Act::Send(to) | Act::Begin(to) => to,
@@ -1287,9 +1348,7 @@
         let begins = matches!(act, Act::Begin(_));
         let before = stmt.sent() - u32::from(begins);
         // Rule 1 and second copies: never two executions out, none after the client's time.
-        if stmt.out.is_some() != begins
-            || before >= self.facts.max_executions
-            || stmt.deadline <= now
+        if stmt.out.is_some() != begins || before >= self.facts.max_attempts || stmt.deadline <= now
         {
             return false;
         }
@@ -1297,14 +1356,14 @@
         // Rule 2: no second effect.
         if let Some((first, at)) = stmt.may_have_run {
             let first = &self.engines[first.0].row;
-            let same_group = match facts.dedup_group {
-                DedupGroup::All => true,
-                DedupGroup::Zone => first.zone == engine.row.zone,
-                DedupGroup::Cell => first.cell == engine.row.cell,
+            let same_group = match facts.deduplication_scope {
+                DeduplicationScope::All => true,
+                DeduplicationScope::Zone => first.zone == engine.row.zone,
+                DeduplicationScope::Cell => first.cell == engine.row.cell,
             };
-            let in_window = now + self.facts.tick < at + facts.dedup_window;
-            let dropped = facts.effect == Effect::Deduplicated && same_group && in_window;
-            if facts.effect != Effect::Idempotent && !dropped {
+            let in_window = now + self.facts.tick < at + facts.deduplication_window;
+            let dropped = facts.effect == Idempotency::IdempotentWithKey && same_group && in_window;
+            if facts.effect != Idempotency::Idempotent && !dropped {
                 return false;
             }
         }
@@ -1317,11 +1376,11 @@
         if engine.row.started_at > 0
             && now < engine.row.started_at.saturating_add(self.facts.warm_up)
         {
-            let age =
-                seconds(now.saturating_sub(engine.row.started_at)) / seconds(self.facts.warm_up);
+            let age = secs_from_nanos(now.saturating_sub(engine.row.started_at))
+                / secs_from_nanos(self.facts.warm_up);
             let warm =
                 self.facts.cold_from + COLD_GROWTH * (1.0 - self.facts.cold_from).max(0.0) * age;
-            let window = seconds(self.facts.overload_window);
+            let window = secs_from_nanos(self.facts.overload_window);
             let budget = COLD_SAFETY * self.facts.overload_factor * self.cores(to) * warm * window;
             let (gateways, calls) = (
                 self.facts.gateways as f64,
@@ -1354,7 +1413,7 @@
             return false;
         }
         // Rule 7: further executions within their budget.
-        let rationed = before > 0 && self.facts.execution_budget.is_some();
+        let rationed = before > 0 && self.facts.retry_budget.is_some();
         !rationed || self.within_budget(now, usize::from(!begins))
     }
 
@@ -1375,7 +1434,7 @@
 
 impl Stmt {
     fn sent(&self) -> u32 {
-        self.executions - self.unsent
+        self.attempts - self.unsent
     }
 }
 
@@ -1396,7 +1455,7 @@
     }
 
     fn ready(&self) -> bool {
-        self.listed && self.row.phase == EnginePhase::Ready
+        self.listed && self.row.phase == EngineState::Ready
     }
 
     fn unanswered(&self, now: Nanos) -> bool {
@@ -1405,7 +1464,7 @@
     }
 }
 
-fn placed(facts: &Workload, row: &EngineRow) -> bool {
+fn placed(facts: &Workload, row: &EngineEndpoint) -> bool {
     let allowed = |list: &Option<Vec<u16>>, at: u16| list.as_ref().is_none_or(|l| l.contains(&at));
-    allowed(&facts.allowed_zones, row.zone) && allowed(&facts.allowed_kinds, row.kind)
+    allowed(&facts.allowed_zones, row.zone) && allowed(&facts.allowed_engine_kinds, row.kind)
 }
--- a/crates/ivypitch/src/state.rs
+++ b/crates/ivypitch-scheduler/src/state.rs
@@ -1,15 +1,16 @@
 //! What the module remembers, as tables with their bounds. Nothing here decides, and no figure is tuned here.
 
-use crate::interface::{EngineIx, EngineKind, EngineRow, Nanos, StmtIx};
-use crate::units::{place_of, seconds, unit_hash};
+use crate::interface::{EngineEndpoint, EngineKind};
+use crate::units::place_of;
+use ivypitch_types::{EngineIndex, Nanos, StatementIndex, secs_from_nanos, unit_hash};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// A gateway's place at an engine (every gateway has another), then a hash of the engine's id, then its index.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default)]
-pub struct Key(u32, u32, pub EngineIx);
+pub struct Key(u32, u32, pub EngineIndex);
 
 impl Key {
-    pub fn new(id: u64, me: usize, gateways: usize, ix: EngineIx) -> Self {
+    pub fn new(id: u64, me: usize, gateways: usize, ix: EngineIndex) -> Self {
         Key(
             place_of(id, me, gateways) as u32,
             (unit_hash(&id) * f64::from(u32::MAX)) as u32,
@@ -49,7 +50,7 @@
     }
 
     /// By place, the nearest first.
-    pub fn iter(&self) -> impl Iterator<Item = EngineIx> {
+    pub fn iter(&self) -> impl Iterator<Item = EngineIndex> {
         self.keys.iter().map(|key| key.2)
     }
 
@@ -123,7 +124,7 @@
 /// The statements of one key in the order taken; its owner drops it when it is empty and rested.
 #[derive(Default)]
 pub struct KeyLine {
-    pub line: VecDeque<StmtIx>,
+    pub line: VecDeque<StatementIndex>,
     pub rest_until: Nanos,
 }
 
@@ -132,7 +133,7 @@
         self.line.is_empty() && self.rest_until <= now
     }
 
-    pub fn is_first(&self, ix: StmtIx) -> bool {
+    pub fn is_first(&self, ix: StatementIndex) -> bool {
         self.line.front() == Some(&ix)
     }
 }
@@ -146,7 +147,7 @@
 impl Allowance {
     /// Takes one where there is one, after what has come at this rate a second, up to the most.
     pub fn take(&mut self, now: Nanos, rate: f64, most: f64) -> bool {
-        self.left = (self.left + rate * seconds(now - self.at)).min(most);
+        self.left = (self.left + rate * secs_from_nanos(now - self.at)).min(most);
         self.at = now;
         let taken = self.left >= 1.0;
         self.left -= f64::from(taken);
@@ -155,7 +156,7 @@
 }
 
 /// Which of so many indices the rows name.
-pub fn indices(rows: &[EngineRow], count: usize) -> Vec<bool> {
+pub fn indices(rows: &[EngineEndpoint], count: usize) -> Vec<bool> {
     let mut named = vec![false; count];
     for row in rows.iter().filter(|row| row.engine.0 < count) {
         named[row.engine.0] = true;
--- a/crates/ivypitch/src/units.rs
+++ b/crates/ivypitch-scheduler/src/units.rs
@@ -1,22 +1,6 @@
 //! Spans in seconds, and ids as points. Nothing here decides.
 
-use crate::interface::{Nanos, SECOND};
-use std::hash::{DefaultHasher, Hash, Hasher};
-
-pub fn seconds(span: Nanos) -> f64 {
-    span as f64 / SECOND as f64
-}
-
-pub fn nanos(span: f64) -> Nanos {
-    (span * SECOND as f64) as Nanos
-}
-
-/// The same number from 0 to 1 for the same value, at every gateway.
-pub fn unit_hash(value: &impl Hash) -> f64 {
-    let mut hasher = DefaultHasher::new();
-    value.hash(&mut hasher);
-    (hasher.finish() >> 11) as f64 / (1u64 << 53) as f64
-}
+use ivypitch_types::unit_hash;
 
 /// Where an id lies on the design's plane.
 pub fn point_of(id: u64) -> [f64; 2] {
--- a/crates/ivypitch/tests/deal.rs
+++ b/crates/ivypitch-scheduler/tests/deal.rs
@@ -1,6 +1,7 @@
 //! How engines are dealt to gateways: by counts of places alone, the same on any machine.
 
-use ivypitch::units::{place_of, unit_hash};
+use ivypitch_scheduler::place_of;
+use ivypitch_types::unit_hash;
 use test_case::test_case;
 
 /// The engines with the lowest places at a gateway, so many of them.
--- a/crates/ivypitch/tests/scenarios.rs
+++ b/crates/ivypitch-scheduler/tests/scenarios.rs
@@ -1,6 +1,6 @@
 //! Plays the text scenarios. `;` or a new line ends a step; `#` begins a comment, times are milliseconds.
 //!
-//! `set NAME VALUE` changes a fact; `workload NAME k=v ..`, `kind cores=8`, `customer allowance=1` add rows; `list
+//! `set NAME VALUE` changes a fact; `workload NAME k=v ..`, `kind cores=8`, `tenant allowance=1` add rows; `list
 //! full|delta|cached A k=v / B ..` starts the gateway at first use; `at T` plays the clock with its wakes; `arrive S
 //! WORKLOAD k=v ..`, `end S OUTCOME [report=a,b] [cost=MS]`, `note S share|spills|memory|load [X]`, `under-way S`,
 //! `expire S` and `peer FROM begins|ends ENGINE GROUP` tell; `expect WORDS` takes the first
@@ -12,9 +12,10 @@
 //! `serve N WORKLOAD [outcome=O]` N of as many table groups, each ended at once. `used A B` bounds the engines that the gateway has
 //! sent to, `held A B` the gateways of a fleet that have sent to an engine, `restart` begins it anew with nothing but its facts.
 
-use ivypitch::interface::*;
-use ivypitch::rules::Gateway;
-use ivypitch::units::load_tag;
+use ivypitch_scheduler::Scheduler;
+use ivypitch_scheduler::load_tag;
+use ivypitch_scheduler::*;
+use ivypitch_types::*;
 use std::collections::{BTreeMap, BTreeSet};
 use test_case::test_case;
 
@@ -26,53 +27,53 @@
     stmts: Vec<String>,
     engines: Vec<String>,
     /// The engine and number of each statement's last execution.
-    sent: BTreeMap<usize, (EngineIx, u32)>,
-    used: BTreeSet<EngineIx>,
+    sent: BTreeMap<usize, (EngineIndex, u32)>,
+    used: BTreeSet<EngineIndex>,
     wakes: Vec<(Nanos, u64)>,
     now: Nanos,
 }
 
 impl Seen {
-    fn act(&mut self, verb: &str, stmt: StmtIx, more: &str) {
+    fn act(&mut self, verb: &str, stmt: StatementIndex, more: &str) {
         self.actions
             .push(format!("{verb} {} {more}", self.stmts[stmt.0]));
     }
 }
 
 impl Output for Seen {
-    fn send(&mut self, stmt: StmtIx, engine: EngineIx, _timeout: Nanos) {
+    fn send(&mut self, stmt: StatementIndex, engine: EngineIndex, _timeout: Nanos) {
         let number = self.sent.get(&stmt.0).map_or(0, |s| s.1 + 1);
         self.sent.insert(stmt.0, (engine, number));
         self.used.insert(engine);
         let name = self.engines[engine.0].clone();
         self.act("send", stmt, &name);
     }
-    fn withdraw(&mut self, stmt: StmtIx, _execution: u32) {
+    fn cancel(&mut self, stmt: StatementIndex, _execution: u32) {
         self.act("withdraw", stmt, "");
     }
-    fn set_terms(&mut self, stmt: StmtIx, grant_mb: f64, priority: u8) {
+    fn set_resources(&mut self, stmt: StatementIndex, grant_mb: f64, priority: u8) {
         self.act("terms", stmt, &format!("{grant_mb:.0} {priority}"));
     }
-    fn reject(&mut self, stmt: StmtIx, come_back: Nanos) {
-        self.act("reject", stmt, &format!("{}", come_back / MS));
+    fn reject(&mut self, stmt: StatementIndex, retry_after: Nanos) {
+        self.act("reject", stmt, &format!("{}", retry_after / MS));
     }
-    fn abort(&mut self, stmt: StmtIx) {
+    fn abort(&mut self, stmt: StatementIndex) {
         self.act("abort", stmt, "");
     }
-    fn forget(&mut self, stmt: StmtIx) {
+    fn forget(&mut self, stmt: StatementIndex) {
         self.act("forget", stmt, "");
     }
-    fn wake(&mut self, mark: u64, after: Nanos) {
+    fn set_timer(&mut self, mark: u64, after: Nanos) {
         self.wakes.push((self.now + after, mark));
     }
-    fn probe(&mut self, engine: EngineIx) {
+    fn request_load_report(&mut self, engine: EngineIndex) {
         self.actions
             .push(format!("probe {}", self.engines[engine.0]));
     }
-    fn publish(&mut self, bytes: &[u8]) {
+    fn broadcast(&mut self, bytes: &[u8]) {
         self.actions.push(format!("publish {}", bytes[0] & 1));
     }
-    fn watch_list(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.actions.push("watch".into());
     }
     fn log(&mut self, line: &str) {
@@ -105,14 +106,14 @@
     Deployment {
         gateways: 1,
         tick: 5 * MS,
-        over_share_importance: 0.1,
-        most_held: usize::MAX,
+        over_quota_priority_weight: 0.1,
+        max_open_statements: usize::MAX,
         report_fields: vec![ReportField::Inflight, ReportField::Cpu],
         progress_pace: 2 * SECOND,
         may_withdraw: true,
         come_back_heeded: true,
         longest_come_back: SECOND,
-        max_executions: 4,
+        max_attempts: 4,
         cold_from: 0.3,
         warm_up: 15 * SECOND,
         overload_factor: 2.0,
@@ -131,12 +132,12 @@
         "ask" => facts.must_ask_for_list = on,
         "publish" => facts.may_publish = on,
         "memory" => facts.memory_heeded = on,
-        "executions" => facts.max_executions = value as u32,
-        "places" => facts.most_held = value as usize,
+        "executions" => facts.max_attempts = value as u32,
+        "places" => facts.max_open_statements = value as usize,
         "priority" => facts.priority_heeded = on,
         "budget-free" => {
             let window = 5 * SECOND;
-            facts.execution_budget = Some(ExecutionBudget {
+            facts.retry_budget = Some(RetryBudget {
                 window,
                 free: value,
                 per_statement: 0.0,
@@ -148,27 +149,27 @@
 
 fn workload(f: &Fields) -> Workload {
     Workload {
-        slo_time: f.ms("slo", 500.0),
-        slo_stretch: 1.5,
+        latency_objective: f.ms("slo", 500.0),
+        latency_objective_stretch: 1.5,
         statement_timeout: f.ms("timeout", 4000.0),
-        importance: f.number("importance", 1.0),
+        priority_weight: f.number("importance", 1.0),
         effect: match f.text("effect") {
-            Some("deduplicated") => Effect::Deduplicated,
-            Some("non-idempotent") => Effect::NonIdempotent,
-            _ => Effect::Idempotent,
+            Some("deduplicated") => Idempotency::IdempotentWithKey,
+            Some("non-idempotent") => Idempotency::NonIdempotent,
+            _ => Idempotency::Idempotent,
         },
-        dedup_group: match f.text("dedup") {
-            Some("all") => DedupGroup::All,
-            Some("zone") => DedupGroup::Zone,
-            _ => DedupGroup::Cell,
+        deduplication_scope: match f.text("dedup") {
+            Some("all") => DeduplicationScope::All,
+            Some("zone") => DeduplicationScope::Zone,
+            _ => DeduplicationScope::Cell,
         },
-        dedup_window: f.ms("window", 1000.0),
-        keeps_order: f.text("order").is_some(),
+        deduplication_window: f.ms("window", 1000.0),
+        is_ordered_by_key: f.text("order").is_some(),
         allowed_zones: f.list("zones"),
-        allowed_kinds: f.list("kinds"),
+        allowed_engine_kinds: f.list("kinds"),
         threads: f.number("threads", 1.0),
         is_load: f.text("load").is_some(),
-        waits_for_loads: f.text("waits").is_some(),
+        waits_for_bulk_loads: f.text("waits").is_some(),
     }
 }
 
@@ -176,20 +177,20 @@
     match word {
         "completed" => Outcome::Completed,
         "error" => Outcome::Error,
-        "full" => Outcome::Full,
+        "full" => Outcome::Overloaded,
         "timed-out" => Outcome::TimedOut,
         "connect-failed" => Outcome::ConnectFailed,
         "reset" => Outcome::Reset,
         "cancelled" => Outcome::Cancelled,
-        "moot" => Outcome::Moot,
-        "unsent" => Outcome::Unsent,
+        "moot" => Outcome::NeverDispatched,
+        "unsent" => Outcome::NotSent,
         other => panic!("unknown outcome {other}"),
     }
 }
 
 struct Play {
     facts: Deployment,
-    gateway: Option<Gateway>,
+    gateway: Option<Scheduler>,
     seen: Seen,
     names: Vec<String>,
     /// How often an engine's index has passed to another.
@@ -197,19 +198,19 @@
 }
 
 impl Play {
-    fn gateway(&mut self) -> (&mut Gateway, &mut Seen) {
+    fn gateway(&mut self) -> (&mut Scheduler, &mut Seen) {
         let (facts, seen) = (&self.facts, &mut self.seen);
         let gateway = self.gateway.get_or_insert_with(|| {
-            let mut gateway = Gateway::new(facts.clone(), 7, seen.now);
+            let mut gateway = Scheduler::new(facts.clone(), 7, seen.now);
             gateway.start(seen.now, seen);
             gateway
         });
         (gateway, seen)
     }
 
-    fn engine(&mut self, name: &str) -> EngineIx {
+    fn engine(&mut self, name: &str) -> EngineIndex {
         let engines = &mut self.seen.engines;
-        EngineIx(engines.iter().position(|e| e == name).unwrap_or_else(|| {
+        EngineIndex(engines.iter().position(|e| e == name).unwrap_or_else(|| {
             engines.push(name.into());
             engines.len() - 1
         }))
@@ -223,8 +224,8 @@
         self.seen.engines[self.seen.sent[&self.stmt(stmt).0].0.0].clone()
     }
 
-    fn stmt(&self, name: &str) -> StmtIx {
-        StmtIx(
+    fn stmt(&self, name: &str) -> StatementIndex {
+        StatementIndex(
             self.seen
                 .stmts
                 .iter()
@@ -251,15 +252,15 @@
                 cores: f.number("cores", 8.0),
                 memory_mb: 16384.0,
             }),
-            "customer" => self.facts.customers.push(Customer {
-                allowance_per_s: f.number("allowance", 1.0),
+            "customer" => self.facts.tenants.push(Tenant {
+                quota_per_second: f.number("allowance", 1.0),
             }),
             "list" => {
                 let mut rows = Vec::new();
                 for part in words[2..].split(|&w| w == "/").filter(|p| !p.is_empty()) {
                     let f = Fields(part.to_vec());
                     let engine = self.engine(part[0]);
-                    rows.push(EngineRow {
+                    rows.push(EngineEndpoint {
                         engine,
                         id: engine.0 as u64 * 77
                             + 5
@@ -268,24 +269,24 @@
                         kind: f.number("kind", 0.0) as u16,
                         cell: f.number("cell", 0.0) as u16,
                         phase: match f.text("phase") {
-                            Some("draining") => EnginePhase::Draining,
-                            Some("gone") => EnginePhase::Gone,
-                            _ => EnginePhase::Ready,
+                            Some("draining") => EngineState::Draining,
+                            Some("gone") => EngineState::Gone,
+                            _ => EngineState::Ready,
                         },
                         weight: f.number("weight", 1.0),
                         started_at: f.ms("started", 0.0),
                     });
                 }
                 let kind = match words[1] {
-                    "full" => Some(ListKind::Full),
-                    "cached" => Some(ListKind::Cached),
-                    "delta" => Some(ListKind::Delta),
+                    "full" => Some(EndpointUpdateKind::Full),
+                    "cached" => Some(EndpointUpdateKind::Snapshot),
+                    "delta" => Some(EndpointUpdateKind::Delta),
                     _ => None,
                 };
                 let (gateway, seen) = self.gateway();
                 match kind {
-                    Some(kind) => gateway.engines_listed(now, kind, &rows, seen),
-                    None => gateway.list_failed(now, seen),
+                    Some(kind) => gateway.on_endpoints_updated(now, kind, &rows, seen),
+                    None => gateway.on_endpoint_watch_failed(now, seen),
                 }
             }
             "at" => {
@@ -301,27 +302,27 @@
                     self.seen.wakes.retain(|w| *w != next);
                     self.seen.now = next.0;
                     let (gateway, seen) = self.gateway();
-                    gateway.woken(next.0, next.1, seen);
+                    gateway.on_timer(next.0, next.1, seen);
                 }
                 self.seen.now = until;
             }
             "advise" => {
                 let engine = self.engine(words[1]);
                 let is = |what: &str| words[2] == what;
-                let advice = Advice {
+                let advice = OutlierStatus {
                     is_out: is("out") || is("tries"),
                     tries: is("tries"),
                     is_well: is("well"),
                 };
                 let (gateway, seen) = self.gateway();
-                gateway.advised(engine, advice, seen);
+                gateway.on_outlier_status(engine, advice, seen);
             }
             "part" => {
-                let (customer, part) = (words[1].parse().unwrap(), words[2].parse().unwrap());
-                self.gateway().0.set_part(customer, part);
+                let (tenant, part) = (words[1].parse().unwrap(), words[2].parse().unwrap());
+                self.gateway().0.set_quota_share(tenant, part);
             }
             "arrive" | "adopt" => {
-                let stmt = StmtIx(self.seen.stmts.len());
+                let stmt = StatementIndex(self.seen.stmts.len());
                 self.seen.stmts.push(words[1].into());
                 let arrival = Arrival {
                     workload: self
@@ -333,7 +334,7 @@
                     table_group: f.number("group", 1.0) as u32,
                     time_left: f.ms("left", 4000.0),
                     is_repeat: false,
-                    customer: f.number("customer", 0.0) as usize,
+                    tenant: f.number("customer", 0.0) as usize,
                     estimated_mb: f.number("mb", 0.0),
                     estimated_work: f.ms("work", 100.0),
                 };
@@ -346,8 +347,8 @@
                 }
                 let (gateway, seen) = self.gateway();
                 match at {
-                    Some(at) => gateway.adopt(now, stmt, arrival, at, seen),
-                    None => gateway.arrive(now, stmt, arrival, seen),
+                    Some(at) => gateway.adopt_statement(now, stmt, arrival, at, seen),
+                    None => gateway.on_statement_arrived(now, stmt, arrival, seen),
                 }
             }
             "end" => {
@@ -355,8 +356,8 @@
                 let (engine, number) = self.seen.sent[&stmt.0];
                 let report: Vec<f32> = f.list("report").unwrap_or_default();
                 let outcome = outcome(words[2]);
-                let ended = Ended {
-                    execution: f.number("execution", f64::from(number)) as u32,
+                let ended = AttemptEnded {
+                    attempt: f.number("execution", f64::from(number)) as u32,
                     engine,
                     outcome,
                     took: f.ms("took", 100.0),
@@ -365,47 +366,51 @@
                     report: &report,
                 };
                 let (gateway, seen) = self.gateway();
-                gateway.execution_ended(now, stmt, &ended, seen);
+                gateway.on_attempt_ended(now, stmt, &ended, seen);
             }
             "note" => {
                 let stmt = self.stmt(words[1]);
                 let x = || words[3].parse().unwrap();
                 let note = match words[2] {
-                    "share" => Note::ShareDone(x()),
-                    "spills" => Note::SpillsMb(x()),
-                    _ => Note::WaitsForMemory,
+                    "share" => AttemptProgress::FractionDone(x()),
+                    "spills" => AttemptProgress::SpilledMb(x()),
+                    _ => AttemptProgress::WaitingForMemory,
                 };
                 let number = self.seen.sent[&stmt.0].1;
                 let (gateway, seen) = self.gateway();
-                gateway.noted(now, stmt, number, note, seen);
+                gateway.on_progress(now, stmt, number, note, seen);
             }
             "under-way" | "expire" => {
                 let stmt = self.stmt(words[1]);
                 let number = self.seen.sent.get(&stmt.0).map_or(0, |s| s.1);
                 let (gateway, seen) = self.gateway();
                 match words[0] {
-                    "expire" => gateway.expired(now, stmt, seen),
-                    _ => gateway.under_way(now, stmt, number),
+                    "expire" => gateway.on_statement_expired(now, stmt, seen),
+                    _ => gateway.on_response_started(now, stmt, number),
                 }
             }
             "answer" => {
                 let engine = self.engine(words[1]);
                 let report: Vec<f32> = words[2].split(',').map(|v| v.parse().unwrap()).collect();
                 let (gateway, seen) = self.gateway();
-                gateway.probed(now, engine, &report, seen);
+                gateway.on_load_report(now, engine, &report, seen);
             }
             "begin" => {
                 let stmt = self.stmt(words[1]);
                 let number = self.seen.sent[&stmt.0].1;
                 assert_eq!(
-                    self.gateway().0.begins(now, stmt, number),
+                    self.gateway().0.confirm_send(now, stmt, number),
                     words[2] == "yes",
                     "{line}"
                 );
             }
             "names" => {
                 let engine = self.engine(words[1]);
-                assert_eq!(self.gateway().0.names(engine), words[2] == "yes", "{line}");
+                assert_eq!(
+                    self.gateway().0.is_engine_referenced(engine),
+                    words[2] == "yes",
+                    "{line}"
+                );
             }
             "pass" => {
                 let engine = self.engine(words[1]);
@@ -450,7 +455,7 @@
             }
             "peer-bytes" => {
                 let bytes: Vec<u8> = words[1].split(',').map(|b| b.parse().unwrap()).collect();
-                self.gateway().0.peer_said(now, &bytes);
+                self.gateway().0.on_peer_message(now, &bytes);
             }
             "list-many" => {
                 let rows = words[1].parse::<usize>().unwrap();
@@ -464,7 +469,7 @@
                 let engine = self.engine(words[3]);
                 let tag = load_tag(engine.0 as u64 * 77 + 5, words[4].parse().unwrap());
                 let bytes = (tag << 1 | u32::from(words[2] == "begins")).to_le_bytes();
-                self.gateway().0.peer_said(now, &bytes);
+                self.gateway().0.on_peer_message(now, &bytes);
             }
             "expect" => {
                 let wanted = words[1..].join(" ");
@@ -480,7 +485,7 @@
             "idle" => {
                 let (gateway, _) = self.gateway();
                 assert_eq!(
-                    gateway.in_hand(),
+                    gateway.in_flight(),
                     (0, 0, 0.0),
                     "statements, executions, threads"
                 );
@@ -513,7 +518,7 @@
             .lines()
             .find_map(|l| l.strip_prefix("fleet "))
             .map_or(1, |n| n.parse().unwrap());
-        let (mut sends, mut holders) = (0, BTreeMap::<EngineIx, usize>::new());
+        let (mut sends, mut holders) = (0, BTreeMap::<EngineIndex, usize>::new());
         for me in 0..fleet {
             let mut play = Play {
                 facts: facts(),
--- a/crates/ivypitch-simhost/src/host.rs
+++ b/crates/ivypitch-simulator-adapter/src/host.rs
@@ -3,9 +3,10 @@
 use std::collections::HashMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-use ivypitch::interface::*;
-use ivypitch::rules::Gateway;
-use ivypitch_deployment as settings;
+use ivypitch_config as settings;
+use ivypitch_scheduler::Scheduler;
+use ivypitch_scheduler::*;
+use ivypitch_types::*;
 
 use crate::codec::{BATCH_HEADER, Batch, Cursor, EngineId, LIST_ROW, Malformed, Reply};
 
@@ -21,28 +22,28 @@
 }
 
 impl Names {
-    fn engine(&mut self, id: EngineId) -> EngineIx {
+    fn engine(&mut self, id: EngineId) -> EngineIndex {
         let next = self.engines.len();
         let ix = *self.engine_index.entry(id).or_insert(next);
         if ix == next {
             self.engines.push(id);
         }
-        EngineIx(ix)
+        EngineIndex(ix)
     }
 
-    fn arrive(&mut self, xid: u32) -> StmtIx {
+    fn arrive(&mut self, xid: u32) -> StatementIndex {
         let ix = self.free.pop().unwrap_or_else(|| {
             self.xids.push(0);
             self.xids.len() - 1
         });
         self.xids[ix] = xid;
         self.stmt_index.insert(xid, ix);
-        StmtIx(ix)
+        StatementIndex(ix)
     }
 }
 
 struct Instance {
-    gateway: Gateway,
+    gateway: Scheduler,
     names: Names,
 }
 
@@ -54,7 +55,7 @@
 }
 
 impl Wire<'_> {
-    fn on(&mut self, code: u8, stmt: StmtIx) -> &mut Reply {
+    fn on(&mut self, code: u8, stmt: StatementIndex) -> &mut Reply {
         let xid = self.names.xids[stmt.0];
         self.reply
             .record(code, self.instance)
@@ -63,49 +64,49 @@
 }
 
 impl Output for Wire<'_> {
-    fn send(&mut self, stmt: StmtIx, engine: EngineIx, timeout: Nanos) {
+    fn send(&mut self, stmt: StatementIndex, engine: EngineIndex, timeout: Nanos) {
         let engine = self.names.engines[engine.0];
         self.on(70, stmt)
             .put(&engine)
             .put(&timeout.min(i64::MAX as u64).to_le_bytes());
     }
-    fn withdraw(&mut self, stmt: StmtIx, execution: u32) {
-        self.on(90, stmt).put(&(execution as u16).to_le_bytes());
+    fn cancel(&mut self, stmt: StatementIndex, attempt: u32) {
+        self.on(90, stmt).put(&(attempt as u16).to_le_bytes());
     }
-    fn set_terms(&mut self, stmt: StmtIx, grant_mb: f64, priority: u8) {
+    fn set_resources(&mut self, stmt: StatementIndex, grant_mb: f64, priority: u8) {
         self.on(10, stmt)
             .put(&(grant_mb as f32).to_le_bytes())
             .put(&[priority]);
     }
-    fn reject(&mut self, stmt: StmtIx, come_back: Nanos) {
-        self.on(120, stmt).put(&come_back.to_le_bytes());
+    fn reject(&mut self, stmt: StatementIndex, retry_after: Nanos) {
+        self.on(120, stmt).put(&retry_after.to_le_bytes());
     }
-    fn abort(&mut self, stmt: StmtIx) {
+    fn abort(&mut self, stmt: StatementIndex) {
         self.on(130, stmt);
     }
-    fn forget(&mut self, stmt: StmtIx) {
+    fn forget(&mut self, stmt: StatementIndex) {
         let xid = self.names.xids[stmt.0];
         self.names.stmt_index.remove(&xid);
         self.names.free.push(stmt.0);
     }
-    fn wake(&mut self, mark: u64, after: Nanos) {
+    fn set_timer(&mut self, mark: u64, after: Nanos) {
         self.reply
             .record(40, self.instance)
             .put(&mark.to_le_bytes())
             .put(&after.to_le_bytes());
     }
-    fn probe(&mut self, engine: EngineIx) {
+    fn request_load_report(&mut self, engine: EngineIndex) {
         let engine = self.names.engines[engine.0];
         self.reply.record(60, self.instance).put(&engine);
     }
-    fn publish(&mut self, bytes: &[u8]) {
+    fn broadcast(&mut self, bytes: &[u8]) {
         let bytes = &bytes[..bytes.len().min(256)];
         self.reply
             .record(20, self.instance)
             .put(&u32::MAX.to_le_bytes())
             .put_counted(bytes);
     }
-    fn watch_list(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.reply.record(100, self.instance).put(&[1]);
     }
     fn log(&mut self, line: &str) {
@@ -117,7 +118,7 @@
 
 struct ListedRow {
     engine: EngineId,
-    row: EngineRow,
+    row: EngineEndpoint,
 }
 
 /// All instances of this process, and the lists that belong to the process rather than to any of them.
@@ -157,7 +158,7 @@
         &mut self,
         instance: u32,
         reply: &mut Reply,
-        f: impl FnOnce(&mut Gateway, &mut Names, &mut Reply),
+        f: impl FnOnce(&mut Scheduler, &mut Names, &mut Reply),
     ) {
         let Some(held) = self.instances.get_mut(&instance) else {
             return;
@@ -207,7 +208,7 @@
                         self.instances.insert(
                             instance,
                             Instance {
-                                gateway: Gateway::new(given.facts, seed, now),
+                                gateway: Scheduler::new(given.facts, seed, now),
                                 names: Names::default(),
                             },
                         );
@@ -224,7 +225,7 @@
                     }
                     Err(what) => {
                         eprintln!(
-                            "ivypitch-simhost: {}",
+                            "ivypitch-simulator-adapter: {}",
                             c.malformed(format!("settings: {what}"))
                         );
                         self.instances.remove(&instance);
@@ -237,9 +238,9 @@
                 let _serial = c.u64()?;
                 let page = c.u16()?;
                 let kind = match kind {
-                    0 => Some(ListKind::Delta),
-                    1 => Some(ListKind::Full),
-                    2 => Some(ListKind::Cached),
+                    0 => Some(EndpointUpdateKind::Delta),
+                    1 => Some(EndpointUpdateKind::Full),
+                    2 => Some(EndpointUpdateKind::Snapshot),
                     3 => None,
                     other => return Err(c.malformed(format!("unknown kind {other}"))),
                 };
@@ -252,8 +253,8 @@
                 };
                 self.call(instance, reply, |gateway, names, reply| {
                     let listed = rows.iter().flat_map(|(_, l)| l);
-                    let rows: Vec<EngineRow> = listed
-                        .map(|l| EngineRow {
+                    let rows: Vec<EngineEndpoint> = listed
+                        .map(|l| EngineEndpoint {
                             engine: names.engine(l.engine),
                             ..l.row
                         })
@@ -264,8 +265,8 @@
                         names,
                     };
                     match kind {
-                        Some(kind) => gateway.engines_listed(now, kind, &rows, out),
-                        None => gateway.list_failed(now, out),
+                        Some(kind) => gateway.on_endpoints_updated(now, kind, &rows, out),
+                        None => gateway.on_endpoint_watch_failed(now, out),
                     }
                 });
                 if let Some((page, listed)) = rows {
@@ -279,7 +280,7 @@
                 let tables = c.f32()?;
                 let time_left = c.u64()?;
                 let attrs = c.u16()?;
-                let customer = c.u32()? as usize;
+                let tenant = c.u32()? as usize;
                 let estimated_mb = c.f32()?;
                 let cost = c.u64()?;
                 let arrival = Arrival {
@@ -288,7 +289,7 @@
                     table_group: settings::table_group(tables),
                     time_left,
                     is_repeat: attrs & 2 != 0,
-                    customer,
+                    tenant,
                     estimated_mb: if estimated_mb.is_finite() {
                         f64::from(estimated_mb.max(0.0))
                     } else {
@@ -298,7 +299,7 @@
                 };
                 self.call(instance, reply, |gateway, names, reply| {
                     let stmt = names.arrive(xid);
-                    gateway.arrive(
+                    gateway.on_statement_arrived(
                         now,
                         stmt,
                         arrival,
@@ -313,15 +314,15 @@
             40 => {
                 let xid = c.u32()?;
                 let _engine = c.engine()?;
-                let execution = u32::from(c.u16()?);
+                let attempt = u32::from(c.u16()?);
                 let _took = c.u64()?;
                 self.on_stmt(instance, xid, reply, |gateway, stmt, _| {
-                    gateway.under_way(now, stmt, execution)
+                    gateway.on_response_started(now, stmt, attempt)
                 });
             }
             50 => {
                 let xid = c.u32()?;
-                let execution = u32::from(c.u16()?);
+                let attempt = u32::from(c.u16()?);
                 let engine = c.engine()?;
                 let result = c.u16()?;
                 let outcome = outcome(result)
@@ -337,9 +338,9 @@
                     let Some(&engine) = out.names.engine_index.get(&engine) else {
                         return;
                     };
-                    let engine = EngineIx(engine);
-                    let ended = Ended {
-                        execution,
+                    let engine = EngineIndex(engine);
+                    let ended = AttemptEnded {
+                        attempt,
                         engine,
                         outcome,
                         took,
@@ -347,20 +348,20 @@
                         true_cost,
                         report: &report,
                     };
-                    gateway.execution_ended(now, stmt, &ended, out);
+                    gateway.on_attempt_ended(now, stmt, &ended, out);
                 });
                 self.report = report;
             }
             60 => {
                 let xid = c.u32()?;
                 self.on_stmt(instance, xid, reply, |gateway, stmt, out| {
-                    gateway.expired(now, stmt, out)
+                    gateway.on_statement_expired(now, stmt, out)
                 });
             }
             70 => {
                 let mark = c.u64()?;
                 self.call(instance, reply, |gateway, names, reply| {
-                    gateway.woken(
+                    gateway.on_timer(
                         now,
                         mark,
                         &mut Wire {
@@ -387,7 +388,7 @@
                         instance,
                         names,
                     };
-                    gateway.probed(now, EngineIx(engine), &report, out);
+                    gateway.on_load_report(now, EngineIndex(engine), &report, out);
                 });
                 self.report = report;
             }
@@ -396,7 +397,7 @@
                 let n = c.u16()? as usize;
                 let bytes = c.take(n)?;
                 self.call(instance, reply, |gateway, _, _| {
-                    gateway.peer_said(now, bytes)
+                    gateway.on_peer_message(now, bytes)
                 });
             }
             100 => {
@@ -404,19 +405,19 @@
             }
             _ => {
                 let xid = c.u32()?;
-                let execution = u32::from(c.u16()?);
+                let attempt = u32::from(c.u16()?);
                 let _engine = c.engine()?;
                 let topic = c.u8()?;
                 let x = c.f32()?;
                 let note = match topic {
-                    1 => Note::ShareDone(f64::from(x)),
-                    2 => Note::SpillsMb(f64::from(x)),
-                    3 if x == 1.0 => Note::WaitsForMemory,
-                    3 => Note::WaitsForLoad,
+                    1 => AttemptProgress::FractionDone(f64::from(x)),
+                    2 => AttemptProgress::SpilledMb(f64::from(x)),
+                    3 if x == 1.0 => AttemptProgress::WaitingForMemory,
+                    3 => AttemptProgress::WaitingForBulkLoad,
                     other => return Err(c.malformed(format!("unknown topic {other}"))),
                 };
                 self.on_stmt(instance, xid, reply, |gateway, stmt, out| {
-                    gateway.noted(now, stmt, execution, note, out)
+                    gateway.on_progress(now, stmt, attempt, note, out)
                 });
             }
         }
@@ -429,7 +430,7 @@
         instance: u32,
         xid: u32,
         reply: &mut Reply,
-        f: impl FnOnce(&mut Gateway, StmtIx, &mut Wire),
+        f: impl FnOnce(&mut Scheduler, StatementIndex, &mut Wire),
     ) {
         self.call(instance, reply, |gateway, names, reply| {
             let Some(&stmt) = names.stmt_index.get(&xid) else {
@@ -437,7 +438,7 @@
             };
             f(
                 gateway,
-                StmtIx(stmt),
+                StatementIndex(stmt),
                 &mut Wire {
                     reply,
                     instance,
@@ -458,16 +459,16 @@
             let engine = c.engine()?;
             let (zone, kind, cell) = (c.u16()?, c.u16()?, c.u16()?);
             let phase = match c.u8()? {
-                0 => EnginePhase::Gone,
-                1 => EnginePhase::Ready,
-                2 => EnginePhase::Draining,
+                0 => EngineState::Gone,
+                1 => EngineState::Ready,
+                2 => EngineState::Draining,
                 other => return Err(c.malformed(format!("unknown phase {other}"))),
             };
             let weight = f64::from(c.f32()?);
             let started_at = c.u64()?;
             let id = engine.iter().fold(0, |id, &byte| id << 8 | u64::from(byte));
-            let row = EngineRow {
-                engine: EngineIx(0),
+            let row = EngineEndpoint {
+                engine: EngineIndex(0),
                 id,
                 zone,
                 kind,
@@ -491,12 +492,12 @@
     Some(match result {
         200 => Outcome::Completed,
         500 => Outcome::Error,
-        503 => Outcome::Full,
+        503 => Outcome::Overloaded,
         504 => Outcome::TimedOut,
         502 => Outcome::ConnectFailed,
         598 => Outcome::Reset,
         499 => Outcome::Cancelled,
-        410 => Outcome::Moot,
+        410 => Outcome::NeverDispatched,
         _ => return None,
     })
 }
--- a/crates/ivypitch-simhost/src/main.rs
+++ b/crates/ivypitch-simulator-adapter/src/main.rs
@@ -3,8 +3,8 @@
 use std::io::{self, BufReader, BufWriter, Write};
 use std::process::ExitCode;
 
-use ivypitch_simhost::codec::{Reply, read_batch};
-use ivypitch_simhost::host::Host;
+use ivypitch_simulator_adapter::codec::{Reply, read_batch};
+use ivypitch_simulator_adapter::host::Host;
 
 fn serve() -> Result<(), String> {
     let mut input = BufReader::with_capacity(1 << 20, io::stdin().lock());
@@ -27,12 +27,15 @@
 fn main() -> ExitCode {
     // A panic in the module is reported on the wire; standard error gets one plain line of it.
     std::panic::set_hook(Box::new(|panic| {
-        eprintln!("ivypitch-simhost: {}", panic.to_string().replace('\n', " "))
+        eprintln!(
+            "ivypitch-simulator-adapter: {}",
+            panic.to_string().replace('\n', " ")
+        )
     }));
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
         Err(what) => {
-            eprintln!("ivypitch-simhost: {what}");
+            eprintln!("ivypitch-simulator-adapter: {what}");
             ExitCode::FAILURE
         }
     }
--- a/crates/ivypitch-simhost/tests/wire.rs
+++ b/crates/ivypitch-simulator-adapter/tests/wire.rs
@@ -3,7 +3,7 @@
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-use ivypitch_simhost::codec::{Reply, read_batch};
+use ivypitch_simulator_adapter::codec::{Reply, read_batch};
 use test_case::test_case;
 
 fn hex(text: &str) -> Vec<u8> {
@@ -44,7 +44,7 @@
                     cdcccc3e";
 
 fn run(input: &[u8]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_ivypitch-simhost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_ivypitch-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/ivypitch-lab/src/command.rs
+++ b/crates/ivypitch-testbed/src/command.rs
@@ -1,4 +1,4 @@
-//! `ivypitch lab`.
+//! `ivypitch testbed`; `ivypitch lab` is an alias.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -8,7 +8,7 @@
 use crate::{demo, experiments};
 
 #[derive(Args)]
-pub struct Lab {
+pub struct Testbed {
     #[command(subcommand)]
     what: What,
 }
@@ -19,7 +19,7 @@
     List,
     /// Play an experiment; exits 0 where all its bounds hold.
     #[command(
-        after_help = "Example: ivypitch lab run team-flood --quick --seed 7 --report /tmp/flood"
+        after_help = "Example: ivypitch testbed run team-flood --quick --seed 7 --report /tmp/flood"
     )]
     Run(Run),
     /// Emulated engines, a gateway and traffic on loopback for 20 s, with a line a second.
@@ -37,7 +37,7 @@
 
 #[derive(Args)]
 struct Run {
-    /// Its name; `ivypitch lab list` names them.
+    /// Its name; `ivypitch testbed list` names them.
     name: String,
     /// Smaller and shorter, within 40 s.
     #[arg(long)]
@@ -53,7 +53,7 @@
     report: Option<PathBuf>,
 }
 
-impl Lab {
+impl Testbed {
     pub fn run(self) -> ExitCode {
         match self.what {
             What::List => {
--- a/crates/ivypitch-lab/src/demo.rs
+++ b/crates/ivypitch-testbed/src/demo.rs
@@ -2,7 +2,7 @@
 
 use std::process::ExitCode;
 
-use ivypitch::interface::SECOND;
+use ivypitch_types::SECOND;
 
 use crate::experiments::team_flood::{TEAMS, teams};
 use crate::processes::sockets::{self, Plan};
--- a/crates/ivypitch-lab/src/experiments/scale/capacity.rs
+++ b/crates/ivypitch-testbed/src/experiments/scale/capacity.rs
@@ -29,7 +29,7 @@
 
 /// The journal's connection, the listener and a log, beside clients, engines and links (`lifecycle/bounds.rs`).
 const OTHER_DESCRIPTORS: f64 = 48.0;
-/// A connection to an engine is kept for 0.8 of 30 s (`ivypitch_pool`, and the usual idle close).
+/// A connection to an engine is kept for 0.8 of 30 s (`ivypitch_connection_pool`, and the usual idle close).
 const KEPT_S: f64 = 24.0;
 /// Of the subset: the most by traffic, and the gateways that hold an engine at least.
 const SUBSET_MOST: f64 = 80.0;
@@ -350,7 +350,7 @@
             row!(what: "connections kept to it by all gateways", unit: "",
             formula: "gateways x subset / engines x kept",
             cost: |_, n| n.gateways * n.subset() / n.engines * n.kept(),
-            carried: "one of each gateway that holds it, or as many as are out at once (`ivypitch_pool`)"),
+            carried: "one of each gateway that holds it, or as many as are out at once (`ivypitch_connection_pool`)"),
         ),
         of(
             "engine",
--- a/crates/ivypitch-lab/src/experiments/scale/changes.rs
+++ b/crates/ivypitch-testbed/src/experiments/scale/changes.rs
@@ -1,6 +1,6 @@
 //! The target's changes: one a second and bursts, until every gateway that can be reached acts by them.
 
-use ivypitch::interface::SECOND;
+use ivypitch_types::SECOND;
 
 use super::module::line;
 use super::peers::GATEWAYS;
--- a/crates/ivypitch-lab/src/experiments/scale/module.rs
+++ b/crates/ivypitch-testbed/src/experiments/scale/module.rs
@@ -1,7 +1,8 @@
 //! The module before more and more engines: what a statement, a change of one row and a whole list cost it.
 
-use ivypitch::interface::*;
 use ivypitch_gateway::wire::journal;
+use ivypitch_scheduler::*;
+use ivypitch_types::*;
 
 use super::slope::Measure;
 use crate::stand_ins::{event, row_at};
@@ -16,39 +17,39 @@
 const BATCHES: usize = 5;
 
 #[derive(Default)]
-struct Sent(Vec<(StmtIx, EngineIx)>);
+struct Sent(Vec<(StatementIndex, EngineIndex)>);
 
 impl Output for Sent {
-    fn send(&mut self, stmt: StmtIx, engine: EngineIx, _timeout: Nanos) {
+    fn send(&mut self, stmt: StatementIndex, engine: EngineIndex, _timeout: Nanos) {
         self.0.push((stmt, engine));
     }
-    fn withdraw(&mut self, _stmt: StmtIx, _execution: u32) {}
-    fn set_terms(&mut self, _stmt: StmtIx, _grant_mb: f64, _priority: u8) {}
-    fn reject(&mut self, _stmt: StmtIx, _come_back: Nanos) {}
-    fn abort(&mut self, _stmt: StmtIx) {}
-    fn forget(&mut self, _stmt: StmtIx) {}
-    fn wake(&mut self, _mark: u64, _after: Nanos) {}
-    fn probe(&mut self, _engine: EngineIx) {}
-    fn publish(&mut self, _bytes: &[u8]) {}
-    fn watch_list(&mut self) {}
+    fn cancel(&mut self, _stmt: StatementIndex, _execution: u32) {}
+    fn set_resources(&mut self, _stmt: StatementIndex, _grant_mb: f64, _priority: u8) {}
+    fn reject(&mut self, _stmt: StatementIndex, _come_back: Nanos) {}
+    fn abort(&mut self, _stmt: StatementIndex) {}
+    fn forget(&mut self, _stmt: StatementIndex) {}
+    fn set_timer(&mut self, _mark: u64, _after: Nanos) {}
+    fn request_load_report(&mut self, _engine: EngineIndex) {}
+    fn broadcast(&mut self, _bytes: &[u8]) {}
+    fn watch_endpoints(&mut self) {}
     fn log(&mut self, _line: &str) {}
 }
 
 fn facts(engines: usize) -> Deployment {
-    let workload = |slo: u64, threads: f64, importance: f64| Workload {
-        slo_time: slo * MS,
-        slo_stretch: 2.0,
+    let workload = |slo: u64, threads: f64, priority_weight: f64| Workload {
+        latency_objective: slo * MS,
+        latency_objective_stretch: 2.0,
         statement_timeout: 20 * SECOND,
-        importance,
-        effect: Effect::Idempotent,
-        dedup_group: DedupGroup::All,
-        dedup_window: 0,
-        keeps_order: false,
+        priority_weight,
+        effect: Idempotency::Idempotent,
+        deduplication_scope: DeduplicationScope::All,
+        deduplication_window: 0,
+        is_ordered_by_key: false,
         allowed_zones: None,
-        allowed_kinds: None,
+        allowed_engine_kinds: None,
         threads,
         is_load: false,
-        waits_for_loads: false,
+        waits_for_bulk_loads: false,
     };
     Deployment {
         gateways: (engines as f64 / ENGINES_A_GATEWAY).round() as usize,
@@ -58,22 +59,22 @@
             cores: 16.0,
             memory_mb: 65536.0,
         }],
-        customers: vec![Customer {
-            allowance_per_s: 1e9,
+        tenants: vec![Tenant {
+            quota_per_second: 1e9,
         }],
-        over_share_importance: 0.1,
-        most_held: 20_000,
+        over_quota_priority_weight: 0.1,
+        max_open_statements: 20_000,
         report_fields: vec![ReportField::Inflight],
-        report_path: ReportPath::WithAnswers,
+        report_path: LoadReporting::WithAnswers,
         priority_heeded: true,
         tells_cost: true,
         may_withdraw: true,
-        max_executions: 4,
+        max_attempts: 4,
         cold_from: 0.3,
         warm_up: 14 * SECOND,
         overload_factor: 2.5,
         overload_window: 3 * SECOND,
-        execution_budget: Some(ExecutionBudget {
+        retry_budget: Some(RetryBudget {
             window: 5 * SECOND,
             free: 5.0,
             per_statement: 0.2,
@@ -82,36 +83,36 @@
     }
 }
 
-pub fn rows(engines: usize) -> Vec<EngineRow> {
-    let row = |e: usize| EngineRow {
-        engine: EngineIx(e),
+pub fn rows(engines: usize) -> Vec<EngineEndpoint> {
+    let row = |e: usize| EngineEndpoint {
+        engine: EngineIndex(e),
         id: e as u64 * 7919 + 17,
         zone: (e % 24) as u16,
-        phase: EnginePhase::Ready,
+        phase: EngineState::Ready,
         weight: 1.0,
-        ..EngineRow::default()
+        ..EngineEndpoint::default()
     };
     (0..engines).map(row).collect()
 }
 
 /// A module that lists so many engines and has statements in hand.
 pub struct Played {
-    module: Gateway,
+    module: Scheduler,
     out: Sent,
     now: Nanos,
     seed: u64,
     statement: usize,
-    in_hand: std::collections::VecDeque<(StmtIx, EngineIx)>,
+    in_hand: std::collections::VecDeque<(StatementIndex, EngineIndex)>,
     pub unserved: u64,
 }
 
-use ivypitch::rules::Gateway;
+use ivypitch_scheduler::Scheduler;
 
 impl Played {
     pub fn new(engines: usize, seed: u64) -> Played {
-        let mut module = Gateway::new(facts(engines), seed, 0);
+        let mut module = Scheduler::new(facts(engines), seed, 0);
         let mut out = Sent::default();
-        module.engines_listed(0, ListKind::Full, &rows(engines), &mut out);
+        module.on_endpoints_updated(0, EndpointUpdateKind::Full, &rows(engines), &mut out);
         let in_hand = std::collections::VecDeque::new();
         Played {
             module,
@@ -124,24 +125,25 @@
         }
     }
 
-    /// `arrive` and `begins` of one statement, `execution_ended` of the one that has been out longest.
+    /// `arrive` and `begins` of one statement, `on_attempt_ended` of the one that has been out longest.
     pub fn statement(&mut self) {
         self.statement += 1;
         self.now += 271_000;
-        let ix = StmtIx(self.statement % (4 * IN_HAND));
+        let ix = StatementIndex(self.statement % (4 * IN_HAND));
         let arrival = Arrival {
             workload: usize::from(self.statement.is_multiple_of(8)),
             key: 0,
             table_group: ((self.statement as u64 + self.seed) % 61) as u32,
             time_left: 20 * SECOND,
             is_repeat: false,
-            customer: 0,
+            tenant: 0,
             estimated_mb: 0.0,
             estimated_work: 40 * MS,
         };
-        self.module.arrive(self.now, ix, arrival, &mut self.out);
+        self.module
+            .on_statement_arrived(self.now, ix, arrival, &mut self.out);
         for (stmt, engine) in std::mem::take(&mut self.out.0) {
-            if self.module.begins(self.now, stmt, 0) {
+            if self.module.confirm_send(self.now, stmt, 0) {
                 self.in_hand.push_back((stmt, engine));
             } else {
                 self.unserved += 1;
@@ -150,8 +152,8 @@
         if self.in_hand.len() > IN_HAND
             && let Some((stmt, engine)) = self.in_hand.pop_front()
         {
-            let ended = Ended {
-                execution: 0,
+            let ended = AttemptEnded {
+                attempt: 0,
                 engine,
                 outcome: Outcome::Completed,
                 took: 9 * MS,
@@ -160,7 +162,7 @@
                 report: &[1.0],
             };
             self.module
-                .execution_ended(self.now, stmt, &ended, &mut self.out);
+                .on_attempt_ended(self.now, stmt, &ended, &mut self.out);
         }
     }
 
@@ -169,16 +171,20 @@
         self.statement += 1;
         let mut row = rows(1)[0];
         let e = self.statement % engines;
-        (row.engine, row.id) = (EngineIx(e), e as u64 * 7919 + 17);
+        (row.engine, row.id) = (EngineIndex(e), e as u64 * 7919 + 17);
         (row.zone, row.weight) = ((e % 24) as u16, 1.0 + self.statement as f64 * 1e-6);
-        self.module
-            .engines_listed(self.now, ListKind::Delta, &[row], &mut self.out);
+        self.module.on_endpoints_updated(
+            self.now,
+            EndpointUpdateKind::Delta,
+            &[row],
+            &mut self.out,
+        );
     }
 
-    pub fn whole_list(&mut self, rows: &[EngineRow]) {
+    pub fn whole_list(&mut self, rows: &[EngineEndpoint]) {
         self.now += MS;
         self.module
-            .engines_listed(self.now, ListKind::Full, rows, &mut self.out);
+            .on_endpoints_updated(self.now, EndpointUpdateKind::Full, rows, &mut self.out);
     }
 }
 
--- a/crates/ivypitch-lab/src/experiments/scale/peers.rs
+++ b/crates/ivypitch-testbed/src/experiments/scale/peers.rs
@@ -2,13 +2,13 @@
 
 use std::hint::black_box;
 
-use ivypitch::interface::{Nanos, SECOND};
-use ivypitch_custody::Witnesses;
+use ivypitch_coordination::sights::{Sight, Table};
+use ivypitch_coordination::verdicts::Verdicts;
+use ivypitch_coordination::{Gossip, Message, Output, Process, Saw, Shares, shares};
 use ivypitch_gateway::wire::peers::{self, Frame};
-use ivypitch_members::Terms;
-use ivypitch_shares::sights::{Sight, Table};
-use ivypitch_shares::verdicts::Verdicts;
-use ivypitch_shares::{Gossip, Message, Output, Process, Saw, Shares, shares};
+use ivypitch_membership::Terms;
+use ivypitch_ownership::Witnesses;
+use ivypitch_types::{Nanos, SECOND};
 
 use super::slope::Measure;
 use crate::virtual_time::faults::Plan;
@@ -187,7 +187,7 @@
         self.gossip_bytes += peers::write_gossip(&gossip).len() as u64;
     }
     fn part(&mut self, _bound: usize, _part: f64) {}
-    fn advise(&mut self, _engine: u64, _advice: ivypitch::interface::Advice) {}
+    fn advise(&mut self, _engine: u64, _advice: ivypitch_scheduler::OutlierStatus) {}
     fn event(&mut self, _number: u64, _line: &[u8]) {}
     fn log(&mut self, _line: &str) {}
 }
--- a/crates/ivypitch-lab/src/experiments/shares.rs
+++ b/crates/ivypitch-testbed/src/experiments/shares.rs
@@ -61,7 +61,7 @@
         );
         bound(
             "the most that all held, of the bound",
-            most(|v| v.most_held),
+            most(|v| v.max_open_statements),
             0.0,
             1.0,
         );
--- a/crates/ivypitch-lab/src/experiments/team_flood.rs
+++ b/crates/ivypitch-testbed/src/experiments/team_flood.rs
@@ -1,8 +1,8 @@
 //! One of three teams floods, in virtual time and on sockets.
 
-use ivypitch::interface::SECOND;
-use ivypitch_teams::window::Way;
-use ivypitch_teams::{Budgets, TeamBudget, WorkloadTerms};
+use ivypitch_queueing::window::Way;
+use ivypitch_queueing::{Budgets, TeamBudget, WorkloadTerms};
+use ivypitch_types::SECOND;
 
 use crate::figures::Figures;
 use crate::processes::sockets;
@@ -21,15 +21,15 @@
 fn budgets(works: &[Work], shares: &[f64]) -> Budgets {
     let least = works
         .iter()
-        .map(|w| w.importance)
+        .map(|w| w.priority_weight)
         .fold(f64::INFINITY, f64::min);
     let terms = |w: &Work| WorkloadTerms {
-        importance: w.importance,
-        slo_time: w.slo,
+        priority_weight: w.priority_weight,
+        latency_objective: w.slo,
         threads: w.threads,
-        is_load: w.effect == ivypitch::interface::Effect::NonIdempotent,
+        is_load: w.effect == ivypitch_scheduler::Idempotency::NonIdempotent,
         usual_work: w.slo / 3,
-        slack: WorkloadTerms::slack_of(w.slo, w.importance, least),
+        slack: WorkloadTerms::slack_of(w.slo, w.priority_weight, least),
         longest_wait: (w.slo as f64 * 0.4) as u64,
     };
     Budgets {
--- a/crates/ivypitch-lab/src/figures.rs
+++ b/crates/ivypitch-testbed/src/figures.rs
@@ -1,7 +1,7 @@
 //! What a run came to, by team.
 
 use hdrhistogram::Histogram;
-use ivypitch::interface::Nanos;
+use ivypitch_types::Nanos;
 use serde::Serialize;
 
 #[derive(Clone, Debug, Serialize)]
@@ -12,7 +12,8 @@
     pub in_time: u64,
     pub tries: u64,
     /// Importance asked for, and served within the SLO time.
-    pub importance: f64,
+    #[serde(rename = "importance")]
+    pub priority_weight: f64,
     pub kept: f64,
     /// Core-seconds that engines did for it, to a good end.
     pub used: f64,
@@ -32,7 +33,7 @@
             served: 0,
             in_time: 0,
             tries: 0,
-            importance: 0.0,
+            priority_weight: 0.0,
             kept: 0.0,
             used: 0.0,
             refused_waiting: 0,
@@ -42,22 +43,22 @@
     }
 
     /// One statement: how long its client waited from when it was meant to ask, where it was served.
-    pub fn count(&mut self, importance: f64, slo: Nanos, took: Option<Nanos>, tries: u32) {
+    pub fn count(&mut self, priority_weight: f64, slo: Nanos, took: Option<Nanos>, tries: u32) {
         self.asked += 1;
         self.tries += u64::from(tries);
-        self.importance += importance;
+        self.priority_weight += priority_weight;
         let Some(took) = took else { return };
         self.served += 1;
         self.latency_ms.saturating_record(took / 1_000_000);
         if took <= slo {
             self.in_time += 1;
-            self.kept += importance;
+            self.kept += priority_weight;
         }
     }
 
     /// The part of its importance that it was served within the SLO time.
     pub fn service(&self) -> f64 {
-        self.kept / self.importance.max(1e-9)
+        self.kept / self.priority_weight.max(1e-9)
     }
 
     pub fn p(&self, quantile: f64) -> u64 {
--- a/crates/ivypitch-lab/src/processes/clients.rs
+++ b/crates/ivypitch-testbed/src/processes/clients.rs
@@ -147,7 +147,7 @@
                     Timer::after(Duration::from_millis(rng.random_range(20..300))).await;
                 }
                 Heard::Gone => {
-                    drop(Timer::after(Duration::from_millis(rng.random_range(5..200))).await)
+                    Timer::after(Duration::from_millis(rng.random_range(5..200))).await;
                 }
                 Heard::Other(_) => return story,
             }
--- a/crates/ivypitch-lab/src/processes/engine.rs
+++ b/crates/ivypitch-testbed/src/processes/engine.rs
@@ -13,7 +13,7 @@
 use bytes::BytesMut;
 use clap::Args;
 use event_listener::Event;
-use ivypitch::interface::Nanos;
+use ivypitch_types::Nanos;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use smol::future::FutureExt;
--- a/crates/ivypitch-lab/src/processes/hollow_gateways.rs
+++ b/crates/ivypitch-testbed/src/processes/hollow_gateways.rs
@@ -15,21 +15,21 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use ivypitch::interface::Nanos;
-use ivypitch_custody::Custody;
-use ivypitch_deployment::own::{self, Own};
-use ivypitch_gateway::actors::custody::{Act, Keeper};
-use ivypitch_gateway::actors::list::List;
-use ivypitch_gateway::actors::peers::{self, Peer, PeersMessage};
-use ivypitch_gateway::actors::shares::Sharing;
-use ivypitch_gateway::actors::{Answer, ModuleMessage};
+use ivypitch_config::own::{self, Own};
+use ivypitch_coordination::{Process, Shares};
+use ivypitch_discovery::Feed;
+use ivypitch_gateway::actors::coordination::Sharing;
+use ivypitch_gateway::actors::discovery::List;
+use ivypitch_gateway::actors::ownership::{Act, Keeper};
+use ivypitch_gateway::actors::peer_links::{self, Peer, PeersMessage};
+use ivypitch_gateway::actors::{Answer, SchedulerMessage};
 use ivypitch_gateway::lifecycle::clock::Clock;
 use ivypitch_gateway::state::engines::id_as_number;
 use ivypitch_gateway::state::traffic::Traffic;
 use ivypitch_gateway::wire::journal::Hosts;
 use ivypitch_gateway::wire::peers::{Frame, next, write};
-use ivypitch_roster::Feed;
-use ivypitch_shares::{Process, Shares};
+use ivypitch_ownership::Custody;
+use ivypitch_types::Nanos;
 use serde::{Deserialize, Serialize};
 use smol::channel::{self, Receiver, Sender};
 use smol::future::FutureExt;
@@ -60,7 +60,7 @@
     /// For each hollow gateway: how it reaches each of those that are not.
     pub ways: Vec<Vec<SocketAddr>>,
     pub journal: SocketAddr,
-    pub customers: Vec<String>,
+    pub tenants: Vec<String>,
     /// Longest statement timeout.
     pub longest_ms: u64,
     pub seed: u64,
@@ -88,7 +88,7 @@
 type Handed = Receiver<(u16, Frame)>;
 
 enum Mail {
-    Module(ModuleMessage),
+    Module(SchedulerMessage),
     Handed(u16, Frame),
 }
 
@@ -152,7 +152,7 @@
 }
 
 impl Hollow {
-    async fn run(mut self, module: Receiver<ModuleMessage>, inbox: Handed) {
+    async fn run(mut self, module: Receiver<SchedulerMessage>, inbox: Handed) {
         loop {
             let keeper = self.keeper.as_ref().map_or(Nanos::MAX, Keeper::next_wake);
             let sharing = self.sharing.as_ref().map_or(Nanos::MAX, Sharing::next_wake);
@@ -200,10 +200,10 @@
         }
     }
 
-    fn take(&mut self, now: Nanos, mail: ModuleMessage) {
+    fn take(&mut self, now: Nanos, mail: SchedulerMessage) {
         match mail {
-            ModuleMessage::Peer(peer) => self.peer(now, peer),
-            ModuleMessage::Journal { event } => {
+            SchedulerMessage::Peer(peer) => self.peer(now, peer),
+            SchedulerMessage::Journal { event } => {
                 if let Some((number, _)) = &event {
                     self.shared
                         .count(self.place, |counts| counts.events = *number);
@@ -215,7 +215,7 @@
                     sharing.journal(now, event);
                 }
             }
-            ModuleMessage::Listed { hosts } => self.listed(hosts),
+            SchedulerMessage::Listed { hosts } => self.listed(hosts),
             // Of clients and executions: here are none.
             _ => {}
         }
@@ -338,7 +338,7 @@
     let (traffic, at) = (Rc::new(Traffic::default()), place as u16);
     let seed = crowd.seed ^ (place as u64) << 32;
     let (module, to_module) = channel::unbounded();
-    let start = peers::Start {
+    let start = peer_links::Start {
         roster: peering.roster,
         place: at,
         listen: peering.listen,
@@ -347,14 +347,14 @@
         seed,
         traffic: traffic.clone(),
     };
-    let mailbox = peers::Peers::start(start, clock, module.clone(), executor.clone())?;
+    let mailbox = peer_links::Peers::start(start, clock, module.clone(), executor.clone())?;
     let (say, said) = channel::unbounded();
     executor
         .spawn(sort(said, mailbox, at, shared.clone()))
         .detach();
     let (list, list_mail) = channel::unbounded();
     let sharing = own.shares.enabled.then(|| {
-        let terms = own.shares.terms(zones.len(), &crowd.customers);
+        let terms = own.shares.terms(zones.len(), &crowd.tenants);
         let shares = Shares::new(
             Process { place: at, birth },
             zones.clone(),
--- a/crates/ivypitch-lab/src/processes/mod.rs
+++ b/crates/ivypitch-testbed/src/processes/mod.rs
@@ -299,7 +299,7 @@
             first,
             ways,
             journal: journal.address,
-            customers: vec!["acme".into()],
+            tenants: vec!["acme".into()],
             longest_ms: self.setup.longest_ms,
             seed: self.setup.seed,
             tells_events: self.setup.hollow_tell,
--- a/crates/ivypitch-lab/src/processes/sockets.rs
+++ b/crates/ivypitch-testbed/src/processes/sockets.rs
@@ -10,9 +10,10 @@
 
 use bytes::{Buf, BytesMut};
 use event_listener::Event;
-use ivypitch::interface::{Effect, Nanos, SECOND};
 use ivypitch_gateway::actors::session::read_some;
 use ivypitch_gateway::wire::mysql;
+use ivypitch_scheduler::Idempotency;
+use ivypitch_types::{Nanos, SECOND};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use smol::future::FutureExt;
@@ -553,18 +554,18 @@
         .works
         .iter()
         .map(|w| {
-            let effect = if w.effect == Effect::NonIdempotent { "unsafe" } else { "safe" };
+            let effect = if w.effect == Idempotency::NonIdempotent { "unsafe" } else { "safe" };
             format!(
                 r#"{{"name":"{}","goal-time-ns":{},"aim-stretch":{},"give-up-ns":{},"effect":"{effect}","key-scope":"all","worth":{}}}"#,
                 w.name,
                 ns(w.slo),
                 w.stretch,
                 ns(w.timeout),
-                w.importance
+                w.priority_weight
             )
         })
         .collect();
-    let customers: Vec<String> = plan
+    let tenants: Vec<String> = plan
         .teams
         .iter()
         .zip(&plan.allowances)
@@ -588,7 +589,7 @@
     let loads: Vec<String> = plan
         .works
         .iter()
-        .map(|w| (w.effect == Effect::NonIdempotent).to_string())
+        .map(|w| (w.effect == Idempotency::NonIdempotent).to_string())
         .collect();
     format!(
         r#"{{"name":"lab","listen":"127.0.0.1:0","seed":"{:x}","limits":{{"sockets":2048,"memory_mb":192}},
@@ -604,7 +605,7 @@
         plan.seed,
         rows.join(","),
         categories.join(","),
-        customers.join(","),
+        tenants.join(","),
         plan.model.cores,
         dop.join(","),
         loads.join(","),
@@ -771,10 +772,10 @@
         let asked = &plan.statements[stmt];
         let work = &plan.works[asked.workload];
         let took = told.served.map(|at| at.saturating_sub(begun + asked.at));
-        teams[asked.team].count(work.importance, asked.slo, took, told.tries);
+        teams[asked.team].count(work.priority_weight, asked.slo, took, told.tries);
         teams[asked.team].refused_waiting += u64::from(told.refused);
         teams[asked.team].refused_later += u64::from(told.failed);
-        figures.doubled += u64::from(work.effect == Effect::NonIdempotent && starts[stmt] > 1);
+        figures.doubled += u64::from(work.effect == Idempotency::NonIdempotent && starts[stmt] > 1);
         figures.unanswered += u64::from(told.answers < told.tries);
     }
     for (team, used) in teams.iter_mut().zip(shared.used.borrow().iter()) {
--- a/crates/ivypitch-lab/src/virtual_time/custody_fleet.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/custody_fleet.rs
@@ -4,11 +4,11 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-use ivypitch::interface::Nanos;
-use ivypitch_custody::{
+use ivypitch_gateway::wire::peers;
+use ivypitch_ownership::{
     Arrived, Custody, Denied, Facts, Id, Leave, Message, Output, Policy, Terms, Totals, Word,
 };
-use ivypitch_gateway::wire::peers;
+use ivypitch_types::Nanos;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -249,7 +249,7 @@
         longest: 6000 * MS,
         remembered: 1000 * MS,
         policy: fleet.policy,
-        kept_bytes_a_customer: 1 << 20,
+        result_cache_bytes_per_tenant: 1 << 20,
         ..Terms::default()
     }
 }
@@ -318,7 +318,7 @@
         let facts = Facts {
             digest: rng.random(),
             workload: u16::from(load),
-            customer: rng.random_range(0..3),
+            tenant: rng.random_range(0..3),
             idempotent: !load,
             left_ms: left as u32,
             text: vec![b's'; if fleet.measure { 200 } else { 4 }],
@@ -569,7 +569,7 @@
                     self.answer_own(g, id, if clean { Told::Rejected } else { Told::Aborted })
                 }
                 Act::Denied(id, Denied::Elsewhere) => drop(self.nodes[g].own.remove(&id)),
-                Act::Proceed(id) => self.attempt(g, id),
+                Act::Proceed(id) => self.try_attempt(g, id),
                 Act::Adopt(id, facts, left, engine) => self.adopt(g, id, facts, left, engine),
                 Act::Answer(token, word) => {
                     let told = match word {
@@ -955,7 +955,7 @@
     fn begin(&mut self, g: usize, id: Id, facts: Facts, token: Option<u64>) {
         self.nodes[g].own.remove(&id);
         self.keep(g, id, facts, token);
-        self.attempt(g, id);
+        self.try_attempt(g, id);
     }
 
     fn adopt(&mut self, g: usize, id: Id, facts: Facts, left: Nanos, engine: Option<u64>) {
@@ -964,7 +964,7 @@
         self.nodes[g].own.remove(&id);
         self.keep(g, id, Facts { left_ms, ..facts }, None);
         match engine {
-            None => self.attempt(g, id),
+            None => self.try_attempt(g, id),
             Some(engine) => {
                 let birth = self.nodes[g].birth;
                 let Some(own) = self.nodes[g].own.get_mut(&id) else {
@@ -998,7 +998,7 @@
     }
 
     /// The next execution, as the module would.
-    fn attempt(&mut self, g: usize, id: Id) {
+    fn try_attempt(&mut self, g: usize, id: Id) {
         let engines: Vec<usize> = (0..self.engines.len())
             .filter(|&e| !self.engines[e].drains)
             .collect();
@@ -1120,7 +1120,7 @@
             };
             own.out = false;
             if own.facts.idempotent {
-                return self.attempt(g, id);
+                return self.try_attempt(g, id);
             }
             return self.give_up(g, id);
         };
--- a/crates/ivypitch-lab/src/virtual_time/engine.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/engine.rs
@@ -4,7 +4,7 @@
 
 use std::collections::VecDeque;
 
-use ivypitch::interface::{Nanos, SECOND};
+use ivypitch_types::{Nanos, SECOND};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/ivypitch-lab/src/virtual_time/feed_fleet.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/feed_fleet.rs
@@ -9,8 +9,8 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use ivypitch::interface::{Nanos, SECOND};
-use ivypitch_roster::{Feed, Told, Verdict};
+use ivypitch_discovery::{Feed, Told, Verdict};
+use ivypitch_types::{Nanos, SECOND};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/ivypitch-lab/src/virtual_time/fleet.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/fleet.rs
@@ -6,9 +6,10 @@
 use std::collections::BinaryHeap;
 
 use hdrhistogram::Histogram;
-use ivypitch::interface::*;
-use ivypitch::rules::Gateway;
-use ivypitch_teams::{Budgets, Claim, Teams};
+use ivypitch_queueing::{Budgets, Claim, Teams};
+use ivypitch_scheduler::Scheduler;
+use ivypitch_scheduler::*;
+use ivypitch_types::*;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -42,20 +43,20 @@
         stmt: usize,
     },
     AtEngine {
-        execution: usize,
+        attempt: usize,
     },
     EngineEnds {
         engine: usize,
     },
     GiveUp {
-        execution: usize,
+        attempt: usize,
     },
     Told {
-        execution: usize,
+        attempt: usize,
         how: u8,
     },
     TimedOut {
-        execution: usize,
+        attempt: usize,
     },
     Wake {
         gateway: usize,
@@ -82,14 +83,14 @@
     serial: u64,
     deadline: Nanos,
     out: Option<usize>,
-    executions: u32,
+    attempts: u32,
     priority: u8,
     answered: bool,
     real: Option<Nanos>,
     took: Option<Nanos>,
 }
 
-struct Execution {
+struct Attempt {
     gateway: usize,
     slot: usize,
     stmt: usize,
@@ -111,11 +112,11 @@
     },
     Withdraw {
         slot: usize,
-        execution: u32,
+        attempt: u32,
     },
     Reject {
         slot: usize,
-        come_back: Nanos,
+        retry_after: Nanos,
     },
     Abort {
         slot: usize,
@@ -137,69 +138,69 @@
 }
 
 impl Output for Desk {
-    fn send(&mut self, stmt: StmtIx, engine: EngineIx, timeout: Nanos) {
+    fn send(&mut self, stmt: StatementIndex, engine: EngineIndex, timeout: Nanos) {
         self.acts.push(Act::Send {
             slot: stmt.0,
             engine: engine.0,
             timeout,
         });
     }
-    fn withdraw(&mut self, stmt: StmtIx, execution: u32) {
+    fn cancel(&mut self, stmt: StatementIndex, attempt: u32) {
         self.acts.push(Act::Withdraw {
             slot: stmt.0,
-            execution,
+            attempt,
         });
     }
-    fn set_terms(&mut self, stmt: StmtIx, _grant_mb: f64, priority: u8) {
+    fn set_resources(&mut self, stmt: StatementIndex, _grant_mb: f64, priority: u8) {
         self.priorities
             .resize(self.priorities.len().max(stmt.0 + 1), 1);
         self.priorities[stmt.0] = priority;
     }
-    fn reject(&mut self, stmt: StmtIx, come_back: Nanos) {
+    fn reject(&mut self, stmt: StatementIndex, retry_after: Nanos) {
         self.acts.push(Act::Reject {
             slot: stmt.0,
-            come_back,
+            retry_after,
         });
     }
-    fn abort(&mut self, stmt: StmtIx) {
+    fn abort(&mut self, stmt: StatementIndex) {
         self.acts.push(Act::Abort { slot: stmt.0 });
     }
-    fn forget(&mut self, stmt: StmtIx) {
+    fn forget(&mut self, stmt: StatementIndex) {
         self.acts.push(Act::Forget { slot: stmt.0 });
     }
-    fn wake(&mut self, mark: u64, after: Nanos) {
+    fn set_timer(&mut self, mark: u64, after: Nanos) {
         self.acts.push(Act::Wake { mark, after });
     }
-    fn probe(&mut self, _engine: EngineIx) {}
-    fn publish(&mut self, _bytes: &[u8]) {}
-    fn watch_list(&mut self) {}
+    fn request_load_report(&mut self, _engine: EngineIndex) {}
+    fn broadcast(&mut self, _bytes: &[u8]) {}
+    fn watch_endpoints(&mut self) {}
     fn log(&mut self, _line: &str) {}
 }
 
 #[derive(Default)]
 struct TeamsDesk {
-    released: Vec<(StmtIx, bool)>,
-    rejected: Vec<(StmtIx, Nanos)>,
+    released: Vec<(StatementIndex, bool)>,
+    rejected: Vec<(StatementIndex, Nanos)>,
 }
 
-impl ivypitch_teams::Output for TeamsDesk {
-    fn release(&mut self, stmt: StmtIx, within: bool) {
+impl ivypitch_queueing::Output for TeamsDesk {
+    fn release(&mut self, stmt: StatementIndex, within: bool) {
         self.released.push((stmt, within));
     }
-    fn reject(&mut self, stmt: StmtIx, come_back: Nanos) {
-        self.rejected.push((stmt, come_back));
+    fn reject(&mut self, stmt: StatementIndex, retry_after: Nanos) {
+        self.rejected.push((stmt, retry_after));
     }
     fn mode(&mut self, _team: Option<usize>, _line: &str) {}
 }
 
 struct Node {
-    module: Gateway,
+    module: Scheduler,
     teams: Option<Teams>,
     desk: Desk,
     teams_desk: TeamsDesk,
     slots: Vec<Option<Open>>,
     free: Vec<usize>,
-    over: Vec<(StmtIx, Option<Nanos>, Option<Nanos>)>,
+    over: Vec<(StatementIndex, Option<Nanos>, Option<Nanos>)>,
     woken_at: Option<Nanos>,
 }
 
@@ -222,7 +223,7 @@
     engines: Vec<Engine>,
     /// When each engine is next looked at.
     engine_due: Vec<Option<Nanos>>,
-    executions: Vec<Execution>,
+    attempts: Vec<Attempt>,
     clients: Vec<Client>,
     serial: u64,
     rng: ChaCha8Rng,
@@ -234,25 +235,25 @@
 /// The facts that a deployment of this plan would be told.
 pub fn facts(plan: &Plan, me: usize) -> Deployment {
     let workload = |w: &Work| Workload {
-        slo_time: w.slo,
-        slo_stretch: w.stretch,
+        latency_objective: w.slo,
+        latency_objective_stretch: w.stretch,
         statement_timeout: w.timeout,
-        importance: w.importance,
+        priority_weight: w.priority_weight,
         effect: w.effect,
-        dedup_group: DedupGroup::All,
-        dedup_window: 0,
-        keeps_order: false,
+        deduplication_scope: DeduplicationScope::All,
+        deduplication_window: 0,
+        is_ordered_by_key: false,
         allowed_zones: None,
-        allowed_kinds: None,
+        allowed_engine_kinds: None,
         threads: w.threads,
-        is_load: w.effect == Effect::NonIdempotent,
-        waits_for_loads: false,
+        is_load: w.effect == Idempotency::NonIdempotent,
+        waits_for_bulk_loads: false,
     };
     let rate = |core_s: &f64| {
         let parts: f64 = plan.works.iter().map(|w| w.part).sum();
         let mean: f64 = plan.works.iter().map(|w| w.work * w.part / parts).sum();
-        Customer {
-            allowance_per_s: core_s / mean,
+        Tenant {
+            quota_per_second: core_s / mean,
         }
     };
     Deployment {
@@ -264,24 +265,24 @@
             cores: plan.model.cores,
             memory_mb: 65536.0,
         }],
-        customers: plan.allowances.iter().map(rate).collect(),
-        over_share_importance: 0.1,
-        most_held: usize::MAX,
+        tenants: plan.allowances.iter().map(rate).collect(),
+        over_quota_priority_weight: 0.1,
+        max_open_statements: usize::MAX,
         report_fields: vec![ReportField::Inflight],
-        report_path: ReportPath::WithAnswers,
+        report_path: LoadReporting::WithAnswers,
         priority_heeded: true,
         tells_cost: true,
         may_withdraw: true,
         come_back_heeded: true,
         longest_come_back: 2 * SECOND,
-        max_executions: 4,
+        max_attempts: 4,
         drain_grace: SECOND / 4,
         answer_grace: 5_000_000,
         cold_from: plan.model.cold_from,
         warm_up: plan.model.warm_up,
         overload_factor: 2.5,
         overload_window: 3 * SECOND,
-        execution_budget: Some(ExecutionBudget {
+        retry_budget: Some(RetryBudget {
             window: 5 * SECOND,
             free: 5.0,
             per_statement: 0.2,
@@ -293,13 +294,13 @@
 impl<'a> Fleet<'a> {
     pub fn new(plan: Plan<'a>) -> Fleet<'a> {
         let rng = ChaCha8Rng::seed_from_u64(plan.seed);
-        let rows: Vec<EngineRow> = (0..plan.engines)
-            .map(|e| EngineRow {
-                engine: EngineIx(e),
+        let rows: Vec<EngineEndpoint> = (0..plan.engines)
+            .map(|e| EngineEndpoint {
+                engine: EngineIndex(e),
                 id: e as u64 * 7919 + 17,
-                phase: EnginePhase::Ready,
+                phase: EngineState::Ready,
                 weight: 1.0,
-                ..EngineRow::default()
+                ..EngineEndpoint::default()
             })
             .collect();
         let engine = |e: usize| {
@@ -313,7 +314,7 @@
             nodes: Vec::new(),
             engines: (0..plan.engines).map(engine).collect(),
             engine_due: vec![None; plan.engines],
-            executions: Vec::new(),
+            attempts: Vec::new(),
             clients: vec![Client::default(); plan.statements.len()],
             serial: 0,
             rng,
@@ -323,7 +324,7 @@
         };
         for me in 0..fleet.plan.gateways {
             let seed = fleet.plan.seed.wrapping_mul(1_000).wrapping_add(me as u64);
-            let module = Gateway::new(facts(&fleet.plan, me), seed, 0);
+            let module = Scheduler::new(facts(&fleet.plan, me), seed, 0);
             let teams = fleet
                 .plan
                 .budgets
@@ -341,7 +342,7 @@
             });
             let node = &mut fleet.nodes[me];
             node.module
-                .engines_listed(0, ListKind::Full, &rows, &mut node.desk);
+                .on_endpoints_updated(0, EndpointUpdateKind::Full, &rows, &mut node.desk);
             if let Some(teams) = &mut node.teams {
                 let cores =
                     fleet.plan.engines as f64 * fleet.plan.model.cores / fleet.plan.gateways as f64;
@@ -377,7 +378,7 @@
         let now = self.now;
         match event {
             Event::Arrive { stmt } => self.arrive(stmt),
-            Event::AtEngine { execution } => self.at_engine(execution),
+            Event::AtEngine { attempt } => self.at_engine(attempt),
             Event::EngineEnds { engine } => {
                 // Another look was set since, at an earlier time.
                 if self.engine_due[engine] == Some(now) {
@@ -385,28 +386,28 @@
                     self.engine_moves(engine);
                 }
             }
-            Event::GiveUp { execution } => {
-                let engine = self.executions[execution].engine;
-                if std::mem::take(&mut self.executions[execution].running) {
-                    self.engines[engine].withdraw(now, execution as u64);
+            Event::GiveUp { attempt } => {
+                let engine = self.attempts[attempt].engine;
+                if std::mem::take(&mut self.attempts[attempt].running) {
+                    self.engines[engine].withdraw(now, attempt as u64);
                     self.engine_moves(engine);
                 }
-                self.tell(execution, HOW_CANCELLED);
+                self.tell(attempt, HOW_CANCELLED);
             }
-            Event::TimedOut { execution } => {
-                if !self.executions[execution].told {
-                    let engine = self.executions[execution].engine;
-                    if std::mem::take(&mut self.executions[execution].running) {
-                        self.engines[engine].withdraw(now, execution as u64);
+            Event::TimedOut { attempt } => {
+                if !self.attempts[attempt].told {
+                    let engine = self.attempts[attempt].engine;
+                    if std::mem::take(&mut self.attempts[attempt].running) {
+                        self.engines[engine].withdraw(now, attempt as u64);
                         self.engine_moves(engine);
                     }
-                    self.told(execution, HOW_TIMED_OUT);
+                    self.told(attempt, HOW_TIMED_OUT);
                 }
             }
-            Event::Told { execution, how } => self.told(execution, how),
+            Event::Told { attempt, how } => self.told(attempt, how),
             Event::Wake { gateway, mark } => {
                 let node = &mut self.nodes[gateway];
-                node.module.woken(now, mark, &mut node.desk);
+                node.module.on_timer(now, mark, &mut node.desk);
                 self.settle(gateway);
             }
             Event::TeamsWake { gateway } => {
@@ -452,7 +453,7 @@
             serial,
             deadline,
             out: None,
-            executions: 0,
+            attempts: 0,
             priority: 1,
             answered: false,
             real: None,
@@ -468,7 +469,7 @@
                 bytes: 200,
                 deadline,
             };
-            teams.arrive(now, StmtIx(slot), claim, &mut node.teams_desk);
+            teams.arrive(now, StatementIndex(slot), claim, &mut node.teams_desk);
         } else {
             self.pass_on(gateway, slot, false);
         }
@@ -496,12 +497,12 @@
             time_left: open.deadline.saturating_sub(self.now),
             is_repeat: false,
             // A team within its share has no allowance to go over.
-            customer: if within { usize::MAX } else { asked.team },
+            tenant: if within { usize::MAX } else { asked.team },
             estimated_mb: 0.0,
             estimated_work: (asked.told_work * 1e9) as Nanos,
         };
         node.module
-            .arrive(self.now, StmtIx(slot), arrival, &mut node.desk);
+            .on_statement_arrived(self.now, StatementIndex(slot), arrival, &mut node.desk);
     }
 
     /// Does all that module and queues of a gateway ask for.
@@ -514,11 +515,11 @@
                 }
             } else if let Some((ix, within)) = node.teams_desk.released.pop() {
                 self.pass_on(gateway, ix.0, within);
-            } else if let Some((ix, come_back)) = node.teams_desk.rejected.pop() {
+            } else if let Some((ix, retry_after)) = node.teams_desk.rejected.pop() {
                 if let Some(open) = &self.nodes[gateway].slots[ix.0] {
                     self.refused[self.plan.statements[open.stmt].team].0 += 1;
                 }
-                self.answer(gateway, ix.0, Some(come_back));
+                self.answer(gateway, ix.0, Some(retry_after));
                 self.free(gateway, ix.0);
             } else if !node.desk.acts.is_empty() {
                 for act in std::mem::take(&mut node.desk.acts) {
@@ -550,17 +551,17 @@
                     .get(slot)
                     .copied()
                     .unwrap_or(1);
-                let execution = self.executions.len();
+                let attempt = self.attempts.len();
                 let Some(open) = &mut self.nodes[gateway].slots[slot] else {
                     return;
                 };
                 open.priority = priority;
-                open.out = Some(execution);
-                self.executions.push(Execution {
+                open.out = Some(attempt);
+                self.attempts.push(Attempt {
                     gateway,
                     slot,
                     stmt: open.stmt,
-                    number: open.executions,
+                    number: open.attempts,
                     engine,
                     priority,
                     sent: now,
@@ -569,29 +570,29 @@
                     running: false,
                     told: false,
                 });
-                open.executions += 1;
-                self.at(now + NETWORK, Event::AtEngine { execution });
-                self.at(now + timeout, Event::TimedOut { execution });
+                open.attempts += 1;
+                self.at(now + NETWORK, Event::AtEngine { attempt });
+                self.at(now + timeout, Event::TimedOut { attempt });
             }
-            Act::Withdraw { slot, execution } => {
+            Act::Withdraw { slot, attempt } => {
                 let out = self.nodes[gateway].slots[slot]
                     .as_ref()
                     .and_then(|open| open.out);
-                if let Some(out) = out.filter(|&out| self.executions[out].number == execution) {
-                    self.at(now + NETWORK, Event::GiveUp { execution: out });
+                if let Some(out) = out.filter(|&out| self.attempts[out].number == attempt) {
+                    self.at(now + NETWORK, Event::GiveUp { attempt: out });
                 }
             }
-            Act::Reject { slot, come_back } => {
+            Act::Reject { slot, retry_after } => {
                 if let Some(open) = &self.nodes[gateway].slots[slot] {
                     self.refused[self.plan.statements[open.stmt].team].1 += 1;
                 }
-                self.answer(gateway, slot, Some(come_back));
+                self.answer(gateway, slot, Some(retry_after));
             }
             Act::Abort { slot } => self.answer(gateway, slot, None),
             Act::Forget { slot } => {
                 let node = &mut self.nodes[gateway];
                 if let Some(open) = &node.slots[slot] {
-                    node.over.push((StmtIx(slot), open.real, open.took));
+                    node.over.push((StatementIndex(slot), open.real, open.took));
                 }
                 self.free(gateway, slot);
             }
@@ -618,8 +619,8 @@
         let stmt = open.stmt;
         self.clients[stmt].answers += 1;
         let asked = &self.plan.statements[stmt];
-        let Some(come_back) = refused else { return };
-        let again = self.now + 2 * NETWORK + come_back;
+        let Some(retry_after) = refused else { return };
+        let again = self.now + 2 * NETWORK + retry_after;
         let in_time = again < asked.at + self.plan.works[asked.workload].timeout / 2;
         if self.clients[stmt].tries < TRIES && in_time {
             self.at(again, Event::Arrive { stmt });
@@ -634,18 +635,19 @@
         let left = node
             .teams
             .as_mut()
-            .is_some_and(|t| t.leave(self.now, StmtIx(slot), &mut node.teams_desk));
+            .is_some_and(|t| t.leave(self.now, StatementIndex(slot), &mut node.teams_desk));
         if left {
             self.free(gateway, slot);
         } else {
-            node.module.expired(self.now, StmtIx(slot), &mut node.desk);
+            node.module
+                .on_statement_expired(self.now, StatementIndex(slot), &mut node.desk);
         }
         self.settle(gateway);
     }
 
-    fn at_engine(&mut self, execution: usize) {
+    fn at_engine(&mut self, attempt: usize) {
         let now = self.now;
-        let e = &self.executions[execution];
+        let e = &self.attempts[attempt];
         if e.told || now >= e.timeout {
             return;
         }
@@ -653,7 +655,7 @@
         let asked = &self.plan.statements[stmt];
         let work = &self.plan.works[asked.workload];
         let query = Query {
-            id: execution as u64,
+            id: attempt as u64,
             work: asked.work,
             threads: work.threads,
             priority: e.priority,
@@ -661,29 +663,29 @@
         };
         if self.engines[engine].start(now, query) {
             let client = &mut self.clients[stmt];
-            client.doubled |= client.may_have_run && work.effect == Effect::NonIdempotent;
+            client.doubled |= client.may_have_run && work.effect == Idempotency::NonIdempotent;
             client.may_have_run = true;
-            self.executions[execution].running = true;
+            self.attempts[attempt].running = true;
             self.engine_moves(engine);
         } else {
-            self.tell(execution, HOW_FULL);
+            self.tell(attempt, HOW_FULL);
         }
     }
 
     /// Takes out what has ended at an engine and looks again at its next end.
     fn engine_moves(&mut self, engine: usize) {
         for (id, end) in self.engines[engine].advance(self.now) {
-            let execution = id as usize;
-            self.executions[execution].running = false;
+            let attempt = id as usize;
+            self.attempts[attempt].running = false;
             let how = match end {
                 EngineEnd::Good(work) => {
-                    self.executions[execution].work = work;
-                    self.used[self.plan.statements[self.executions[execution].stmt].team] += work;
+                    self.attempts[attempt].work = work;
+                    self.used[self.plan.statements[self.attempts[attempt].stmt].team] += work;
                     HOW_GOOD
                 }
                 EngineEnd::Error => HOW_ERROR,
             };
-            self.tell(execution, how);
+            self.tell(attempt, how);
         }
         let next = self.engines[engine].next_end();
         if let Some(at) = next.filter(|&at| self.engine_due[engine].is_none_or(|due| at < due)) {
@@ -692,13 +694,13 @@
         }
     }
 
-    fn tell(&mut self, execution: usize, how: u8) {
-        self.at(self.now + NETWORK, Event::Told { execution, how });
+    fn tell(&mut self, attempt: usize, how: u8) {
+        self.at(self.now + NETWORK, Event::Told { attempt, how });
     }
 
-    fn told(&mut self, execution: usize, how: u8) {
+    fn told(&mut self, attempt: usize, how: u8) {
         let now = self.now;
-        let e = &mut self.executions[execution];
+        let e = &mut self.attempts[attempt];
         if std::mem::replace(&mut e.told, true) {
             return;
         }
@@ -707,14 +709,14 @@
         let outcome = match how {
             HOW_GOOD => Outcome::Completed,
             HOW_ERROR => Outcome::Error,
-            HOW_FULL => Outcome::Full,
+            HOW_FULL => Outcome::Overloaded,
             HOW_CANCELLED => Outcome::Cancelled,
             _ => Outcome::TimedOut,
         };
         let node = &mut self.nodes[gateway];
         let Some(open) = node.slots[slot]
             .as_mut()
-            .filter(|open| open.out == Some(execution))
+            .filter(|open| open.out == Some(attempt))
         else {
             return;
         };
@@ -737,9 +739,9 @@
             }
         }
         let report = [self.engines[engine].running() as f32];
-        let ended = Ended {
-            execution: e.number,
-            engine: EngineIx(engine),
+        let ended = AttemptEnded {
+            attempt: e.number,
+            engine: EngineIndex(engine),
             outcome,
             took,
             closed: open.answered,
@@ -751,7 +753,7 @@
             },
         };
         node.module
-            .execution_ended(now, StmtIx(slot), &ended, &mut node.desk);
+            .on_attempt_ended(now, StatementIndex(slot), &ended, &mut node.desk);
         self.settle(gateway);
     }
 
@@ -766,7 +768,7 @@
         for (client, asked) in self.clients.iter().zip(self.plan.statements) {
             let work = &self.plan.works[asked.workload];
             let took = client.served.map(|at| at - asked.at);
-            teams[asked.team].count(work.importance, asked.slo, took, client.tries);
+            teams[asked.team].count(work.priority_weight, asked.slo, took, client.tries);
             doubled += u64::from(client.doubled);
             unanswered += u64::from(client.answers < client.tries);
             twice += u64::from(client.answers > client.tries);
--- a/crates/ivypitch-lab/src/virtual_time/members_fleet.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/members_fleet.rs
@@ -3,7 +3,8 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use ivypitch_members::{Doubt, Members, Nanos, News, Roster, Seat, Terms};
+use ivypitch_membership::{Doubt, Members, News, Roster, Seat, Terms};
+use ivypitch_types::Nanos;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/ivypitch-lab/src/virtual_time/shares_fleet.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/shares_fleet.rs
@@ -4,10 +4,11 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 
-use ivypitch::interface::{Advice, Nanos, SECOND};
+use ivypitch_coordination::escrow::Terms as Bound;
+use ivypitch_coordination::{BoundTerms, Gossip, Message, Output, Process, Saw, Shares, Terms};
 use ivypitch_gateway::wire::peers;
-use ivypitch_shares::escrow::Terms as Bound;
-use ivypitch_shares::{BoundTerms, Gossip, Message, Output, Process, Saw, Shares, Terms};
+use ivypitch_scheduler::OutlierStatus;
+use ivypitch_types::{Nanos, SECOND};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -80,7 +81,7 @@
     pub passed_level: u64,
     pub passed_window: u64,
     /// The most that was held, and spent within a window, as a part of the bound.
-    pub most_held: f64,
+    pub max_open_statements: f64,
     pub most_spent: f64,
     pub under_floor: u64,
     /// Of what was asked for and would fit the bound, the part that could be used, from 2 s on.
@@ -150,7 +151,7 @@
 enum Act {
     Say(u16, Message),
     Gossip(u16, Gossip),
-    Advise(u64, Advice),
+    Advise(u64, OutlierStatus),
 }
 
 impl Output for Acts {
@@ -161,7 +162,7 @@
         self.0.push(Act::Gossip(to, gossip));
     }
     fn part(&mut self, _bound: usize, _part: f64) {}
-    fn advise(&mut self, engine: u64, advice: Advice) {
+    fn advise(&mut self, engine: u64, advice: OutlierStatus) {
         self.0.push(Act::Advise(engine, advice));
     }
     fn event(&mut self, _number: u64, _line: &[u8]) {}
@@ -184,7 +185,7 @@
     spends: f64,
     owed: f64,
     sends: f64,
-    advice: BTreeMap<u64, Advice>,
+    advice: BTreeMap<u64, OutlierStatus>,
     /// Own judgement, as the module's: the last few outcomes by engine, and when a failing one is tried again.
     own: BTreeMap<usize, VecDeque<(Nanos, bool)>>,
     failing: BTreeSet<usize>,
@@ -758,8 +759,8 @@
             self.in_window -= self.spent.pop_front().map_or(0, |(_, spent)| spent);
         }
         let verdict = &mut self.verdict;
-        verdict.most_held = verdict
-            .most_held
+        verdict.max_open_statements = verdict
+            .max_open_statements
             .max(f64::from(held_by_all) / f64::from(units));
         verdict.most_spent = verdict
             .most_spent
--- a/crates/ivypitch-lab/src/virtual_time/traffic.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/traffic.rs
@@ -1,6 +1,7 @@
 //! Who asks for what: workloads, teams, and when their statements come, by a seed. Arrivals don't wait for answers.
 
-use ivypitch::interface::{Effect, Nanos, SECOND};
+use ivypitch_scheduler::Idempotency;
+use ivypitch_types::{Nanos, SECOND};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, LogNormal};
@@ -8,12 +9,12 @@
 #[derive(Clone, Debug)]
 pub struct Work {
     pub name: &'static str,
-    pub importance: f64,
+    pub priority_weight: f64,
     pub slo: Nanos,
     /// The SLO time grows by this multiple of work over threads.
     pub stretch: f64,
     pub timeout: Nanos,
-    pub effect: Effect,
+    pub effect: Idempotency,
     pub threads: f64,
     /// Mean core-seconds, and the coefficient of variation.
     pub work: f64,
@@ -28,11 +29,11 @@
     vec![
         Work {
             name: "lookup",
-            importance: 1.0,
+            priority_weight: 1.0,
             slo: s(0.8),
             stretch: 2.0,
             timeout: s(4.0),
-            effect: Effect::Idempotent,
+            effect: Idempotency::Idempotent,
             threads: 1.0,
             work: 0.14 * scale,
             scatter: 1.0,
@@ -40,11 +41,11 @@
         },
         Work {
             name: "report",
-            importance: 8.0,
+            priority_weight: 8.0,
             slo: s(3.0),
             stretch: 2.5,
             timeout: s(25.0),
-            effect: Effect::Idempotent,
+            effect: Idempotency::Idempotent,
             threads: 2.0,
             work: 4.0 * scale,
             scatter: 1.2,
@@ -52,11 +53,11 @@
         },
         Work {
             name: "load",
-            importance: 8.0,
+            priority_weight: 8.0,
             slo: s(4.0),
             stretch: 2.5,
             timeout: s(25.0),
-            effect: Effect::NonIdempotent,
+            effect: Idempotency::NonIdempotent,
             threads: 2.0,
             work: 2.2 * scale,
             scatter: 0.6,
--- a/crates/ivypitch-lab/tests/capacity.rs
+++ b/crates/ivypitch-testbed/tests/capacity.rs
@@ -1,6 +1,6 @@
 //! The page on capacity stands on the record of a run.
 
-use ivypitch_lab::experiments::scale::capacity::{Recorded, counts, rows, tables};
+use ivypitch_testbed::experiments::scale::capacity::{Recorded, counts, rows, tables};
 
 const PAGE: &str = include_str!("../../../docs/CAPACITY.md");
 const RECORD: &str = include_str!("../../../docs/capacity.json");
--- a/crates/ivypitch-lab/tests/custody.rs
+++ b/crates/ivypitch-testbed/tests/custody.rs
@@ -1,7 +1,7 @@
 //! Custody in virtual time over fault plans; a plan that breaks a promise is printed, cut down.
 
-use ivypitch_lab::virtual_time::custody_fleet::{Fleet, draw, play};
-use ivypitch_lab::virtual_time::faults::Plan;
+use ivypitch_testbed::virtual_time::custody_fleet::{Fleet, draw, play};
+use ivypitch_testbed::virtual_time::faults::Plan;
 use test_case::test_case;
 
 #[test_case(false; "all faults")]
--- a/crates/ivypitch-lab/tests/relay.rs
+++ b/crates/ivypitch-testbed/tests/relay.rs
@@ -4,8 +4,8 @@
 use std::net::{TcpListener, TcpStream};
 use std::thread;
 
-use ivypitch_lab::processes::relay::{End, Net};
-use ivypitch_lab::stand_ins::{PATIENCE, Seen};
+use ivypitch_testbed::processes::relay::{End, Net};
+use ivypitch_testbed::stand_ins::{PATIENCE, Seen};
 use test_case::test_case;
 
 const FROM: End = End::Gateway(0);
--- a/crates/ivypitch-lab/tests/scale.rs
+++ b/crates/ivypitch-testbed/tests/scale.rs
@@ -1,12 +1,12 @@
 //! Slopes by counts, which are the same on any machine, and changes on their way to a whole fleet.
 
-use ivypitch_lab::experiments::scale::module::line;
-use ivypitch_lab::experiments::scale::peers::links;
-use ivypitch_lab::experiments::scale::slope::{Slope, at, passes_at};
-use ivypitch_lab::virtual_time::faults::Plan;
-use ivypitch_lab::virtual_time::feed_fleet::{self, Reached};
-use ivypitch_lab::virtual_time::{custody_fleet, members_fleet};
-use ivypitch_shares::sights::{Sight, Table};
+use ivypitch_coordination::sights::{Sight, Table};
+use ivypitch_testbed::experiments::scale::module::line;
+use ivypitch_testbed::experiments::scale::peers::links;
+use ivypitch_testbed::experiments::scale::slope::{Slope, at, passes_at};
+use ivypitch_testbed::virtual_time::faults::Plan;
+use ivypitch_testbed::virtual_time::feed_fleet::{self, Reached};
+use ivypitch_testbed::virtual_time::{custody_fleet, members_fleet};
 
 #[test]
 fn a_slope_finds_its_line_and_its_power_and_what_they_miss() {
@@ -44,7 +44,7 @@
         seconds: 4,
         kill_each: 0,
         cut: 0,
-        terms: ivypitch_members::Terms::default(),
+        terms: ivypitch_membership::Terms::default(),
     };
     members_fleet::play(fleet, seed)
 }
@@ -113,7 +113,7 @@
 #[test]
 fn words_on_engines_are_bounded_whatever_the_list_has() {
     let held = |engines: u64| {
-        let mut table = Table::new(300, ivypitch_shares::shares::MOST_ENGINES, 0);
+        let mut table = Table::new(300, ivypitch_coordination::shares::MOST_ENGINES, 0);
         for engine in 0..engines {
             table.put(
                 engine,
--- a/crates/ivypitch-lab/tests/shares.rs
+++ b/crates/ivypitch-testbed/tests/shares.rs
@@ -1,6 +1,6 @@
 //! What gateways share, in virtual time over fault plans; a plan that passes a bound is printed, cut down.
 
-use ivypitch_lab::virtual_time::shares_fleet::{Fleet, draw, play};
+use ivypitch_testbed::virtual_time::shares_fleet::{Fleet, draw, play};
 
 #[test]
 fn no_bound_is_passed_whatever_is_cut_or_restarted() {
