--- a/crates/ivypitch-cli/tests/takeover.rs
+++ b/crates/ivypitch-cli/tests/takeover.rs
@@ -5,7 +5,7 @@
 use std::net::{TcpStream, UdpSocket};
 use std::time::Instant;
 
-use ivypitch_ownership::{VERSION, Witnesses};
+use ivypitch_ownership::{VERSION, VoterAssignment};
 use ivypitch_testbed::processes::relay::End;
 use ivypitch_testbed::processes::{Engines, Fleet, Setup};
 use std::thread;
@@ -121,7 +121,7 @@
 
 /// An id whose witnesses, the first in rank first, are as wanted.
 fn id_where(gateways: usize, is: impl Fn(&[u16]) -> bool) -> (u64, Vec<u16>) {
-    let witnesses = Witnesses::new((0..gateways as u16).map(|g| g % 3).collect(), 5);
+    let witnesses = VoterAssignment::new((0..gateways as u16).map(|g| g % 3).collect(), 5);
     let found = (1..10_000)
         .map(|id| (id, witnesses.of(id)))
         .find(|(_, all)| is(all));
@@ -545,7 +545,7 @@
 #[test]
 fn ten_gateways_of_thirty_killed_at_once() {
     let mut s = scene_of(30, SLOW_PEERS).voting();
-    let witnesses = Witnesses::new((0..30).map(|g| g % 3).collect(), 5);
+    let witnesses = VoterAssignment::new((0..30).map(|g| g % 3).collect(), 5);
     let lost = (0..10usize).collect::<Vec<_>>();
     for &g in &lost {
         s.running(g, 1 + g as u64);
--- a/crates/ivypitch-config/src/own_peers.rs
+++ b/crates/ivypitch-config/src/own_peers.rs
@@ -5,7 +5,7 @@
 
 use ivypitch_coordination::shares::{MOST_ENGINES, MOST_EVENT_BYTES, MOST_EVENTS, UNITS_EACH};
 use ivypitch_membership::{Roster, Seat};
-use ivypitch_ownership::Policy;
+use ivypitch_ownership::NoQuorumPolicy;
 use ivypitch_types::Nanos;
 use serde::Deserialize;
 
@@ -323,20 +323,20 @@
 
 impl OwnCustody {
     /// `longest`: the longest time that a client waits in this deployment.
-    pub fn terms(&self, longest: Nanos) -> ivypitch_ownership::Terms {
+    pub fn terms(&self, longest: Nanos) -> ivypitch_ownership::OwnershipConfig {
         let policy = if self.without_majority == "single" {
-            Policy::Single
+            NoQuorumPolicy::ProceedAlone
         } else {
-            Policy::Refuse
+            NoQuorumPolicy::Reject
         };
-        ivypitch_ownership::Terms {
+        ivypitch_ownership::OwnershipConfig {
             witnesses: self.witnesses,
             policy,
             longest,
             remembered: ns(self.remembered_ms),
             result_cache_bytes_per_tenant: (self.kept_mb_a_customer * f64::from(1 << 20)) as usize,
             most_entries: self.most_statements,
-            ..ivypitch_ownership::Terms::default()
+            ..ivypitch_ownership::OwnershipConfig::default()
         }
     }
 
--- a/crates/ivypitch-gateway/src/actors/ownership.rs
+++ b/crates/ivypitch-gateway/src/actors/ownership.rs
@@ -5,7 +5,10 @@
 
 use async_channel::Sender;
 use bytes::Bytes;
-use ivypitch_ownership::{Arrived, Custody, Denied, Facts, Id, Leave, Message, Output, Word};
+use ivypitch_ownership::{
+    ArrivalDecision, FinalAnswer, GrantDecision, GrantDenial, Message, Output, Ownership,
+    StatementId, StatementSpec,
+};
 use ivypitch_types::{EngineIndex, Nanos};
 use serde_bytes::ByteBuf;
 
@@ -18,16 +21,16 @@
 /// What custody asks the module's actor to do.
 #[derive(Debug)]
 pub enum Act {
-    Go(Id, u32),
-    Denied(Id, u32, Denied),
-    Proceed(Id),
+    Go(StatementId, u32),
+    Denied(StatementId, u32, GrantDenial),
+    Proceed(StatementId),
     Adopt {
-        id: Id,
+        id: StatementId,
         text: Vec<u8>,
         left: Nanos,
         engine: Option<u64>,
     },
-    Answer(u64, Word),
+    Answer(u64, FinalAnswer),
 }
 
 struct Acts {
@@ -39,16 +42,16 @@
     fn tell(&mut self, to: u16, message: Message) {
         let _ = self.peers.try_send(PeersMessage::Tell { to, message });
     }
-    fn go(&mut self, id: Id, number: u32) {
+    fn go(&mut self, id: StatementId, number: u32) {
         self.asked.push_back(Act::Go(id, number));
     }
-    fn denied(&mut self, id: Id, number: u32, why: Denied) {
+    fn denied(&mut self, id: StatementId, number: u32, why: GrantDenial) {
         self.asked.push_back(Act::Denied(id, number, why));
     }
-    fn proceed(&mut self, id: Id) {
+    fn proceed(&mut self, id: StatementId) {
         self.asked.push_back(Act::Proceed(id));
     }
-    fn adopt(&mut self, id: Id, facts: &Facts, left: Nanos, engine: Option<u64>) {
+    fn adopt(&mut self, id: StatementId, facts: &StatementSpec, left: Nanos, engine: Option<u64>) {
         self.asked.push_back(Act::Adopt {
             id,
             text: facts.text.clone(),
@@ -56,7 +59,7 @@
             engine,
         });
     }
-    fn answer(&mut self, waiter: u64, word: &Word) {
+    fn answer(&mut self, waiter: u64, word: &FinalAnswer) {
         self.asked.push_back(Act::Answer(waiter, word.clone()));
     }
     fn log(&mut self, line: &str) {
@@ -66,7 +69,7 @@
 
 /// A client whose statement is not with the module.
 pub struct Waiting {
-    pub id: Id,
+    pub id: StatementId,
     pub connection: u32,
     pub deadline: Nanos,
     pub client: Client,
@@ -82,20 +85,20 @@
 }
 
 pub struct Keeper {
-    custody: Custody,
+    ownership: Ownership,
     acts: Acts,
     /// Emptied by the answer, the client's going or the deadline.
     pub waiting: BTreeMap<u64, Waiting>,
     /// Emptied by leave or its denial, within the grant's wait.
-    pub ready: BTreeMap<Id, Ready>,
+    pub ready: BTreeMap<StatementId, Ready>,
     last_token: u64,
     asks_from: Nanos,
 }
 
 impl Keeper {
-    pub fn new(custody: Custody, peers: Sender<PeersMessage>, asks_from: Nanos) -> Keeper {
+    pub fn new(ownership: Ownership, peers: Sender<PeersMessage>, asks_from: Nanos) -> Keeper {
         Keeper {
-            custody,
+            ownership,
             acts: Acts {
                 asked: VecDeque::new(),
                 peers,
@@ -120,47 +123,61 @@
         !self.acts.asked.is_empty()
     }
 
-    pub fn deny_later(&mut self, id: Id, number: u32, why: Denied) {
+    pub fn deny_later(&mut self, id: StatementId, number: u32, why: GrantDenial) {
         self.acts.asked.push_back(Act::Denied(id, number, why));
     }
 
-    pub fn arrive(&mut self, now: Nanos, id: Id, facts: Facts, work: Nanos, token: u64) -> Arrived {
+    pub fn arrive(
+        &mut self,
+        now: Nanos,
+        id: StatementId,
+        facts: StatementSpec,
+        work: Nanos,
+        token: u64,
+    ) -> ArrivalDecision {
         let asks = work >= self.asks_from;
-        self.custody
+        self.ownership
             .arrive(now, id, facts, asks, token, &mut self.acts)
     }
 
-    pub fn grant(&mut self, now: Nanos, id: Id, number: u32, engine: u64) -> Leave {
-        self.custody.grant(now, id, number, engine, &mut self.acts)
+    pub fn grant(
+        &mut self,
+        now: Nanos,
+        id: StatementId,
+        number: u32,
+        engine: u64,
+    ) -> GrantDecision {
+        self.ownership
+            .grant(now, id, number, engine, &mut self.acts)
     }
 
-    pub fn on_attempt_ended(&mut self, now: Nanos, id: Id, number: u32, never_ran: bool) {
-        self.custody.on_attempt_ended(now, id, number, never_ran);
+    pub fn on_attempt_ended(&mut self, now: Nanos, id: StatementId, number: u32, never_ran: bool) {
+        self.ownership.on_attempt_ended(now, id, number, never_ran);
     }
 
     /// `Some`: the client of this token hears later.
-    pub fn answered(&mut self, now: Nanos, id: Id, answer: &Answer) -> Option<u64> {
+    pub fn answered(&mut self, now: Nanos, id: StatementId, answer: &Answer) -> Option<u64> {
         let word = match answer {
-            Answer::Completed(rows) => Word::Rows(
+            Answer::Completed(rows) => FinalAnswer::Rows(
                 rows.clone()
                     .into_pages()
                     .map(|page| ByteBuf::from(page.to_vec()))
                     .collect(),
             ),
-            Answer::Rejected { retry_after } => Word::Rejected {
+            Answer::Rejected { retry_after } => FinalAnswer::Rejected {
                 come_back_ms: (retry_after / 1_000_000) as u32,
             },
-            _ => Word::Aborted,
+            _ => FinalAnswer::Aborted,
         };
-        self.custody.answered(now, id, word, &mut self.acts)
+        self.ownership.answered(now, id, word, &mut self.acts)
     }
 
-    pub fn engine_unknown(&mut self, now: Nanos, id: Id) {
-        self.custody.engine_unknown(now, id, &mut self.acts);
+    pub fn engine_unknown(&mut self, now: Nanos, id: StatementId) {
+        self.ownership.engine_unknown(now, id, &mut self.acts);
     }
 
-    pub fn outlives_client(&self, id: Id) -> bool {
-        self.custody.outlives_client(id)
+    pub fn outlives_client(&self, id: StatementId) -> bool {
+        self.ownership.outlives_client(id)
     }
 
     /// The client of this connection has gone, if it waits here; its statement, if it was to go on.
@@ -171,7 +188,7 @@
             .find(|(_, w)| w.connection == connection)
             .map(|(&token, _)| token)?;
         let waiting = self.waiting.remove(&token)?;
-        self.custody.leave(waiting.id, token);
+        self.ownership.leave(waiting.id, token);
         Some(waiting)
     }
 
@@ -185,7 +202,7 @@
         let mut over = Vec::new();
         for token in late {
             if let Some(waiting) = self.waiting.remove(&token) {
-                self.custody.leave(waiting.id, token);
+                self.ownership.leave(waiting.id, token);
                 over.push(waiting);
             }
         }
@@ -195,18 +212,18 @@
     pub fn peer(&mut self, now: Nanos, peer: &Peer) {
         match peer {
             Peer::Heard { from, message, .. } => self.heard(now, *from, (**message).clone()),
-            Peer::Up { place, birth } => self.custody.member_up(now, *place, *birth),
+            Peer::Up { place, birth } => self.ownership.member_up(now, *place, *birth),
             Peer::Down { place, birth } => {
-                self.custody
+                self.ownership
                     .member_down(now, *place, *birth, &mut self.acts)
             }
-            Peer::Suspected { place, is } => self.custody.member_suspected(*place, *is),
+            Peer::Suspected { place, is } => self.ownership.member_suspected(*place, *is),
             Peer::Shared { .. } | Peer::Gossip(..) => {}
         }
     }
 
     pub fn heard(&mut self, now: Nanos, from: u16, message: Message) {
-        self.custody.heard(now, from, message, &mut self.acts);
+        self.ownership.heard(now, from, message, &mut self.acts);
     }
 
     pub fn next_wake(&self) -> Nanos {
@@ -216,26 +233,26 @@
             .map(|w| w.deadline)
             .min()
             .unwrap_or(Nanos::MAX);
-        self.custody.next_wake().min(late)
+        self.ownership.next_wake().min(late)
     }
 
     pub fn woken(&mut self, now: Nanos) {
-        if self.custody.next_wake() <= now {
-            self.custody.woken(now, &mut self.acts);
+        if self.ownership.next_wake() <= now {
+            self.ownership.woken(now, &mut self.acts);
         }
     }
 
-    pub fn hand_over(&mut self, now: Nanos) -> Vec<Id> {
-        self.custody.hand_over(now, &mut self.acts)
+    pub fn hand_over(&mut self, now: Nanos) -> Vec<StatementId> {
+        self.ownership.hand_over(now, &mut self.acts)
     }
 
     pub fn leave_fleet(&self) {
-        let _ = self.acts.peers.try_send(PeersMessage::Leave);
+        let _ = self.acts.peers.try_send(PeersMessage::GrantDecision);
     }
 
     /// One line as the program ends.
     pub fn tell_record(&self) {
-        let t = self.custody.totals();
+        let t = self.ownership.totals();
         log::info!(
             "custody: {} orphaned, {} claimed, {} watched, {} kept, {} given to clients that came back, {} in doubt, \
              {} without a majority, {} elsewhere",
@@ -252,9 +269,9 @@
 }
 
 /// A word of custody as a client's answer.
-pub fn answer_of(word: Word) -> Answer {
+pub fn answer_of(word: FinalAnswer) -> Answer {
     match word {
-        Word::Rows(pages) => {
+        FinalAnswer::Rows(pages) => {
             let mut rows = Rows::default();
             for page in pages {
                 if rows.add(Bytes::from(page.into_vec())).is_err() {
@@ -263,11 +280,11 @@
             }
             Answer::Completed(rows)
         }
-        Word::Completed => Answer::EndedBefore,
-        Word::Rejected { come_back_ms } => Answer::Rejected {
+        FinalAnswer::CompletedWithoutRows => Answer::EndedBefore,
+        FinalAnswer::Rejected { come_back_ms } => Answer::Rejected {
             retry_after: u64::from(come_back_ms) * 1_000_000,
         },
-        Word::Aborted => Answer::Aborted,
-        Word::Different => Answer::IdTaken,
+        FinalAnswer::Aborted => Answer::Aborted,
+        FinalAnswer::IdReused => Answer::IdTaken,
     }
 }
--- a/crates/ivypitch-gateway/src/actors/peer_links.rs
+++ b/crates/ivypitch-gateway/src/actors/peer_links.rs
@@ -57,7 +57,7 @@
         gossip: Gossip,
     },
     /// This process ends.
-    Leave,
+    GrantDecision,
     Linked {
         place: u16,
         outbox: Outbox,
@@ -341,7 +341,7 @@
                     }
                 }
             }
-            PeersMessage::Leave => self.members.leave(self.shared.clock.now()),
+            PeersMessage::GrantDecision => self.members.leave(self.shared.clock.now()),
             PeersMessage::Linked {
                 place,
                 outbox,
--- a/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
@@ -18,7 +18,7 @@
 use ivypitch_scheduler::*;
 use ivypitch_types::*;
 
-use ivypitch_ownership::{Arrived, Denied, Facts, Id, Leave};
+use ivypitch_ownership::{ArrivalDecision, GrantDecision, GrantDenial, StatementId, StatementSpec};
 
 use crate::actors::attempt::{Attempt, Gate};
 use crate::actors::coordination::{self, Sharing};
@@ -411,7 +411,7 @@
     }
 
     /// An execution has leave. What has changed meanwhile is asked for as its first byte leaves.
-    fn go(&mut self, id: Id, number: u32) {
+    fn go(&mut self, id: StatementId, number: u32) {
         let world = &mut self.world;
         let Some(keeper) = world.keeper.as_mut() else {
             return;
@@ -428,7 +428,7 @@
         }
     }
 
-    fn denied(&mut self, id: Id, number: u32, why: Denied) {
+    fn denied(&mut self, id: StatementId, number: u32, why: GrantDenial) {
         let world = &mut self.world;
         let Some(stmt) = world.stmts.of_req(id) else {
             return;
@@ -443,9 +443,9 @@
             .as_ref()
             .map_or(EngineIndex(usize::MAX), |out| out.engine);
         match why {
-            Denied::NoMajority { clean: true } => {}
-            Denied::NoMajority { clean: false } => world.answer(stmt, Answer::Aborted),
-            Denied::Elsewhere => {
+            GrantDenial::NoQuorum { clean: true } => {}
+            GrantDenial::NoQuorum { clean: false } => world.answer(stmt, Answer::Aborted),
+            GrantDenial::OwnedElsewhere => {
                 if let Some(client) = world.stmts.answer(stmt)
                     && let Some(keeper) = world.keeper.as_mut()
                 {
@@ -481,7 +481,7 @@
     }
 
     /// Another gateway's statement is this one's now.
-    fn adopt(&mut self, id: Id, text: Vec<u8>, left: Nanos, engine: Option<u64>) {
+    fn adopt(&mut self, id: StatementId, text: Vec<u8>, left: Nanos, engine: Option<u64>) {
         let Module { gateway, world, .. } = self;
         let now = world.now;
         let at = engine.map(|number| {
@@ -606,7 +606,7 @@
         };
         let id = fields.req_number();
         let left_ms = deadline.saturating_sub(now) / MS;
-        let facts = Facts {
+        let facts = StatementSpec {
             digest: fields.digest(),
             workload: workload as u16,
             tenant: tenant as u16,
@@ -617,7 +617,7 @@
         let work = fields.work_ms.map_or(0, |ms| (ms * MS as f64) as Nanos);
         let token = keeper.token();
         match keeper.arrive(now, id, facts, work, token) {
-            Arrived::Proceed => {
+            ArrivalDecision::Proceed => {
                 self.begin(connection, fields, (workload, tenant), deadline, client);
                 if let Some(open) = self
                     .world
@@ -628,8 +628,8 @@
                     open.token = token;
                 }
             }
-            Arrived::Word(word) => client.send(ownership::answer_of(word)),
-            Arrived::Waits => {
+            ArrivalDecision::Answer(word) => client.send(ownership::answer_of(word)),
+            ArrivalDecision::Wait => {
                 let going = Some((fields, workload, tenant));
                 keeper.waiting.insert(
                     token,
@@ -1431,8 +1431,8 @@
             number,
             self.numbers.get(engine.0).copied().unwrap_or(0),
         ) {
-            Leave::Go => self.post(engine, attempt),
-            Leave::Wait => drop(keeper.ready.insert(
+            GrantDecision::Granted => self.post(engine, attempt),
+            GrantDecision::Pending => drop(keeper.ready.insert(
                 id,
                 Ready {
                     number,
@@ -1440,7 +1440,7 @@
                     attempt,
                 },
             )),
-            Leave::Denied(why) => keeper.deny_later(id, number, why),
+            GrantDecision::Denied(why) => keeper.deny_later(id, number, why),
         }
     }
 
--- a/crates/ivypitch-gateway/src/lifecycle/program.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/program.rs
@@ -199,7 +199,7 @@
             }
             if own.custody.enabled {
                 let terms = own.custody.terms(longest_timeout);
-                let custody = ivypitch_ownership::Custody::new(place, birth, zones, terms, now);
+                let custody = ivypitch_ownership::Ownership::new(place, birth, zones, terms, now);
                 keeper = Some(Keeper::new(custody, mailbox, own.custody.asks_from()));
             }
         }
--- a/crates/ivypitch-ownership/src/lib.rs
+++ b/crates/ivypitch-ownership/src/lib.rs
@@ -3,14 +3,20 @@
 //! No I/O, no clock, no threads: the caller brings messages and the time, and carries out what is asked for.
 //! Promises, ways weighed and the argument why nothing runs twice: `docs/custody.md`.
 
-mod custody;
-mod kept;
-mod ledger;
 mod message;
-mod witnesses;
+mod ownership;
+mod result_cache;
+mod vote_log;
+mod voters;
 
-pub use custody::{Arrived, Custody, Denied, Leave, Output, Policy, Stage, Terms, Totals};
-pub use kept::Kept;
-pub use ledger::{Copy as EntryCopy, Ledger, Refusal};
-pub use message::{Answered, End, Epoch, Facts, Grant, Id, Memory, Message, Told, VERSION, Word};
-pub use witnesses::Witnesses;
+pub use message::{
+    AttemptGrant, Epoch, FinalAnswer, LookupAnswer, Message, StatementEnd, StatementId,
+    StatementRecord, StatementSpec, VERSION, VoteLogCompleteness,
+};
+pub use ownership::{
+    ArrivalDecision, GrantDecision, GrantDenial, NoQuorumPolicy, Output, Ownership,
+    OwnershipConfig, OwnershipCounters, StatementState,
+};
+pub use result_cache::ResultCache;
+pub use vote_log::{VoteLog, VoteRefusal};
+pub use voters::VoterAssignment;
--- a/crates/ivypitch-ownership/src/message.rs
+++ b/crates/ivypitch-ownership/src/message.rs
@@ -7,7 +7,7 @@
 pub const VERSION: u16 = 1;
 
 /// A statement's id as its client gave it, the same however often the client comes.
-pub type Id = u64;
+pub type StatementId = u64;
 
 /// Names who may act for a statement; each taking over makes a higher one.
 #[derive(
@@ -22,7 +22,7 @@
 
 /// What is needed to run a statement, wherever it is.
 #[derive(Clone, PartialEq, Eq, Hash, Debug, Serialize, Deserialize)]
-pub struct Facts {
+pub struct StatementSpec {
     /// Of all that the client sent under the id, but for its time: another one is another statement.
     pub digest: u64,
     pub workload: u16,
@@ -38,7 +38,7 @@
 
 /// Leave to send one execution; written once, it never moves.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Serialize, Deserialize)]
-pub struct Grant {
+pub struct AttemptGrant {
     pub epoch: Epoch,
     pub number: u32,
     /// The engine's id as a number, the same at every gateway.
@@ -48,7 +48,7 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Serialize, Deserialize)]
-pub enum End {
+pub enum StatementEnd {
     /// `rows_at`: where its rows are, as long as they are kept.
     Completed { rows_at: u16, birth: u64 },
     /// May have run; nobody knows more.
@@ -59,94 +59,94 @@
 
 /// What a witness has of a statement.
 #[derive(Clone, PartialEq, Eq, Hash, Debug, Serialize, Deserialize)]
-pub struct Told {
-    pub id: Id,
+pub struct StatementRecord {
+    pub id: StatementId,
     /// Of whoever may act for it.
     pub epoch: Epoch,
-    pub facts: Option<Facts>,
-    pub grants: Vec<Grant>,
-    pub end: Option<End>,
+    pub facts: Option<StatementSpec>,
+    pub grants: Vec<AttemptGrant>,
+    pub end: Option<StatementEnd>,
 }
 
 /// The answer to a client that came back, or where to ask.
 #[derive(Clone, PartialEq, Eq, Hash, Debug, Serialize, Deserialize)]
-pub enum Answered {
+pub enum LookupAnswer {
     /// Nothing is known of it.
     Unknown,
     /// Ask there.
-    At(u16),
-    Word(Word),
+    HeldBy(u16),
+    Final(FinalAnswer),
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug, Serialize, Deserialize)]
-pub enum Word {
+pub enum FinalAnswer {
     /// All pages of its rows.
     Rows(Vec<serde_bytes::ByteBuf>),
     /// It completed; its rows are kept no more.
-    Completed,
+    CompletedWithoutRows,
     Rejected {
         come_back_ms: u32,
     },
     Aborted,
     /// Under this id another statement is known.
-    Different,
+    IdReused,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug, Serialize, Deserialize)]
 pub enum Message {
     /// News without an answer: statements that need no grant, ends, grants that never ran.
-    Tell(Vec<Told>),
-    Grant {
-        told: Told,
-        grant: Grant,
+    Update(Vec<StatementRecord>),
+    GrantRequest {
+        told: StatementRecord,
+        grant: AttemptGrant,
     },
     /// To a grant: it stands here, or what stands against it.
-    Granted {
-        id: Id,
-        grant: Grant,
-        against: Option<Told>,
+    GrantReply {
+        id: StatementId,
+        grant: AttemptGrant,
+        against: Option<StatementRecord>,
     },
-    Claim {
-        id: Id,
+    TakeoverRequest {
+        id: StatementId,
         epoch: Epoch,
     },
     /// To a claim. `promised`: this witness lets no lower epoch act. With what it has, if anything.
-    Promise {
-        id: Id,
+    TakeoverReply {
+        id: StatementId,
         epoch: Epoch,
         promised: bool,
-        told: Option<Told>,
+        told: Option<StatementRecord>,
     },
     /// This witness began lately and can't vote on the id yet.
-    Abstain {
-        id: Id,
+    Abstention {
+        id: StatementId,
         epoch: Epoch,
     },
     /// A client came back.
-    Ask {
-        id: Id,
+    LookupRequest {
+        id: StatementId,
         digest: u64,
         serial: u64,
     },
-    Answer {
+    LookupReply {
         serial: u64,
-        id: Id,
-        answered: Answered,
+        id: StatementId,
+        answered: LookupAnswer,
     },
     /// The sender ends; the receiver is to take it over now.
-    HandOver(Told),
+    Handoff(StatementRecord),
     /// What the sender knows of statements that the receiver bears witness of. The last part says so, and what the
     /// sender's word of votes is worth.
-    Relearn {
-        told: Vec<Told>,
-        last: Option<Memory>,
+    StateTransfer {
+        told: Vec<StatementRecord>,
+        last: Option<VoteLogCompleteness>,
     },
 }
 
 /// How much a gateway's word of what was voted on is worth.
 #[derive(Clone, PartialEq, Eq, Hash, Debug, Serialize, Deserialize)]
-pub enum Memory {
-    Whole,
+pub enum VoteLogCompleteness {
+    Complete,
     /// It began lately and was told by these.
-    ToldBy(Vec<u16>),
+    RestoredFrom(Vec<u16>),
 }
--- a/crates/ivypitch-ownership/src/custody.rs
+++ b/crates/ivypitch-ownership/src/ownership.rs
@@ -5,25 +5,28 @@
 
 use ivypitch_types::{Nanos, SECOND};
 
-use crate::kept::Kept;
-use crate::ledger::{Ledger, Refusal};
-use crate::message::{Answered, End, Epoch, Facts, Grant, Id, Memory, Message, Told, Word};
-use crate::witnesses::Witnesses;
+use crate::message::{
+    AttemptGrant, Epoch, FinalAnswer, LookupAnswer, Message, StatementEnd, StatementId,
+    StatementRecord, StatementSpec, VoteLogCompleteness,
+};
+use crate::result_cache::ResultCache;
+use crate::vote_log::{VoteLog, VoteRefusal};
+use crate::voters::VoterAssignment;
 
 const MS: Nanos = 1_000_000;
 
 /// What becomes of a non-idempotent statement whose grant finds no majority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Policy {
+pub enum NoQuorumPolicy {
     /// Rejected at once.
-    Refuse,
+    Reject,
     /// Sent as without peers, and not taken over later. Where its client comes to the other side of a cut meanwhile,
     /// that side knows nothing of it.
-    Single,
+    ProceedAlone,
 }
 
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct OwnershipConfig {
     /// Witnesses of each statement.
     pub witnesses: usize,
     /// Of these, so many hear of statements that need no grant.
@@ -44,14 +47,14 @@
     pub longest: Nanos,
     /// After its time a client may come back for so long.
     pub remembered: Nanos,
-    pub policy: Policy,
+    pub policy: NoQuorumPolicy,
     pub result_cache_bytes_per_tenant: usize,
     pub most_entries: usize,
 }
 
-impl Default for Terms {
-    fn default() -> Terms {
-        Terms {
+impl Default for OwnershipConfig {
+    fn default() -> OwnershipConfig {
+        OwnershipConfig {
             witnesses: 5,
             told: 3,
             grant_wait: 100 * MS,
@@ -63,7 +66,7 @@
             tell_every: 20 * MS,
             longest: 25 * SECOND,
             remembered: 5 * SECOND,
-            policy: Policy::Refuse,
+            policy: NoQuorumPolicy::Reject,
             result_cache_bytes_per_tenant: 4 << 20,
             most_entries: 200_000,
         }
@@ -71,69 +74,69 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Stage {
+pub enum StatementState {
     /// A client came; witnesses are asked whether it is known.
-    Asking,
+    LookingUp,
     /// This gateway acts for it; no grant of this epoch stands.
-    Held,
+    Owned,
     /// This gateway acts for it, and a grant stands.
-    Witnessed,
+    Replicated,
     /// Its gateway was lost; this one's turn to claim may come.
     Orphaned,
     /// This gateway has asked for leave to act for it.
-    Claimed,
+    TakingOver,
     /// Taken over: this gateway acts for an execution that another sent.
-    Watched,
+    TakenOver,
     /// Another gateway acts for it; clients here wait for its word.
-    Elsewhere,
+    OwnedElsewhere,
     /// Its end is known here, with its rows as long as they are kept.
-    Kept,
+    Cached,
     /// A client that came back has had the end.
     Delivered,
     /// Over, or another's.
     Closed,
     /// Its execution may have run and nobody can say more.
-    InDoubt,
+    Unknown,
 }
 
 /// What is said to a client's arrival.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Arrived {
+pub enum ArrivalDecision {
     /// New: it goes on its way; this gateway acts for it.
     Proceed,
     /// An answer or [`Output::proceed`] follows.
-    Waits,
-    Word(Word),
+    Wait,
+    Answer(FinalAnswer),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Denied {
+pub enum GrantDenial {
     /// No majority of its witnesses can be had, and the own file says refuse. `clean`: nobody else can have sent it;
     /// where a member was lost lately, its client may have come from there.
-    NoMajority { clean: bool },
+    NoQuorum { clean: bool },
     /// Another acts for it: the execution is not sent, and the client waits here for the other's word.
-    Elsewhere,
+    OwnedElsewhere,
 }
 
 /// What a send is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Leave {
-    Go,
+pub enum GrantDecision {
+    Granted,
     /// [`Output::go`] or [`Output::denied`] follows.
-    Wait,
-    Denied(Denied),
+    Pending,
+    Denied(GrantDenial),
 }
 
 pub trait Output {
     fn tell(&mut self, to: u16, message: Message);
-    fn go(&mut self, id: Id, number: u32);
-    fn denied(&mut self, id: Id, number: u32, why: Denied);
+    fn go(&mut self, id: StatementId, number: u32);
+    fn denied(&mut self, id: StatementId, number: u32, why: GrantDenial);
     /// Nobody knows it: it goes on its way as a new statement.
-    fn proceed(&mut self, id: Id);
+    fn proceed(&mut self, id: StatementId);
     /// This gateway acts for it from now on. `at`: the engine where an execution may be, to be asked and not started.
-    fn adopt(&mut self, id: Id, facts: &Facts, left: Nanos, at: Option<u64>);
+    fn adopt(&mut self, id: StatementId, facts: &StatementSpec, left: Nanos, at: Option<u64>);
     /// To a client that waits here.
-    fn answer(&mut self, waiter: u64, word: &Word);
+    fn answer(&mut self, waiter: u64, word: &FinalAnswer);
     fn log(&mut self, line: &str);
 }
 
@@ -154,21 +157,21 @@
 }
 
 struct Pending {
-    grant: Grant,
+    grant: AttemptGrant,
     asked_at: Nanos,
     stands: BTreeSet<u16>,
-    refused: BTreeMap<u16, Option<Told>>,
+    refused: BTreeMap<u16, Option<StatementRecord>>,
 }
 
 struct Case {
-    stage: Stage,
+    stage: StatementState,
     /// Under which this gateway acts, or asks to.
     epoch: Epoch,
-    facts: Facts,
+    facts: StatementSpec,
     deadline: Nanos,
-    grants: Vec<Grant>,
+    grants: Vec<AttemptGrant>,
     pending: Option<Pending>,
-    promises: BTreeMap<u16, Option<Told>>,
+    promises: BTreeMap<u16, Option<StatementRecord>>,
     /// The token of the client whose statement is on its way here.
     own: Option<u64>,
     waiters: Vec<Waiter>,
@@ -190,27 +193,30 @@
 
 impl Case {
     fn is_open(&self) -> bool {
-        self.stage <= Stage::Elsewhere
+        self.stage <= StatementState::OwnedElsewhere
     }
 
     /// This gateway acts for it.
     fn acts(&self) -> bool {
-        matches!(self.stage, Stage::Held | Stage::Witnessed | Stage::Watched)
+        matches!(
+            self.stage,
+            StatementState::Owned | StatementState::Replicated | StatementState::TakenOver
+        )
     }
 
-    fn told(&self, now: Nanos, id: Id, with_text: bool) -> Told {
+    fn told(&self, now: Nanos, id: StatementId, with_text: bool) -> StatementRecord {
         let text = if with_text {
             self.facts.text.clone()
         } else {
             Vec::new()
         };
         let left_ms = (self.deadline.saturating_sub(now) / MS) as u32;
-        let facts = Some(Facts {
+        let facts = Some(StatementSpec {
             left_ms,
             text,
             ..self.facts.clone()
         });
-        Told {
+        StatementRecord {
             id,
             epoch: self.epoch,
             facts,
@@ -222,7 +228,7 @@
 
 /// Counts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Totals {
+pub struct OwnershipCounters {
     pub orphaned: u64,
     pub claimed: u64,
     pub watched: u64,
@@ -248,27 +254,27 @@
 /// A member lost so soon after it was told all may not have read it.
 const TEACH_LOST: Nanos = 2 * SECOND;
 
-pub struct Custody {
+pub struct Ownership {
     place: u16,
     birth: u64,
-    terms: Terms,
-    witnesses: Witnesses,
-    ledger: Ledger,
-    cases: BTreeMap<Id, Case>,
-    wakes: BTreeSet<(Nanos, Id)>,
-    kept: Kept,
+    terms: OwnershipConfig,
+    witnesses: VoterAssignment,
+    ledger: VoteLog,
+    cases: BTreeMap<StatementId, Case>,
+    wakes: BTreeSet<(Nanos, StatementId)>,
+    kept: ResultCache,
     /// Births of the members that are heard, by place.
     heard: Vec<Option<u64>>,
     suspected: BTreeSet<u16>,
     /// When the newest loss was heard of.
     last_loss: Option<Nanos>,
     /// When each end was heard of, while its rows may still be at an engine; and the same in order of time.
-    ended: BTreeMap<Id, Nanos>,
-    ended_in_order: VecDeque<(Nanos, Id)>,
+    ended: BTreeMap<StatementId, Nanos>,
+    ended_in_order: VecDeque<(Nanos, StatementId)>,
     /// Cases that are over, the oldest first; beyond `most_entries` they are forgotten before their time.
-    over: VecDeque<Id>,
+    over: VecDeque<StatementId>,
     /// What the next batch tells, by statement: its end, where it has one.
-    news: BTreeMap<Id, Option<End>>,
+    news: BTreeMap<StatementId, Option<StatementEnd>>,
     next_tell: Nanos,
     /// Members that came up and may have forgotten their votes.
     to_teach: BTreeMap<u16, Pupil>,
@@ -276,15 +282,21 @@
     taught: Vec<Option<(u64, Nanos)>>,
     began: Nanos,
     serial: u64,
-    totals: Totals,
+    totals: OwnershipCounters,
 }
 
-impl Custody {
+impl Ownership {
     /// `zones`: of each seat of the list, by place.
-    pub fn new(place: u16, birth: u64, zones: Vec<u16>, terms: Terms, now: Nanos) -> Custody {
+    pub fn new(
+        place: u16,
+        birth: u64,
+        zones: Vec<u16>,
+        terms: OwnershipConfig,
+        now: Nanos,
+    ) -> Ownership {
         let seats = zones.len();
-        let witnesses = Witnesses::new(zones, terms.witnesses);
-        let ledger = Ledger::new(
+        let witnesses = VoterAssignment::new(zones, terms.witnesses);
+        let ledger = VoteLog::new(
             place,
             now,
             terms.grant_lives,
@@ -292,10 +304,10 @@
             terms.remembered,
             terms.most_entries,
         );
-        Custody {
+        Ownership {
             place,
             birth,
-            kept: Kept::new(terms.result_cache_bytes_per_tenant),
+            kept: ResultCache::new(terms.result_cache_bytes_per_tenant),
             witnesses,
             ledger,
             cases: BTreeMap::new(),
@@ -312,12 +324,12 @@
             taught: vec![None; seats],
             began: now,
             serial: 0,
-            totals: Totals::default(),
+            totals: OwnershipCounters::default(),
             terms,
         }
     }
 
-    pub fn totals(&self) -> Totals {
+    pub fn totals(&self) -> OwnershipCounters {
         self.totals
     }
 
@@ -330,12 +342,12 @@
         )
     }
 
-    pub fn stage(&self, id: Id) -> Option<Stage> {
+    pub fn stage(&self, id: StatementId) -> Option<StatementState> {
         self.cases.get(&id).map(|case| case.stage)
     }
 
     /// An execution whose client has gone goes on: the client may come back to another gateway.
-    pub fn outlives_client(&self, id: Id) -> bool {
+    pub fn outlives_client(&self, id: StatementId) -> bool {
         self.cases
             .get(&id)
             .is_some_and(|case| case.acts() && (case.is_told || !case.facts.idempotent))
@@ -364,31 +376,34 @@
     pub fn arrive(
         &mut self,
         now: Nanos,
-        id: Id,
-        facts: Facts,
+        id: StatementId,
+        facts: StatementSpec,
         asks: bool,
         waiter: u64,
         out: &mut dyn Output,
-    ) -> Arrived {
+    ) -> ArrivalDecision {
         self.tidy(now);
         let mut count = 0;
         if let Some(case) = self.cases.get_mut(&id) {
-            let is_over = matches!(case.stage, Stage::Closed);
+            let is_over = matches!(case.stage, StatementState::Closed);
             if !is_over && case.facts.digest != facts.digest {
-                return Arrived::Word(Word::Different);
+                return ArrivalDecision::Answer(FinalAnswer::IdReused);
             }
             if case.is_open() {
                 case.waiters.push(Waiter::Local(waiter));
-                return Arrived::Waits;
+                return ArrivalDecision::Wait;
             }
             let stage = case.stage;
             count = case.epoch.count;
             if let Some(word) = self.last_word(id, stage, facts.idempotent) {
-                if matches!(word, Word::Rows(_) | Word::Completed) {
+                if matches!(
+                    word,
+                    FinalAnswer::Rows(_) | FinalAnswer::CompletedWithoutRows
+                ) {
                     self.totals.delivered += 1;
-                    self.turn(id, Stage::Delivered);
+                    self.turn(id, StatementState::Delivered);
                 }
-                return Arrived::Word(word);
+                return ArrivalDecision::Answer(word);
             }
             self.forget(id);
         }
@@ -400,9 +415,9 @@
                 .as_ref()
                 .is_some_and(|known| known.digest != facts.digest)
             {
-                return Arrived::Word(Word::Different);
+                return ArrivalDecision::Answer(FinalAnswer::IdReused);
             }
-            let case = self.new_case(now, facts.clone(), Stage::Asking);
+            let case = self.new_case(now, facts.clone(), StatementState::LookingUp);
             match self.whereabouts(&told) {
                 Whereabouts::At(place) => {
                     self.insert(
@@ -413,7 +428,7 @@
                         },
                     );
                     self.wait_at(now, id, place, out);
-                    return Arrived::Waits;
+                    return ArrivalDecision::Wait;
                 }
                 Whereabouts::Orphan => {
                     let grants = told.grants.clone();
@@ -425,11 +440,13 @@
                             ..case
                         },
                     );
-                    self.turn(id, Stage::Orphaned);
+                    self.turn(id, StatementState::Orphaned);
                     self.claim(now, id, told.epoch.count + 1, out);
-                    return Arrived::Waits;
+                    return ArrivalDecision::Wait;
+                }
+                Whereabouts::Over(word) if !facts.idempotent => {
+                    return ArrivalDecision::Answer(word);
                 }
-                Whereabouts::Over(word) if !facts.idempotent => return Arrived::Word(word),
                 Whereabouts::Over(_) | Whereabouts::Nowhere => {}
             }
         }
@@ -442,7 +459,7 @@
                 .collect();
             heard.reverse();
             if joins || !heard.is_empty() {
-                let mut case = self.new_case(now, facts, Stage::Asking);
+                let mut case = self.new_case(now, facts, StatementState::LookingUp);
                 case.own = Some(waiter);
                 case.to_ask = heard;
                 case.epoch.count = count;
@@ -452,14 +469,14 @@
                 } else {
                     self.ask_next(now, id, out);
                 }
-                return Arrived::Waits;
+                return ArrivalDecision::Wait;
             }
         }
-        let mut case = self.new_case(now, facts, Stage::Held);
+        let mut case = self.new_case(now, facts, StatementState::Owned);
         case.own = Some(waiter);
         case.epoch.count = count;
         self.insert(id, case);
-        Arrived::Proceed
+        ArrivalDecision::Proceed
     }
 
     /// No client that comes now can have been at a gateway that is lost, as far as this one can know.
@@ -472,7 +489,7 @@
 
     /// This process began a moment ago and does not hear a majority of the id's witnesses yet: what comes to it now
     /// is asked about once it does.
-    fn joins(&self, now: Nanos, id: Id) -> bool {
+    fn joins(&self, now: Nanos, id: StatementId) -> bool {
         now < self.began + JOINS && self.witnesses_heard(id) < self.witnesses.majority()
     }
 
@@ -483,7 +500,7 @@
     }
 
     /// A client here waits no more.
-    pub fn leave(&mut self, id: Id, waiter: u64) {
+    pub fn leave(&mut self, id: StatementId, waiter: u64) {
         if let Some(case) = self.cases.get_mut(&id) {
             case.waiters.retain(|&held| held != Waiter::Local(waiter));
             case.own = case.own.filter(|&own| own != waiter);
@@ -494,15 +511,15 @@
     pub fn grant(
         &mut self,
         now: Nanos,
-        id: Id,
+        id: StatementId,
         number: u32,
         engine: u64,
         out: &mut dyn Output,
-    ) -> Leave {
+    ) -> GrantDecision {
         let Some(case) = self.cases.get_mut(&id) else {
-            return Leave::Go;
+            return GrantDecision::Granted;
         };
-        let grant = Grant {
+        let grant = AttemptGrant {
             epoch: case.epoch,
             number,
             engine,
@@ -511,13 +528,13 @@
         if case.facts.idempotent {
             case.grants.push(grant);
             self.tell_later(now, id, None);
-            return Leave::Go;
+            return GrantDecision::Granted;
         }
         // The module sends such a one anew only where what went before is proved never to have run.
         if case.grants.iter().any(|grant| !grant.void) {
-            self.word(id, &Word::Aborted, out);
-            self.turn(id, Stage::InDoubt);
-            return Leave::Denied(Denied::Elsewhere);
+            self.word(id, &FinalAnswer::Aborted, out);
+            self.turn(id, StatementState::Unknown);
+            return GrantDecision::Denied(GrantDenial::OwnedElsewhere);
         }
         let told = case.told(now, id, true);
         case.pending = Some(Pending {
@@ -533,7 +550,7 @@
             } else if self.is_there(to) {
                 out.tell(
                     to,
-                    Message::Grant {
+                    Message::GrantRequest {
                         told: told.clone(),
                         grant,
                     },
@@ -546,7 +563,12 @@
         self.judge_votes(now, id, out)
     }
 
-    fn count_vote(&mut self, id: Id, from: u16, vote: Result<(), Option<Told>>) {
+    fn count_vote(
+        &mut self,
+        id: StatementId,
+        from: u16,
+        vote: Result<(), Option<StatementRecord>>,
+    ) {
         let Some(pending) = self
             .cases
             .get_mut(&id)
@@ -560,13 +582,13 @@
         }
     }
 
-    fn judge_votes(&mut self, now: Nanos, id: Id, out: &mut dyn Output) -> Leave {
+    fn judge_votes(&mut self, now: Nanos, id: StatementId, out: &mut dyn Output) -> GrantDecision {
         let majority = self.witnesses.majority();
         let Some(case) = self.cases.get_mut(&id) else {
-            return Leave::Go;
+            return GrantDecision::Granted;
         };
         let Some(pending) = &case.pending else {
-            return Leave::Wait;
+            return GrantDecision::Pending;
         };
         let late = now > pending.asked_at + self.terms.grant_lives;
         if pending.stands.len() >= majority && !late {
@@ -574,23 +596,23 @@
             case.grants.push(grant);
             case.pending = None;
             case.is_told = true;
-            if case.stage == Stage::Held {
-                self.turn(id, Stage::Witnessed);
+            if case.stage == StatementState::Owned {
+                self.turn(id, StatementState::Replicated);
             }
-            return Leave::Go;
+            return GrantDecision::Granted;
         }
         let open = self.witnesses.count() - pending.stands.len() - pending.refused.len();
         let hopeless = pending.stands.len() + open < majority;
         if !hopeless && !late && now < pending.asked_at + self.terms.grant_wait {
-            return Leave::Wait;
+            return GrantDecision::Pending;
         }
         let against = pending
             .refused
             .values()
             .flatten()
             .cloned()
-            .collect::<Vec<Told>>();
-        let grant = Grant {
+            .collect::<Vec<StatementRecord>>();
+        let grant = AttemptGrant {
             void: true,
             ..pending.grant
         };
@@ -604,17 +626,17 @@
     fn denied(
         &mut self,
         now: Nanos,
-        id: Id,
-        against: Vec<Told>,
+        id: StatementId,
+        against: Vec<StatementRecord>,
         all_answered: bool,
         out: &mut dyn Output,
-    ) -> Leave {
+    ) -> GrantDecision {
         self.tell_later(now, id, None);
         let Some(case) = self.cases.get(&id) else {
-            return Leave::Go;
+            return GrantDecision::Granted;
         };
         let (digest, mine) = (case.facts.digest, case.epoch);
-        let known = |g: &Grant| {
+        let known = |g: &AttemptGrant| {
             g.void
                 || case
                     .grants
@@ -627,10 +649,10 @@
         let strongest = strongest.max_by_key(|told| (told.end.is_some(), told.epoch));
         let Some(told) = strongest else {
             self.totals.no_majority += 1;
-            if self.terms.policy == Policy::Single {
-                return Leave::Go;
+            if self.terms.policy == NoQuorumPolicy::ProceedAlone {
+                return GrantDecision::Granted;
             }
-            return Leave::Denied(Denied::NoMajority {
+            return GrantDecision::Denied(GrantDenial::NoQuorum {
                 clean: all_answered && self.is_first(now),
             });
         };
@@ -645,9 +667,9 @@
             .as_ref()
             .is_some_and(|facts| facts.digest != digest)
         {
-            self.word(id, &Word::Different, out);
-            self.turn(id, Stage::Closed);
-            return Leave::Denied(Denied::Elsewhere);
+            self.word(id, &FinalAnswer::IdReused, out);
+            self.turn(id, StatementState::Closed);
+            return GrantDecision::Denied(GrantDenial::OwnedElsewhere);
         }
         match self.whereabouts(&told) {
             Whereabouts::At(place) => self.wait_at(now, id, place, out),
@@ -655,25 +677,25 @@
                 self.word(id, &word, out);
                 self.turn(
                     id,
-                    if word == Word::Aborted {
-                        Stage::InDoubt
+                    if word == FinalAnswer::Aborted {
+                        StatementState::Unknown
                     } else {
-                        Stage::Closed
+                        StatementState::Closed
                     },
                 );
             }
             Whereabouts::Orphan | Whereabouts::Nowhere => {
-                self.turn(id, Stage::Orphaned);
+                self.turn(id, StatementState::Orphaned);
                 self.claim(now, id, told.epoch.count + 1, out);
             }
         }
-        Leave::Denied(Denied::Elsewhere)
+        GrantDecision::Denied(GrantDenial::OwnedElsewhere)
     }
 
     /// What came of an execution, told before the module hears of it. Where this gateway acts for the statement no more it
     /// proves nothing: one that was handed over ends here as never sent and runs on at its engine, and a witness that took
     /// its grant for void would let it be sent again.
-    pub fn on_attempt_ended(&mut self, now: Nanos, id: Id, number: u32, never_ran: bool) {
+    pub fn on_attempt_ended(&mut self, now: Nanos, id: StatementId, number: u32, never_ran: bool) {
         let Some(case) = self.cases.get_mut(&id).filter(|case| case.acts()) else {
             return;
         };
@@ -693,13 +715,13 @@
     pub fn answered(
         &mut self,
         now: Nanos,
-        id: Id,
-        word: Word,
+        id: StatementId,
+        word: FinalAnswer,
         out: &mut dyn Output,
     ) -> Option<u64> {
         let alone = self.witnesses.count() == 1;
         let case = self.cases.get_mut(&id).filter(|case| case.acts())?;
-        if let Word::Rejected { come_back_ms } = word
+        if let FinalAnswer::Rejected { come_back_ms } = word
             && !case.facts.idempotent
             && !case.sealed
             && !alone
@@ -708,60 +730,60 @@
             case.waiters.push(Waiter::Local(own));
             case.rejecting = Some(come_back_ms);
             let count = case.epoch.count + 1;
-            self.turn(id, Stage::Orphaned);
+            self.turn(id, StatementState::Orphaned);
             self.claim(now, id, count, out);
             return Some(own);
         }
         let (tenant, idempotent, told) = (case.facts.tenant, case.facts.idempotent, case.is_told);
-        let taken_over = case.stage == Stage::Watched;
+        let taken_over = case.stage == StatementState::TakenOver;
         // No grant that was used stands here: what became of it is elsewhere, if anywhere, and whoever comes back has that
         // asked for anew instead of hearing the same for the rest of its time.
         // Without a majority a single one sends all the same, under none.
-        let sent =
-            self.terms.policy == Policy::Single || case.grants.iter().any(|grant| !grant.void);
+        let sent = self.terms.policy == NoQuorumPolicy::ProceedAlone
+            || case.grants.iter().any(|grant| !grant.void);
         case.own = None;
         case.pending = None;
         let waited = !case.waiters.is_empty();
         self.word(id, &word, out);
         let end = match word {
-            Word::Rows(pages) => {
+            FinalAnswer::Rows(pages) => {
                 self.kept.put(id, tenant, pages);
                 self.totals.kept += u64::from(taken_over);
                 self.turn(
                     id,
                     if waited {
-                        Stage::Delivered
+                        StatementState::Delivered
                     } else {
-                        Stage::Kept
+                        StatementState::Cached
                     },
                 );
-                End::Completed {
+                StatementEnd::Completed {
                     rows_at: self.place,
                     birth: self.birth,
                 }
             }
-            Word::Completed => {
-                self.turn(id, Stage::Kept);
-                End::Completed {
+            FinalAnswer::CompletedWithoutRows => {
+                self.turn(id, StatementState::Cached);
+                StatementEnd::Completed {
                     rows_at: self.place,
                     birth: self.birth,
                 }
             }
-            Word::Rejected { .. } => {
-                self.turn(id, Stage::Closed);
-                End::Rejected
+            FinalAnswer::Rejected { .. } => {
+                self.turn(id, StatementState::Closed);
+                StatementEnd::Rejected
             }
-            Word::Aborted | Word::Different => {
+            FinalAnswer::Aborted | FinalAnswer::IdReused => {
                 self.totals.in_doubt += u64::from(!idempotent);
                 self.turn(
                     id,
                     if idempotent || !sent {
-                        Stage::Closed
+                        StatementState::Closed
                     } else {
-                        Stage::InDoubt
+                        StatementState::Unknown
                     },
                 );
-                End::Aborted
+                StatementEnd::Aborted
             }
         };
         if told || !idempotent {
@@ -769,14 +791,14 @@
         } else {
             self.news.remove(&id);
         }
-        if end == End::Rejected && !told {
+        if end == StatementEnd::Rejected && !told {
             self.forget(id);
         }
         None
     }
 
     /// The same word to all who wait here and elsewhere.
-    fn word(&mut self, id: Id, word: &Word, out: &mut dyn Output) {
+    fn word(&mut self, id: StatementId, word: &FinalAnswer, out: &mut dyn Output) {
         let Some(case) = self.cases.get_mut(&id) else {
             return;
         };
@@ -784,10 +806,10 @@
             match waiter {
                 Waiter::Local(waiter) => out.answer(waiter, word),
                 Waiter::Remote { place, serial } => {
-                    let answered = Answered::Word(word.clone());
+                    let answered = LookupAnswer::Final(word.clone());
                     out.tell(
                         place,
-                        Message::Answer {
+                        Message::LookupReply {
                             serial,
                             id,
                             answered,
@@ -865,7 +887,7 @@
             let sent = told.grants.iter().any(|grant| !grant.void);
             let is_orphan = match told.end {
                 None => true,
-                Some(End::Completed { rows_at, birth: by }) => {
+                Some(StatementEnd::Completed { rows_at, birth: by }) => {
                     (rows_at, by) == (place, birth) && lately && sent
                 }
                 Some(_) => false,
@@ -876,14 +898,14 @@
             if self
                 .cases
                 .get(&id)
-                .is_some_and(|case| case.acts() || case.stage == Stage::Claimed)
+                .is_some_and(|case| case.acts() || case.stage == StatementState::TakingOver)
             {
                 continue;
             }
             let rank = self.rank(id);
             orphans += 1;
             first += u64::from(rank == 0);
-            let mut case = self.new_case(now, facts, Stage::Asking);
+            let mut case = self.new_case(now, facts, StatementState::LookingUp);
             if let Some(before) = self.cases.get_mut(&id) {
                 case.waiters = std::mem::take(&mut before.waiters);
                 case.facts.text = std::mem::take(&mut before.facts.text);
@@ -894,7 +916,7 @@
             case.grants = told.grants;
             case.epoch.count = told.epoch.count + 1;
             self.insert(id, case);
-            self.turn(id, Stage::Orphaned);
+            self.turn(id, StatementState::Orphaned);
             self.totals.orphaned += 1;
             self.wake_case(id, now + rank as u64 * self.terms.claim_step);
         }
@@ -904,8 +926,9 @@
             ));
         }
         // Clients here that waited for its word ask anew.
-        let waiting = |case: &Case| case.stage == Stage::Elsewhere && case.at == place;
-        let again: Vec<Id> = self
+        let waiting =
+            |case: &Case| case.stage == StatementState::OwnedElsewhere && case.at == place;
+        let again: Vec<StatementId> = self
             .cases
             .iter()
             .filter(|(_, case)| waiting(case))
@@ -918,7 +941,7 @@
     }
 
     /// This one's rank among the witnesses that are heard.
-    fn rank(&self, id: Id) -> usize {
+    fn rank(&self, id: StatementId) -> usize {
         let heard = self
             .witnesses
             .of(id)
@@ -927,7 +950,7 @@
         heard.take_while(|&w| w != self.place).count()
     }
 
-    fn witnesses_heard(&self, id: Id) -> usize {
+    fn witnesses_heard(&self, id: StatementId) -> usize {
         self.witnesses
             .of(id)
             .into_iter()
@@ -935,7 +958,7 @@
             .count()
     }
 
-    fn others(&self, id: Id) -> Vec<u16> {
+    fn others(&self, id: StatementId) -> Vec<u16> {
         self.witnesses
             .of(id)
             .into_iter()
@@ -966,7 +989,7 @@
             if news && let Some(taught) = self.taught.get_mut(usize::from(to)) {
                 *taught = Some((pupil.birth, now));
             }
-            if memory != Memory::Whole && now < pupil.until {
+            if memory != VoteLogCompleteness::Complete && now < pupil.until {
                 pupil.at = now + TEACH_AGAIN;
             } else {
                 self.to_teach.remove(&to);
@@ -978,8 +1001,14 @@
     }
 
     /// All that this gateway knows of statements of which that one bears witness, and what its word is worth.
-    fn tell_all(&mut self, now: Nanos, to: u16, memory: &Memory, out: &mut dyn Output) {
-        let mut told: Vec<Told> = self.ledger.all(now).collect();
+    fn tell_all(
+        &mut self,
+        now: Nanos,
+        to: u16,
+        memory: &VoteLogCompleteness,
+        out: &mut dyn Output,
+    ) {
+        let mut told: Vec<StatementRecord> = self.ledger.all(now).collect();
         let open = self
             .cases
             .iter()
@@ -988,15 +1017,15 @@
         told.retain(|told| self.witnesses.of(told.id).contains(&to));
         let mut parts = told
             .chunks(TOLD_AT_ONCE)
-            .map(<[Told]>::to_vec)
+            .map(<[StatementRecord]>::to_vec)
             .collect::<Vec<_>>();
         let rest = parts.pop().unwrap_or_default();
         for told in parts {
-            out.tell(to, Message::Relearn { told, last: None });
+            out.tell(to, Message::StateTransfer { told, last: None });
         }
         out.tell(
             to,
-            Message::Relearn {
+            Message::StateTransfer {
                 told: rest,
                 last: Some(memory.clone()),
             },
@@ -1007,21 +1036,21 @@
 
     pub fn heard(&mut self, now: Nanos, from: u16, message: Message, out: &mut dyn Output) {
         match message {
-            Message::Tell(all) => all.iter().for_each(|told| self.hear_told(now, told)),
-            Message::Grant { told, grant } => {
+            Message::Update(all) => all.iter().for_each(|told| self.hear_told(now, told)),
+            Message::GrantRequest { told, grant } => {
                 let id = told.id;
                 match self.ledger.grant(now, &told, grant, &self.witnesses) {
                     Ok(()) => out.tell(
                         from,
-                        Message::Granted {
+                        Message::GrantReply {
                             id,
                             grant,
                             against: None,
                         },
                     ),
-                    Err(Refusal::Stands(told)) => out.tell(
+                    Err(VoteRefusal::Conflict(told)) => out.tell(
                         from,
-                        Message::Granted {
+                        Message::GrantReply {
                             id,
                             grant,
                             against: Some(*told),
@@ -1029,14 +1058,14 @@
                     ),
                     Err(_) => out.tell(
                         from,
-                        Message::Abstain {
+                        Message::Abstention {
                             id,
                             epoch: grant.epoch,
                         },
                     ),
                 }
             }
-            Message::Granted { id, grant, against } => {
+            Message::GrantReply { id, grant, against } => {
                 let is_asked =
                     |case: &&mut Case| case.pending.as_ref().is_some_and(|p| p.grant == grant);
                 if self.cases.get_mut(&id).filter(is_asked).is_some() {
@@ -1044,13 +1073,13 @@
                     self.after_vote(now, id, out);
                 }
             }
-            Message::Claim { id, epoch } => {
+            Message::TakeoverRequest { id, epoch } => {
                 match self.ledger.claim(now, id, epoch, &self.witnesses) {
                     Ok(told) => {
                         self.superseded(now, id, epoch, out);
                         out.tell(
                             from,
-                            Message::Promise {
+                            Message::TakeoverReply {
                                 id,
                                 epoch,
                                 promised: true,
@@ -1058,25 +1087,25 @@
                             },
                         );
                     }
-                    Err(Refusal::Stands(told)) => out.tell(
+                    Err(VoteRefusal::Conflict(told)) => out.tell(
                         from,
-                        Message::Promise {
+                        Message::TakeoverReply {
                             id,
                             epoch,
                             promised: false,
                             told: Some(*told),
                         },
                     ),
-                    Err(_) => out.tell(from, Message::Abstain { id, epoch }),
+                    Err(_) => out.tell(from, Message::Abstention { id, epoch }),
                 }
             }
-            Message::Promise {
+            Message::TakeoverReply {
                 id,
                 epoch,
                 promised,
                 told,
             } => self.hear_promise(now, id, epoch, from, promised, told, out),
-            Message::Abstain { id, epoch } => {
+            Message::Abstention { id, epoch } => {
                 let Some(case) = self.cases.get(&id).filter(|case| case.epoch == epoch) else {
                     return;
                 };
@@ -1085,11 +1114,11 @@
                     self.after_vote(now, id, out);
                 }
             }
-            Message::Ask { id, digest, serial } => {
+            Message::LookupRequest { id, digest, serial } => {
                 if let Some(answered) = self.asked(now, from, id, digest, serial, out) {
                     out.tell(
                         from,
-                        Message::Answer {
+                        Message::LookupReply {
                             serial,
                             id,
                             answered,
@@ -1097,13 +1126,13 @@
                     );
                 }
             }
-            Message::Answer {
+            Message::LookupReply {
                 serial,
                 id,
                 answered,
             } => self.hear_answer(now, id, serial, answered, out),
-            Message::HandOver(told) => self.take_from(now, told, out),
-            Message::Relearn { told, last } => {
+            Message::Handoff(told) => self.take_from(now, told, out),
+            Message::StateTransfer { told, last } => {
                 told.iter().for_each(|told| self.hear_told(now, told));
                 if let Some(memory) = last {
                     self.ledger.told_all(now, from, memory);
@@ -1112,15 +1141,15 @@
         }
     }
 
-    fn hear_told(&mut self, now: Nanos, told: &Told) {
+    fn hear_told(&mut self, now: Nanos, told: &StatementRecord) {
         self.ledger.tell(now, told);
-        if matches!(told.end, Some(End::Completed { .. })) {
+        if matches!(told.end, Some(StatementEnd::Completed { .. })) {
             self.ended.insert(told.id, now);
             self.ended_in_order.push_back((now, told.id));
         }
     }
 
-    fn after_vote(&mut self, now: Nanos, id: Id, out: &mut dyn Output) {
+    fn after_vote(&mut self, now: Nanos, id: StatementId, out: &mut dyn Output) {
         let Some(number) = self
             .cases
             .get(&id)
@@ -1129,23 +1158,27 @@
             return;
         };
         match self.judge_votes(now, id, out) {
-            Leave::Go => out.go(id, number),
-            Leave::Wait => {}
-            Leave::Denied(why) => out.denied(id, number, why),
+            GrantDecision::Granted => out.go(id, number),
+            GrantDecision::Pending => {}
+            GrantDecision::Denied(why) => out.denied(id, number, why),
         }
     }
 
     /// Another has leave to act: what this one acts for goes on at its engine and its clients get its end, but it gets
     /// no further grant; a claim of this one's own is over.
-    fn superseded(&mut self, now: Nanos, id: Id, epoch: Epoch, out: &mut dyn Output) {
+    fn superseded(&mut self, now: Nanos, id: StatementId, epoch: Epoch, out: &mut dyn Output) {
         let Some(case) = self.cases.get(&id) else {
             return;
         };
-        if !matches!(case.stage, Stage::Claimed | Stage::Orphaned) || case.epoch >= epoch {
+        if !matches!(
+            case.stage,
+            StatementState::TakingOver | StatementState::Orphaned
+        ) || case.epoch >= epoch
+        {
             return;
         }
         if case.waiters.is_empty() {
-            self.turn(id, Stage::Closed);
+            self.turn(id, StatementState::Closed);
         } else {
             self.wait_at(now, id, epoch.place, out);
         }
@@ -1153,7 +1186,7 @@
 
     // ---- claiming ----
 
-    fn claim(&mut self, now: Nanos, id: Id, count: u32, out: &mut dyn Output) {
+    fn claim(&mut self, now: Nanos, id: StatementId, count: u32, out: &mut dyn Output) {
         let epoch = Epoch {
             count,
             place: self.place,
@@ -1165,7 +1198,7 @@
         case.epoch = epoch;
         case.promises.clear();
         // What was tried before the claim does not count.
-        case.tries = if case.stage == Stage::Claimed {
+        case.tries = if case.stage == StatementState::TakingOver {
             case.tries + 1
         } else {
             1
@@ -1173,18 +1206,18 @@
         // No longer than a grant's life: a promise counts no more once its witness may have begun anew and voted.
         let wait =
             (self.terms.claim_wait * u64::from(case.tries.min(4))).min(self.terms.grant_lives);
-        self.turn(id, Stage::Claimed);
+        self.turn(id, StatementState::TakingOver);
         self.wake_case(id, now + wait);
         let all = self.witnesses.of(id);
         for &to in all.iter().filter(|&&to| to != self.place) {
             if self.is_there(to) {
-                out.tell(to, Message::Claim { id, epoch });
+                out.tell(to, Message::TakeoverRequest { id, epoch });
             }
         }
         if all.contains(&self.place) {
             match self.ledger.claim(now, id, epoch, &self.witnesses) {
                 Ok(told) => self.hear_promise(now, id, epoch, self.place, true, told, out),
-                Err(Refusal::Stands(told)) => {
+                Err(VoteRefusal::Conflict(told)) => {
                     self.hear_promise(now, id, epoch, self.place, false, Some(*told), out)
                 }
                 Err(_) => {}
@@ -1196,15 +1229,16 @@
     fn hear_promise(
         &mut self,
         now: Nanos,
-        id: Id,
+        id: StatementId,
         epoch: Epoch,
         from: u16,
         promised: bool,
-        told: Option<Told>,
+        told: Option<StatementRecord>,
         out: &mut dyn Output,
     ) {
         let majority = self.witnesses.majority();
-        let asked = |case: &&mut Case| case.stage == Stage::Claimed && case.epoch == epoch;
+        let asked =
+            |case: &&mut Case| case.stage == StatementState::TakingOver && case.epoch == epoch;
         let Some(case) = self.cases.get_mut(&id).filter(asked) else {
             return;
         };
@@ -1219,7 +1253,7 @@
                     if waits {
                         self.wait_at(now, id, place, out);
                     } else {
-                        self.turn(id, Stage::Closed);
+                        self.turn(id, StatementState::Closed);
                     }
                 }
                 // A lower claim of one that is lost too: the next try goes over it.
@@ -1240,11 +1274,11 @@
     }
 
     /// A majority lets this one act: all grants that any majority gave are among what it told.
-    fn take(&mut self, now: Nanos, id: Id, out: &mut dyn Output) {
+    fn take(&mut self, now: Nanos, id: StatementId, out: &mut dyn Output) {
         let Some(case) = self.cases.get_mut(&id) else {
             return;
         };
-        let mut grants: BTreeMap<(Epoch, u32), Grant> = BTreeMap::new();
+        let mut grants: BTreeMap<(Epoch, u32), AttemptGrant> = BTreeMap::new();
         let (mut end, mut is_known) = (None, false);
         let all = std::mem::take(&mut case.promises);
         let own = std::mem::take(&mut case.grants);
@@ -1259,7 +1293,7 @@
         }
         for told in all.into_values().flatten() {
             end = match (end, told.end) {
-                (Some(End::Completed { .. }), _) | (_, None) => end,
+                (Some(StatementEnd::Completed { .. }), _) | (_, None) => end,
                 (_, new) => new,
             };
             if let Some(facts) = told.facts {
@@ -1281,55 +1315,55 @@
         let left = case.deadline.saturating_sub(now);
         let facts = case.facts.clone();
         let lost_rows = match end {
-            Some(End::Completed { rows_at, birth }) => !self.is_heard(rows_at, birth),
+            Some(StatementEnd::Completed { rows_at, birth }) => !self.is_heard(rows_at, birth),
             _ => false,
         };
         match (end, sent) {
-            (Some(End::Completed { rows_at, .. }), _) if !lost_rows => {
+            (Some(StatementEnd::Completed { rows_at, .. }), _) if !lost_rows => {
                 if waits && rows_at != self.place {
                     self.wait_at(now, id, rows_at, out);
                 } else {
-                    self.turn(id, Stage::Closed);
+                    self.turn(id, StatementState::Closed);
                 }
             }
-            (Some(End::Aborted), _) if !idempotent => {
-                self.word(id, &Word::Aborted, out);
-                self.turn(id, Stage::InDoubt);
+            (Some(StatementEnd::Aborted), _) if !idempotent => {
+                self.word(id, &FinalAnswer::Aborted, out);
+                self.turn(id, StatementState::Unknown);
             }
             // Out at an engine, or over there a moment ago: asked for, never started.
-            (None | Some(End::Completed { .. }), Some(grant)) if left > 0 || waits => {
+            (None | Some(StatementEnd::Completed { .. }), Some(grant)) if left > 0 || waits => {
                 self.totals.watched += 1;
-                self.turn(id, Stage::Watched);
+                self.turn(id, StatementState::TakenOver);
                 self.set_told(id);
                 out.adopt(id, &facts, left.max(SECOND), Some(grant.engine));
             }
-            (Some(End::Completed { .. }), _) => {
-                self.word(id, &Word::Completed, out);
-                self.turn(id, Stage::Kept);
+            (Some(StatementEnd::Completed { .. }), _) => {
+                self.word(id, &FinalAnswer::CompletedWithoutRows, out);
+                self.turn(id, StatementState::Cached);
             }
-            _ if left == 0 && !waits => self.turn(id, Stage::Closed),
+            _ if left == 0 && !waits => self.turn(id, StatementState::Closed),
             // Never granted anywhere, and none can be any more: what was refused here has not run.
             _ if rejecting.is_some() => {
                 let come_back_ms = rejecting.unwrap_or_default();
-                self.word(id, &Word::Rejected { come_back_ms }, out);
-                self.tell_later(now, id, Some(End::Rejected));
+                self.word(id, &FinalAnswer::Rejected { come_back_ms }, out);
+                self.tell_later(now, id, Some(StatementEnd::Rejected));
                 self.set_told(id);
-                self.turn(id, Stage::Closed);
+                self.turn(id, StatementState::Closed);
             }
             // Never granted. What is harmless runs at once; else only once its client has come back: it may have been
             // told that it was refused, and then comes under another id.
             _ if idempotent || waits => {
-                self.turn(id, Stage::Held);
+                self.turn(id, StatementState::Owned);
                 out.adopt(id, &facts, left, None);
             }
             _ => {
                 debug_assert!(is_known || !waits);
-                self.turn(id, Stage::Closed);
+                self.turn(id, StatementState::Closed);
             }
         }
     }
 
-    fn set_told(&mut self, id: Id) {
+    fn set_told(&mut self, id: StatementId) {
         if let Some(case) = self.cases.get_mut(&id) {
             case.is_told = true;
         }
@@ -1337,7 +1371,7 @@
 
     /// The engine at which it may be ([`Output::adopt`]) is none that is known here: nobody can be asked. What is
     /// harmless runs anew; of anything else nobody can say more.
-    pub fn engine_unknown(&mut self, now: Nanos, id: Id, out: &mut dyn Output) {
+    pub fn engine_unknown(&mut self, now: Nanos, id: StatementId, out: &mut dyn Output) {
         let Some(case) = self.cases.get(&id).filter(|case| case.acts()) else {
             return;
         };
@@ -1345,12 +1379,12 @@
             let (facts, left) = (case.facts.clone(), case.deadline.saturating_sub(now));
             out.adopt(id, &facts, left, None);
         } else {
-            let _ = self.answered(now, id, Word::Aborted, out);
+            let _ = self.answered(now, id, FinalAnswer::Aborted, out);
         }
     }
 
     /// Another gateway ends and hands this over.
-    fn take_from(&mut self, now: Nanos, told: Told, out: &mut dyn Output) {
+    fn take_from(&mut self, now: Nanos, told: StatementRecord, out: &mut dyn Output) {
         let id = told.id;
         self.ledger.tell(now, &told);
         let Some(facts) = told.facts.clone() else {
@@ -1359,27 +1393,28 @@
         if self
             .cases
             .get(&id)
-            .is_some_and(|case| case.acts() || case.stage == Stage::Claimed)
+            .is_some_and(|case| case.acts() || case.stage == StatementState::TakingOver)
         {
             return;
         }
-        let mut case = self.new_case(now, facts, Stage::Asking);
+        let mut case = self.new_case(now, facts, StatementState::LookingUp);
         if let Some(before) = self.cases.get_mut(&id) {
             case.waiters = std::mem::take(&mut before.waiters);
         }
         case.grants = told.grants;
         self.insert(id, case);
-        self.turn(id, Stage::Orphaned);
+        self.turn(id, StatementState::Orphaned);
         self.totals.orphaned += 1;
         self.claim(now, id, told.epoch.count + 1, out);
     }
 
     /// This gateway ends: what it acts for goes to the first other witness that is heard, with no gap in asking. Its
     /// own clients wait for that one's word as long as this process lives. These were handed over.
-    pub fn hand_over(&mut self, now: Nanos, out: &mut dyn Output) -> Vec<Id> {
-        let acted =
-            |(_, case): &(&Id, &Case)| case.acts() && !case.grants.iter().all(|grant| grant.void);
-        let open: Vec<Id> = self.cases.iter().filter(acted).map(|(&id, _)| id).collect();
+    pub fn hand_over(&mut self, now: Nanos, out: &mut dyn Output) -> Vec<StatementId> {
+        let acted = |(_, case): &(&StatementId, &Case)| {
+            case.acts() && !case.grants.iter().all(|grant| grant.void)
+        };
+        let open: Vec<StatementId> = self.cases.iter().filter(acted).map(|(&id, _)| id).collect();
         let mut handed = Vec::new();
         for id in open {
             let Some(to) = self.others(id).into_iter().find(|&w| self.is_there(w)) else {
@@ -1395,8 +1430,8 @@
             if let Some(own) = case.own.take() {
                 case.waiters.push(Waiter::Local(own));
             }
-            out.tell(to, Message::HandOver(told));
-            self.turn(id, Stage::Elsewhere);
+            out.tell(to, Message::Handoff(told));
+            self.turn(id, StatementState::OwnedElsewhere);
             if let Some(case) = self.cases.get_mut(&id) {
                 case.at = to;
             }
@@ -1417,23 +1452,23 @@
         &mut self,
         now: Nanos,
         from: u16,
-        id: Id,
+        id: StatementId,
         digest: u64,
         serial: u64,
         out: &mut dyn Output,
-    ) -> Option<Answered> {
+    ) -> Option<LookupAnswer> {
         if let Some(case) = self
             .cases
             .get_mut(&id)
-            .filter(|case| case.stage != Stage::Closed)
+            .filter(|case| case.stage != StatementState::Closed)
         {
             if case.facts.digest != digest {
-                return Some(Answered::Word(Word::Different));
+                return Some(LookupAnswer::Final(FinalAnswer::IdReused));
             }
             match case.stage {
-                Stage::Asking => return Some(Answered::Unknown),
-                Stage::Elsewhere => return Some(Answered::At(case.at)),
-                stage if stage < Stage::Elsewhere => {
+                StatementState::LookingUp => return Some(LookupAnswer::Unknown),
+                StatementState::OwnedElsewhere => return Some(LookupAnswer::HeldBy(case.at)),
+                stage if stage < StatementState::OwnedElsewhere => {
                     let waiter = Waiter::Remote {
                         place: from,
                         serial,
@@ -1441,7 +1476,7 @@
                     if !case.waiters.contains(&waiter) {
                         case.waiters.push(waiter);
                     }
-                    if stage == Stage::Orphaned {
+                    if stage == StatementState::Orphaned {
                         self.wake_case(id, now);
                         self.run_due(now, out);
                     }
@@ -1450,11 +1485,11 @@
                 stage => {
                     let idempotent = case.facts.idempotent;
                     let Some(word) = self.last_word(id, stage, idempotent) else {
-                        return Some(Answered::Unknown);
+                        return Some(LookupAnswer::Unknown);
                     };
                     self.totals.delivered += 1;
-                    self.turn(id, Stage::Delivered);
-                    return Some(Answered::Word(word));
+                    self.turn(id, StatementState::Delivered);
+                    return Some(LookupAnswer::Final(word));
                 }
             }
         }
@@ -1463,29 +1498,29 @@
             .get(now, id)
             .filter(|told| told.facts.is_some() || told.end.is_some());
         let Some(told) = told else {
-            return Some(Answered::Unknown);
+            return Some(LookupAnswer::Unknown);
         };
         if told
             .facts
             .as_ref()
             .is_some_and(|facts| facts.digest != digest)
         {
-            return Some(Answered::Word(Word::Different));
+            return Some(LookupAnswer::Final(FinalAnswer::IdReused));
         }
         match self.whereabouts(&told) {
-            Whereabouts::At(place) => Some(Answered::At(place)),
-            Whereabouts::Over(word) => Some(Answered::Word(word)),
-            Whereabouts::Nowhere => Some(Answered::Unknown),
+            Whereabouts::At(place) => Some(LookupAnswer::HeldBy(place)),
+            Whereabouts::Over(word) => Some(LookupAnswer::Final(word)),
+            Whereabouts::Nowhere => Some(LookupAnswer::Unknown),
             Whereabouts::Orphan => {
                 let facts = told.facts.clone()?;
-                let mut case = self.new_case(now, facts, Stage::Asking);
+                let mut case = self.new_case(now, facts, StatementState::LookingUp);
                 case.waiters.push(Waiter::Remote {
                     place: from,
                     serial,
                 });
                 case.grants = told.grants;
                 self.insert(id, case);
-                self.turn(id, Stage::Orphaned);
+                self.turn(id, StatementState::Orphaned);
                 self.totals.orphaned += 1;
                 self.claim(now, id, told.epoch.count + 1, out);
                 None
@@ -1494,27 +1529,36 @@
     }
 
     /// The end of what is over here; `None` where it can as well run anew.
-    fn last_word(&self, id: Id, stage: Stage, idempotent: bool) -> Option<Word> {
+    fn last_word(
+        &self,
+        id: StatementId,
+        stage: StatementState,
+        idempotent: bool,
+    ) -> Option<FinalAnswer> {
         match (stage, self.kept.get(id)) {
-            (Stage::Kept | Stage::Delivered, Some(pages)) => Some(Word::Rows(pages.clone())),
-            (Stage::Kept | Stage::Delivered, None) if !idempotent => Some(Word::Completed),
-            (Stage::InDoubt, _) if !idempotent => Some(Word::Aborted),
+            (StatementState::Cached | StatementState::Delivered, Some(pages)) => {
+                Some(FinalAnswer::Rows(pages.clone()))
+            }
+            (StatementState::Cached | StatementState::Delivered, None) if !idempotent => {
+                Some(FinalAnswer::CompletedWithoutRows)
+            }
+            (StatementState::Unknown, _) if !idempotent => Some(FinalAnswer::Aborted),
             _ => None,
         }
     }
 
     /// Where a statement is, by what a witness has of it.
-    fn whereabouts(&self, told: &Told) -> Whereabouts {
+    fn whereabouts(&self, told: &StatementRecord) -> Whereabouts {
         match told.end {
-            Some(End::Completed { rows_at, birth }) => {
+            Some(StatementEnd::Completed { rows_at, birth }) => {
                 if rows_at != self.place && self.is_heard(rows_at, birth) {
                     Whereabouts::At(rows_at)
                 } else {
-                    Whereabouts::Over(Word::Completed)
+                    Whereabouts::Over(FinalAnswer::CompletedWithoutRows)
                 }
             }
-            Some(End::Aborted) => Whereabouts::Over(Word::Aborted),
-            Some(End::Rejected) => Whereabouts::Nowhere,
+            Some(StatementEnd::Aborted) => Whereabouts::Over(FinalAnswer::Aborted),
+            Some(StatementEnd::Rejected) => Whereabouts::Nowhere,
             None if told.epoch.place == self.place && told.epoch.birth == self.birth => {
                 Whereabouts::Nowhere
             }
@@ -1526,7 +1570,7 @@
     }
 
     /// Its clients here wait for the word of that gateway.
-    fn wait_at(&mut self, now: Nanos, id: Id, place: u16, out: &mut dyn Output) {
+    fn wait_at(&mut self, now: Nanos, id: StatementId, place: u16, out: &mut dyn Output) {
         self.serial += 1;
         let serial = self.serial;
         let Some(case) = self.cases.get_mut(&id) else {
@@ -1537,13 +1581,13 @@
         // What another says of it stands over a refusal here.
         case.rejecting = None;
         let digest = case.facts.digest;
-        self.turn(id, Stage::Elsewhere);
+        self.turn(id, StatementState::OwnedElsewhere);
         self.wake_case(id, now + self.terms.ask_again);
-        out.tell(place, Message::Ask { id, digest, serial });
+        out.tell(place, Message::LookupRequest { id, digest, serial });
     }
 
     /// The next witness is asked; none left: it goes on as a new statement.
-    fn ask_next(&mut self, now: Nanos, id: Id, out: &mut dyn Output) {
+    fn ask_next(&mut self, now: Nanos, id: StatementId, out: &mut dyn Output) {
         self.serial += 1;
         let serial = self.serial;
         let Some(case) = self.cases.get_mut(&id) else {
@@ -1551,20 +1595,20 @@
         };
         let Some(to) = case.to_ask.pop() else {
             if case.waiters.is_empty() && case.own.is_none() {
-                return self.turn(id, Stage::Closed);
+                return self.turn(id, StatementState::Closed);
             }
             // Sent under a grant before, and nobody knows its end: asked for under a new epoch, never sent again.
             if !case.facts.idempotent && case.grants.iter().any(|grant| !grant.void) {
                 let count = case.epoch.count + 1;
-                self.turn(id, Stage::Orphaned);
+                self.turn(id, StatementState::Orphaned);
                 return self.claim(now, id, count, out);
             }
             if case.own.is_some() {
-                self.turn(id, Stage::Held);
+                self.turn(id, StatementState::Owned);
                 out.proceed(id);
             } else {
                 let (facts, left) = (case.facts.clone(), case.deadline.saturating_sub(now));
-                self.turn(id, Stage::Held);
+                self.turn(id, StatementState::Owned);
                 out.adopt(id, &facts, left, None);
             }
             return;
@@ -1572,11 +1616,11 @@
         (case.at, case.serial) = (to, serial);
         let digest = case.facts.digest;
         self.wake_case(id, now + self.terms.ask_wait);
-        out.tell(to, Message::Ask { id, digest, serial });
+        out.tell(to, Message::LookupRequest { id, digest, serial });
     }
 
     /// The gateway that clients here waited for knows nothing or is lost: the witnesses are asked anew.
-    fn look_again(&mut self, now: Nanos, id: Id, out: &mut dyn Output) {
+    fn look_again(&mut self, now: Nanos, id: StatementId, out: &mut dyn Output) {
         let mut heard: Vec<u16> = self
             .others(id)
             .into_iter()
@@ -1590,16 +1634,16 @@
         case.tries += 1;
         let tries = case.tries;
         if case.waiters.is_empty() || now >= case.deadline {
-            return self.turn(id, Stage::Closed);
+            return self.turn(id, StatementState::Closed);
         }
         case.to_ask = heard;
         if let Some(told) = mine
             && let Whereabouts::Orphan = self.whereabouts(&told)
         {
-            self.turn(id, Stage::Orphaned);
+            self.turn(id, StatementState::Orphaned);
             return self.claim(now, id, told.epoch.count + 1, out);
         }
-        self.turn(id, Stage::Asking);
+        self.turn(id, StatementState::LookingUp);
         if tries <= QUICK_TRIES {
             return self.ask_next(now, id, out);
         }
@@ -1613,50 +1657,57 @@
     fn hear_answer(
         &mut self,
         now: Nanos,
-        id: Id,
+        id: StatementId,
         serial: u64,
-        answered: Answered,
+        answered: LookupAnswer,
         out: &mut dyn Output,
     ) {
-        let there = matches!(answered, Answered::At(place) if self.is_there(place));
+        let there = matches!(answered, LookupAnswer::HeldBy(place) if self.is_there(place));
         let Some(case) = self.cases.get_mut(&id).filter(|case| case.serial == serial) else {
             return;
         };
         let (stage, idempotent) = (case.stage, case.facts.idempotent);
-        if !matches!(stage, Stage::Asking | Stage::Elsewhere) {
+        if !matches!(
+            stage,
+            StatementState::LookingUp | StatementState::OwnedElsewhere
+        ) {
             return;
         }
         match answered {
-            Answered::Unknown if stage == Stage::Asking => self.ask_next(now, id, out),
-            Answered::Unknown => self.look_again(now, id, out),
-            Answered::At(place) if place != self.place && there => {
+            LookupAnswer::Unknown if stage == StatementState::LookingUp => {
+                self.ask_next(now, id, out)
+            }
+            LookupAnswer::Unknown => self.look_again(now, id, out),
+            LookupAnswer::HeldBy(place) if place != self.place && there => {
                 if let Some(own) = case.own.take() {
                     case.waiters.push(Waiter::Local(own));
                 }
                 self.wait_at(now, id, place, out);
             }
             // That one is lost and the witness does not know yet: it is asked again, after the others.
-            Answered::At(_) => {
-                if stage == Stage::Asking && now < case.deadline {
+            LookupAnswer::HeldBy(_) => {
+                if stage == StatementState::LookingUp && now < case.deadline {
                     case.tries += 1;
                     case.to_ask.insert(0, case.at);
                 }
                 self.wake_case(id, now + self.terms.ask_wait);
             }
             // What is harmless runs anew rather than being told that its rows are gone.
-            Answered::Word(Word::Completed | Word::Aborted) if idempotent => {
+            LookupAnswer::Final(FinalAnswer::CompletedWithoutRows | FinalAnswer::Aborted)
+                if idempotent =>
+            {
                 if let Some(case) = self.cases.get_mut(&id) {
                     case.to_ask.clear();
                 }
-                self.turn(id, Stage::Asking);
+                self.turn(id, StatementState::LookingUp);
                 self.ask_next(now, id, out);
             }
-            Answered::Word(word) => {
+            LookupAnswer::Final(word) => {
                 if let Some(own) = case.own.take() {
                     case.waiters.push(Waiter::Local(own));
                 }
                 self.word(id, &word, out);
-                self.turn(id, Stage::Closed);
+                self.turn(id, StatementState::Closed);
             }
         }
     }
@@ -1704,8 +1755,8 @@
                 continue;
             };
             match case.stage {
-                Stage::Asking if joins => self.wake_case(id, now + self.terms.ask_wait),
-                Stage::Asking if case.serial == 0 => {
+                StatementState::LookingUp if joins => self.wake_case(id, now + self.terms.ask_wait),
+                StatementState::LookingUp if case.serial == 0 => {
                     // The first question of one that came while this process joined.
                     let mut heard: Vec<u16> = self
                         .others(id)
@@ -1718,8 +1769,8 @@
                     }
                     self.ask_next(now, id, out);
                 }
-                Stage::Asking => self.ask_next(now, id, out),
-                Stage::Orphaned => {
+                StatementState::LookingUp => self.ask_next(now, id, out),
+                StatementState::Orphaned => {
                     let count = case.epoch.count;
                     let epoch = self
                         .ledger
@@ -1727,37 +1778,37 @@
                         .map_or(0, |told| told.epoch.count + 1);
                     self.claim(now, id, count.max(epoch), out);
                 }
-                Stage::Claimed => {
+                StatementState::TakingOver => {
                     if now < case.deadline && too_few {
                         // Nobody may act for it now. Whoever waits hears so at once and may come back; it is tried on.
-                        self.word(id, &Word::Aborted, out);
+                        self.word(id, &FinalAnswer::Aborted, out);
                     }
                     let Some(case) = self.cases.get(&id) else {
                         continue;
                     };
                     if case.rejecting.is_some() {
                         // Nobody can say that it did not run; its client may come back with the same id.
-                        self.word(id, &Word::Aborted, out);
-                        self.turn(id, Stage::Closed);
+                        self.word(id, &FinalAnswer::Aborted, out);
+                        self.turn(id, StatementState::Closed);
                         continue;
                     }
                     if now >= case.deadline {
                         let word = if case.facts.idempotent {
-                            Word::Rejected { come_back_ms: 0 }
+                            FinalAnswer::Rejected { come_back_ms: 0 }
                         } else {
-                            Word::Aborted
+                            FinalAnswer::Aborted
                         };
                         self.word(id, &word, out);
-                        self.turn(id, Stage::Closed);
+                        self.turn(id, StatementState::Closed);
                     } else {
                         let count = case.epoch.count + 1;
                         self.claim(now, id, count, out);
                     }
                 }
-                Stage::Elsewhere => {
+                StatementState::OwnedElsewhere => {
                     let (at, waits) = (case.at, !case.waiters.is_empty());
                     if !waits {
-                        self.turn(id, Stage::Closed);
+                        self.turn(id, StatementState::Closed);
                     } else if self.is_there(at) {
                         self.wait_at(now, id, at, out);
                     } else {
@@ -1765,14 +1816,19 @@
                     }
                 }
                 // Whatever became of it here: nobody can ask for it any more.
-                Stage::Held | Stage::Witnessed | Stage::Watched if now >= case.until => {
-                    self.turn(id, Stage::Closed);
+                StatementState::Owned | StatementState::Replicated | StatementState::TakenOver
+                    if now >= case.until =>
+                {
+                    self.turn(id, StatementState::Closed);
                 }
-                Stage::Held | Stage::Witnessed | Stage::Watched => {
+                StatementState::Owned | StatementState::Replicated | StatementState::TakenOver => {
                     let until = case.until;
                     self.wake_case(id, until);
                 }
-                Stage::Kept | Stage::Delivered | Stage::Closed | Stage::InDoubt => {
+                StatementState::Cached
+                | StatementState::Delivered
+                | StatementState::Closed
+                | StatementState::Unknown => {
                     if now >= case.until {
                         self.forget(id);
                     }
@@ -1784,7 +1840,7 @@
     fn tidy(&mut self, now: Nanos) {
         self.ledger.tidy(now);
         let (most, late) = (self.terms.most_entries, now.saturating_sub(STILL_AT_ENGINE));
-        let is_old = |&(at, _): &(Nanos, Id)| at < late;
+        let is_old = |&(at, _): &(Nanos, StatementId)| at < late;
         while self.ended_in_order.front().is_some_and(is_old) || self.ended_in_order.len() > most {
             let Some((at, id)) = self.ended_in_order.pop_front() else {
                 break;
@@ -1806,7 +1862,7 @@
     }
 
     /// Witnesses hear of it with the next batch.
-    fn tell_later(&mut self, now: Nanos, id: Id, end: Option<End>) {
+    fn tell_later(&mut self, now: Nanos, id: StatementId, end: Option<StatementEnd>) {
         let held = self.news.entry(id).or_default();
         *held = end.or(*held);
         if self.next_tell == Nanos::MAX {
@@ -1817,7 +1873,7 @@
     /// One message a witness for all that is new.
     fn tell_now(&mut self, now: Nanos, out: &mut dyn Output) {
         self.next_tell = Nanos::MAX;
-        let mut batches: BTreeMap<u16, Vec<Told>> = BTreeMap::new();
+        let mut batches: BTreeMap<u16, Vec<StatementRecord>> = BTreeMap::new();
         for (id, end) in std::mem::take(&mut self.news) {
             let Some(case) = self.cases.get_mut(&id) else {
                 continue;
@@ -1848,14 +1904,14 @@
         }
         for (to, told) in batches {
             for part in told.chunks(TOLD_AT_ONCE) {
-                out.tell(to, Message::Tell(part.to_vec()));
+                out.tell(to, Message::Update(part.to_vec()));
             }
         }
     }
 
     // ---- the table ----
 
-    fn new_case(&self, now: Nanos, facts: Facts, stage: Stage) -> Case {
+    fn new_case(&self, now: Nanos, facts: StatementSpec, stage: StatementState) -> Case {
         let deadline = now + (u64::from(facts.left_ms) * MS).min(self.terms.longest);
         Case {
             stage,
@@ -1883,7 +1939,7 @@
         }
     }
 
-    fn insert(&mut self, id: Id, case: Case) {
+    fn insert(&mut self, id: StatementId, case: Case) {
         let until = case.until;
         if let Some(before) = self.cases.insert(id, case) {
             self.wakes.remove(&(before.wake, id));
@@ -1892,14 +1948,14 @@
         self.wake_case(id, until);
     }
 
-    fn forget(&mut self, id: Id) {
+    fn forget(&mut self, id: StatementId) {
         if let Some(case) = self.cases.remove(&id) {
             self.wakes.remove(&(case.wake, id));
             self.kept.drop_one(id);
         }
     }
 
-    fn wake_case(&mut self, id: Id, at: Nanos) {
+    fn wake_case(&mut self, id: StatementId, at: Nanos) {
         let Some(case) = self.cases.get_mut(&id) else {
             return;
         };
@@ -1909,22 +1965,26 @@
     }
 
     /// The one function that changes a statement's stage.
-    fn turn(&mut self, id: Id, to: Stage) {
-        use Stage::*;
+    fn turn(&mut self, id: StatementId, to: StatementState) {
+        use StatementState::*;
         let Some(case) = self.cases.get_mut(&id) else {
             return;
         };
         let may = match (case.stage, to) {
             (from, to) if from == to => true,
-            (Asking, Held | Elsewhere | Orphaned | Closed) => true,
-            (Held, Witnessed | Elsewhere | Orphaned | Kept | Delivered | Closed | InDoubt) => true,
-            (Witnessed | Watched, Elsewhere | Orphaned | Kept | Delivered | Closed | InDoubt) => {
-                true
-            }
-            (Orphaned, Claimed | Elsewhere | Closed) => true,
-            (Claimed, Held | Watched | Elsewhere | Kept | Closed | InDoubt) => true,
-            (Elsewhere, Asking | Orphaned | Closed) => true,
-            (Kept | InDoubt, Delivered) => true,
+            (LookingUp, Owned | OwnedElsewhere | Orphaned | Closed) => true,
+            (
+                Owned,
+                Replicated | OwnedElsewhere | Orphaned | Cached | Delivered | Closed | Unknown,
+            ) => true,
+            (
+                Replicated | TakenOver,
+                OwnedElsewhere | Orphaned | Cached | Delivered | Closed | Unknown,
+            ) => true,
+            (Orphaned, TakingOver | OwnedElsewhere | Closed) => true,
+            (TakingOver, Owned | TakenOver | OwnedElsewhere | Cached | Closed | Unknown) => true,
+            (OwnedElsewhere, LookingUp | Orphaned | Closed) => true,
+            (Cached | Unknown, Delivered) => true,
             _ => false,
         };
         debug_assert!(may, "{:?} -> {to:?}", case.stage);
@@ -1946,15 +2006,15 @@
     /// That gateway acts for it or has its end.
     At(u16),
     /// It is over and nobody that is heard has more of it.
-    Over(Word),
+    Over(FinalAnswer),
     /// Who acted for it is not heard any more.
     Orphan,
     Nowhere,
 }
 
-fn stands(refusal: &Refusal) -> Option<Told> {
+fn stands(refusal: &VoteRefusal) -> Option<StatementRecord> {
     match refusal {
-        Refusal::Stands(told) => Some((**told).clone()),
-        Refusal::Abstains | Refusal::Full => None,
+        VoteRefusal::Conflict(told) => Some((**told).clone()),
+        VoteRefusal::Abstained | VoteRefusal::Full => None,
     }
 }
--- a/crates/ivypitch-ownership/src/kept.rs
+++ b/crates/ivypitch-ownership/src/result_cache.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::message::Id;
+use crate::message::StatementId;
 
 /// A result's pages, as they came from the engine.
 pub type Pages = Vec<serde_bytes::ByteBuf>;
@@ -14,11 +14,11 @@
     serial: u64,
 }
 
-pub struct Kept {
+pub struct ResultCache {
     /// Emptied as the statement is forgotten, and by newer results of the same customer.
-    results: BTreeMap<Id, Result>,
+    results: BTreeMap<StatementId, Result>,
     /// By customer: its results in the order they came, and their bytes.
-    lines: BTreeMap<u16, (BTreeMap<u64, Id>, usize)>,
+    lines: BTreeMap<u16, (BTreeMap<u64, StatementId>, usize)>,
     most_bytes: usize,
     serial: u64,
 }
@@ -30,10 +30,10 @@
     OVERHEAD + pages.iter().map(|page| page.len() + 24).sum::<usize>()
 }
 
-impl Kept {
+impl ResultCache {
     /// `most_bytes` for each customer.
-    pub fn new(most_bytes: usize) -> Kept {
-        Kept {
+    pub fn new(most_bytes: usize) -> ResultCache {
+        ResultCache {
             results: BTreeMap::new(),
             lines: BTreeMap::new(),
             most_bytes,
@@ -54,7 +54,7 @@
     }
 
     /// False: larger than all that the customer may have.
-    pub fn put(&mut self, id: Id, tenant: u16, pages: Pages) -> bool {
+    pub fn put(&mut self, id: StatementId, tenant: u16, pages: Pages) -> bool {
         self.drop_one(id);
         let bytes = weight(&pages);
         if bytes > self.most_bytes {
@@ -87,11 +87,11 @@
         true
     }
 
-    pub fn get(&self, id: Id) -> Option<&Pages> {
+    pub fn get(&self, id: StatementId) -> Option<&Pages> {
         self.results.get(&id).map(|result| &result.pages)
     }
 
-    pub fn drop_one(&mut self, id: Id) {
+    pub fn drop_one(&mut self, id: StatementId) {
         let Some(result) = self.results.remove(&id) else {
             return;
         };
--- a/crates/ivypitch-ownership/src/ledger.rs
+++ b/crates/ivypitch-ownership/src/vote_log.rs
@@ -6,19 +6,21 @@
 
 use ivypitch_types::Nanos;
 
-use crate::message::{End, Epoch, Facts, Grant, Id, Memory, Told};
-use crate::witnesses::Witnesses;
+use crate::message::{
+    AttemptGrant, Epoch, StatementEnd, StatementId, StatementRecord, StatementSpec,
+    VoteLogCompleteness,
+};
+use crate::voters::VoterAssignment;
 
 /// A copy of what stands in the register.
-pub type Copy = Told;
 
 /// Why a vote was not given.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Refusal {
+pub enum VoteRefusal {
     /// This witness began lately.
-    Abstains,
+    Abstained,
     /// Another may act, or it has ended; what stands.
-    Stands(Box<Told>),
+    Conflict(Box<StatementRecord>),
     /// No room for another statement.
     Full,
 }
@@ -26,19 +28,22 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Entry {
     promised: Epoch,
-    facts: Option<Facts>,
+    facts: Option<StatementSpec>,
     /// When its client's time is over.
     deadline: Nanos,
-    grants: Vec<Grant>,
-    end: Option<End>,
+    grants: Vec<AttemptGrant>,
+    end: Option<StatementEnd>,
     forget_at: Nanos,
 }
 
 impl Entry {
-    fn told(&self, now: Nanos, id: Id) -> Told {
+    fn told(&self, now: Nanos, id: StatementId) -> StatementRecord {
         let left_ms = (self.deadline.saturating_sub(now) / 1_000_000) as u32;
-        let facts = self.facts.clone().map(|facts| Facts { left_ms, ..facts });
-        Told {
+        let facts = self
+            .facts
+            .clone()
+            .map(|facts| StatementSpec { left_ms, ..facts });
+        StatementRecord {
             id,
             epoch: self.promised,
             facts,
@@ -47,7 +52,7 @@
         }
     }
 
-    fn learn(&mut self, now: Nanos, told: &Told) {
+    fn learn(&mut self, now: Nanos, told: &StatementRecord) {
         if self.facts.is_none()
             && let Some(facts) = &told.facts
         {
@@ -67,14 +72,16 @@
         self.grants.sort_unstable();
         // That it completed is a fact, whoever says so; no other end stands over it.
         match (self.end, told.end) {
-            (None | Some(End::Aborted), Some(end @ End::Completed { .. })) => self.end = Some(end),
+            (None | Some(StatementEnd::Aborted), Some(end @ StatementEnd::Completed { .. })) => {
+                self.end = Some(end)
+            }
             (None, Some(end)) if told.epoch >= self.promised => self.end = Some(end),
             _ => {}
         }
         // That of a completed one is wanted as long as its engine may still have the rows.
         if self
             .end
-            .is_some_and(|end| !matches!(end, End::Completed { .. }))
+            .is_some_and(|end| !matches!(end, StatementEnd::Completed { .. }))
         {
             self.drop_text();
         }
@@ -88,11 +95,11 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Ledger {
+pub struct VoteLog {
     place: u16,
     /// Emptied as a statement's client can't come back any more.
-    entries: BTreeMap<Id, Entry>,
-    forget: BTreeSet<(Nanos, Id)>,
+    entries: BTreeMap<StatementId, Entry>,
+    forget: BTreeSet<(Nanos, StatementId)>,
     most: usize,
     /// How long after its client's time a statement may be asked for.
     remembered: Nanos,
@@ -100,12 +107,12 @@
     votes_from: Nanos,
     all_from: Nanos,
     /// Who has told all that it knows since this witness began, and what that is worth.
-    told_by: BTreeMap<u16, Memory>,
+    told_by: BTreeMap<u16, VoteLogCompleteness>,
     /// How often that changed.
     lessons: u64,
 }
 
-impl Ledger {
+impl VoteLog {
     /// `grant_lives`: a grant is not used later than so after it was asked for. `longest`: no client waits longer.
     pub fn new(
         place: u16,
@@ -114,8 +121,8 @@
         longest: Nanos,
         remembered: Nanos,
         most: usize,
-    ) -> Ledger {
-        Ledger {
+    ) -> VoteLog {
+        VoteLog {
             place,
             entries: BTreeMap::new(),
             forget: BTreeSet::new(),
@@ -138,7 +145,7 @@
 
     /// A peer has told all that this witness may have voted on. What was told while a grant that this one's former self
     /// voted on could still find its majority counts for nothing: it may be told of that one too early.
-    pub fn told_all(&mut self, now: Nanos, by: u16, memory: Memory) {
+    pub fn told_all(&mut self, now: Nanos, by: u16, memory: VoteLogCompleteness) {
         if now >= self.votes_from && self.told_by.get(&by) != Some(&memory) {
             self.told_by.insert(by, memory);
             self.lessons += 1;
@@ -153,23 +160,23 @@
     /// Another process stands at that place now.
     pub fn replaced(&mut self, place: u16) {
         // What the former one told stays true.
-        if let Some(Memory::ToldBy(_)) = self.told_by.get(&place) {
+        if let Some(VoteLogCompleteness::RestoredFrom(_)) = self.told_by.get(&place) {
             self.told_by.remove(&place);
             self.lessons += 1;
         }
     }
 
-    pub fn memory(&self, now: Nanos) -> Memory {
+    pub fn memory(&self, now: Nanos) -> VoteLogCompleteness {
         if now >= self.all_from {
-            Memory::Whole
+            VoteLogCompleteness::Complete
         } else {
-            Memory::ToldBy(self.told_by.keys().copied().collect())
+            VoteLogCompleteness::RestoredFrom(self.told_by.keys().copied().collect())
         }
     }
 
     /// Votes that this witness gave before it began are known again: of every majority that it was in, somebody who
     /// knows of it has told it.
-    pub fn may_vote(&self, now: Nanos, id: Id, witnesses: &Witnesses) -> bool {
+    pub fn may_vote(&self, now: Nanos, id: StatementId, witnesses: &VoterAssignment) -> bool {
         if now >= self.all_from {
             return true;
         }
@@ -179,9 +186,9 @@
         let all = witnesses.of(id);
         let enough = witnesses.count() - witnesses.majority() + 1;
         let knows = |w: u16| match self.told_by.get(&w) {
-            Some(Memory::Whole) => true,
+            Some(VoteLogCompleteness::Complete) => true,
             // It began lately too: it knows what enough of its own fellow witnesses had told it.
-            Some(Memory::ToldBy(by)) => {
+            Some(VoteLogCompleteness::RestoredFrom(by)) => {
                 all.iter().filter(|&&f| f != w && by.contains(&f)).count() >= enough
             }
             None => false,
@@ -189,13 +196,13 @@
         all.iter().filter(|&&w| w != self.place && knows(w)).count() >= enough
     }
 
-    pub fn get(&self, now: Nanos, id: Id) -> Option<Told> {
+    pub fn get(&self, now: Nanos, id: StatementId) -> Option<StatementRecord> {
         Some(self.entries.get(&id)?.told(now, id))
     }
 
     /// News that need no vote. What a higher epoch has overtaken changes no epoch, but its facts are kept.
-    pub fn tell(&mut self, now: Nanos, told: &Told) {
-        if told.end == Some(End::Rejected) {
+    pub fn tell(&mut self, now: Nanos, told: &StatementRecord) {
+        if told.end == Some(StatementEnd::Rejected) {
             // It had no effect: whoever comes with the id next begins anew.
             if self
                 .entries
@@ -217,12 +224,12 @@
     pub fn grant(
         &mut self,
         now: Nanos,
-        told: &Told,
-        grant: Grant,
-        witnesses: &Witnesses,
-    ) -> Result<(), Refusal> {
+        told: &StatementRecord,
+        grant: AttemptGrant,
+        witnesses: &VoterAssignment,
+    ) -> Result<(), VoteRefusal> {
         if !self.may_vote(now, told.id, witnesses) {
-            return Err(Refusal::Abstains);
+            return Err(VoteRefusal::Abstained);
         }
         if let Some(entry) = self.entries.get(&told.id) {
             let same = match (&entry.facts, &told.facts) {
@@ -235,48 +242,48 @@
                 .iter()
                 .any(|g| (g.epoch, g.number) == (grant.epoch, grant.number));
             // A grant that the asker was not told of: its claim was read before that was given.
-            let knows = |g: &Grant| {
+            let knows = |g: &AttemptGrant| {
                 told.grants
                     .iter()
                     .any(|t| (t.epoch, t.number) == (g.epoch, g.number))
             };
             let unknown = entry.grants.iter().any(|g| !g.void && !knows(g));
             if entry.promised != grant.epoch || entry.end.is_some() || !same || twice || unknown {
-                return Err(Refusal::Stands(Box::new(entry.told(now, told.id))));
+                return Err(VoteRefusal::Conflict(Box::new(entry.told(now, told.id))));
             }
         }
-        let told = Told {
+        let told = StatementRecord {
             grants: [told.grants.as_slice(), &[grant]].concat(),
             ..told.clone()
         };
-        self.entry(now, told.id, &told).ok_or(Refusal::Full)
+        self.entry(now, told.id, &told).ok_or(VoteRefusal::Full)
     }
 
     /// The next one that may act: no lower epoch gets a grant here from now on.
     pub fn claim(
         &mut self,
         now: Nanos,
-        id: Id,
+        id: StatementId,
         epoch: Epoch,
-        witnesses: &Witnesses,
-    ) -> Result<Option<Told>, Refusal> {
+        witnesses: &VoterAssignment,
+    ) -> Result<Option<StatementRecord>, VoteRefusal> {
         if !self.may_vote(now, id, witnesses) {
-            return Err(Refusal::Abstains);
+            return Err(VoteRefusal::Abstained);
         }
         let known = self.get(now, id);
         if let Some(told) = &known
             && told.epoch >= epoch
         {
-            return Err(Refusal::Stands(Box::new(told.clone())));
+            return Err(VoteRefusal::Conflict(Box::new(told.clone())));
         }
-        let bare = Told {
+        let bare = StatementRecord {
             id,
             epoch,
             facts: None,
             grants: Vec::new(),
             end: None,
         };
-        self.entry(now, id, &bare).ok_or(Refusal::Full)?;
+        self.entry(now, id, &bare).ok_or(VoteRefusal::Full)?;
         if let Some(entry) = self.entries.get_mut(&id) {
             entry.promised = epoch;
         }
@@ -284,7 +291,7 @@
     }
 
     /// What stands of the id, made where nothing does, after these news; `None` where there is no room.
-    fn entry(&mut self, now: Nanos, id: Id, told: &Told) -> Option<()> {
+    fn entry(&mut self, now: Nanos, id: StatementId, told: &StatementRecord) -> Option<()> {
         if !self.entries.contains_key(&id) {
             if self.entries.len() >= self.most {
                 return None;
@@ -312,13 +319,13 @@
     }
 
     /// Nobody can need to ask its engine again.
-    pub fn drop_text(&mut self, id: Id) {
+    pub fn drop_text(&mut self, id: StatementId) {
         if let Some(entry) = self.entries.get_mut(&id) {
             entry.drop_text();
         }
     }
 
-    pub fn remove(&mut self, id: Id) {
+    pub fn remove(&mut self, id: StatementId) {
         if let Some(entry) = self.entries.remove(&id) {
             self.forget.remove(&(entry.forget_at, id));
         }
@@ -337,7 +344,7 @@
     }
 
     /// The statements whose acting gateway is this process.
-    pub fn acted_for_by(&self, place: u16, birth: u64) -> Vec<Id> {
+    pub fn acted_for_by(&self, place: u16, birth: u64) -> Vec<StatementId> {
         let by = |entry: &Entry| (entry.promised.place, entry.promised.birth) == (place, birth);
         self.entries
             .iter()
@@ -347,7 +354,7 @@
     }
 
     /// All that stands, for a witness that has begun anew.
-    pub fn all(&self, now: Nanos) -> impl Iterator<Item = Told> {
+    pub fn all(&self, now: Nanos) -> impl Iterator<Item = StatementRecord> {
         self.entries
             .iter()
             .map(move |(&id, entry)| entry.told(now, id))
--- a/crates/ivypitch-ownership/src/witnesses.rs
+++ b/crates/ivypitch-ownership/src/voters.rs
@@ -6,9 +6,9 @@
 
 use siphasher::sip::SipHasher13;
 
-use crate::message::Id;
+use crate::message::StatementId;
 
-pub struct Witnesses {
+pub struct VoterAssignment {
     /// Zone of each seat, by place.
     zones: Vec<u16>,
     count: usize,
@@ -18,14 +18,14 @@
     lately: RefCell<Vec<Choice>>,
 }
 
-type Choice = Option<(Id, Vec<u16>)>;
+type Choice = Option<(StatementId, Vec<u16>)>;
 
 const LATELY: usize = 1024;
 
-impl Witnesses {
+impl VoterAssignment {
     /// `count` of them for each statement, an odd number; fewer where there are fewer seats. Where the seats have three
     /// zones or more no zone holds a majority of them; where they have two, both hold some.
-    pub fn new(zones: Vec<u16>, count: usize) -> Witnesses {
+    pub fn new(zones: Vec<u16>, count: usize) -> VoterAssignment {
         let mut kinds = zones.clone();
         kinds.sort_unstable();
         kinds.dedup();
@@ -36,7 +36,7 @@
             2 => (count / 2 + 1).min(count.saturating_sub(1)).max(1),
             _ => (count / 2).max(1),
         };
-        Witnesses {
+        VoterAssignment {
             zones,
             count,
             most_of_a_zone,
@@ -53,7 +53,7 @@
     }
 
     /// The witnesses of an id, the first in rank first.
-    pub fn of(&self, id: Id) -> Vec<u16> {
+    pub fn of(&self, id: StatementId) -> Vec<u16> {
         let place = (id % LATELY as u64) as usize;
         if let Some((known, chosen)) = &self.lately.borrow()[place]
             && *known == id
@@ -65,7 +65,7 @@
         chosen
     }
 
-    fn choose(&self, id: Id) -> Vec<u16> {
+    fn choose(&self, id: StatementId) -> Vec<u16> {
         let mut ranked: Vec<(u64, u16)> = (0..self.zones.len())
             .map(|place| (weight(id, place as u16), place as u16))
             .collect();
@@ -99,7 +99,7 @@
     }
 }
 
-fn weight(id: Id, place: u16) -> u64 {
+fn weight(id: StatementId, place: u16) -> u64 {
     let mut hasher = SipHasher13::new_with_keys(id, u64::from(place));
     hasher.write_u64(id ^ u64::from(place).rotate_left(32));
     hasher.finish()
--- a/crates/ivypitch-ownership/tests/model.rs
+++ b/crates/ivypitch-ownership/tests/model.rs
@@ -2,7 +2,10 @@
 //! registers the real ones. Messages are votes that come in any order or never; an owner that is taken for lost may be
 //! dead, or stopped and awake again at any later step. Each guard taken away must let a statement be sent twice.
 
-use ivypitch_ownership::{End, Epoch, Facts, Grant, Id, Ledger, Memory, Told, Witnesses};
+use ivypitch_ownership::{
+    AttemptGrant, Epoch, StatementEnd, StatementId, StatementRecord, StatementSpec, VoteLog,
+    VoteLogCompleteness, VoterAssignment,
+};
 use stateright::{Checker, Model, Property};
 use test_case::test_case;
 
@@ -41,7 +44,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    ledgers: Vec<Ledger>,
+    ledgers: Vec<VoteLog>,
     alive: Vec<bool>,
     /// Processes that began anew, and who has told them all.
     young: Vec<Option<Vec<usize>>>,
@@ -71,8 +74,8 @@
     one_claimer: bool,
 }
 
-fn id(stmt: usize) -> Id {
-    7 + stmt as Id
+fn id(stmt: usize) -> StatementId {
+    7 + stmt as StatementId
 }
 
 fn epoch(by: usize, owner: usize) -> Epoch {
@@ -83,8 +86,8 @@
     }
 }
 
-fn told(stmt: usize, epoch: Epoch) -> Told {
-    let facts = Facts {
+fn told(stmt: usize, epoch: Epoch) -> StatementRecord {
+    let facts = StatementSpec {
         digest: 1,
         workload: 0,
         tenant: 0,
@@ -92,7 +95,7 @@
         left_ms: 1,
         text: Vec::new(),
     };
-    Told {
+    StatementRecord {
         id: id(stmt),
         epoch,
         facts: Some(facts),
@@ -102,8 +105,8 @@
 }
 
 impl Fleet {
-    fn witnesses(&self) -> Witnesses {
-        Witnesses::new((0..MEMBERS as u16).collect(), MEMBERS)
+    fn witnesses(&self) -> VoterAssignment {
+        VoterAssignment::new((0..MEMBERS as u16).collect(), MEMBERS)
     }
 
     fn majority(&self) -> usize {
@@ -118,14 +121,14 @@
         stmt % MEMBERS
     }
 
-    fn ledger(&self, place: usize, young: bool) -> Ledger {
+    fn ledger(&self, place: usize, young: bool) -> VoteLog {
         // A young one has long to go until it has nothing to remember.
         let remembered = if young && self.without != Without::Abstaining {
             1_000_000
         } else {
             0
         };
-        Ledger::new(place as u16, 0, 0, remembered, 0, 100)
+        VoteLog::new(place as u16, 0, 0, remembered, 0, 100)
     }
 
     fn now(&self) -> u64 {
@@ -221,10 +224,10 @@
                 state.young[m] = Some(Vec::new());
             }
             Action::Teach { by, to } => {
-                let all: Vec<Told> = state.ledgers[by].all(self.now()).collect();
+                let all: Vec<StatementRecord> = state.ledgers[by].all(self.now()).collect();
                 all.iter()
                     .for_each(|told| state.ledgers[to].tell(self.now(), told));
-                state.ledgers[to].told_all(self.now(), by as u16, Memory::Whole);
+                state.ledgers[to].told_all(self.now(), by as u16, VoteLogCompleteness::Complete);
                 state.young[to].as_mut()?.push(by);
                 // A process is taught no sooner than a grant's life after its start: what its former self voted on, and
                 // has not been sent by now, never is.
@@ -241,7 +244,7 @@
             }
             Action::Vote { stmt, by, at } => {
                 let epoch = epoch(by, self.owner(stmt));
-                let grant = Grant {
+                let grant = AttemptGrant {
                     epoch,
                     number: 0,
                     engine: 1,
@@ -375,10 +378,10 @@
 #[test]
 fn a_statement_sees_nothing_of_another() {
     use rand::{Rng, SeedableRng};
-    let witnesses = Witnesses::new((0..MEMBERS as u16).collect(), MEMBERS);
+    let witnesses = VoterAssignment::new((0..MEMBERS as u16).collect(), MEMBERS);
     for seed in 0..400 {
         let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
-        let ledger = || Ledger::new(0, 0, 400, 2_000, 500, 100);
+        let ledger = || VoteLog::new(0, 0, 400, 2_000, 500, 100);
         let (mut mixed, mut alone) = (ledger(), ledger());
         for step in 0..300u64 {
             let now = step * 10;
@@ -389,7 +392,7 @@
                 place: by,
                 birth: 1,
             };
-            let grant = Grant {
+            let grant = AttemptGrant {
                 epoch,
                 number: rng.random_range(0..2),
                 engine: 1,
@@ -400,16 +403,16 @@
                 news.grants.push(grant);
             }
             let ends = [
-                End::Aborted,
-                End::Rejected,
-                End::Completed {
+                StatementEnd::Aborted,
+                StatementEnd::Rejected,
+                StatementEnd::Completed {
                     rows_at: by,
                     birth: 1,
                 },
             ];
             news.end = rng.random_bool(0.1).then(|| ends[rng.random_range(0..3)]);
             let what = rng.random_range(0..6);
-            let ask = |ledger: &mut Ledger| match what {
+            let ask = |ledger: &mut VoteLog| match what {
                 0 => format!("{:?}", ledger.grant(now, &news, grant, &witnesses)),
                 1 => format!("{:?}", ledger.claim(now, id(stmt), epoch, &witnesses)),
                 2 => {
@@ -419,7 +422,7 @@
                 3 => format!("{:?}", ledger.get(now, id(stmt))),
                 // These concern all statements alike.
                 4 => {
-                    ledger.told_all(now, by, Memory::Whole);
+                    ledger.told_all(now, by, VoteLogCompleteness::Complete);
                     String::new()
                 }
                 _ => {
--- a/crates/ivypitch-testbed/src/experiments/scale/peers.rs
+++ b/crates/ivypitch-testbed/src/experiments/scale/peers.rs
@@ -7,7 +7,7 @@
 use ivypitch_coordination::{Gossip, Message, Output, Process, Saw, Shares, shares};
 use ivypitch_gateway::wire::peers::{self, Frame};
 use ivypitch_membership::Terms;
-use ivypitch_ownership::Witnesses;
+use ivypitch_ownership::VoterAssignment;
 use ivypitch_types::{Nanos, SECOND};
 
 use super::slope::Measure;
@@ -129,7 +129,8 @@
 pub fn custody(quick: bool, seed: u64) -> Vec<Measure> {
     let mut choosing = Vec::new();
     for &gateways in &GATEWAYS {
-        let witnesses = Witnesses::new((0..gateways).map(|g| (g % ZONES) as u16).collect(), 5);
+        let witnesses =
+            VoterAssignment::new((0..gateways).map(|g| (g % ZONES) as u16).collect(), 5);
         let mut id = seed;
         let calls = if quick { 400_000 } else { 4_000_000 } / gateways;
         let mut choose = || {
--- a/crates/ivypitch-testbed/src/processes/hollow_gateways.rs
+++ b/crates/ivypitch-testbed/src/processes/hollow_gateways.rs
@@ -28,7 +28,7 @@
 use ivypitch_gateway::state::traffic::Traffic;
 use ivypitch_gateway::wire::journal::Hosts;
 use ivypitch_gateway::wire::peers::{Frame, next, write};
-use ivypitch_ownership::Custody;
+use ivypitch_ownership::Ownership;
 use ivypitch_types::Nanos;
 use serde::{Deserialize, Serialize};
 use smol::channel::{self, Receiver, Sender};
@@ -367,7 +367,7 @@
     });
     let keeper = own.custody.enabled.then(|| {
         let terms = own.custody.terms(crowd.longest_ms * 1_000_000);
-        let custody = Custody::new(at, birth, zones.clone(), terms, now);
+        let custody = Ownership::new(at, birth, zones.clone(), terms, now);
         Keeper::new(custody, say.clone(), own.custody.asks_from())
     });
     let follower = List {
--- a/crates/ivypitch-testbed/src/virtual_time/custody_fleet.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/custody_fleet.rs
@@ -6,7 +6,8 @@
 
 use ivypitch_gateway::wire::peers;
 use ivypitch_ownership::{
-    Arrived, Custody, Denied, Facts, Id, Leave, Message, Output, Policy, Terms, Totals, Word,
+    ArrivalDecision, FinalAnswer, GrantDecision, GrantDenial, Message, NoQuorumPolicy, Output,
+    Ownership, OwnershipConfig, OwnershipCounters, StatementId, StatementSpec,
 };
 use ivypitch_types::Nanos;
 use rand::{Rng, SeedableRng};
@@ -34,7 +35,7 @@
     pub loads: f64,
     /// False: loads are sent without a grant, for the test that shows what it is for.
     pub grants: bool,
-    pub policy: Policy,
+    pub policy: NoQuorumPolicy,
     /// False: as without peers.
     pub custody: bool,
     /// Statements have texts, and what is said is counted in bytes.
@@ -52,7 +53,7 @@
             fault_gap: 700,
             loads: 0.4,
             grants: true,
-            policy: Policy::Refuse,
+            policy: NoQuorumPolicy::Reject,
             custody: true,
             measure: false,
         }
@@ -105,8 +106,8 @@
 }
 
 struct Statement {
-    id: Id,
-    facts: Facts,
+    id: StatementId,
+    facts: StatementSpec,
     work: Nanos,
     deadline: Nanos,
     starts: u32,
@@ -128,13 +129,13 @@
 
 #[derive(Default)]
 struct Engine {
-    queries: BTreeMap<Id, Query>,
+    queries: BTreeMap<StatementId, Query>,
     drains: bool,
 }
 
 /// A statement on its way here.
 struct Own {
-    facts: Facts,
+    facts: StatementSpec,
     deadline: Nanos,
     numbers: u32,
     engine: usize,
@@ -146,9 +147,9 @@
 }
 
 struct Node {
-    custody: Option<Custody>,
+    custody: Option<Ownership>,
     birth: u64,
-    own: BTreeMap<Id, Own>,
+    own: BTreeMap<StatementId, Own>,
     stopped: bool,
     /// What came while it was stopped.
     held: Vec<Event>,
@@ -183,23 +184,23 @@
     Send {
         by: usize,
         birth: u64,
-        id: Id,
+        id: StatementId,
         number: u32,
     },
     Poll {
         by: usize,
         birth: u64,
-        id: Id,
+        id: StatementId,
         serial: u64,
     },
     Deadline {
         by: usize,
         birth: u64,
-        id: Id,
+        id: StatementId,
         serial: u64,
     },
     /// A client's patience with a silent gateway is over.
-    Leave {
+    GrantDecision {
         stmt: usize,
         token: u64,
     },
@@ -212,11 +213,11 @@
 
 enum Act {
     Tell(u16, Message),
-    Go(Id, u32),
-    Denied(Id, Denied),
-    Proceed(Id),
-    Adopt(Id, Facts, Nanos, Option<u64>),
-    Answer(u64, Word),
+    Go(StatementId, u32),
+    Denied(StatementId, GrantDenial),
+    Proceed(StatementId),
+    Adopt(StatementId, StatementSpec, Nanos, Option<u64>),
+    Answer(u64, FinalAnswer),
 }
 
 #[derive(Default)]
@@ -226,31 +227,31 @@
     fn tell(&mut self, to: u16, message: Message) {
         self.0.push(Act::Tell(to, message));
     }
-    fn go(&mut self, id: Id, number: u32) {
+    fn go(&mut self, id: StatementId, number: u32) {
         self.0.push(Act::Go(id, number));
     }
-    fn denied(&mut self, id: Id, _number: u32, why: Denied) {
+    fn denied(&mut self, id: StatementId, _number: u32, why: GrantDenial) {
         self.0.push(Act::Denied(id, why));
     }
-    fn proceed(&mut self, id: Id) {
+    fn proceed(&mut self, id: StatementId) {
         self.0.push(Act::Proceed(id));
     }
-    fn adopt(&mut self, id: Id, facts: &Facts, left: Nanos, at: Option<u64>) {
+    fn adopt(&mut self, id: StatementId, facts: &StatementSpec, left: Nanos, at: Option<u64>) {
         self.0.push(Act::Adopt(id, facts.clone(), left, at));
     }
-    fn answer(&mut self, waiter: u64, word: &Word) {
+    fn answer(&mut self, waiter: u64, word: &FinalAnswer) {
         self.0.push(Act::Answer(waiter, word.clone()));
     }
     fn log(&mut self, _line: &str) {}
 }
 
-pub fn terms(fleet: &Fleet) -> Terms {
-    Terms {
+pub fn terms(fleet: &Fleet) -> OwnershipConfig {
+    OwnershipConfig {
         longest: 6000 * MS,
         remembered: 1000 * MS,
         policy: fleet.policy,
         result_cache_bytes_per_tenant: 1 << 20,
-        ..Terms::default()
+        ..OwnershipConfig::default()
     }
 }
 
@@ -265,7 +266,7 @@
     nodes: Vec<Node>,
     engines: Vec<Engine>,
     stmts: Vec<Statement>,
-    by_id: BTreeMap<Id, usize>,
+    by_id: BTreeMap<StatementId, usize>,
     tokens: BTreeMap<u64, usize>,
     next_token: u64,
     births: u64,
@@ -276,12 +277,12 @@
     /// No message overtakes another on its link.
     last_on_link: BTreeMap<(usize, usize), Nanos>,
     open: usize,
-    lost_at: BTreeMap<Id, Nanos>,
+    lost_at: BTreeMap<StatementId, Nanos>,
     first_asks: Vec<u64>,
     messages: u64,
     bytes: u64,
     most_entries: usize,
-    totals: Vec<Totals>,
+    totals: Vec<OwnershipCounters>,
     trace: bool,
 }
 
@@ -315,7 +316,7 @@
             rng.random_range(5..800)
         } * MS;
         let left = rng.random_range(4000..6000);
-        let facts = Facts {
+        let facts = StatementSpec {
             digest: rng.random(),
             workload: u16::from(load),
             tenant: rng.random_range(0..3),
@@ -427,7 +428,7 @@
         let custody = self
             .fleet
             .custody
-            .then(|| Custody::new(g as u16, birth, zones, terms(self.fleet), began));
+            .then(|| Ownership::new(g as u16, birth, zones, terms(self.fleet), began));
         Node {
             custody,
             birth,
@@ -524,7 +525,7 @@
                     self.give_up(by, id);
                 }
             }
-            Event::Leave { stmt, token } => {
+            Event::GrantDecision { stmt, token } => {
                 if let Some((g, birth, _)) = self.stmts[stmt].at.filter(|&(_, _, t)| t == token) {
                     let id = self.id_of(stmt);
                     if self.nodes[g].birth == birth && !self.nodes[g].stopped {
@@ -539,7 +540,7 @@
         }
     }
 
-    fn id_of(&self, stmt: usize) -> Id {
+    fn id_of(&self, stmt: usize) -> StatementId {
         self.stmts[stmt].id
     }
 
@@ -550,7 +551,7 @@
     }
 
     /// One call of a gateway's custody, and what it asks for.
-    fn with(&mut self, g: usize, call: impl FnOnce(&mut Custody, Nanos, &mut dyn Output)) {
+    fn with(&mut self, g: usize, call: impl FnOnce(&mut Ownership, Nanos, &mut dyn Output)) {
         let now = self.now;
         let mut acts = Acts::default();
         let Some(custody) = self.nodes[g].custody.as_mut() else {
@@ -565,18 +566,18 @@
             match act {
                 Act::Tell(to, message) => self.tell(g, usize::from(to), message),
                 Act::Go(id, number) => self.go(g, id, number),
-                Act::Denied(id, Denied::NoMajority { clean }) => {
+                Act::Denied(id, GrantDenial::NoQuorum { clean }) => {
                     self.answer_own(g, id, if clean { Told::Rejected } else { Told::Aborted })
                 }
-                Act::Denied(id, Denied::Elsewhere) => drop(self.nodes[g].own.remove(&id)),
+                Act::Denied(id, GrantDenial::OwnedElsewhere) => drop(self.nodes[g].own.remove(&id)),
                 Act::Proceed(id) => self.try_attempt(g, id),
                 Act::Adopt(id, facts, left, engine) => self.adopt(g, id, facts, left, engine),
                 Act::Answer(token, word) => {
                     let told = match word {
-                        Word::Rows(_) => Told::Rows,
-                        Word::Completed => Told::Completed,
-                        Word::Rejected { .. } => Told::Rejected,
-                        Word::Aborted | Word::Different => Told::Aborted,
+                        FinalAnswer::Rows(_) => Told::Rows,
+                        FinalAnswer::CompletedWithoutRows => Told::Completed,
+                        FinalAnswer::Rejected { .. } => Told::Rejected,
+                        FinalAnswer::Aborted | FinalAnswer::IdReused => Told::Aborted,
                     };
                     self.tell_client(g, token, told);
                 }
@@ -586,7 +587,7 @@
         let next = self.nodes[g]
             .custody
             .as_ref()
-            .map_or(Nanos::MAX, Custody::next_wake);
+            .map_or(Nanos::MAX, Ownership::next_wake);
         if next < self.nodes[g].wake {
             let at = next.max(self.now + 1);
             self.nodes[g].wake = at;
@@ -712,7 +713,7 @@
                     let there: Vec<(usize, u64)> = self.clients_of(gateway);
                     for (stmt, token) in there {
                         let span = self.between(600, 1800);
-                        self.after(span, Event::Leave { stmt, token });
+                        self.after(span, Event::GrantDecision { stmt, token });
                     }
                 }
             }
@@ -812,8 +813,8 @@
     fn die(&mut self, gateway: usize) {
         let node = &mut self.nodes[gateway];
         self.totals
-            .extend(node.custody.as_ref().map(Custody::totals));
-        let out: Vec<Id> = node
+            .extend(node.custody.as_ref().map(Ownership::totals));
+        let out: Vec<StatementId> = node
             .own
             .iter()
             .filter(|(_, own)| own.out)
@@ -879,7 +880,7 @@
         let token = self.next_token;
         self.tokens.insert(token, stmt);
         let id = self.id_of(stmt);
-        let facts = Facts {
+        let facts = StatementSpec {
             left_ms: (left / MS) as u32,
             ..self.stmts[stmt].facts.clone()
         };
@@ -888,9 +889,9 @@
         let patience = left.min(self.between(5000, 7000));
         if self.nodes[g].stopped {
             let span = self.between(600, 1800);
-            return self.after(span, Event::Leave { stmt, token });
+            return self.after(span, Event::GrantDecision { stmt, token });
         }
-        self.after(patience, Event::Leave { stmt, token });
+        self.after(patience, Event::GrantDecision { stmt, token });
         let now = self.now;
         self.trace(|| format!("client of {id:x} comes to {g}"));
         if self.nodes[g].custody.is_none() {
@@ -901,10 +902,10 @@
         let custody = self.nodes[g].custody.as_mut();
         let arrived = custody.map(|c| c.arrive(now, id, facts.clone(), asks, token, &mut acts));
         match arrived {
-            Some(Arrived::Proceed) => self.begin(g, id, facts, Some(token)),
-            Some(Arrived::Word(word)) => acts.0.push(Act::Answer(token, word)),
+            Some(ArrivalDecision::Proceed) => self.begin(g, id, facts, Some(token)),
+            Some(ArrivalDecision::Answer(word)) => acts.0.push(Act::Answer(token, word)),
             // Kept ready for when it is told to proceed.
-            Some(Arrived::Waits) => self.keep(g, id, facts, Some(token)),
+            Some(ArrivalDecision::Wait) => self.keep(g, id, facts, Some(token)),
             None => {}
         }
         self.carry_out(g, acts);
@@ -932,7 +933,7 @@
 
     // ---- what stands for the module ----
 
-    fn keep(&mut self, g: usize, id: Id, facts: Facts, token: Option<u64>) {
+    fn keep(&mut self, g: usize, id: StatementId, facts: StatementSpec, token: Option<u64>) {
         if self.nodes[g].own.contains_key(&id) {
             return;
         }
@@ -952,17 +953,24 @@
         self.nodes[g].own.insert(id, own);
     }
 
-    fn begin(&mut self, g: usize, id: Id, facts: Facts, token: Option<u64>) {
+    fn begin(&mut self, g: usize, id: StatementId, facts: StatementSpec, token: Option<u64>) {
         self.nodes[g].own.remove(&id);
         self.keep(g, id, facts, token);
         self.try_attempt(g, id);
     }
 
-    fn adopt(&mut self, g: usize, id: Id, facts: Facts, left: Nanos, engine: Option<u64>) {
+    fn adopt(
+        &mut self,
+        g: usize,
+        id: StatementId,
+        facts: StatementSpec,
+        left: Nanos,
+        engine: Option<u64>,
+    ) {
         let left_ms = (left / MS) as u32;
         self.trace(|| format!("{g} takes {id:x} over, at engine {engine:?}"));
         self.nodes[g].own.remove(&id);
-        self.keep(g, id, Facts { left_ms, ..facts }, None);
+        self.keep(g, id, StatementSpec { left_ms, ..facts }, None);
         match engine {
             None => self.try_attempt(g, id),
             Some(engine) => {
@@ -998,7 +1006,7 @@
     }
 
     /// The next execution, as the module would.
-    fn try_attempt(&mut self, g: usize, id: Id) {
+    fn try_attempt(&mut self, g: usize, id: StatementId) {
         let engines: Vec<usize> = (0..self.engines.len())
             .filter(|&e| !self.engines[e].drains)
             .collect();
@@ -1032,18 +1040,18 @@
         let granted = self.fleet.grants;
         let leave = match self.nodes[g].custody.as_mut().filter(|_| granted) {
             Some(custody) => custody.grant(now, id, number, engine as u64, &mut acts),
-            None => Leave::Go,
+            None => GrantDecision::Granted,
         };
         match leave {
-            Leave::Go => self.go(g, id, number),
-            Leave::Wait => {}
-            Leave::Denied(why) => acts.0.push(Act::Denied(id, why)),
+            GrantDecision::Granted => self.go(g, id, number),
+            GrantDecision::Pending => {}
+            GrantDecision::Denied(why) => acts.0.push(Act::Denied(id, why)),
         }
         self.carry_out(g, acts);
     }
 
     /// Decided; the process may be stopped before it is written.
-    fn go(&mut self, g: usize, id: Id, number: u32) {
+    fn go(&mut self, g: usize, id: StatementId, number: u32) {
         let birth = self.nodes[g].birth;
         self.after(
             MS / 10,
@@ -1056,7 +1064,7 @@
         );
     }
 
-    fn send(&mut self, g: usize, birth: u64, id: Id, number: u32) {
+    fn send(&mut self, g: usize, birth: u64, id: StatementId, number: u32) {
         let now = self.now;
         if self.nodes[g].birth != birth {
             return;
@@ -1097,7 +1105,7 @@
         );
     }
 
-    fn poll(&mut self, g: usize, birth: u64, id: Id, serial: u64) {
+    fn poll(&mut self, g: usize, birth: u64, id: StatementId, serial: u64) {
         let now = self.now;
         let same = self.nodes[g].birth == birth;
         let Some(own) = self.nodes[g]
@@ -1145,7 +1153,7 @@
         );
     }
 
-    fn give_up(&mut self, g: usize, id: Id) {
+    fn give_up(&mut self, g: usize, id: StatementId) {
         let Some(own) = self.nodes[g].own.get(&id) else {
             return;
         };
@@ -1154,16 +1162,18 @@
         self.answer_own(g, id, told);
     }
 
-    fn answer_own(&mut self, g: usize, id: Id, told: Told) {
+    fn answer_own(&mut self, g: usize, id: StatementId, told: Told) {
         let now = self.now;
         let Some(own) = self.nodes[g].own.remove(&id) else {
             return;
         };
         let word = match told {
-            Told::Rows => Word::Rows(vec![serde_bytes::ByteBuf::from(b"a\tb\tc\n".to_vec())]),
-            Told::Completed => Word::Completed,
-            Told::Rejected => Word::Rejected { come_back_ms: 0 },
-            Told::Aborted => Word::Aborted,
+            Told::Rows => {
+                FinalAnswer::Rows(vec![serde_bytes::ByteBuf::from(b"a\tb\tc\n".to_vec())])
+            }
+            Told::Completed => FinalAnswer::CompletedWithoutRows,
+            Told::Rejected => FinalAnswer::Rejected { come_back_ms: 0 },
+            Told::Aborted => FinalAnswer::Aborted,
         };
         let mut later = None;
         self.with(g, |custody, _, out| {
@@ -1188,7 +1198,7 @@
         self.totals.extend(
             self.nodes
                 .iter()
-                .filter_map(|n| n.custody.as_ref().map(Custody::totals)),
+                .filter_map(|n| n.custody.as_ref().map(Ownership::totals)),
         );
         verdict.watched = self.totals.iter().map(|t| t.watched).sum();
         for stmt in &self.stmts {
