--- a/crates/ivypitch-coordination/src/lib.rs
+++ b/crates/ivypitch-coordination/src/lib.rs
@@ -11,5 +11,5 @@
 pub mod verdicts;
 
 pub use escrow::Process;
-pub use shares::{BoundTerms, Message, Output, Saw, Shares, Terms, VERSION, View};
+pub use shares::{BoundTerms, CoordinationOutput, Message, Saw, Shares, Terms, VERSION, View};
 pub use spread::Gossip;
--- a/crates/ivypitch-coordination/src/shares.rs
+++ b/crates/ivypitch-coordination/src/shares.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use ivypitch_scheduler::OutlierStatus;
-use ivypitch_types::{Nanos, Outcome, SECOND};
+use ivypitch_types::{MemberId, Nanos, Outcome, SECOND};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
@@ -86,14 +86,19 @@
     }
 }
 
-pub trait Output {
-    fn say(&mut self, to: u16, message: Message);
-    fn gossip(&mut self, to: u16, gossip: Gossip);
-    /// This member's part of the bound from now on, 0 to 1.
-    fn part(&mut self, bound: usize, part: f64);
-    fn advise(&mut self, engine: u64, advice: OutlierStatus);
-    /// An event of the journal, told by a member: the next number.
-    fn event(&mut self, number: u64, line: &[u8]);
+/// What the coordinator asks of its driver.
+pub trait CoordinationOutput {
+    /// Sends a message over the link to this member, if there is one.
+    fn send(&mut self, to: MemberId, message: Message);
+    /// Sends a gossip datagram to this member.
+    fn send_gossip(&mut self, to: MemberId, gossip: Gossip);
+    /// From now on this member may use the fraction `share` of the quota, 0 to 1.
+    fn on_quota_changed(&mut self, quota: usize, share: f64);
+    /// What the fleet thinks of an engine has changed.
+    fn on_outlier_status(&mut self, engine: u64, status: OutlierStatus);
+    /// Another member relayed the next event of the endpoint list.
+    fn on_endpoint_event(&mut self, number: u64, line: &[u8]);
+    /// Writes a line to the log.
     fn log(&mut self, line: &str);
 }
 
@@ -208,7 +213,13 @@
 
     // ---- the members ----
 
-    pub fn member_up(&mut self, now: Nanos, place: u16, birth: u64, out: &mut dyn Output) {
+    pub fn member_up(
+        &mut self,
+        now: Nanos,
+        place: u16,
+        birth: u64,
+        out: &mut dyn CoordinationOutput,
+    ) {
         let Some(seat) = self
             .heard
             .get_mut(usize::from(place))
@@ -234,7 +245,13 @@
         self.heard_changed(now, out);
     }
 
-    pub fn member_down(&mut self, now: Nanos, place: u16, birth: u64, out: &mut dyn Output) {
+    pub fn member_down(
+        &mut self,
+        now: Nanos,
+        place: u16,
+        birth: u64,
+        out: &mut dyn CoordinationOutput,
+    ) {
         let seat = self.heard.get_mut(usize::from(place));
         if seat
             .and_then(|seat| seat.take_if(|held| *held == birth))
@@ -252,7 +269,7 @@
         self.news.lost(process.place);
     }
 
-    fn heard_changed(&mut self, now: Nanos, out: &mut dyn Output) {
+    fn heard_changed(&mut self, now: Nanos, out: &mut dyn CoordinationOutput) {
         let places = self
             .heard
             .iter()
@@ -332,7 +349,7 @@
             .map_or(0, |bound| bound.terms.units)
     }
 
-    fn look(&mut self, now: Nanos, out: &mut dyn Output) {
+    fn look(&mut self, now: Nanos, out: &mut dyn CoordinationOutput) {
         let mut said: BTreeMap<u16, Vec<(u16, Word)>> = BTreeMap::new();
         for (i, bound) in self.bounds.iter_mut().enumerate() {
             let counts_over = self.terms.bounds[i].counts_over;
@@ -343,14 +360,14 @@
         self.tell_parts(out);
     }
 
-    fn send(&self, said: BTreeMap<u16, Vec<(u16, Word)>>, out: &mut dyn Output) {
+    fn send(&self, said: BTreeMap<u16, Vec<(u16, Word)>>, out: &mut dyn CoordinationOutput) {
         for (place, words) in said {
             let Some(to) = self.heard.get(usize::from(place)).copied().flatten() else {
                 continue;
             };
             for words in words.chunks(MOST_TOGETHER) {
-                out.say(
-                    place,
+                out.send(
+                    MemberId(place),
                     Message::Words {
                         to,
                         words: words.to_vec(),
@@ -360,13 +377,13 @@
         }
     }
 
-    fn tell_parts(&mut self, out: &mut dyn Output) {
+    fn tell_parts(&mut self, out: &mut dyn CoordinationOutput) {
         for (i, bound) in self.bounds.iter().enumerate() {
             let part =
                 f64::from(bound.escrow.held()) / f64::from(self.terms.bounds[i].terms.units.max(1));
             if part != self.parts[i] {
                 self.parts[i] = part;
-                out.part(i, part);
+                out.on_quota_changed(i, part);
             }
         }
     }
@@ -441,7 +458,7 @@
         }
     }
 
-    fn judge(&mut self, now: Nanos, out: &mut dyn Output) {
+    fn judge(&mut self, now: Nanos, out: &mut dyn CoordinationOutput) {
         self.next_judge = now + JUDGE;
         let before = self.verdicts.out().len();
         self.shown = self
@@ -470,7 +487,7 @@
             };
             if advice != was {
                 self.advised.insert(engine, advice);
-                out.advise(engine, advice);
+                out.on_outlier_status(engine, advice);
             }
         }
         let after = self.verdicts.out().len();
@@ -499,7 +516,13 @@
 
     // ---- what is heard ----
 
-    pub fn heard(&mut self, now: Nanos, from: u16, message: Message, out: &mut dyn Output) {
+    pub fn heard(
+        &mut self,
+        now: Nanos,
+        from: u16,
+        message: Message,
+        out: &mut dyn CoordinationOutput,
+    ) {
         let Some(birth) = self.heard.get(usize::from(from)).copied().flatten() else {
             return;
         };
@@ -522,7 +545,7 @@
             Message::Tail(number) => {
                 let events = self.news.behind(number);
                 if !events.is_empty() {
-                    out.say(from, Message::Events(events));
+                    out.send(MemberId(from), Message::Events(events));
                 }
             }
             Message::Events(events) => {
@@ -530,7 +553,7 @@
                     if number == self.news.last() + 1 {
                         self.news.by_members += 1;
                         self.event_taken(now, number, &line);
-                        out.event(number, &line);
+                        out.on_endpoint_event(number, &line);
                     }
                 }
             }
@@ -538,7 +561,7 @@
     }
 
     /// A datagram of the spread.
-    pub fn gossip(&mut self, now: Nanos, gossip: Gossip, out: &mut dyn Output) {
+    pub fn gossip(&mut self, now: Nanos, gossip: Gossip, out: &mut dyn CoordinationOutput) {
         let (from, said_ms) = gossip.from();
         if from.place == self.me.place
             || self.heard.get(usize::from(from.place)).copied().flatten() != Some(from.birth)
@@ -569,18 +592,18 @@
             }
             Gossip::Digest { parts, .. } => {
                 if let Some(versions) = self.spread.differing(now, &parts) {
-                    out.gossip(from.place, versions);
+                    out.send_gossip(MemberId(from.place), versions);
                 }
             }
             Gossip::Versions { known, .. } => {
                 let newer = self.spread.newer_than(&known);
                 if !newer.is_empty() {
                     let (items, upto) = self.items_behind(now, &newer);
-                    out.gossip(from.place, self.spread.repair(now, items, upto));
+                    out.send_gossip(MemberId(from.place), self.spread.repair(now, items, upto));
                 }
                 // They know more of some: they are told what is known here.
                 if self.spread.older_than(&known) {
-                    out.gossip(from.place, self.spread.own_versions(now, &known));
+                    out.send_gossip(MemberId(from.place), self.spread.own_versions(now, &known));
                 }
             }
         }
@@ -656,7 +679,7 @@
             .min(self.news.next_ask())
     }
 
-    pub fn woken(&mut self, now: Nanos, out: &mut dyn Output) {
+    pub fn woken(&mut self, now: Nanos, out: &mut dyn CoordinationOutput) {
         if now >= self.next_look {
             self.next_look = now + LOOK;
             self.look(now, out);
@@ -676,11 +699,11 @@
                 self.spread
                     .woken(now, &self.places, journal, &spares, &mut self.rng)
             {
-                out.gossip(to, gossip);
+                out.send_gossip(MemberId(to), gossip);
             }
         }
         if let Some(to) = self.news.to_ask(now) {
-            out.say(to, Message::Tail(self.news.last()));
+            out.send(MemberId(to), Message::Tail(self.news.last()));
         }
     }
 
--- a/crates/ivypitch-gateway/src/actors/coordination.rs
+++ b/crates/ivypitch-gateway/src/actors/coordination.rs
@@ -5,9 +5,9 @@
 
 use async_channel::Sender;
 use bytes::Bytes;
-use ivypitch_coordination::{Gossip, Message, Output, Saw, Shares, View};
+use ivypitch_coordination::{CoordinationOutput, Gossip, Message, Saw, Shares, View};
 use ivypitch_scheduler::OutlierStatus;
-use ivypitch_types::{Nanos, Outcome};
+use ivypitch_types::{MemberId, Nanos, Outcome};
 
 use super::discovery::ListMessage;
 use super::peer_links::PeersMessage;
@@ -29,20 +29,22 @@
     list: Sender<ListMessage>,
 }
 
-impl Output for Acts {
-    fn say(&mut self, to: u16, message: Message) {
-        let _ = self.peers.try_send(PeersMessage::Say { to, message });
+impl CoordinationOutput for Acts {
+    fn send(&mut self, to: MemberId, message: Message) {
+        let _ = self.peers.try_send(PeersMessage::Say { to: to.0, message });
     }
-    fn gossip(&mut self, to: u16, gossip: Gossip) {
-        let _ = self.peers.try_send(PeersMessage::Gossip { to, gossip });
+    fn send_gossip(&mut self, to: MemberId, gossip: Gossip) {
+        let _ = self
+            .peers
+            .try_send(PeersMessage::Gossip { to: to.0, gossip });
     }
-    fn part(&mut self, bound: usize, part: f64) {
+    fn on_quota_changed(&mut self, bound: usize, part: f64) {
         self.asked.push_back(Act::Part(bound, part));
     }
-    fn advise(&mut self, engine: u64, advice: OutlierStatus) {
+    fn on_outlier_status(&mut self, engine: u64, advice: OutlierStatus) {
         self.asked.push_back(Act::Advise(engine, advice));
     }
-    fn event(&mut self, _number: u64, line: &[u8]) {
+    fn on_endpoint_event(&mut self, _number: u64, line: &[u8]) {
         let _ = self
             .list
             .try_send(ListMessage::Event(Bytes::copy_from_slice(line)));
--- a/crates/ivypitch-testbed/src/experiments/scale/peers.rs
+++ b/crates/ivypitch-testbed/src/experiments/scale/peers.rs
@@ -4,11 +4,11 @@
 
 use ivypitch_coordination::sights::{Sight, Table};
 use ivypitch_coordination::verdicts::Verdicts;
-use ivypitch_coordination::{Gossip, Message, Output, Process, Saw, Shares, shares};
+use ivypitch_coordination::{CoordinationOutput, Gossip, Message, Process, Saw, Shares, shares};
 use ivypitch_gateway::wire::peers::{self, Frame};
 use ivypitch_membership::Terms;
 use ivypitch_ownership::VoterAssignment;
-use ivypitch_types::{Nanos, SECOND};
+use ivypitch_types::{MemberId, Nanos, SECOND};
 
 use super::slope::Measure;
 use crate::virtual_time::faults::Plan;
@@ -179,17 +179,17 @@
     words_bytes: u64,
 }
 
-impl Output for Counted {
-    fn say(&mut self, _to: u16, message: Message) {
+impl CoordinationOutput for Counted {
+    fn send(&mut self, _to: MemberId, message: Message) {
         self.words_bytes += peers::write(&Frame::Shares(message)).len() as u64;
     }
-    fn gossip(&mut self, _to: u16, gossip: Gossip) {
+    fn send_gossip(&mut self, _to: MemberId, gossip: Gossip) {
         self.gossip += 1;
         self.gossip_bytes += peers::write_gossip(&gossip).len() as u64;
     }
-    fn part(&mut self, _bound: usize, _part: f64) {}
-    fn advise(&mut self, _engine: u64, _advice: ivypitch_scheduler::OutlierStatus) {}
-    fn event(&mut self, _number: u64, _line: &[u8]) {}
+    fn on_quota_changed(&mut self, _quota: usize, _share: f64) {}
+    fn on_outlier_status(&mut self, _engine: u64, _advice: ivypitch_scheduler::OutlierStatus) {}
+    fn on_endpoint_event(&mut self, _number: u64, _line: &[u8]) {}
     fn log(&mut self, _line: &str) {}
 }
 
--- a/crates/ivypitch-testbed/src/virtual_time/shares_fleet.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/shares_fleet.rs
@@ -5,10 +5,12 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 
 use ivypitch_coordination::escrow::Terms as Bound;
-use ivypitch_coordination::{BoundTerms, Gossip, Message, Output, Process, Saw, Shares, Terms};
+use ivypitch_coordination::{
+    BoundTerms, CoordinationOutput, Gossip, Message, Process, Saw, Shares, Terms,
+};
 use ivypitch_gateway::wire::peers;
 use ivypitch_scheduler::OutlierStatus;
-use ivypitch_types::{Nanos, SECOND};
+use ivypitch_types::{MemberId, Nanos, SECOND};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -154,18 +156,18 @@
     Advise(u64, OutlierStatus),
 }
 
-impl Output for Acts {
-    fn say(&mut self, to: u16, message: Message) {
-        self.0.push(Act::Say(to, message));
+impl CoordinationOutput for Acts {
+    fn send(&mut self, to: MemberId, message: Message) {
+        self.0.push(Act::Say(to.0, message));
     }
-    fn gossip(&mut self, to: u16, gossip: Gossip) {
-        self.0.push(Act::Gossip(to, gossip));
+    fn send_gossip(&mut self, to: MemberId, gossip: Gossip) {
+        self.0.push(Act::Gossip(to.0, gossip));
     }
-    fn part(&mut self, _bound: usize, _part: f64) {}
-    fn advise(&mut self, engine: u64, advice: OutlierStatus) {
+    fn on_quota_changed(&mut self, _quota: usize, _share: f64) {}
+    fn on_outlier_status(&mut self, engine: u64, advice: OutlierStatus) {
         self.0.push(Act::Advise(engine, advice));
     }
-    fn event(&mut self, _number: u64, _line: &[u8]) {}
+    fn on_endpoint_event(&mut self, _number: u64, _line: &[u8]) {}
     fn log(&mut self, _line: &str) {}
 }
 
@@ -512,7 +514,11 @@
         }
     }
 
-    fn with(&mut self, g: usize, call: impl FnOnce(&mut Shares, Nanos, &mut dyn Output)) {
+    fn with(
+        &mut self,
+        g: usize,
+        call: impl FnOnce(&mut Shares, Nanos, &mut dyn CoordinationOutput),
+    ) {
         if !self.fleet.shares {
             return;
         }
