--- a/crates/ivypitch-config/src/own_peers.rs
+++ b/crates/ivypitch-config/src/own_peers.rs
@@ -3,7 +3,10 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-use ivypitch_coordination::shares::{MOST_ENGINES, MOST_EVENT_BYTES, MOST_EVENTS, UNITS_EACH};
+use ivypitch_coordination::{
+    CoordinationConfig, MAX_OBSERVED_ENGINES, MAX_RETAINED_EVENT_BYTES, MAX_RETAINED_EVENTS,
+    QuotaLeaseConfig, SharedQuotaConfig, UNITS_PER_MEMBER,
+};
 use ivypitch_membership::{Roster, Seat};
 use ivypitch_ownership::NoQuorumPolicy;
 use ivypitch_types::Nanos;
@@ -350,31 +353,31 @@
 
 impl OwnShares {
     /// Over the gateways of the list: the cores that the teams' queues share out, then each customer's allowance.
-    pub fn terms(&self, gateways: usize, tenants: &[String]) -> ivypitch_coordination::Terms {
-        let terms = ivypitch_coordination::escrow::Terms {
-            units: UNITS_EACH * gateways as u32,
+    pub fn terms(&self, gateways: usize, tenants: &[String]) -> CoordinationConfig {
+        let leases = QuotaLeaseConfig {
+            total_units: UNITS_PER_MEMBER * gateways as u32,
             members: gateways as u16,
-            floor: self.floor,
-            window: 0,
-            span: ns(self.span_ms),
-            drift: self.drift,
+            reserved_fraction: self.floor,
+            spend_window: 0,
+            lease_duration: ns(self.span_ms),
+            max_clock_drift: self.drift,
         };
-        let bound = |name: String, counts_over| ivypitch_coordination::BoundTerms {
+        let quota = |name: String, demand_window| SharedQuotaConfig {
             name,
-            terms,
-            counts_over,
+            leases,
+            demand_window,
         };
         let allowances = tenants
             .iter()
-            .map(|name| bound(format!("allowance {name}"), A_SECOND));
-        ivypitch_coordination::Terms {
-            bounds: std::iter::once(bound("cores".into(), 0))
+            .map(|name| quota(format!("allowance {name}"), A_SECOND));
+        CoordinationConfig {
+            quotas: std::iter::once(quota("cores".into(), 0))
                 .chain(allowances)
                 .collect(),
-            bytes_a_second: self.kb_a_second * 1000.0,
-            most_engines: MOST_ENGINES,
-            most_events: MOST_EVENTS,
-            most_event_bytes: MOST_EVENT_BYTES,
+            gossip_bytes_per_second: self.kb_a_second * 1000.0,
+            max_engines: MAX_OBSERVED_ENGINES,
+            max_events: MAX_RETAINED_EVENTS,
+            max_event_bytes: MAX_RETAINED_EVENT_BYTES,
         }
     }
 }
--- a/crates/ivypitch-gateway/src/actors/coordination.rs
+++ b/crates/ivypitch-gateway/src/actors/coordination.rs
@@ -5,9 +5,12 @@
 
 use async_channel::Sender;
 use bytes::Bytes;
-use ivypitch_coordination::{CoordinationOutput, Gossip, Message, Saw, Shares, View};
+use ivypitch_coordination::{
+    AttemptHealth, CoordinationMessage, CoordinationOutput, CoordinationView, Coordinator,
+    GossipMessage, QuotaIndex,
+};
 use ivypitch_scheduler::OutlierStatus;
-use ivypitch_types::{MemberId, Nanos, Outcome};
+use ivypitch_types::{Incarnation, MemberId, Nanos, Outcome, ProcessId};
 
 use super::discovery::ListMessage;
 use super::peer_links::PeersMessage;
@@ -30,16 +33,16 @@
 }
 
 impl CoordinationOutput for Acts {
-    fn send(&mut self, to: MemberId, message: Message) {
+    fn send(&mut self, to: MemberId, message: CoordinationMessage) {
         let _ = self.peers.try_send(PeersMessage::Say { to: to.0, message });
     }
-    fn send_gossip(&mut self, to: MemberId, gossip: Gossip) {
+    fn send_gossip(&mut self, to: MemberId, gossip: GossipMessage) {
         let _ = self
             .peers
             .try_send(PeersMessage::Gossip { to: to.0, gossip });
     }
-    fn on_quota_changed(&mut self, bound: usize, part: f64) {
-        self.asked.push_back(Act::Part(bound, part));
+    fn on_quota_changed(&mut self, quota: QuotaIndex, share: f64) {
+        self.asked.push_back(Act::Part(quota.0, share));
     }
     fn on_outlier_status(&mut self, engine: u64, advice: OutlierStatus) {
         self.asked.push_back(Act::Advise(engine, advice));
@@ -54,13 +57,24 @@
     }
 }
 
+fn process(place: u16, birth: u64) -> ProcessId {
+    ProcessId {
+        member: MemberId(place),
+        incarnation: Incarnation(birth),
+    }
+}
+
 pub struct Sharing {
-    shares: Shares,
+    shares: Coordinator,
     acts: Acts,
 }
 
 impl Sharing {
-    pub fn new(shares: Shares, peers: Sender<PeersMessage>, list: Sender<ListMessage>) -> Sharing {
+    pub fn new(
+        shares: Coordinator,
+        peers: Sender<PeersMessage>,
+        list: Sender<ListMessage>,
+    ) -> Sharing {
         Sharing {
             shares,
             acts: Acts {
@@ -80,66 +94,72 @@
     }
 
     pub fn member_up(&mut self, now: Nanos, place: u16, birth: u64) {
-        self.shares.member_up(now, place, birth, &mut self.acts);
+        self.shares
+            .on_member_up(now, process(place, birth), &mut self.acts);
     }
 
     pub fn member_down(&mut self, now: Nanos, place: u16, birth: u64) {
-        self.shares.member_down(now, place, birth, &mut self.acts);
+        self.shares
+            .on_member_down(now, process(place, birth), &mut self.acts);
     }
 
-    pub fn heard(&mut self, now: Nanos, from: u16, message: Message) {
-        self.shares.heard(now, from, message, &mut self.acts);
+    pub fn heard(&mut self, now: Nanos, from: u16, message: CoordinationMessage) {
+        self.shares
+            .on_message(now, MemberId(from), message, &mut self.acts);
     }
 
-    pub fn gossip(&mut self, now: Nanos, gossip: Gossip) {
-        self.shares.gossip(now, gossip, &mut self.acts);
+    pub fn gossip(&mut self, now: Nanos, gossip: GossipMessage) {
+        self.shares.on_gossip(now, gossip, &mut self.acts);
     }
 
     pub fn listed(&mut self, ready: &[u64]) {
-        self.shares.listed(ready);
+        self.shares.set_ready_engines(ready);
     }
 
     /// A customer's statement came; of its whole allowance a second.
     pub fn arrived(&mut self, tenant: usize, quota_per_second: f64) {
-        let bound = FIRST_ALLOWANCE + tenant;
-        let units = f64::from(self.shares.units(bound));
+        let bound = QuotaIndex(FIRST_ALLOWANCE + tenant);
+        let units = f64::from(self.shares.total_units(bound));
         if quota_per_second > 0.0 {
-            self.shares.wanted(bound, units / quota_per_second);
+            self.shares.record_demand(bound, units / quota_per_second);
         }
     }
 
     /// The teams' queues hold and want so many of all cores.
     pub fn needs_cores(&mut self, now: Nanos, cores: f64, all: f64) {
-        let units = f64::from(self.shares.units(CORES));
-        self.shares
-            .needs(now, CORES, units * (cores / all.max(1.0)).min(1.0));
+        let units = f64::from(self.shares.total_units(QuotaIndex(CORES)));
+        self.shares.set_demand_level(
+            now,
+            QuotaIndex(CORES),
+            units * (cores / all.max(1.0)).min(1.0),
+        );
     }
 
     /// `is_first`: of its statement.
     pub fn ended(&mut self, now: Nanos, engine: u64, outcome: Outcome, is_first: bool) {
-        if let Some(saw) = Saw::of(outcome, is_first) {
-            self.shares.saw(now, engine, saw);
+        if let Some(health) = AttemptHealth::from_outcome(outcome, is_first) {
+            self.shares.on_attempt_ended(now, engine, health);
         }
     }
 
     pub fn journal(&mut self, now: Nanos, event: Option<(u64, Bytes)>) {
         match event {
-            Some((number, line)) => self.shares.event_taken(now, number, &line),
-            None => self.shares.journal_heard(now),
+            Some((number, line)) => self.shares.on_endpoint_event(now, number, &line),
+            None => self.shares.on_event_source_heard(now),
         }
     }
 
     pub fn next_wake(&self) -> Nanos {
-        self.shares.next_wake()
+        self.shares.next_timer()
     }
 
     pub fn woken(&mut self, now: Nanos) {
-        if self.shares.next_wake() <= now {
-            self.shares.woken(now, &mut self.acts);
+        if self.shares.next_timer() <= now {
+            self.shares.on_timer(now, &mut self.acts);
         }
     }
 
-    pub fn view(&self, now: Nanos) -> View {
+    pub fn view(&self, now: Nanos) -> CoordinationView {
         self.shares.view(now)
     }
 }
--- a/crates/ivypitch-gateway/src/actors/peer_links.rs
+++ b/crates/ivypitch-gateway/src/actors/peer_links.rs
@@ -12,7 +12,7 @@
 use async_io::{Async, Timer};
 use bytes::{Bytes, BytesMut};
 use futures_lite::{AsyncWriteExt, FutureExt};
-use ivypitch_coordination::Gossip;
+use ivypitch_coordination::{CoordinationMessage, GossipMessage};
 use ivypitch_membership::{Members, News, Roster, State, Terms};
 use ivypitch_ownership::Message;
 
@@ -39,7 +39,8 @@
 /// Datagrams of what is shared that the module has not taken yet; then they are dropped.
 const MOST_GOSSIP: usize = 256;
 /// Of all that gateways say to each other: members of another version are not spoken to.
-pub const VERSION: u16 = ivypitch_ownership::VERSION * 100 + ivypitch_coordination::VERSION;
+pub const VERSION: u16 =
+    ivypitch_ownership::VERSION * 100 + ivypitch_coordination::PROTOCOL_VERSION;
 
 /// To this actor.
 pub enum PeersMessage {
@@ -50,11 +51,11 @@
     /// Of what is shared: on the link, and as a datagram.
     Say {
         to: u16,
-        message: ivypitch_coordination::Message,
+        message: CoordinationMessage,
     },
     Gossip {
         to: u16,
-        gossip: Gossip,
+        gossip: GossipMessage,
     },
     /// This process ends.
     GrantDecision,
@@ -78,10 +79,10 @@
     },
     Shared {
         from: u16,
-        message: Box<ivypitch_coordination::Message>,
+        message: Box<CoordinationMessage>,
         _receipt: Receipt,
     },
-    Gossip(Box<Gossip>, Taken),
+    Gossip(Box<GossipMessage>, Taken),
     Up {
         place: u16,
         birth: u64,
@@ -327,7 +328,7 @@
     fn take(&mut self, mail: PeersMessage) {
         match mail {
             PeersMessage::Tell { to, message } => self.tell(to, &Frame::Body(message)),
-            PeersMessage::Say { to, message } => self.tell(to, &Frame::Shares(message)),
+            PeersMessage::Say { to, message } => self.tell(to, &Frame::Coordination(message)),
             PeersMessage::Gossip { to, gossip } => {
                 if let Some(seat) = self.shared.roster.seats.get(usize::from(to)) {
                     let data = peers::write_gossip(&gossip);
@@ -614,7 +615,7 @@
             if !std::mem::replace(&mut greeted, true) && shared.spoken_to(&frame) != Some(place) {
                 return;
             }
-            if let Frame::Body(_) | Frame::Shares(_) = frame {
+            if let Frame::Body(_) | Frame::Coordination(_) = frame {
                 // Nothing more is read until the module has taken enough of what came before.
                 if untaken.send(()).await.is_err() {
                     return;
@@ -626,7 +627,7 @@
                         message: Box::new(message),
                         _receipt,
                     },
-                    Frame::Shares(message) => Peer::Shared {
+                    Frame::Coordination(message) => Peer::Shared {
                         from: place,
                         message: Box::new(message),
                         _receipt,
--- a/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
@@ -131,7 +131,7 @@
 #[derive(serde::Serialize)]
 struct ShownFleet<'a> {
     #[serde(flatten)]
-    view: ivypitch_coordination::View,
+    view: ivypitch_coordination::CoordinationView,
     traffic: &'a Traffic,
 }
 
--- a/crates/ivypitch-gateway/src/lifecycle/program.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/program.rs
@@ -18,9 +18,10 @@
 use ivypitch_config::DeploymentConfig;
 use ivypitch_config::own::Own;
 use ivypitch_config::schema::Fault;
+use ivypitch_coordination::{Coordinator, CoordinatorParams};
 use ivypitch_discovery::Feed;
 use ivypitch_queueing::Budgets;
-use ivypitch_types::Nanos;
+use ivypitch_types::{Incarnation, MemberId, Nanos, ProcessId};
 
 use super::clock::Clock;
 use super::configuration::{self, Configuration};
@@ -186,16 +187,19 @@
             let mailbox = peer_links::Peers::start(start, clock, module.clone(), executor.clone())?;
             if own.shares.enabled {
                 let terms = own.shares.terms(zones.len(), &given.names.tenants);
-                let me = ivypitch_coordination::Process { place, birth };
-                let shares = ivypitch_coordination::Shares::new(
-                    me,
-                    zones.clone(),
-                    terms,
-                    known.pos,
+                let process = ProcessId {
+                    member: MemberId(place),
+                    incarnation: Incarnation(birth),
+                };
+                let coordinator = Coordinator::new(CoordinatorParams {
+                    process,
+                    zones: zones.clone(),
+                    config: terms,
+                    last_event: known.pos,
                     seed,
                     now,
-                );
-                sharing = Some(Sharing::new(shares, mailbox.clone(), list.clone()));
+                });
+                sharing = Some(Sharing::new(coordinator, mailbox.clone(), list.clone()));
             }
             if own.custody.enabled {
                 let terms = own.custody.terms(longest_timeout);
--- a/crates/ivypitch-gateway/src/wire/peers.rs
+++ b/crates/ivypitch-gateway/src/wire/peers.rs
@@ -2,7 +2,7 @@
 //! ends are this program: it needs no schema beside the types, and a version stands in the first frame.
 
 use bytes::{Buf, Bytes, BytesMut};
-use ivypitch_coordination::Gossip;
+use ivypitch_coordination::{CoordinationMessage, GossipMessage};
 use ivypitch_ownership::Message;
 use serde::{Deserialize, Serialize};
 
@@ -21,7 +21,7 @@
     /// Nothing to say, and still there.
     Beat,
     Body(Message),
-    Shares(ivypitch_coordination::Message),
+    Coordination(CoordinationMessage),
 }
 
 pub fn write(frame: &Frame) -> Bytes {
@@ -34,13 +34,13 @@
 const GOSSIP_MARK: [u8; 4] = [0xff; 4];
 
 /// A datagram of what is shared; it goes beside those of the members, from the same port.
-pub fn write_gossip(gossip: &Gossip) -> Vec<u8> {
+pub fn write_gossip(gossip: &GossipMessage) -> Vec<u8> {
     let body = postcard::to_stdvec(gossip).unwrap_or_default();
     [&GOSSIP_MARK[..], &body].concat()
 }
 
 /// `None`: it is no such datagram; else what it says, where it can be read.
-pub fn read_gossip(datagram: &[u8]) -> Option<Option<Gossip>> {
+pub fn read_gossip(datagram: &[u8]) -> Option<Option<GossipMessage>> {
     let body = datagram.strip_prefix(&GOSSIP_MARK)?;
     Some(postcard::from_bytes(body).ok())
 }
--- a/crates/ivypitch-testbed/src/experiments/scale/peers.rs
+++ b/crates/ivypitch-testbed/src/experiments/scale/peers.rs
@@ -2,13 +2,15 @@
 
 use std::hint::black_box;
 
-use ivypitch_coordination::sights::{Sight, Table};
-use ivypitch_coordination::verdicts::Verdicts;
-use ivypitch_coordination::{CoordinationOutput, Gossip, Message, Process, Saw, Shares, shares};
+use ivypitch_coordination::{
+    AttemptHealth, CoordinationMessage, CoordinationOutput, Coordinator, CoordinatorParams,
+    GossipMessage, HealthObservation, MAX_OBSERVED_ENGINES, ObservationTable, OutlierConsensus,
+    QuotaIndex, StoredObservation,
+};
 use ivypitch_gateway::wire::peers::{self, Frame};
 use ivypitch_membership::Terms;
 use ivypitch_ownership::VoterAssignment;
-use ivypitch_types::{MemberId, Nanos, SECOND};
+use ivypitch_types::{Incarnation, MemberId, Nanos, ProcessId, SECOND};
 
 use super::slope::Measure;
 use crate::virtual_time::faults::Plan;
@@ -180,19 +182,26 @@
 }
 
 impl CoordinationOutput for Counted {
-    fn send(&mut self, _to: MemberId, message: Message) {
-        self.words_bytes += peers::write(&Frame::Shares(message)).len() as u64;
+    fn send(&mut self, _to: MemberId, message: CoordinationMessage) {
+        self.words_bytes += peers::write(&Frame::Coordination(message)).len() as u64;
     }
-    fn send_gossip(&mut self, _to: MemberId, gossip: Gossip) {
+    fn send_gossip(&mut self, _to: MemberId, gossip: GossipMessage) {
         self.gossip += 1;
         self.gossip_bytes += peers::write_gossip(&gossip).len() as u64;
     }
-    fn on_quota_changed(&mut self, _quota: usize, _share: f64) {}
+    fn on_quota_changed(&mut self, _quota: QuotaIndex, _share: f64) {}
     fn on_outlier_status(&mut self, _engine: u64, _advice: ivypitch_scheduler::OutlierStatus) {}
     fn on_endpoint_event(&mut self, _number: u64, _line: &[u8]) {}
     fn log(&mut self, _line: &str) {}
 }
 
+fn process(member: usize, incarnation: u64) -> ProcessId {
+    ProcessId {
+        member: MemberId(member as u16),
+        incarnation: Incarnation(incarnation),
+    }
+}
+
 fn engine(e: usize) -> u64 {
     e as u64 * 7919 + 17
 }
@@ -200,21 +209,26 @@
 /// One gateway's part, that hears so many others and lists so many engines. The whole fleet of the simulator is the
 /// square of the gateways and is left at 300; one gateway is a sample of it: at rest what it sends does not depend on
 /// what the others say.
-fn one(gateways: usize, engines: usize) -> Shares {
+fn one(gateways: usize, engines: usize) -> Coordinator {
     let zones = (0..gateways).map(|g| (g % ZONES) as u16).collect();
     let mut terms = shares_fleet::terms(gateways.min(600));
-    terms
-        .bounds
-        .iter_mut()
-        .for_each(|bound| bound.terms.members = gateways as u16);
-    terms.most_engines = shares::MOST_ENGINES;
-    let mut one = Shares::new(Process { place: 0, birth: 1 }, zones, terms, 1, 7, 0);
-    one.listed(&(0..engines).map(engine).collect::<Vec<u64>>());
+    for quota in &mut terms.quotas {
+        quota.leases.members = gateways as u16;
+    }
+    terms.max_engines = MAX_OBSERVED_ENGINES;
+    let mut one = Coordinator::new(CoordinatorParams {
+        process: process(0, 1),
+        zones,
+        config: terms,
+        last_event: 1,
+        seed: 7,
+        now: 0,
+    });
+    one.set_ready_engines(&(0..engines).map(engine).collect::<Vec<u64>>());
     for place in 1..gateways {
-        one.member_up(
+        one.on_member_up(
             20 * SECOND,
-            place as u16,
-            place as u64 + 1,
+            process(place, place as u64 + 1),
             &mut Counted::default(),
         );
     }
@@ -222,12 +236,12 @@
 }
 
 /// So many seconds at rest: its processor time a second, and what it said.
-fn rest(one: &mut Shares, seconds: u64) -> (f64, Counted) {
+fn rest(one: &mut Coordinator, seconds: u64) -> (f64, Counted) {
     let (mut now, mut out) = (20 * SECOND, Counted::default());
     let (end, began) = (now + seconds * SECOND, cost::thread_s());
     while now < end {
-        one.woken(now, &mut out);
-        now = one.next_wake().max(now + 1);
+        one.on_timer(now, &mut out);
+        now = one.next_timer().max(now + 1);
     }
     ((cost::thread_s() - began) / seconds as f64, out)
 }
@@ -254,7 +268,7 @@
         let calls = (4_000_000 / engines).clamp(200, 20_000);
         let mut call = || {
             (now, e) = (now + MS / 4, e + 7919);
-            one.saw(now, engine(e % engines), Saw::Success);
+            one.on_attempt_ended(now, engine(e % engines), AttemptHealth::Success);
         };
         saw.push((engines as f64, cost::middle_us(5, calls, &mut call)));
     }
@@ -308,33 +322,38 @@
 /// The table of words: a judgement of 80 engines by all members, one pair in ten known; and what it holds.
 fn words(quick: bool) -> Vec<Measure> {
     let (mut judging, mut held) = (Vec::new(), Vec::new());
-    let sight = Sight {
+    let observation = HealthObservation {
         successes: 2,
         failures: 1,
-        unreached: 0,
+        unreachable: 0,
+    };
+    let observed = |observed_at| StoredObservation {
+        version: 1,
+        observation,
+        observed_at,
     };
     for &gateways in &GATEWAYS {
         let listed: Vec<u64> = (0..80).map(engine).collect();
         let zones: Vec<u16> = (0..gateways).map(|g| (g % ZONES) as u16).collect();
-        let mut table = Table::new(gateways, shares::MOST_ENGINES, 0);
+        let mut table = ObservationTable::new(gateways, MAX_OBSERVED_ENGINES, 0);
         for (e, &id) in listed.iter().enumerate() {
             for member in (e % 10..gateways).step_by(10) {
-                table.put(id, member as u16, 1, sight, 3 * SECOND);
+                table.put(id, MemberId(member as u16), observed(3 * SECOND));
             }
         }
-        let mut verdicts = Verdicts::default();
+        let mut consensus = OutlierConsensus::default();
         let calls = if quick { 10 } else { 100 };
         let mut judge = || {
-            black_box(verdicts.judge(4 * SECOND, &table, &zones, &listed));
+            black_box(consensus.evaluate(4 * SECOND, &table, &zones, &listed));
         };
         judging.push((gateways as f64, cost::middle_us(5, calls, &mut judge)));
     }
     for engines in super::module::SIZES {
-        let mut table = Table::new(300, shares::MOST_ENGINES, 0);
+        let mut table = ObservationTable::new(300, MAX_OBSERVED_ENGINES, 0);
         for e in 0..engines {
-            table.put(engine(e), 1, 1, sight, SECOND);
+            table.put(engine(e), MemberId(1), observed(SECOND));
         }
-        held.push((engines as f64, table.bytes() as f64));
+        held.push((engines as f64, table.size_bytes() as f64));
     }
     vec![
         measure(
--- a/crates/ivypitch-testbed/src/processes/hollow_gateways.rs
+++ b/crates/ivypitch-testbed/src/processes/hollow_gateways.rs
@@ -16,7 +16,7 @@
 
 use bytes::BytesMut;
 use ivypitch_config::own::{self, Own};
-use ivypitch_coordination::{Process, Shares};
+use ivypitch_coordination::{Coordinator, CoordinatorParams};
 use ivypitch_discovery::Feed;
 use ivypitch_gateway::actors::coordination::Sharing;
 use ivypitch_gateway::actors::discovery::List;
@@ -29,7 +29,7 @@
 use ivypitch_gateway::wire::journal::Hosts;
 use ivypitch_gateway::wire::peers::{Frame, next, write};
 use ivypitch_ownership::Ownership;
-use ivypitch_types::Nanos;
+use ivypitch_types::{Incarnation, MemberId, Nanos, ProcessId};
 use serde::{Deserialize, Serialize};
 use smol::channel::{self, Receiver, Sender};
 use smol::future::FutureExt;
@@ -183,7 +183,7 @@
                         keeper.heard(now, from, message);
                     }
                 }
-                Some(Mail::Handed(from, Frame::Shares(message))) => {
+                Some(Mail::Handed(from, Frame::Coordination(message))) => {
                     if let Some(sharing) = &mut self.sharing {
                         sharing.heard(now, from, message);
                     }
@@ -305,7 +305,7 @@
                 shared.hand(from, to, &Frame::Body(message));
             }
             PeersMessage::Say { to, message } if to >= shared.first => {
-                shared.hand(from, to, &Frame::Shares(message));
+                shared.hand(from, to, &Frame::Coordination(message));
             }
             other => drop(peers.try_send(other)),
         }
@@ -355,14 +355,17 @@
     let (list, list_mail) = channel::unbounded();
     let sharing = own.shares.enabled.then(|| {
         let terms = own.shares.terms(zones.len(), &crowd.tenants);
-        let shares = Shares::new(
-            Process { place: at, birth },
-            zones.clone(),
-            terms,
-            0,
+        let shares = Coordinator::new(CoordinatorParams {
+            process: ProcessId {
+                member: MemberId(at),
+                incarnation: Incarnation(birth),
+            },
+            zones: zones.clone(),
+            config: terms,
+            last_event: 0,
             seed,
             now,
-        );
+        });
         Sharing::new(shares, say.clone(), list.clone())
     });
     let keeper = own.custody.enabled.then(|| {
--- a/crates/ivypitch-testbed/src/virtual_time/shares_fleet.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/shares_fleet.rs
@@ -4,13 +4,13 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 
-use ivypitch_coordination::escrow::Terms as Bound;
 use ivypitch_coordination::{
-    BoundTerms, CoordinationOutput, Gossip, Message, Process, Saw, Shares, Terms,
+    AttemptHealth, CoordinationConfig, CoordinationMessage, CoordinationOutput, Coordinator,
+    CoordinatorParams, GossipMessage, QuotaIndex, QuotaLeaseConfig, SharedQuotaConfig,
 };
 use ivypitch_gateway::wire::peers;
 use ivypitch_scheduler::OutlierStatus;
-use ivypitch_types::{MemberId, Nanos, SECOND};
+use ivypitch_types::{Incarnation, MemberId, Nanos, ProcessId, SECOND};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -18,9 +18,9 @@
 
 const MS: Nanos = 1_000_000;
 /// The bound that is a level, and the one that is counted over a window.
-const LEVEL: usize = 0;
-const WINDOW: usize = 1;
-const UNITS_EACH: u32 = 100;
+const LEVEL: QuotaIndex = QuotaIndex(0);
+const WINDOW: QuotaIndex = QuotaIndex(1);
+const UNITS_PER_MEMBER: u32 = 100;
 const STEP: Nanos = 20 * MS;
 
 #[derive(Clone, Debug)]
@@ -116,12 +116,12 @@
         birth: u64,
         from: usize,
         from_birth: u64,
-        message: Message,
+        message: CoordinationMessage,
     },
     Gossip {
         to: usize,
         birth: u64,
-        gossip: Gossip,
+        gossip: GossipMessage,
     },
     Wake {
         at: usize,
@@ -143,7 +143,7 @@
         by: usize,
         birth: u64,
         engine: usize,
-        saw: Saw,
+        health: AttemptHealth,
     },
 }
 
@@ -151,19 +151,19 @@
 struct Acts(Vec<Act>);
 
 enum Act {
-    Say(u16, Message),
-    Gossip(u16, Gossip),
+    Say(u16, CoordinationMessage),
+    Gossip(u16, GossipMessage),
     Advise(u64, OutlierStatus),
 }
 
 impl CoordinationOutput for Acts {
-    fn send(&mut self, to: MemberId, message: Message) {
+    fn send(&mut self, to: MemberId, message: CoordinationMessage) {
         self.0.push(Act::Say(to.0, message));
     }
-    fn send_gossip(&mut self, to: MemberId, gossip: Gossip) {
+    fn send_gossip(&mut self, to: MemberId, gossip: GossipMessage) {
         self.0.push(Act::Gossip(to.0, gossip));
     }
-    fn on_quota_changed(&mut self, _quota: usize, _share: f64) {}
+    fn on_quota_changed(&mut self, _quota: QuotaIndex, _share: f64) {}
     fn on_outlier_status(&mut self, engine: u64, advice: OutlierStatus) {
         self.0.push(Act::Advise(engine, advice));
     }
@@ -172,7 +172,7 @@
 }
 
 struct Node {
-    shares: Shares,
+    shares: Coordinator,
     birth: u64,
     /// Its clock, over the true one.
     rate: f64,
@@ -227,28 +227,35 @@
     trace: bool,
 }
 
-const SPAN_OF_LOAN: Nanos = 2 * SECOND;
+const LEASE_DURATION: Nanos = 2 * SECOND;
 const WINDOW_SPAN: Nanos = SECOND;
 
-pub fn terms(gateways: usize) -> Terms {
-    let bound = |name: &str, window| BoundTerms {
+pub fn terms(gateways: usize) -> CoordinationConfig {
+    let quota = |name: &str, window| SharedQuotaConfig {
         name: name.into(),
-        terms: Bound {
-            units: UNITS_EACH * gateways as u32,
+        leases: QuotaLeaseConfig {
+            total_units: UNITS_PER_MEMBER * gateways as u32,
             members: gateways as u16,
-            floor: 0.1,
-            window,
-            span: SPAN_OF_LOAN,
-            drift: 0.01,
+            reserved_fraction: 0.1,
+            spend_window: window,
+            lease_duration: LEASE_DURATION,
+            max_clock_drift: 0.01,
         },
-        counts_over: window,
+        demand_window: window,
     };
-    Terms {
-        bounds: vec![bound("level", 0), bound("window", WINDOW_SPAN)],
-        bytes_a_second: 40_000.0,
-        most_engines: 200,
-        most_events: 256,
-        most_event_bytes: 1 << 20,
+    CoordinationConfig {
+        quotas: vec![quota("level", 0), quota("window", WINDOW_SPAN)],
+        gossip_bytes_per_second: 40_000.0,
+        max_engines: 200,
+        max_events: 256,
+        max_event_bytes: 1 << 20,
+    }
+}
+
+fn process(member: usize, birth: u64) -> ProcessId {
+    ProcessId {
+        member: MemberId(member as u16),
+        incarnation: Incarnation(birth),
     }
 }
 
@@ -296,15 +303,15 @@
         for step in 1..=30 {
             let at = sim.clock(by, first * step / 30);
             let mut acts = Acts::default();
-            sim.nodes[by].shares.needs(at, LEVEL, 0.0);
-            sim.nodes[by].shares.woken(at, &mut acts);
+            sim.nodes[by].shares.set_demand_level(at, LEVEL, 0.0);
+            sim.nodes[by].shares.on_timer(at, &mut acts);
         }
         for at in (0..fleet.gateways).filter(|&at| at != by) {
             let (now, birth) = (sim.clock(by, first), sim.nodes[at].birth);
             sim.nodes[by].view[at] = Some(birth);
             sim.nodes[by]
                 .shares
-                .member_up(now, at as u16, birth, &mut Acts::default());
+                .on_member_up(now, process(at, birth), &mut Acts::default());
         }
         let birth = sim.nodes[by].birth;
         sim.at(first + 1 + by as u64, Event::Wake { at: by, birth });
@@ -344,13 +351,16 @@
         let zones = (0..self.fleet.gateways)
             .map(|g| (g % self.fleet.zones) as u16)
             .collect();
-        let me = Process {
-            place: g as u16,
-            birth,
-        };
-        let mut shares = Shares::new(me, zones, terms(self.fleet.gateways), 1, 7, began);
+        let mut shares = Coordinator::new(CoordinatorParams {
+            process: process(g, birth),
+            zones,
+            config: terms(self.fleet.gateways),
+            last_event: 1,
+            seed: 7,
+            now: began,
+        });
         let listed: Vec<u64> = (0..self.fleet.engines).map(id).collect();
-        shares.listed(&listed);
+        shares.set_ready_engines(&listed);
         let rate = if self.fleet.clocks_apart {
             0.995 + 0.01 * (g % 11) as f64 / 10.0
         } else {
@@ -385,7 +395,7 @@
             |g: usize| self.fleet.uneven && (g + if moved { 5 } else { 0 }).is_multiple_of(10);
         let weights: Vec<f64> = (0..n).map(|g| if heavy(g) { 10.0 } else { 1.0 }).collect();
         let all: f64 = weights.iter().sum();
-        let units = f64::from(UNITS_EACH) * n as f64;
+        let units = f64::from(UNITS_PER_MEMBER) * n as f64;
         for (node, weight) in self.nodes.iter_mut().zip(weights) {
             node.level = 0.9 * units * weight / all;
             node.spends = 0.8 * units * weight / all * SECOND as f64 / WINDOW_SPAN as f64;
@@ -465,19 +475,19 @@
                 let alive = self.nodes[to].birth == birth && self.nodes[from].birth == from_birth;
                 if alive && !self.is_cut(from, to) {
                     self.with(to, |shares, now, out| {
-                        shares.heard(now, from as u16, message, out)
+                        shares.on_message(now, MemberId(from as u16), message, out)
                     });
                 }
             }
             Event::Gossip { to, birth, gossip } => {
                 if self.nodes[to].birth == birth {
-                    self.with(to, |shares, now, out| shares.gossip(now, gossip, out));
+                    self.with(to, |shares, now, out| shares.on_gossip(now, gossip, out));
                 }
             }
             Event::Wake { at, birth } => {
                 if self.nodes[at].birth == birth {
                     self.nodes[at].wake = Nanos::MAX;
-                    self.with(at, |shares, now, out| shares.woken(now, out));
+                    self.with(at, |shares, now, out| shares.on_timer(now, out));
                 }
             }
             Event::Look { by, at } => self.look(by, at),
@@ -509,15 +519,15 @@
                 by,
                 birth,
                 engine,
-                saw,
-            } => self.over(by, birth, engine, saw),
+                health,
+            } => self.over(by, birth, engine, health),
         }
     }
 
     fn with(
         &mut self,
         g: usize,
-        call: impl FnOnce(&mut Shares, Nanos, &mut dyn CoordinationOutput),
+        call: impl FnOnce(&mut Coordinator, Nanos, &mut dyn CoordinationOutput),
     ) {
         if !self.fleet.shares {
             return;
@@ -540,7 +550,7 @@
                 }
             }
         }
-        let next = self.true_time(g, self.nodes[g].shares.next_wake());
+        let next = self.true_time(g, self.nodes[g].shares.next_timer());
         if next < self.nodes[g].wake {
             let (at, birth) = (next.max(self.now + 1), self.nodes[g].birth);
             self.nodes[g].wake = at;
@@ -553,9 +563,9 @@
         some(&self.cuts) || some(&self.mute)
     }
 
-    fn say(&mut self, from: usize, to: usize, message: Message) {
+    fn say(&mut self, from: usize, to: usize, message: CoordinationMessage) {
         self.verdict.link_bytes +=
-            peers::write(&peers::Frame::Shares(message.clone())).len() as f64;
+            peers::write(&peers::Frame::Coordination(message.clone())).len() as f64;
         if self.is_cut(from, to) || !self.nodes[to].up {
             return;
         }
@@ -577,7 +587,7 @@
         );
     }
 
-    fn tell(&mut self, from: usize, to: usize, gossip: Gossip) {
+    fn tell(&mut self, from: usize, to: usize, gossip: GossipMessage) {
         self.verdict.gossip_bytes += peers::write_gossip(&gossip).len() as f64;
         if self.is_cut(from, to) || !self.nodes[to].up || self.rng.random_bool(self.fleet.drop) {
             return;
@@ -604,12 +614,12 @@
         self.nodes[by].view[at] = truth;
         if let Some(birth) = held {
             self.with(by, |shares, now, out| {
-                shares.member_down(now, at as u16, birth, out)
+                shares.on_member_down(now, process(at, birth), out)
             });
         }
         if let Some(birth) = truth {
             self.with(by, |shares, now, out| {
-                shares.member_up(now, at as u16, birth, out)
+                shares.on_member_up(now, process(at, birth), out)
             });
         }
     }
@@ -707,7 +717,7 @@
     /// Each 20 ms: what all hold and use is counted; what is needed is told.
     fn step(&mut self, first: Nanos, (fails, well): (Nanos, Nanos)) {
         self.at(self.now + STEP, Event::Step);
-        let units = UNITS_EACH * self.fleet.gateways as u32;
+        let units = UNITS_PER_MEMBER * self.fleet.gateways as u32;
         let settled = self.now >= first + 2 * SECOND;
         let mut held_by_all = 0;
         for g in 0..self.fleet.gateways {
@@ -719,26 +729,26 @@
             // A stopped process uses nothing; it looks at the time before it goes on.
             let (held, level) = match self.fleet.shares {
                 true => {
-                    let bound = node.shares.held_at(now, LEVEL);
+                    let bound = node.shares.usable_units_at(now, LEVEL);
                     (bound, node.level)
                 }
-                false => (UNITS_EACH, node.level),
+                false => (UNITS_PER_MEMBER, node.level),
             };
             held_by_all += if node.stopped { 0 } else { held };
             if node.stopped {
                 continue;
             }
-            if self.fleet.shares && held < UNITS_EACH / 10 {
+            if self.fleet.shares && held < UNITS_PER_MEMBER / 10 {
                 self.verdict.under_floor += 1;
             }
-            node.shares.needs(now, LEVEL, level);
+            node.shares.set_demand_level(now, LEVEL, level);
             node.owed += node.spends * STEP as f64 / SECOND as f64;
             let wants = node.owed.floor() as u32;
             node.owed -= f64::from(wants);
             let mut spent = 0;
             if self.fleet.shares {
                 for _ in 0..wants {
-                    spent += u32::from(node.shares.spend(now, WINDOW, 1));
+                    spent += u32::from(node.shares.try_spend(now, WINDOW, 1));
                 }
             }
             if self.trace {
@@ -865,14 +875,14 @@
         self.sent_bad += u64::from(is_bad);
         let (ill, blind) = (self.fleet.liars && by == 3, self.fleet.liars && by == 4);
         let no_way = self.fleet.liars && engine == self.fleet.engines - 1 && by.is_multiple_of(2);
-        let saw = if ill {
-            Saw::Failure
+        let health = if ill {
+            AttemptHealth::Failure
         } else if no_way {
-            Saw::Unreached
+            AttemptHealth::Unreachable
         } else if is_bad && !blind {
-            Saw::Failure
+            AttemptHealth::Failure
         } else {
-            Saw::Success
+            AttemptHealth::Success
         };
         let span = self.rng.random_range(2 * MS..120 * MS);
         self.at(
@@ -881,28 +891,30 @@
                 by,
                 birth,
                 engine,
-                saw,
+                health,
             },
         );
     }
 
-    fn over(&mut self, by: usize, birth: u64, engine: usize, saw: Saw) {
+    fn over(&mut self, by: usize, birth: u64, engine: usize, health: AttemptHealth) {
         if self.nodes[by].birth != birth {
             return;
         }
         let now = self.now;
         let node = &mut self.nodes[by];
         let own = node.own.entry(engine).or_default();
-        own.push_back((now, saw == Saw::Success));
+        own.push_back((now, health == AttemptHealth::Success));
         while own.len() > 8 || own.front().is_some_and(|&(at, _)| at + 10 * SECOND < now) {
             own.pop_front();
         }
         let part = own.iter().filter(|o| o.1).count() as f64 / own.len() as f64;
         if part < 0.375 {
             node.failing.insert(engine);
-        } else if saw == Saw::Success {
+        } else if health == AttemptHealth::Success {
             node.failing.remove(&engine);
         }
-        self.with(by, |shares, now, _| shares.saw(now, id(engine), saw));
+        self.with(by, |shares, now, _| {
+            shares.on_attempt_ended(now, id(engine), health)
+        });
     }
 }
--- a/crates/ivypitch-testbed/tests/scale.rs
+++ b/crates/ivypitch-testbed/tests/scale.rs
@@ -1,12 +1,15 @@
 //! Slopes by counts, which are the same on any machine, and changes on their way to a whole fleet.
 
-use ivypitch_coordination::sights::{Sight, Table};
+use ivypitch_coordination::{
+    HealthObservation, MAX_OBSERVED_ENGINES, ObservationTable, StoredObservation,
+};
 use ivypitch_testbed::experiments::scale::module::line;
 use ivypitch_testbed::experiments::scale::peers::links;
 use ivypitch_testbed::experiments::scale::slope::{Slope, at, passes_at};
 use ivypitch_testbed::virtual_time::faults::Plan;
 use ivypitch_testbed::virtual_time::feed_fleet::{self, Reached};
 use ivypitch_testbed::virtual_time::{custody_fleet, members_fleet};
+use ivypitch_types::{MemberId, SECOND};
 
 #[test]
 fn a_slope_finds_its_line_and_its_power_and_what_they_miss() {
@@ -113,21 +116,23 @@
 #[test]
 fn words_on_engines_are_bounded_whatever_the_list_has() {
     let held = |engines: u64| {
-        let mut table = Table::new(300, ivypitch_coordination::shares::MOST_ENGINES, 0);
+        let mut table = ObservationTable::new(300, MAX_OBSERVED_ENGINES, 0);
         for engine in 0..engines {
             table.put(
                 engine,
-                1,
-                1,
-                Sight {
-                    successes: 1,
-                    failures: 0,
-                    unreached: 0,
+                MemberId(1),
+                StoredObservation {
+                    version: 1,
+                    observation: HealthObservation {
+                        successes: 1,
+                        failures: 0,
+                        unreachable: 0,
+                    },
+                    observed_at: SECOND,
                 },
-                1_000_000_000,
             );
         }
-        table.bytes()
+        table.size_bytes()
     };
     assert_eq!(held(8000), held(1024));
     assert!(held(512) < held(1024));
