--- /dev/null
+++ b/crates/ivypitch-command/tests/recorded_shapes.rs
@@ -0,0 +1,89 @@
+//! Text, names and keys recorded at d1ac1c5; a rename must not change them. What people and tools read: the fields of the
+//! own file, the columns of `SHOW QUEUE`, the keys of `SHOW FLEET` and of `ivypitch fleet`. The values of a view, key by
+//! key, stand in the recorded messages of `ivypitch-shares`.
+
+use std::process::Command;
+
+use ivypitch_lab::processes::{Engines, Fleet, Setup};
+use ivypitch_lab::stand_ins::*;
+
+const PEERS: &str = r#""period_ms":200,"suspicion_ms":700,"custody":{"enabled":false},
+    "shares":{"enabled":true,"span_ms":1000}"#;
+
+/// All keys of a JSON text in the order in which they stand there.
+fn keys(text: &str) -> String {
+    let mut keys: Vec<&str> = Vec::new();
+    let mut strings = text.split('"').skip(1);
+    while let (Some(name), Some(after)) = (strings.next(), strings.next()) {
+        if after.trim_start().starts_with(':') {
+            keys.push(name);
+        }
+    }
+    keys.join(" ")
+}
+
+fn said(arguments: &[&str]) -> String {
+    let output = Command::new(env!("CARGO_BIN_EXE_ivypitch")).args(arguments).output().unwrap();
+    assert!(output.status.success(), "{output:?}");
+    String::from_utf8(output.stdout).unwrap()
+}
+
+#[test]
+fn the_fields_of_the_own_file_keep_their_recorded_text() {
+    assert_eq!(said(&["check", "--fields"]), include_str!("recorded/check_fields.txt"));
+}
+
+/// Of a result: the names that its columns are told by.
+fn column_names(client: &mut Client, ask: &str) -> Vec<String> {
+    client.send(&query(ask));
+    let mut names = Vec::new();
+    let (_, count) = client.packet().unwrap();
+    for _ in 0..count[0] {
+        let (_, column) = client.packet().unwrap();
+        // `def`, schema, table and its origin, each with its length; then the name.
+        let name = &column[7..];
+        assert_eq!(column[..7], *b"\x03def\0\0\0");
+        names.push(String::from_utf8(name[1..1 + usize::from(name[0])].to_vec()).unwrap());
+    }
+    names
+}
+
+#[test]
+fn the_columns_of_what_waits_keep_their_recorded_names() {
+    let engine = Engine::served();
+    let own = r#"{"teams":{"show":true}}"#;
+    let gateway = Gateway::owned(&[engine.row("s-1", "in_service")], |config| config, Some(own));
+    let recorded = ["req", "team", "workload", "state", "position", "low_ms", "mid_ms", "high_ms", "age_ms"];
+    for ask in ["SHOW QUEUE", "SHOW WAIT '00000000000000ff'"] {
+        assert_eq!(column_names(&mut Client::connect(&gateway), ask), recorded, "{ask}");
+    }
+}
+
+#[test]
+fn a_view_of_the_fleet_keeps_its_recorded_keys() {
+    let held = Held::start(1);
+    let engines = Engines::At(vec![held.addresses.clone()]);
+    let setup = Setup { gateways: 1, engines, peers: Some(PEERS.into()), ..Setup::default() };
+    let fleet = Fleet::start(setup).unwrap();
+    let address = fleet.seats[0].address;
+    assert_eq!(column_names(&mut Client::at(address), "SHOW FLEET"), ["view"]);
+    let Answer::Rows(rows) = Client::at(address).ask("SHOW FLEET") else { panic!("no view") };
+    assert_eq!(
+        keys(&rows[0][0]),
+        "place birth hearing heard journal journal_silent bounds name units home floor held lent \
+         borrowed away need name units home floor held lent borrowed away need engines sent_bytes late \
+         events_by_members traffic datagrams bytes_out bytes_in sends receives links bytes_out bytes_in \
+         sends receives engines bytes_out bytes_in sends receives journal bytes_out bytes_in sends \
+         receives"
+    );
+    let told = said(&["fleet", &address.to_string()]);
+    let end = told.rfind(']').unwrap();
+    assert_eq!(
+        keys(&told[..end]),
+        "gateway view birth bounds away borrowed floor held home lent name need units away borrowed \
+         floor held home lent name need units engines events_by_members heard hearing journal \
+         journal_silent late place sent_bytes traffic datagrams bytes_in bytes_out receives sends \
+         engines bytes_in bytes_out receives sends journal bytes_in bytes_out receives sends links \
+         bytes_in bytes_out receives sends"
+    );
+}
--- /dev/null
+++ b/crates/ivypitch-gateway/tests/recorded_peer_messages.rs
@@ -0,0 +1,57 @@
+//! Bytes recorded at d1ac1c5; a rename must not change them. Frames on the links between gateways, with their length in
+//! front, the datagrams of what is shared, with their mark, and the versions that both ends state.
+
+use bytes::BytesMut;
+use ivypitch_custody::{Epoch, Message};
+use ivypitch_gateway::wire::peers::{
+    Frame, LARGEST_FRAME, Malformed, next, read_gossip, write, write_gossip,
+};
+use ivypitch_shares::{Gossip, Process};
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn bytes(hex: &str) -> Vec<u8> {
+    (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap()).collect()
+}
+
+#[test]
+fn every_frame_keeps_its_recorded_bytes() {
+    let epoch = Epoch { count: 7, place: 300, birth: 1_700_000_000_123 };
+    let recorded = [
+        (
+            Frame::Hello { version: 1, roster: 0xfeed_beef, place: 300, birth: 1_700_000_000_123 },
+            "0f0000000001effdb6f70fac02fbd095ffbc31",
+        ),
+        (Frame::Beat, "0100000001"),
+        (
+            Frame::Body(Message::Claim { id: 0x1122_3344_5566, epoch }),
+            "120000000203e6aa919aa3a40407ac02fbd095ffbc31",
+        ),
+        (Frame::Shares(ivypitch_shares::Message::Tail(1 << 33)), "0700000003018080808020"),
+    ];
+    for (frame, recorded) in recorded {
+        assert_eq!(hex(&write(&frame)), recorded, "{frame:?}");
+        let mut input = BytesMut::from(&bytes(recorded)[..]);
+        let read = next(&mut input).unwrap().unwrap();
+        assert_eq!(format!("{read:?}"), format!("{frame:?}"));
+        assert!(input.is_empty());
+    }
+}
+
+#[test]
+fn a_datagram_keeps_its_recorded_mark_and_bytes() {
+    let from = Process { place: 300, birth: 1_700_000_000_123 };
+    let gossip = Gossip::Digest { said_ms: 987_654_321, from, parts: vec![7, u32::MAX] };
+    let recorded = "ffffffff01b1d1f9d603ac02fbd095ffbc310207ffffffff0f";
+    assert_eq!(hex(&write_gossip(&gossip)), recorded, "{gossip:?}");
+    assert_eq!(read_gossip(&bytes(recorded)), Some(Some(gossip)));
+}
+
+#[test]
+fn versions_and_the_largest_frame_keep_their_recorded_values() {
+    assert_eq!((ivypitch_custody::VERSION, ivypitch_shares::VERSION, LARGEST_FRAME), (1, 1, 131_072));
+    let mut longer = BytesMut::from(&bytes("01000200")[..]);
+    assert_eq!(next(&mut longer).unwrap_err(), Malformed("frame of no usable length"));
+}
