--- a/crates/ivypitch-gateway/src/actors/attempt.rs
+++ b/crates/ivypitch-gateway/src/actors/attempt.rs
@@ -1,4 +1,4 @@
-//! One execution at its engine: started, asked for until its end, given up. It ends with one [`End`].
+//! One execution at its engine: started, asked for until its end, given up. It ends with one [`AttemptEnd`].
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 use ivypitch_types::{Nanos, Outcome};
 
 use super::engine::{AT_ONCE, CallFault, Connection, Link, NEWS};
-use super::{AttemptKey, AttemptMessage, ClientPresence, End, SchedulerMessage};
+use super::messages::{AttemptEnd, AttemptKey, AttemptMessage, ClientPresence, SchedulerMessage};
 use crate::lifecycle::clock::Clock;
 use crate::state::connects::ConnectCause;
 use crate::state::rows::Rows;
@@ -75,10 +75,10 @@
         let end = self.to_its_end(&link).await;
         let _ = self
             .module
-            .try_send(SchedulerMessage::Ended { key: self.key, end });
+            .try_send(SchedulerMessage::AttemptEnded { key: self.key, end });
     }
 
-    async fn to_its_end(&self, link: &Link) -> End {
+    async fn to_its_end(&self, link: &Link) -> AttemptEnd {
         let mut connection = None;
         let end = self.on_connection(link, &mut connection).await;
         // What is over has no answer to come on its connection.
@@ -91,7 +91,7 @@
         end
     }
 
-    async fn on_connection(&self, link: &Link, connection: &mut Option<Connection>) -> End {
+    async fn on_connection(&self, link: &Link, connection: &mut Option<Connection>) -> AttemptEnd {
         let mut answer = match self.is_watched {
             true => None,
             false => match self.start(link, connection).await {
@@ -181,7 +181,7 @@
         &self,
         link: &Link,
         own: &mut Option<Connection>,
-    ) -> Result<Option<Answer>, End> {
+    ) -> Result<Option<Answer>, AttemptEnd> {
         let mut unfit = 0;
         let connection = loop {
             let connect = async {
@@ -274,14 +274,14 @@
             ("waits", _) => AttemptProgress::WaitingForBulkLoad,
             _ => return,
         };
-        let _ = self.module.try_send(SchedulerMessage::Noted {
+        let _ = self.module.try_send(SchedulerMessage::AttemptProgressed {
             key: self.key,
             note,
         });
     }
 
     /// What the answer that ends it proves, in the module's terms; after a good end with all its rows.
-    fn ended(&self, answer: &Answer, rows: Option<Rows>) -> End {
+    fn ended(&self, answer: &Answer, rows: Option<Rows>) -> AttemptEnd {
         let outcome = match (answer.status, answer.never_ran) {
             (200, _) => Outcome::Completed,
             (503, true) => Outcome::Overloaded,
@@ -291,7 +291,7 @@
         let cost = answer
             .work_ms
             .map(|work| (work, answer.peak_mb.unwrap_or(0.0)));
-        End {
+        AttemptEnd {
             outcome,
             true_cost: cost.filter(|_| rows.is_some()),
             report: http::load_report(&answer.load, &self.report_fields),
@@ -306,7 +306,7 @@
         connection: &mut Option<Connection>,
         mut rows: Rows,
         count: usize,
-    ) -> Result<Rows, End> {
+    ) -> Result<Rows, AttemptEnd> {
         let mut faults = 0;
         while rows.pages() < count {
             let number = rows.pages();
@@ -338,7 +338,7 @@
 
     /// Gives it up; it is no longer out when this returns: the engine has answered to that, has no process, or has
     /// long dropped the query since nobody asked for it.
-    async fn cancel(&self, link: &Link) -> End {
+    async fn cancel(&self, link: &Link) -> AttemptEnd {
         let dropped = Instant::now() + DROPPED_UNASKED;
         let call = http::write_delete(&self.start.id, &link.host());
         let mut connection = None;
@@ -380,8 +380,8 @@
     (first && rows.add(end.body.clone()).is_ok()).then_some(rows)
 }
 
-fn bare(outcome: Outcome) -> End {
-    End {
+fn bare(outcome: Outcome) -> AttemptEnd {
+    AttemptEnd {
         outcome,
         true_cost: None,
         report: Vec::new(),
--- a/crates/ivypitch-gateway/src/actors/coordination.rs
+++ b/crates/ivypitch-gateway/src/actors/coordination.rs
@@ -18,18 +18,18 @@
 
 /// What the module's actor is asked to do.
 #[derive(Debug)]
-pub enum Act {
-    Part(usize, f64),
-    Advise(u64, OutlierStatus),
+pub enum Action {
+    SetQuota(usize, f64),
+    SetOutlierStatus(u64, OutlierStatus),
 }
 
-struct Acts {
-    asked: VecDeque<Act>,
+struct ActionQueue {
+    pending: VecDeque<Action>,
     peers: Sender<PeersMessage>,
     list: Sender<ListMessage>,
 }
 
-impl Output for Acts {
+impl Output for ActionQueue {
     fn say(&mut self, to: u16, message: Message) {
         let _ = self.peers.try_send(PeersMessage::Say { to, message });
     }
@@ -37,10 +37,11 @@
         let _ = self.peers.try_send(PeersMessage::Gossip { to, gossip });
     }
     fn part(&mut self, bound: usize, part: f64) {
-        self.asked.push_back(Act::Part(bound, part));
+        self.pending.push_back(Action::SetQuota(bound, part));
     }
     fn advise(&mut self, engine: u64, advice: OutlierStatus) {
-        self.asked.push_back(Act::Advise(engine, advice));
+        self.pending
+            .push_back(Action::SetOutlierStatus(engine, advice));
     }
     fn event(&mut self, _number: u64, line: &[u8]) {
         let _ = self
@@ -52,53 +53,58 @@
     }
 }
 
-pub struct Sharing {
+pub struct CoordinationDriver {
     shares: Shares,
-    acts: Acts,
+    actions: ActionQueue,
 }
 
-impl Sharing {
-    pub fn new(shares: Shares, peers: Sender<PeersMessage>, list: Sender<ListMessage>) -> Sharing {
-        Sharing {
+impl CoordinationDriver {
+    pub fn new(
+        shares: Shares,
+        peers: Sender<PeersMessage>,
+        list: Sender<ListMessage>,
+    ) -> CoordinationDriver {
+        CoordinationDriver {
             shares,
-            acts: Acts {
-                asked: VecDeque::new(),
+            actions: ActionQueue {
+                pending: VecDeque::new(),
                 peers,
                 list,
             },
         }
     }
 
-    pub fn next_act(&mut self) -> Option<Act> {
-        self.acts.asked.pop_front()
+    pub fn next_action(&mut self) -> Option<Action> {
+        self.actions.pending.pop_front()
     }
 
-    pub fn has_acts(&self) -> bool {
-        !self.acts.asked.is_empty()
+    pub fn has_actions(&self) -> bool {
+        !self.actions.pending.is_empty()
     }
 
-    pub fn member_up(&mut self, now: Nanos, place: u16, birth: u64) {
-        self.shares.member_up(now, place, birth, &mut self.acts);
+    pub fn on_member_up(&mut self, now: Nanos, place: u16, birth: u64) {
+        self.shares.member_up(now, place, birth, &mut self.actions);
     }
 
-    pub fn member_down(&mut self, now: Nanos, place: u16, birth: u64) {
-        self.shares.member_down(now, place, birth, &mut self.acts);
+    pub fn on_member_down(&mut self, now: Nanos, place: u16, birth: u64) {
+        self.shares
+            .member_down(now, place, birth, &mut self.actions);
     }
 
-    pub fn heard(&mut self, now: Nanos, from: u16, message: Message) {
-        self.shares.heard(now, from, message, &mut self.acts);
+    pub fn on_message(&mut self, now: Nanos, from: u16, message: Message) {
+        self.shares.heard(now, from, message, &mut self.actions);
     }
 
-    pub fn gossip(&mut self, now: Nanos, gossip: Gossip) {
-        self.shares.gossip(now, gossip, &mut self.acts);
+    pub fn on_gossip(&mut self, now: Nanos, gossip: Gossip) {
+        self.shares.gossip(now, gossip, &mut self.actions);
     }
 
-    pub fn listed(&mut self, ready: &[u64]) {
+    pub fn on_endpoints_updated(&mut self, ready: &[u64]) {
         self.shares.listed(ready);
     }
 
     /// A customer's statement came; of its whole allowance a second.
-    pub fn arrived(&mut self, tenant: usize, quota_per_second: f64) {
+    pub fn on_statement_arrived(&mut self, tenant: usize, quota_per_second: f64) {
         let bound = FIRST_ALLOWANCE + tenant;
         let units = f64::from(self.shares.units(bound));
         if quota_per_second > 0.0 {
@@ -107,33 +113,33 @@
     }
 
     /// The teams' queues hold and want so many of all cores.
-    pub fn needs_cores(&mut self, now: Nanos, cores: f64, all: f64) {
+    pub fn set_core_demand(&mut self, now: Nanos, cores: f64, all: f64) {
         let units = f64::from(self.shares.units(CORES));
         self.shares
             .needs(now, CORES, units * (cores / all.max(1.0)).min(1.0));
     }
 
     /// `is_first`: of its statement.
-    pub fn ended(&mut self, now: Nanos, engine: u64, outcome: Outcome, is_first: bool) {
+    pub fn on_attempt_ended(&mut self, now: Nanos, engine: u64, outcome: Outcome, is_first: bool) {
         if let Some(saw) = Saw::of(outcome, is_first) {
             self.shares.saw(now, engine, saw);
         }
     }
 
-    pub fn journal(&mut self, now: Nanos, event: Option<(u64, Bytes)>) {
+    pub fn on_journal_read(&mut self, now: Nanos, event: Option<(u64, Bytes)>) {
         match event {
             Some((number, line)) => self.shares.event_taken(now, number, &line),
             None => self.shares.journal_heard(now),
         }
     }
 
-    pub fn next_wake(&self) -> Nanos {
+    pub fn next_timer(&self) -> Nanos {
         self.shares.next_wake()
     }
 
-    pub fn woken(&mut self, now: Nanos) {
+    pub fn on_timer(&mut self, now: Nanos) {
         if self.shares.next_wake() <= now {
-            self.shares.woken(now, &mut self.acts);
+            self.shares.woken(now, &mut self.actions);
         }
     }
 
--- a/crates/ivypitch-gateway/src/actors/discovery.rs
+++ b/crates/ivypitch-gateway/src/actors/discovery.rs
@@ -14,7 +14,7 @@
 use futures_lite::{AsyncWriteExt, FutureExt};
 use ivypitch_discovery::{Feed, Told, Verdict};
 
-use super::SchedulerMessage;
+use super::messages::SchedulerMessage;
 use super::session::read_some;
 use crate::lifecycle::clock::Clock;
 use crate::state::traffic::Traffic;
@@ -115,7 +115,7 @@
                 if self.shares {
                     let _ = self
                         .module
-                        .try_send(SchedulerMessage::Journal { event: None });
+                        .try_send(SchedulerMessage::JournalRead { event: None });
                 }
                 if !*well {
                     log::info!("journal {address} followed again from {}", self.last());
@@ -176,11 +176,15 @@
                     );
                 }
                 if let Some(hosts) = event.hosts {
-                    let _ = self.module.try_send(SchedulerMessage::Listed { hosts });
+                    let _ = self
+                        .module
+                        .try_send(SchedulerMessage::EndpointsUpdated { hosts });
                 }
                 if self.shares {
                     let event = Some((event.pos, Bytes::copy_from_slice(line)));
-                    let _ = self.module.try_send(SchedulerMessage::Journal { event });
+                    let _ = self
+                        .module
+                        .try_send(SchedulerMessage::JournalRead { event });
                 }
                 Ok(())
             }
--- a/crates/ivypitch-gateway/src/actors/ownership.rs
+++ b/crates/ivypitch-gateway/src/actors/ownership.rs
@@ -13,14 +13,14 @@
 use serde_bytes::ByteBuf;
 
 use super::attempt::Attempt;
+use super::messages::{Answer, ClientHandle};
 use super::peer_links::{Peer, PeersMessage};
-use super::{Answer, Client};
 use crate::state::rows::Rows;
 use crate::wire::fields::Fields;
 
 /// What custody asks the module's actor to do.
 #[derive(Debug)]
-pub enum Act {
+pub enum Action {
     Go(StatementId, u32),
     Denied(StatementId, u32, GrantDenial),
     Proceed(StatementId),
@@ -33,26 +33,26 @@
     Answer(u64, FinalAnswer),
 }
 
-struct Acts {
-    asked: VecDeque<Act>,
+struct ActionQueue {
+    pending: VecDeque<Action>,
     peers: Sender<PeersMessage>,
 }
 
-impl Output for Acts {
+impl Output for ActionQueue {
     fn tell(&mut self, to: u16, message: Message) {
         let _ = self.peers.try_send(PeersMessage::Tell { to, message });
     }
     fn go(&mut self, id: StatementId, number: u32) {
-        self.asked.push_back(Act::Go(id, number));
+        self.pending.push_back(Action::Go(id, number));
     }
     fn denied(&mut self, id: StatementId, number: u32, why: GrantDenial) {
-        self.asked.push_back(Act::Denied(id, number, why));
+        self.pending.push_back(Action::Denied(id, number, why));
     }
     fn proceed(&mut self, id: StatementId) {
-        self.asked.push_back(Act::Proceed(id));
+        self.pending.push_back(Action::Proceed(id));
     }
     fn adopt(&mut self, id: StatementId, facts: &StatementSpec, left: Nanos, engine: Option<u64>) {
-        self.asked.push_back(Act::Adopt {
+        self.pending.push_back(Action::Adopt {
             id,
             text: facts.text.clone(),
             left,
@@ -60,7 +60,7 @@
         });
     }
     fn answer(&mut self, waiter: u64, word: &FinalAnswer) {
-        self.asked.push_back(Act::Answer(waiter, word.clone()));
+        self.pending.push_back(Action::Answer(waiter, word.clone()));
     }
     fn log(&mut self, line: &str) {
         log::info!("{line}");
@@ -72,7 +72,7 @@
     pub id: StatementId,
     pub connection: u32,
     pub deadline: Nanos,
-    pub client: Client,
+    pub client: ClientHandle,
     /// What it takes to go on, where it has not gone on yet.
     pub going: Option<(Fields, usize, usize)>,
 }
@@ -84,9 +84,9 @@
     pub attempt: Attempt,
 }
 
-pub struct Keeper {
+pub struct OwnershipDriver {
     ownership: Ownership,
-    acts: Acts,
+    actions: ActionQueue,
     /// Emptied by the answer, the client's going or the deadline.
     pub waiting: BTreeMap<u64, Waiting>,
     /// Emptied by leave or its denial, within the grant's wait.
@@ -95,12 +95,16 @@
     asks_from: Nanos,
 }
 
-impl Keeper {
-    pub fn new(ownership: Ownership, peers: Sender<PeersMessage>, asks_from: Nanos) -> Keeper {
-        Keeper {
+impl OwnershipDriver {
+    pub fn new(
+        ownership: Ownership,
+        peers: Sender<PeersMessage>,
+        asks_from: Nanos,
+    ) -> OwnershipDriver {
+        OwnershipDriver {
             ownership,
-            acts: Acts {
-                asked: VecDeque::new(),
+            actions: ActionQueue {
+                pending: VecDeque::new(),
                 peers,
             },
             waiting: BTreeMap::new(),
@@ -110,24 +114,26 @@
         }
     }
 
-    pub fn token(&mut self) -> u64 {
+    pub fn next_waiter_token(&mut self) -> u64 {
         self.last_token += 1;
         self.last_token
     }
 
-    pub fn next_act(&mut self) -> Option<Act> {
-        self.acts.asked.pop_front()
+    pub fn next_action(&mut self) -> Option<Action> {
+        self.actions.pending.pop_front()
     }
 
-    pub fn has_acts(&self) -> bool {
-        !self.acts.asked.is_empty()
+    pub fn has_actions(&self) -> bool {
+        !self.actions.pending.is_empty()
     }
 
-    pub fn deny_later(&mut self, id: StatementId, number: u32, why: GrantDenial) {
-        self.acts.asked.push_back(Act::Denied(id, number, why));
+    pub fn defer_denial(&mut self, id: StatementId, number: u32, why: GrantDenial) {
+        self.actions
+            .pending
+            .push_back(Action::Denied(id, number, why));
     }
 
-    pub fn arrive(
+    pub fn on_statement_arrived(
         &mut self,
         now: Nanos,
         id: StatementId,
@@ -137,10 +143,10 @@
     ) -> ArrivalDecision {
         let asks = work >= self.asks_from;
         self.ownership
-            .arrive(now, id, facts, asks, token, &mut self.acts)
+            .arrive(now, id, facts, asks, token, &mut self.actions)
     }
 
-    pub fn grant(
+    pub fn request_attempt_grant(
         &mut self,
         now: Nanos,
         id: StatementId,
@@ -148,7 +154,7 @@
         engine: u64,
     ) -> GrantDecision {
         self.ownership
-            .grant(now, id, number, engine, &mut self.acts)
+            .grant(now, id, number, engine, &mut self.actions)
     }
 
     pub fn on_attempt_ended(&mut self, now: Nanos, id: StatementId, number: u32, never_ran: bool) {
@@ -156,7 +162,7 @@
     }
 
     /// `Some`: the client of this token hears later.
-    pub fn answered(&mut self, now: Nanos, id: StatementId, answer: &Answer) -> Option<u64> {
+    pub fn on_answered(&mut self, now: Nanos, id: StatementId, answer: &Answer) -> Option<u64> {
         let word = match answer {
             Answer::Completed(rows) => FinalAnswer::Rows(
                 rows.clone()
@@ -169,11 +175,11 @@
             },
             _ => FinalAnswer::Aborted,
         };
-        self.ownership.answered(now, id, word, &mut self.acts)
+        self.ownership.answered(now, id, word, &mut self.actions)
     }
 
-    pub fn engine_unknown(&mut self, now: Nanos, id: StatementId) {
-        self.ownership.engine_unknown(now, id, &mut self.acts);
+    pub fn on_engine_unknown(&mut self, now: Nanos, id: StatementId) {
+        self.ownership.engine_unknown(now, id, &mut self.actions);
     }
 
     pub fn outlives_client(&self, id: StatementId) -> bool {
@@ -181,7 +187,7 @@
     }
 
     /// The client of this connection has gone, if it waits here; its statement, if it was to go on.
-    pub fn gone(&mut self, connection: u32) -> Option<Waiting> {
+    pub fn on_client_disconnected(&mut self, connection: u32) -> Option<Waiting> {
         let token = self
             .waiting
             .iter()
@@ -192,7 +198,7 @@
         Some(waiting)
     }
 
-    pub fn late(&mut self, now: Nanos) -> Vec<Waiting> {
+    pub fn remove_expired_waiters(&mut self, now: Nanos) -> Vec<Waiting> {
         let late: Vec<u64> = self
             .waiting
             .iter()
@@ -209,24 +215,24 @@
         over
     }
 
-    pub fn peer(&mut self, now: Nanos, peer: &Peer) {
+    pub fn on_peer_event(&mut self, now: Nanos, peer: &Peer) {
         match peer {
-            Peer::Heard { from, message, .. } => self.heard(now, *from, (**message).clone()),
+            Peer::Heard { from, message, .. } => self.on_message(now, *from, (**message).clone()),
             Peer::Up { place, birth } => self.ownership.member_up(now, *place, *birth),
             Peer::Down { place, birth } => {
                 self.ownership
-                    .member_down(now, *place, *birth, &mut self.acts)
+                    .member_down(now, *place, *birth, &mut self.actions)
             }
             Peer::Suspected { place, is } => self.ownership.member_suspected(*place, *is),
             Peer::Shared { .. } | Peer::Gossip(..) => {}
         }
     }
 
-    pub fn heard(&mut self, now: Nanos, from: u16, message: Message) {
-        self.ownership.heard(now, from, message, &mut self.acts);
+    pub fn on_message(&mut self, now: Nanos, from: u16, message: Message) {
+        self.ownership.heard(now, from, message, &mut self.actions);
     }
 
-    pub fn next_wake(&self) -> Nanos {
+    pub fn next_timer(&self) -> Nanos {
         let late = self
             .waiting
             .values()
@@ -236,22 +242,22 @@
         self.ownership.next_wake().min(late)
     }
 
-    pub fn woken(&mut self, now: Nanos) {
+    pub fn on_timer(&mut self, now: Nanos) {
         if self.ownership.next_wake() <= now {
-            self.ownership.woken(now, &mut self.acts);
+            self.ownership.woken(now, &mut self.actions);
         }
     }
 
-    pub fn hand_over(&mut self, now: Nanos) -> Vec<StatementId> {
-        self.ownership.hand_over(now, &mut self.acts)
+    pub fn hand_off(&mut self, now: Nanos) -> Vec<StatementId> {
+        self.ownership.hand_over(now, &mut self.actions)
     }
 
     pub fn leave_fleet(&self) {
-        let _ = self.acts.peers.try_send(PeersMessage::GrantDecision);
+        let _ = self.actions.peers.try_send(PeersMessage::GrantDecision);
     }
 
     /// One line as the program ends.
-    pub fn tell_record(&self) {
+    pub fn log_totals(&self) {
         let t = self.ownership.totals();
         log::info!(
             "custody: {} orphaned, {} claimed, {} watched, {} kept, {} given to clients that came back, {} in doubt, \
--- a/crates/ivypitch-gateway/src/actors/peer_links.rs
+++ b/crates/ivypitch-gateway/src/actors/peer_links.rs
@@ -16,7 +16,7 @@
 use ivypitch_membership::{Members, News, Roster, State, Terms};
 use ivypitch_ownership::Message;
 
-use super::SchedulerMessage;
+use super::messages::SchedulerMessage;
 use super::session::read_some;
 use crate::lifecycle::clock::Clock;
 use crate::state::traffic::Traffic;
@@ -234,7 +234,7 @@
                 letters
                     .recv()
                     .await
-                    .map_or(Step::End, |mail| Step::Mail(Box::new(mail)))
+                    .map_or(Step::AttemptEnd, |mail| Step::Mail(Box::new(mail)))
             };
             // Mail first: it is bounded by what the module says; a flood of datagrams must not hold it up.
             let step = mail.or(came).or(timer).await;
@@ -249,14 +249,17 @@
                         self.gossip_waits.set(self.gossip_waits.get() + 1);
                         let taken = Taken(self.gossip_waits.clone());
                         let heard = Peer::Gossip(Box::new(gossip), taken);
-                        let _ = self.shared.module.try_send(SchedulerMessage::Peer(heard));
+                        let _ = self
+                            .shared
+                            .module
+                            .try_send(SchedulerMessage::PeerEvent(heard));
                     }
                     // Not readable, or more than the module takes: dropped, as a network would.
                     Some(_) => {}
                 },
                 Step::Mail(mail) => self.take(*mail),
                 Step::Woken => {}
-                Step::End => return,
+                Step::AttemptEnd => return,
             }
             // However many datagrams come, what is due is done.
             if self.members.next_wake() <= now {
@@ -281,7 +284,13 @@
                 self.shared.traffic.datagrams.sent(data.len());
             }
         }
-        let tell = |peer| drop(self.shared.module.try_send(SchedulerMessage::Peer(peer)));
+        let tell = |peer| {
+            drop(
+                self.shared
+                    .module
+                    .try_send(SchedulerMessage::PeerEvent(peer)),
+            )
+        };
         while let Some(news) = self.members.next_news() {
             match news {
                 News::Up { place, birth } => {
@@ -396,7 +405,7 @@
     Datagram(usize),
     Mail(Box<PeersMessage>),
     Woken,
-    End,
+    AttemptEnd,
 }
 
 impl Shared {
@@ -633,7 +642,7 @@
                     },
                     Frame::Hello { .. } | Frame::Beat => return,
                 };
-                let _ = shared.module.try_send(SchedulerMessage::Peer(heard));
+                let _ = shared.module.try_send(SchedulerMessage::PeerEvent(heard));
             }
             silent_at = Instant::now() + SILENT;
         }
--- a/crates/ivypitch-gateway/src/actors/queueing.rs
+++ b/crates/ivypitch-gateway/src/actors/queueing.rs
@@ -8,29 +8,29 @@
 use ivypitch_types::{Nanos, StatementIndex};
 
 /// So many rows a client is shown at most.
-pub const MOST_SHOWN: usize = 200;
+pub const MAX_QUEUE_ROWS: usize = 200;
 
 /// What the teams' queues ask for.
 #[derive(Clone, Copy, Debug)]
-pub enum Act {
+pub enum Action {
     /// Its team asks for no more than its share, or for more.
     Release(StatementIndex, bool),
     Reject(StatementIndex, Nanos),
 }
 
 /// Emptied by the module's actor after each call.
-struct Acts {
-    asked: VecDeque<Act>,
+struct ActionQueue {
+    pending: VecDeque<Action>,
     tenants: Vec<String>,
 }
 
-impl Output for Acts {
+impl Output for ActionQueue {
     fn release(&mut self, stmt: StatementIndex, within: bool) {
-        self.asked.push_back(Act::Release(stmt, within));
+        self.pending.push_back(Action::Release(stmt, within));
     }
 
     fn reject(&mut self, stmt: StatementIndex, retry_after: Nanos) {
-        self.asked.push_back(Act::Reject(stmt, retry_after));
+        self.pending.push_back(Action::Reject(stmt, retry_after));
     }
 
     fn mode(&mut self, team: Option<usize>, line: &str) {
@@ -41,17 +41,17 @@
     }
 }
 
-pub struct Queues {
+pub struct QueueingDriver {
     teams: Teams,
-    acts: Acts,
+    actions: ActionQueue,
 }
 
-impl Queues {
-    pub fn new(budgets: Budgets, tenants: Vec<String>, seed: u64, now: Nanos) -> Queues {
-        Queues {
+impl QueueingDriver {
+    pub fn new(budgets: Budgets, tenants: Vec<String>, seed: u64, now: Nanos) -> QueueingDriver {
+        QueueingDriver {
             teams: Teams::new(budgets, seed, now),
-            acts: Acts {
-                asked: VecDeque::new(),
+            actions: ActionQueue {
+                pending: VecDeque::new(),
                 tenants,
             },
         }
@@ -63,48 +63,48 @@
     }
 
     /// The next thing asked for.
-    pub fn next_act(&mut self) -> Option<Act> {
-        self.acts.asked.pop_front()
+    pub fn next_action(&mut self) -> Option<Action> {
+        self.actions.pending.pop_front()
     }
 
-    pub fn arrive(&mut self, now: Nanos, stmt: StatementIndex, claim: Claim) {
-        self.teams.arrive(now, stmt, claim, &mut self.acts);
+    pub fn on_statement_queued(&mut self, now: Nanos, stmt: StatementIndex, claim: Claim) {
+        self.teams.arrive(now, stmt, claim, &mut self.actions);
     }
 
     /// False: it is not waiting here.
-    pub fn leave(&mut self, now: Nanos, stmt: StatementIndex) -> bool {
-        self.teams.leave(now, stmt, &mut self.acts)
+    pub fn remove(&mut self, now: Nanos, stmt: StatementIndex) -> bool {
+        self.teams.leave(now, stmt, &mut self.actions)
     }
 
-    pub fn over(
+    pub fn on_statement_ended(
         &mut self,
         now: Nanos,
         stmt: StatementIndex,
         real: Option<Nanos>,
         took: Option<Nanos>,
     ) {
-        self.teams.over(now, stmt, real, took, &mut self.acts);
+        self.teams.over(now, stmt, real, took, &mut self.actions);
     }
 
-    pub fn capacity(&mut self, now: Nanos, cores: f64) {
-        self.teams.capacity(now, cores, &mut self.acts);
+    pub fn set_capacity(&mut self, now: Nanos, cores: f64) {
+        self.teams.capacity(now, cores, &mut self.actions);
     }
 
     pub fn reload(&mut self, now: Nanos, budgets: Budgets) {
-        self.teams.reload(now, budgets, &mut self.acts);
+        self.teams.reload(now, budgets, &mut self.actions);
     }
 
-    pub fn ending(&mut self, now: Nanos, by: Nanos) {
-        self.teams.ending(now, by, &mut self.acts);
+    pub fn on_shutdown(&mut self, now: Nanos, by: Nanos) {
+        self.teams.ending(now, by, &mut self.actions);
     }
 
-    pub fn woken(&mut self, now: Nanos) {
-        if self.next_wake().is_some_and(|at| at <= now) {
-            self.teams.woken(now, &mut self.acts);
+    pub fn on_timer(&mut self, now: Nanos) {
+        if self.next_timer().is_some_and(|at| at <= now) {
+            self.teams.woken(now, &mut self.actions);
         }
     }
 
-    pub fn next_wake(&self) -> Option<Nanos> {
+    pub fn next_timer(&self) -> Option<Nanos> {
         self.teams.next_wake()
     }
 
@@ -113,7 +113,7 @@
     }
 
     pub fn rows(&self, now: Nanos) -> Vec<Queued> {
-        self.teams.queued_rows(now, MOST_SHOWN)
+        self.teams.queued_rows(now, MAX_QUEUE_ROWS)
     }
 
     pub fn row(&self, now: Nanos, stmt: StatementIndex) -> Option<Queued> {
@@ -121,7 +121,7 @@
     }
 
     /// One line, as the program ends, of how good the words about waits were.
-    pub fn tell_record(&self) {
+    pub fn log_totals(&self) {
         let record = self.teams.record();
         let median = record.errors_percent.value_at_quantile(0.5);
         let longest = record.waits_ms.max();
--- a/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
@@ -21,15 +21,17 @@
 use ivypitch_ownership::{ArrivalDecision, GrantDecision, GrantDenial, StatementId, StatementSpec};
 
 use crate::actors::attempt::{Attempt, Gate};
-use crate::actors::coordination::{self, Sharing};
+use crate::actors::coordination::{self, CoordinationDriver};
 use crate::actors::engine::{self, EngineMessage, Link};
-use crate::actors::ownership::{self, Keeper, Ready, Waiting};
+use crate::actors::messages::{
+    Answer, AttemptEnd, AttemptKey, AttemptMessage, ClientHandle, QueueRow, SchedulerMessage,
+};
+use crate::actors::ownership::{self, OwnershipDriver, Ready, Waiting};
 use crate::actors::peer_links::Peer;
-use crate::actors::queueing::{Act, Queues};
-use crate::actors::{Answer, AttemptKey, AttemptMessage, Client, End, SchedulerMessage, Shown};
+use crate::actors::queueing::{Action, QueueingDriver};
 use crate::lifecycle::clock::Clock;
 use crate::state::connects::ConnectCounters;
-use crate::state::engines::{EngineIds, id_as_number};
+use crate::state::engines::{EngineIds, engine_id_hash};
 use crate::state::permits::Permits;
 use crate::state::statements::{Out, Statements};
 use crate::state::traffic::Traffic;
@@ -113,8 +115,8 @@
     over: Vec<(StatementIndex, Option<Nanos>, Option<Nanos>)>,
     has_queues: bool,
     /// Where gateways talk.
-    keeper: Option<Keeper>,
-    sharing: Option<Sharing>,
+    keeper: Option<OwnershipDriver>,
+    sharing: Option<CoordinationDriver>,
     allowances: Vec<f64>,
     /// Of the engines' ids, by index; and whether they are ready by the list.
     numbers: Vec<u64>,
@@ -136,10 +138,10 @@
 }
 
 /// What stands beside the module: the first two only where the own file sets them up.
-pub struct Parts {
+pub struct SchedulerParts {
     pub budgets: Option<Budgets>,
-    pub keeper: Option<Keeper>,
-    pub sharing: Option<Sharing>,
+    pub keeper: Option<OwnershipDriver>,
+    pub sharing: Option<CoordinationDriver>,
     pub permits: Rc<Permits>,
     pub connects: Rc<ConnectCounters>,
     pub traffic: Rc<Traffic>,
@@ -150,24 +152,24 @@
     mailbox: Sender<EngineMessage>,
 }
 
-/// The order in which a statement meets what decides on it stands here and in [`Module::settle`]: first its team's
+/// The order in which a statement meets what decides on it stands here and in [`SchedulerActor::settle`]: first its team's
 /// queue, where the own file sets up teams, then the module.
-pub struct Module {
-    queues: Option<Queues>,
+pub struct SchedulerActor {
+    queues: Option<QueueingDriver>,
     gateway: Rc<RefCell<Scheduler>>,
     world: World,
 }
 
-impl Module {
+impl SchedulerActor {
     pub fn new(
         given: DeploymentConfig,
-        parts: Parts,
+        parts: SchedulerParts,
         seed: u64,
         clock: Clock,
         module: Sender<SchedulerMessage>,
         executor: Rc<LocalExecutor<'static>>,
-    ) -> Module {
-        let Parts {
+    ) -> SchedulerActor {
+        let SchedulerParts {
             budgets,
             keeper,
             sharing,
@@ -179,8 +181,8 @@
         let has_queues = budgets.is_some();
         let tenants = given.names.tenants.clone();
         let gateway = Rc::new(RefCell::new(Scheduler::new(given.facts.clone(), seed, now)));
-        Module {
-            queues: budgets.map(|budgets| Queues::new(budgets, tenants, seed, now)),
+        SchedulerActor {
+            queues: budgets.map(|budgets| QueueingDriver::new(budgets, tenants, seed, now)),
             world: World {
                 clock,
                 now,
@@ -251,14 +253,18 @@
         }
         self.settle();
         loop {
-            let wake = self.queues.as_ref().and_then(Queues::next_wake);
+            let wake = self.queues.as_ref().and_then(QueueingDriver::next_timer);
             let keeper = self
                 .world
                 .keeper
                 .as_ref()
-                .map(Keeper::next_wake)
+                .map(OwnershipDriver::next_timer)
                 .filter(|&at| at < Nanos::MAX);
-            let sharing = self.world.sharing.as_ref().map(Sharing::next_wake);
+            let sharing = self
+                .world
+                .sharing
+                .as_ref()
+                .map(CoordinationDriver::next_timer);
             let due = self
                 .world
                 .timers
@@ -290,7 +296,7 @@
                 self.come_due(due);
             }
             if let Some(queues) = &mut self.queues {
-                queues.woken(self.world.now);
+                queues.on_timer(self.world.now);
             }
             self.keeper_woken();
             self.sharing_woken();
@@ -299,7 +305,7 @@
     }
 
     fn sharing_woken(&mut self) {
-        let Module { queues, world, .. } = self;
+        let SchedulerActor { queues, world, .. } = self;
         let World {
             sharing: Some(sharing),
             now,
@@ -310,30 +316,34 @@
             return;
         };
         if let Some(queues) = queues {
-            sharing.needs_cores(*now, queues.cores_wanted(), cores.iter().sum());
+            sharing.set_core_demand(*now, queues.cores_wanted(), cores.iter().sum());
         }
-        sharing.woken(*now);
+        sharing.on_timer(*now);
     }
 
     /// Does what sharing asks for.
     fn settle_sharing(&mut self) {
-        let Module {
+        let SchedulerActor {
             queues,
             gateway,
             world,
         } = self;
-        while let Some(act) = world.sharing.as_mut().and_then(Sharing::next_act) {
+        while let Some(act) = world
+            .sharing
+            .as_mut()
+            .and_then(CoordinationDriver::next_action)
+        {
             match act {
-                coordination::Act::Part(coordination::CORES, part) => {
+                coordination::Action::SetQuota(coordination::CORES, part) => {
                     world.cores_part = part;
                     if let Some(queues) = queues {
-                        queues.capacity(world.now, world.cores.iter().sum::<f64>() * part);
+                        queues.set_capacity(world.now, world.cores.iter().sum::<f64>() * part);
                     }
                 }
-                coordination::Act::Part(bound, part) => gateway
+                coordination::Action::SetQuota(bound, part) => gateway
                     .borrow_mut()
                     .set_quota_share(bound - coordination::FIRST_ALLOWANCE, part),
-                coordination::Act::Advise(engine, advice) => {
+                coordination::Action::SetOutlierStatus(engine, advice) => {
                     if let Some(ix) = world.numbers.iter().position(|&number| number == engine) {
                         gateway
                             .borrow_mut()
@@ -353,19 +363,24 @@
         else {
             return;
         };
-        keeper.woken(*now);
-        for late in keeper.late(*now) {
+        keeper.on_timer(*now);
+        for late in keeper.remove_expired_waiters(*now) {
             late.client.send(Answer::Aborted);
         }
     }
 
     /// Does what custody asks for, until nothing is left.
     fn settle_custody(&mut self) {
-        while let Some(act) = self.world.keeper.as_mut().and_then(Keeper::next_act) {
+        while let Some(act) = self
+            .world
+            .keeper
+            .as_mut()
+            .and_then(OwnershipDriver::next_action)
+        {
             match act {
-                ownership::Act::Go(id, number) => self.go(id, number),
-                ownership::Act::Denied(id, number, why) => self.denied(id, number, why),
-                ownership::Act::Proceed(id) => {
+                ownership::Action::Go(id, number) => self.go(id, number),
+                ownership::Action::Denied(id, number, why) => self.denied(id, number, why),
+                ownership::Action::Proceed(id) => {
                     let Some(keeper) = self.world.keeper.as_mut() else {
                         continue;
                     };
@@ -390,13 +405,13 @@
                         self.begin(connection, fields, (workload, tenant), deadline, client);
                     }
                 }
-                ownership::Act::Adopt {
+                ownership::Action::Adopt {
                     id,
                     text,
                     left,
                     engine,
                 } => self.adopt(id, text, left, engine),
-                ownership::Act::Answer(token, word) => {
+                ownership::Action::Answer(token, word) => {
                     let waiting = self
                         .world
                         .keeper
@@ -471,7 +486,7 @@
             number,
             engine,
         };
-        let end = End {
+        let end = AttemptEnd {
             outcome: Outcome::NeverDispatched,
             true_cost: None,
             report: Vec::new(),
@@ -482,7 +497,7 @@
 
     /// Another gateway's statement is this one's now.
     fn adopt(&mut self, id: StatementId, text: Vec<u8>, left: Nanos, engine: Option<u64>) {
-        let Module { gateway, world, .. } = self;
+        let SchedulerActor { gateway, world, .. } = self;
         let now = world.now;
         let at = engine.map(|number| {
             world
@@ -496,11 +511,11 @@
             return;
         };
         if at.is_some_and(|at| !at.as_ref().is_some_and(is_there)) {
-            return keeper.engine_unknown(now, id);
+            return keeper.on_engine_unknown(now, id);
         }
         let Ok(fields) = fields::read(&Bytes::from(text)) else {
             log::warn!("custody: statement {id:016x} can't be read again");
-            let _ = keeper.answered(now, id, &Answer::Aborted);
+            let _ = keeper.on_answered(now, id, &Answer::Aborted);
             return;
         };
         let index =
@@ -515,7 +530,7 @@
         let arrival = arrival(&fields, workload, tenant, deadline.saturating_sub(now));
         // Nobody waits for it here but those that custody knows of.
         let (answer, _) = async_channel::bounded(1);
-        let nobody = Client {
+        let nobody = ClientHandle {
             answer,
             presence: None,
         };
@@ -525,7 +540,7 @@
         else {
             // An execution of it is still out here, under the same id.
             log::warn!("custody: statement {id:016x} is open here still");
-            let _ = keeper.answered(now, id, &Answer::Aborted);
+            let _ = keeper.on_answered(now, id, &Answer::Aborted);
             return;
         };
         world.watch_statement(stmt);
@@ -549,9 +564,9 @@
         fields: Fields,
         (workload, tenant): (usize, usize),
         deadline: Nanos,
-        client: Client,
+        client: ClientHandle,
     ) {
-        let Module {
+        let SchedulerActor {
             queues,
             gateway,
             world,
@@ -574,7 +589,7 @@
                         bytes,
                         deadline,
                     };
-                    queues.arrive(now, stmt, claim);
+                    queues.on_statement_queued(now, stmt, claim);
                 } else {
                     gateway
                         .borrow_mut()
@@ -583,7 +598,7 @@
             }
             Err(client) => {
                 if let Some(keeper) = &mut world.keeper {
-                    let _ = keeper.answered(now, id, &Answer::IdTaken);
+                    let _ = keeper.on_answered(now, id, &Answer::IdTaken);
                 }
                 client.send(Answer::IdTaken);
             }
@@ -597,7 +612,7 @@
         fields: Fields,
         (workload, tenant): (usize, usize),
         deadline: Nanos,
-        client: Client,
+        client: ClientHandle,
     ) {
         let world = &mut self.world;
         let now = world.now;
@@ -615,8 +630,8 @@
             text: fields.write(left_ms.max(1)),
         };
         let work = fields.work_ms.map_or(0, |ms| (ms * MS as f64) as Nanos);
-        let token = keeper.token();
-        match keeper.arrive(now, id, facts, work, token) {
+        let token = keeper.next_waiter_token();
+        match keeper.on_statement_arrived(now, id, facts, work, token) {
             ArrivalDecision::Proceed => {
                 self.begin(connection, fields, (workload, tenant), deadline, client);
                 if let Some(open) = self
@@ -651,8 +666,8 @@
         let Some(keeper) = self.world.keeper.as_mut() else {
             return;
         };
-        keeper.tell_record();
-        let handed = keeper.hand_over(now);
+        keeper.log_totals();
+        let handed = keeper.hand_off(now);
         for id in handed {
             let world = &mut self.world;
             let Some(stmt) = world.stmts.of_req(id) else {
@@ -687,7 +702,7 @@
             }
             match key {
                 Some(key) => {
-                    let end = End {
+                    let end = AttemptEnd {
                         outcome: Outcome::NeverDispatched,
                         true_cost: None,
                         report: Vec::new(),
@@ -703,8 +718,16 @@
     /// Does what the teams' queues ask for, and tells them what came of it, until nothing is left.
     fn settle(&mut self) {
         self.settle_queues();
-        while self.world.keeper.as_ref().is_some_and(Keeper::has_acts)
-            || self.world.sharing.as_ref().is_some_and(Sharing::has_acts)
+        while self
+            .world
+            .keeper
+            .as_ref()
+            .is_some_and(OwnershipDriver::has_actions)
+            || self
+                .world
+                .sharing
+                .as_ref()
+                .is_some_and(CoordinationDriver::has_actions)
         {
             self.settle_custody();
             self.settle_sharing();
@@ -713,7 +736,7 @@
     }
 
     fn settle_queues(&mut self) {
-        let Module {
+        let SchedulerActor {
             queues: Some(queues),
             gateway,
             world,
@@ -724,11 +747,11 @@
         let now = world.now;
         loop {
             if let Some((stmt, real, took)) = world.over.pop() {
-                queues.over(now, stmt, real, took);
+                queues.on_statement_ended(now, stmt, real, took);
                 continue;
             }
-            match queues.next_act() {
-                Some(Act::Release(stmt, within)) => {
+            match queues.next_action() {
+                Some(Action::Release(stmt, within)) => {
                     let by = world.answer_by;
                     let Some(open) = world.stmts.get(stmt) else {
                         continue;
@@ -741,7 +764,7 @@
                         .borrow_mut()
                         .on_statement_arrived(now, stmt, arrival, world);
                 }
-                Some(Act::Reject(stmt, retry_after)) => {
+                Some(Action::Reject(stmt, retry_after)) => {
                     world.answer(stmt, Answer::Rejected { retry_after });
                     world.drop_statement(stmt);
                 }
@@ -752,14 +775,14 @@
 
     /// Its client waits no more, or has its answer. Where it is still queued, that is all; else the module is told.
     fn expire(&mut self, stmt: StatementIndex) {
-        let Module {
+        let SchedulerActor {
             queues,
             gateway,
             world,
         } = self;
         if queues
             .as_mut()
-            .is_some_and(|queues| queues.leave(world.now, stmt))
+            .is_some_and(|queues| queues.remove(world.now, stmt))
         {
             world.stmts.answer(stmt);
             world.drop_statement(stmt);
@@ -771,7 +794,7 @@
     }
 
     fn take(&mut self, mail: SchedulerMessage) {
-        let Module {
+        let SchedulerActor {
             queues,
             gateway,
             world,
@@ -779,7 +802,7 @@
         world.now = world.clock.now();
         let now = world.now;
         match mail {
-            SchedulerMessage::Arrived {
+            SchedulerMessage::StatementArrived {
                 connection,
                 fields,
                 workload,
@@ -790,7 +813,7 @@
                 let deadline = (at + fields.timeout_ms * MS).min(world.answer_by);
                 if let Some(sharing) = &mut world.sharing {
                     let allowance = world.allowances.get(tenant).copied().unwrap_or(0.0);
-                    sharing.arrived(tenant, allowance);
+                    sharing.on_statement_arrived(tenant, allowance);
                 }
                 if world.keeper.is_some() {
                     self.arrive_known(connection, fields, (workload, tenant), deadline, client);
@@ -800,7 +823,7 @@
             }
             SchedulerMessage::ClientDisconnected { connection } => {
                 if let Some(keeper) = &mut world.keeper
-                    && keeper.gone(connection).is_some()
+                    && keeper.on_client_disconnected(connection).is_some()
                 {
                     return self.settle();
                 }
@@ -818,33 +841,33 @@
                         return self.settle();
                     }
                     if let Some(keeper) = &mut world.keeper {
-                        let _ = keeper.answered(now, id, &Answer::Killed);
+                        let _ = keeper.on_answered(now, id, &Answer::Killed);
                     }
                     world.stmts.answer(stmt);
                     self.expire(stmt);
                 }
             }
-            SchedulerMessage::Peer(peer) => {
+            SchedulerMessage::PeerEvent(peer) => {
                 if let Some(keeper) = &mut world.keeper {
-                    keeper.peer(now, &peer);
+                    keeper.on_peer_event(now, &peer);
                 }
                 if let Some(sharing) = &mut world.sharing {
                     match peer {
-                        Peer::Up { place, birth } => sharing.member_up(now, place, birth),
-                        Peer::Down { place, birth } => sharing.member_down(now, place, birth),
+                        Peer::Up { place, birth } => sharing.on_member_up(now, place, birth),
+                        Peer::Down { place, birth } => sharing.on_member_down(now, place, birth),
                         Peer::Shared {
                             from,
                             message,
                             _receipt,
-                        } => sharing.heard(now, from, *message),
-                        Peer::Gossip(gossip, _taken) => sharing.gossip(now, *gossip),
+                        } => sharing.on_message(now, from, *message),
+                        Peer::Gossip(gossip, _taken) => sharing.on_gossip(now, *gossip),
                         Peer::Heard { .. } | Peer::Suspected { .. } => {}
                     }
                 }
             }
-            SchedulerMessage::Journal { event } => {
+            SchedulerMessage::JournalRead { event } => {
                 if let Some(sharing) = &mut world.sharing {
-                    sharing.journal(now, event);
+                    sharing.on_journal_read(now, event);
                 }
             }
             SchedulerMessage::ShowFleet { client } => {
@@ -858,21 +881,21 @@
                     .unwrap_or_default();
                 let _ = client.try_send(text);
             }
-            SchedulerMessage::Kill { connection } => {
+            SchedulerMessage::KillQuery { connection } => {
                 if let Some(stmt) = world.stmts.of_connection(connection) {
                     world.answer(stmt, Answer::Killed);
                     self.expire(stmt);
                 }
             }
-            SchedulerMessage::Noted { key, note } => {
+            SchedulerMessage::AttemptProgressed { key, note } => {
                 if world.out(key).is_some() {
                     gateway
                         .borrow_mut()
                         .on_progress(now, key.stmt, key.number, note, world);
                 }
             }
-            SchedulerMessage::Ended { key, end } => self.ended(key, end),
-            SchedulerMessage::Listed { hosts } => self.listed(hosts, None),
+            SchedulerMessage::AttemptEnded { key, end } => self.ended(key, end),
+            SchedulerMessage::EndpointsUpdated { hosts } => self.listed(hosts, None),
             SchedulerMessage::Drain { by } => {
                 world.answer_by = by;
                 gateway.borrow_mut().begin_shutdown(by);
@@ -882,24 +905,24 @@
                         .set(by.saturating_sub(HAND_OVER), Due::HandOver);
                 }
                 if let Some(queues) = queues {
-                    queues.ending(now, by);
-                    queues.tell_record();
+                    queues.on_shutdown(now, by);
+                    queues.log_totals();
                 }
             }
-            SchedulerMessage::Budgets { budgets } => {
+            SchedulerMessage::ReloadBudgets { budgets } => {
                 if let Some(queues) = queues {
                     queues.reload(now, *budgets);
                 }
             }
-            SchedulerMessage::Show { req, client } => {
+            SchedulerMessage::ShowQueue { req, client } => {
                 let _ = client.try_send(self.shown(req));
             }
         }
         self.settle();
     }
 
-    fn shown(&mut self, req: Option<u64>) -> Vec<Shown> {
-        let Module {
+    fn shown(&mut self, req: Option<u64>) -> Vec<QueueRow> {
+        let SchedulerActor {
             queues: Some(queues),
             world,
             ..
@@ -910,7 +933,7 @@
         let now = world.now;
         let shown = |stmts: &mut Statements, stmt: StatementIndex| {
             let open = stmts.get(stmt)?;
-            Some(Shown {
+            Some(QueueRow {
                 req: String::from_utf8_lossy(&open.fields.req).into_owned(),
                 team: open.tenant,
                 workload: open.workload,
@@ -933,7 +956,7 @@
     }
 
     fn come_due(&mut self, due: Due) {
-        let Module {
+        let SchedulerActor {
             gateway,
             world,
             queues,
@@ -997,7 +1020,7 @@
                 },
             );
         } else {
-            let end = End {
+            let end = AttemptEnd {
                 outcome: Outcome::TimedOut,
                 true_cost: None,
                 report: Vec::new(),
@@ -1008,8 +1031,8 @@
     }
 
     /// Ends an execution for the module, unless that has been done.
-    fn ended(&mut self, key: AttemptKey, end: End) {
-        let Module { gateway, world, .. } = self;
+    fn ended(&mut self, key: AttemptKey, end: AttemptEnd) {
+        let SchedulerActor { gateway, world, .. } = self;
         let Some(out) = world.out(key) else { return };
         let over = matches!(end.outcome, Outcome::Cancelled | Outcome::NotSent);
         let cancelled = over && out.as_ref().is_some_and(|out| out.timed_out);
@@ -1026,7 +1049,7 @@
         if let Some(sharing) = &mut world.sharing
             && let Some(&number) = world.numbers.get(key.engine.0)
         {
-            sharing.ended(world.now, number, end.outcome, key.number == 0);
+            sharing.on_attempt_ended(world.now, number, end.outcome, key.number == 0);
         }
         if let Some(rows) = end.rows {
             world.answer(key.stmt, Answer::Completed(rows));
@@ -1064,7 +1087,7 @@
     }
 
     fn listed(&mut self, hosts: Hosts, kind: Option<EndpointUpdateKind>) {
-        let Module {
+        let SchedulerActor {
             queues,
             gateway,
             world,
@@ -1090,7 +1113,7 @@
             .on_endpoints_updated(world.now, kind, &rows, world);
         if let Some(queues) = queues {
             let cores = world.cores_listed(kind, &rows);
-            queues.capacity(world.now, cores * world.cores_part);
+            queues.set_capacity(world.now, cores * world.cores_part);
         }
         for row in &rows {
             let ready = row.phase == EngineState::Ready;
@@ -1110,7 +1133,7 @@
                 .filter(|(_, ready)| **ready)
                 .map(|(&number, _)| number)
                 .collect();
-            sharing.listed(&ready);
+            sharing.on_endpoints_updated(&ready);
         }
         let World {
             engines, mailboxes, ..
@@ -1200,7 +1223,7 @@
             return;
         };
         if let Some(keeper) = &mut self.keeper
-            && let Some(token) = keeper.answered(self.now, id, &answer)
+            && let Some(token) = keeper.on_answered(self.now, id, &answer)
         {
             keeper.waiting.insert(
                 token,
@@ -1242,13 +1265,15 @@
     }
 
     fn unsent(&mut self, key: AttemptKey) {
-        let end = End {
+        let end = AttemptEnd {
             outcome: Outcome::NotSent,
             true_cost: None,
             report: Vec::new(),
             rows: None,
         };
-        let _ = self.module.try_send(SchedulerMessage::Ended { key, end });
+        let _ = self
+            .module
+            .try_send(SchedulerMessage::AttemptEnded { key, end });
     }
 
     /// The execution of an adopted statement: asked for, never started.
@@ -1273,7 +1298,7 @@
         };
         let ix = self.engines.index_of(&server.id);
         self.numbers.resize(self.numbers.len().max(ix.0 + 1), 0);
-        self.numbers[ix.0] = id_as_number(&server.id);
+        self.numbers[ix.0] = engine_id_hash(&server.id);
         if self.mailboxes.len() <= ix.0 {
             self.mailboxes.resize_with(ix.0 + 1, || None);
         }
@@ -1297,7 +1322,7 @@
         }
         Some(EngineEndpoint {
             engine: ix,
-            id: id_as_number(&server.id),
+            id: engine_id_hash(&server.id),
             zone: index(&self.names.zones, &server.zone).unwrap_or(u16::MAX),
             kind: index(&self.names.kinds, &server.kind).unwrap_or(u16::MAX),
             cell: server.cell,
@@ -1425,7 +1450,7 @@
             return self.post(engine, attempt);
         };
         let number = attempt.key.number;
-        match keeper.grant(
+        match keeper.request_attempt_grant(
             self.now,
             id,
             number,
@@ -1440,7 +1465,7 @@
                     attempt,
                 },
             )),
-            GrantDecision::Denied(why) => keeper.deny_later(id, number, why),
+            GrantDecision::Denied(why) => keeper.defer_denial(id, number, why),
         }
     }
 
--- a/crates/ivypitch-gateway/src/actors/session.rs
+++ b/crates/ivypitch-gateway/src/actors/session.rs
@@ -16,7 +16,7 @@
 use futures_lite::{AsyncWriteExt, FutureExt, future::yield_now};
 use ivypitch_config::Names;
 
-use super::{Answer, Client, ClientPresence, SchedulerMessage, Shown};
+use super::messages::{Answer, ClientHandle, ClientPresence, QueueRow, SchedulerMessage};
 use crate::lifecycle::bounds::Bounds;
 use crate::lifecycle::clock::Clock;
 use crate::state::rows::{COLUMNS, Rows};
@@ -331,7 +331,7 @@
         if let Some(connection) = mysql::kill_query(&text) {
             let _ = sessions
                 .module
-                .try_send(SchedulerMessage::Kill { connection });
+                .try_send(SchedulerMessage::KillQuery { connection });
             self.writer(sequence).ok();
             return Ok(());
         }
@@ -373,12 +373,12 @@
         }
         let _open = OpenMark::new(&sessions);
         let (sender, answer) = async_channel::bounded(1);
-        let client = Client {
+        let client = ClientHandle {
             answer: sender,
             presence: Some(self.presence.clone()),
         };
         let connection = self.connection;
-        let arrived = SchedulerMessage::Arrived {
+        let arrived = SchedulerMessage::StatementArrived {
             connection,
             fields,
             workload,
@@ -444,7 +444,7 @@
         let _ = self
             .sessions
             .module
-            .try_send(SchedulerMessage::Show { req, client });
+            .try_send(SchedulerMessage::ShowQueue { req, client });
         let shown = shown.recv().await.map_err(|_| SessionEnd::Disconnected)?;
         let names = self.sessions.names.clone();
         let mut writer = self.writer(sequence);
@@ -580,7 +580,7 @@
     b"age_ms",
 ];
 
-fn row_of(row: &Shown, names: &Names) -> [String; 9] {
+fn row_of(row: &QueueRow, names: &Names) -> [String; 9] {
     let name = |names: &[String], ix: usize| names.get(ix).cloned().unwrap_or_default();
     let ms = |span: u64| (span / 1_000_000).to_string();
     let (state, position, [low, mid, high, age]) = match &row.queued {
--- a/crates/ivypitch-gateway/src/lifecycle/program.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/program.rs
@@ -25,11 +25,12 @@
 use super::clock::Clock;
 use super::configuration::{self, Configuration};
 use super::own::OwnFile;
-use crate::actors::coordination::Sharing;
+use crate::actors::coordination::CoordinationDriver;
 use crate::actors::discovery::{List, ListMessage};
-use crate::actors::ownership::Keeper;
+use crate::actors::messages::SchedulerMessage;
+use crate::actors::ownership::OwnershipDriver;
 use crate::actors::peer_links;
-use crate::actors::{SchedulerMessage, scheduler, session};
+use crate::actors::{scheduler, session};
 use crate::state::connects::ConnectCounters;
 use crate::state::permits::Permits;
 use crate::state::traffic::Traffic;
@@ -195,16 +196,24 @@
                     seed,
                     now,
                 );
-                sharing = Some(Sharing::new(shares, mailbox.clone(), list.clone()));
+                sharing = Some(CoordinationDriver::new(
+                    shares,
+                    mailbox.clone(),
+                    list.clone(),
+                ));
             }
             if own.custody.enabled {
                 let terms = own.custody.terms(longest_timeout);
                 let custody = ivypitch_ownership::Ownership::new(place, birth, zones, terms, now);
-                keeper = Some(Keeper::new(custody, mailbox, own.custody.asks_from()));
+                keeper = Some(OwnershipDriver::new(
+                    custody,
+                    mailbox,
+                    own.custody.asks_from(),
+                ));
             }
         }
         let connects = Rc::new(ConnectCounters::default());
-        let parts = scheduler::Parts {
+        let parts = scheduler::SchedulerParts {
             budgets,
             keeper,
             sharing,
@@ -212,8 +221,14 @@
             connects: connects.clone(),
             traffic,
         };
-        let actor =
-            scheduler::Module::new(given, parts, seed, clock, module.clone(), executor.clone());
+        let actor = scheduler::SchedulerActor::new(
+            given,
+            parts,
+            seed,
+            clock,
+            module.clone(),
+            executor.clone(),
+        );
         executor.spawn(actor.run(mailbox, known)).detach();
         executor.spawn(follower.run(journal, list_mail)).detach();
         let program = Program {
@@ -319,7 +334,7 @@
                     Ok((Some(budgets), own)) if has_queues => {
                         log::info!("reload: budgets of {} teams", budgets.teams.len());
                         sessions.show(own.teams.is_some_and(|teams| teams.show));
-                        let _ = module.try_send(SchedulerMessage::Budgets {
+                        let _ = module.try_send(SchedulerMessage::ReloadBudgets {
                             budgets: Box::new(budgets),
                         });
                     }
--- a/crates/ivypitch-gateway/src/state/engines.rs
+++ b/crates/ivypitch-gateway/src/state/engines.rs
@@ -41,7 +41,7 @@
 }
 
 /// The id as a number, the same at every gateway.
-pub fn id_as_number(id: &str) -> u64 {
+pub fn engine_id_hash(id: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     id.hash(&mut hasher);
     hasher.finish()
--- a/crates/ivypitch-gateway/src/state/statements.rs
+++ b/crates/ivypitch-gateway/src/state/statements.rs
@@ -5,7 +5,7 @@
 use async_channel::Sender;
 use ivypitch_types::{EngineIndex, Nanos, StatementIndex};
 
-use crate::actors::{AttemptMessage, Client};
+use crate::actors::messages::{AttemptMessage, ClientHandle};
 use crate::wire::fields::Fields;
 
 /// One execution that is out.
@@ -28,7 +28,7 @@
     pub tenant: usize,
     pub deadline: Nanos,
     /// Taken by the answer.
-    pub client: Option<Client>,
+    pub client: Option<ClientHandle>,
     pub attempts: u32,
     /// What custody calls its client by.
     pub token: u64,
@@ -61,8 +61,8 @@
         fields: Fields,
         (workload, tenant): (usize, usize),
         deadline: Nanos,
-        client: Client,
-    ) -> Result<StatementIndex, Client> {
+        client: ClientHandle,
+    ) -> Result<StatementIndex, ClientHandle> {
         let req = fields.req_number();
         if self.reqs.contains_key(&req) {
             return Err(client);
@@ -115,7 +115,7 @@
     }
 
     /// Takes the place where the answer goes; only the first call gets it.
-    pub fn answer(&mut self, ix: StatementIndex) -> Option<Client> {
+    pub fn answer(&mut self, ix: StatementIndex) -> Option<ClientHandle> {
         let open = self.get(ix)?;
         let client = open.client.take()?;
         let connection = open.connection;
--- a/crates/ivypitch-testbed/src/processes/hollow_gateways.rs
+++ b/crates/ivypitch-testbed/src/processes/hollow_gateways.rs
@@ -18,13 +18,13 @@
 use ivypitch_config::own::{self, Own};
 use ivypitch_coordination::{Process, Shares};
 use ivypitch_discovery::Feed;
-use ivypitch_gateway::actors::coordination::Sharing;
+use ivypitch_gateway::actors::coordination::CoordinationDriver;
 use ivypitch_gateway::actors::discovery::List;
-use ivypitch_gateway::actors::ownership::{Act, Keeper};
+use ivypitch_gateway::actors::messages::{Answer, SchedulerMessage};
+use ivypitch_gateway::actors::ownership::{Action, OwnershipDriver};
 use ivypitch_gateway::actors::peer_links::{self, Peer, PeersMessage};
-use ivypitch_gateway::actors::{Answer, SchedulerMessage};
 use ivypitch_gateway::lifecycle::clock::Clock;
-use ivypitch_gateway::state::engines::id_as_number;
+use ivypitch_gateway::state::engines::engine_id_hash;
 use ivypitch_gateway::state::traffic::Traffic;
 use ivypitch_gateway::wire::journal::Hosts;
 use ivypitch_gateway::wire::peers::{Frame, next, write};
@@ -140,8 +140,8 @@
 struct Hollow {
     place: u16,
     clock: Clock,
-    keeper: Option<Keeper>,
-    sharing: Option<Sharing>,
+    keeper: Option<OwnershipDriver>,
+    sharing: Option<CoordinationDriver>,
     /// Births of those that are heard.
     heard: BTreeMap<u16, u64>,
     /// Those that it has heard at any time.
@@ -154,8 +154,14 @@
 impl Hollow {
     async fn run(mut self, module: Receiver<SchedulerMessage>, inbox: Handed) {
         loop {
-            let keeper = self.keeper.as_ref().map_or(Nanos::MAX, Keeper::next_wake);
-            let sharing = self.sharing.as_ref().map_or(Nanos::MAX, Sharing::next_wake);
+            let keeper = self
+                .keeper
+                .as_ref()
+                .map_or(Nanos::MAX, OwnershipDriver::next_timer);
+            let sharing = self
+                .sharing
+                .as_ref()
+                .map_or(Nanos::MAX, CoordinationDriver::next_timer);
             let due = keeper.min(sharing);
             let clock = self.clock;
             let timer = async {
@@ -180,21 +186,21 @@
                 Some(Mail::Module(mail)) => self.take(now, mail),
                 Some(Mail::Handed(from, Frame::Body(message))) => {
                     if let Some(keeper) = &mut self.keeper {
-                        keeper.heard(now, from, message);
+                        keeper.on_message(now, from, message);
                     }
                 }
                 Some(Mail::Handed(from, Frame::Shares(message))) => {
                     if let Some(sharing) = &mut self.sharing {
-                        sharing.heard(now, from, message);
+                        sharing.on_message(now, from, message);
                     }
                 }
                 Some(Mail::Handed(..)) | None => {}
             }
             if let Some(keeper) = &mut self.keeper {
-                keeper.woken(now);
+                keeper.on_timer(now);
             }
             if let Some(sharing) = &mut self.sharing {
-                sharing.woken(now);
+                sharing.on_timer(now);
             }
             self.settle(now);
         }
@@ -202,8 +208,8 @@
 
     fn take(&mut self, now: Nanos, mail: SchedulerMessage) {
         match mail {
-            SchedulerMessage::Peer(peer) => self.peer(now, peer),
-            SchedulerMessage::Journal { event } => {
+            SchedulerMessage::PeerEvent(peer) => self.peer(now, peer),
+            SchedulerMessage::JournalRead { event } => {
                 if let Some((number, _)) = &event {
                     self.shared
                         .count(self.place, |counts| counts.events = *number);
@@ -212,10 +218,10 @@
                     }
                 }
                 if let Some(sharing) = &mut self.sharing {
-                    sharing.journal(now, event);
+                    sharing.on_journal_read(now, event);
                 }
             }
-            SchedulerMessage::Listed { hosts } => self.listed(hosts),
+            SchedulerMessage::EndpointsUpdated { hosts } => self.listed(hosts),
             // Of clients and executions: here are none.
             _ => {}
         }
@@ -223,7 +229,7 @@
 
     fn peer(&mut self, now: Nanos, peer: Peer) {
         if let Some(keeper) = &mut self.keeper {
-            keeper.peer(now, &peer);
+            keeper.on_peer_event(now, &peer);
         }
         match peer {
             Peer::Up { place, birth } => {
@@ -243,14 +249,14 @@
             return;
         };
         match peer {
-            Peer::Up { place, birth } => sharing.member_up(now, place, birth),
-            Peer::Down { place, birth } => sharing.member_down(now, place, birth),
+            Peer::Up { place, birth } => sharing.on_member_up(now, place, birth),
+            Peer::Down { place, birth } => sharing.on_member_down(now, place, birth),
             Peer::Shared {
                 from,
                 message,
                 _receipt,
-            } => sharing.heard(now, from, *message),
-            Peer::Gossip(gossip, _taken) => sharing.gossip(now, *gossip),
+            } => sharing.on_message(now, from, *message),
+            Peer::Gossip(gossip, _taken) => sharing.on_gossip(now, *gossip),
             Peer::Heard { .. } | Peer::Suspected { .. } => {}
         }
     }
@@ -260,7 +266,7 @@
             self.engines.clear();
         }
         for server in hosts.servers {
-            let number = id_as_number(&server.id);
+            let number = engine_id_hash(&server.id);
             match server.state.as_str() {
                 "terminated" => drop(self.engines.remove(&number)),
                 state => drop(self.engines.insert(number, state == "in_service")),
@@ -273,20 +279,25 @@
             .map(|(&engine, _)| engine)
             .collect();
         if let Some(sharing) = &mut self.sharing {
-            sharing.listed(&ready);
+            sharing.on_endpoints_updated(&ready);
         }
     }
 
     /// What sharing asks for changes nothing where no statement runs; custody is answered for what it would run here.
     fn settle(&mut self, now: Nanos) {
-        while self.sharing.as_mut().and_then(Sharing::next_act).is_some() {}
+        while self
+            .sharing
+            .as_mut()
+            .and_then(CoordinationDriver::next_action)
+            .is_some()
+        {}
         let Some(keeper) = &mut self.keeper else {
             return;
         };
-        while let Some(act) = keeper.next_act() {
-            if let Act::Adopt { id, .. } = act {
+        while let Some(act) = keeper.next_action() {
+            if let Action::Adopt { id, .. } = act {
                 self.shared.count(self.place, |counts| counts.adopted += 1);
-                let _ = keeper.answered(now, id, &Answer::Aborted);
+                let _ = keeper.on_answered(now, id, &Answer::Aborted);
             }
         }
     }
@@ -363,12 +374,12 @@
             seed,
             now,
         );
-        Sharing::new(shares, say.clone(), list.clone())
+        CoordinationDriver::new(shares, say.clone(), list.clone())
     });
     let keeper = own.custody.enabled.then(|| {
         let terms = own.custody.terms(crowd.longest_ms * 1_000_000);
         let custody = Ownership::new(at, birth, zones.clone(), terms, now);
-        Keeper::new(custody, say.clone(), own.custody.asks_from())
+        OwnershipDriver::new(custody, say.clone(), own.custody.asks_from())
     });
     let follower = List {
         feed: RefCell::new(Feed::new(0, seed)),
