--- a/crates/ivypitch-gateway/src/actors/attempt.rs
+++ b/crates/ivypitch-gateway/src/actors/attempt.rs
@@ -14,7 +14,7 @@
 use super::engine::{AT_ONCE, CallFault, Connection, Link, NEWS};
 use super::messages::{AttemptEnd, AttemptKey, AttemptMessage, ClientPresence, SchedulerMessage};
 use crate::lifecycle::clock::Clock;
-use crate::state::connects::ConnectCause;
+use crate::state::connections::ConnectPurpose;
 use crate::state::rows::Rows;
 use crate::wire::http::{self, Answer, Start};
 
@@ -144,7 +144,7 @@
             if let Some(priority) = self.priority.take() {
                 let call = http::write_priority(&self.start.id, priority, &link.host());
                 let _ = link
-                    .call(&mut None, &call, AT_ONCE, ConnectCause::Priority)
+                    .call(&mut None, &call, AT_ONCE, ConnectPurpose::Priority)
                     .await;
             }
             answer = match self.ask(link, connection, 0, NEWS * (1 + faults)).await {
@@ -239,7 +239,9 @@
                 AttemptMessage::Cancel | AttemptMessage::Detach => return false,
             }
         }
-        self.client.as_ref().is_none_or(|client| client.waits())
+        self.client
+            .as_ref()
+            .is_none_or(|client| client.is_waiting())
     }
 
     /// Asks for the news (0) or for a page.
@@ -253,7 +255,7 @@
         let call = http::write_get(&self.start.id, page, &link.host());
         let asked = async {
             match link
-                .call(connection, &call, limit, ConnectCause::Again)
+                .call(connection, &call, limit, ConnectPurpose::Poll)
                 .await
             {
                 Ok(answer) => Step::Answered(answer),
@@ -308,15 +310,15 @@
         count: usize,
     ) -> Result<Rows, AttemptEnd> {
         let mut faults = 0;
-        while rows.pages() < count {
-            let number = rows.pages();
+        while rows.page_count() < count {
+            let number = rows.page_count();
             match self
                 .ask(link, connection, number, AT_ONCE * (1 + faults))
                 .await
             {
                 Step::Answered(page) if page.status == 500 => return Err(self.ended(&page, None)),
                 Step::Answered(page)
-                    if page.page == Some(number) && rows.add(page.body.clone()).is_ok() =>
+                    if page.page == Some(number) && rows.push_page(page.body.clone()).is_ok() =>
                 {
                     faults = 0
                 }
@@ -345,7 +347,7 @@
         let told = async {
             loop {
                 match link
-                    .call(&mut connection, &call, AT_ONCE, ConnectCause::Cancel)
+                    .call(&mut connection, &call, AT_ONCE, ConnectPurpose::Cancel)
                     .await
                 {
                     Ok(Answer {
@@ -377,7 +379,7 @@
 fn first_page(end: &Answer) -> Option<Rows> {
     let mut rows = Rows::default();
     let first = end.status == 200 && end.page_count.is_some() && matches!(end.page, None | Some(0));
-    (first && rows.add(end.body.clone()).is_ok()).then_some(rows)
+    (first && rows.push_page(end.body.clone()).is_ok()).then_some(rows)
 }
 
 fn bare(outcome: Outcome) -> AttemptEnd {
--- a/crates/ivypitch-gateway/src/actors/discovery.rs
+++ b/crates/ivypitch-gateway/src/actors/discovery.rs
@@ -103,7 +103,7 @@
         if let Err(e) = (&stream).write_all(tail.as_bytes()).await {
             return e.to_string();
         }
-        self.traffic.journal.sent(tail.len());
+        self.traffic.journal.record_sent(tail.len());
         let mut input = BytesMut::new();
         let mut silent_at = Instant::now() + SILENT;
         loop {
@@ -143,7 +143,7 @@
             };
             match read.or(never_came).or(late(silent_at, "silent")).await {
                 Ok(0) => return "closed".into(),
-                Ok(n) => self.traffic.journal.received(n),
+                Ok(n) => self.traffic.journal.record_received(n),
                 Err(e) => {
                     if ahead.is_some_and(|at| at <= Instant::now()) {
                         self.feed.borrow_mut().never_came();
--- a/crates/ivypitch-gateway/src/actors/engine.rs
+++ b/crates/ivypitch-gateway/src/actors/engine.rs
@@ -19,8 +19,8 @@
 
 use super::session::read_some;
 use crate::lifecycle::clock::Clock;
-use crate::state::connects::{ConnectCause, ConnectCounters};
-use crate::state::permits::{Permit, Permits};
+use crate::state::connections::{ConnectPurpose, ConnectionCounters};
+use crate::state::permits::{ConnectionPermit, ConnectionPermits};
 use crate::state::traffic::Traffic;
 use crate::wire::http::{self, Answer};
 
@@ -47,7 +47,7 @@
     /// A 1xx answer came on it, which nobody asked for.
     informed: bool,
     traffic: Rc<Traffic>,
-    _permit: Permit,
+    _permit: ConnectionPermit,
 }
 
 /// Why a call brought no answer.
@@ -65,8 +65,8 @@
 pub struct Link {
     address: Cell<SocketAddr>,
     connect_timeout: Duration,
-    permits: Rc<Permits>,
-    connects: Rc<ConnectCounters>,
+    permits: Rc<ConnectionPermits>,
+    connects: Rc<ConnectionCounters>,
     traffic: Rc<Traffic>,
     pool: RefCell<Pool<Connection>>,
     clock: Clock,
@@ -80,8 +80,8 @@
         connect_timeout: Duration,
         pool: PoolParams,
         clock: Clock,
-        permits: Rc<Permits>,
-        connects: Rc<ConnectCounters>,
+        permits: Rc<ConnectionPermits>,
+        connects: Rc<ConnectionCounters>,
         traffic: Rc<Traffic>,
     ) -> Rc<Link> {
         Rc::new(Link {
@@ -111,13 +111,13 @@
             let unknown =
                 |answer: &Answer| answer.status == 500 && !answer.never_ran && !answer.closes;
             if asked.await.is_some_and(|answer| unknown(&answer)) && kept.rest() == Rest::Quiet {
-                self.connects.count(ConnectCause::Reused);
+                self.connects.record_reused();
                 return Ok(kept);
             }
-            self.connects.count(ConnectCause::Spoilt);
+            self.connects.record_discarded();
             drop(self.pool.borrow_mut().surprise());
         }
-        self.connect(ConnectCause::Start).await
+        self.connect(ConnectPurpose::Start).await
     }
 
     /// It goes to where the engine is now, and nothing has come on it since it was made or proved.
@@ -156,7 +156,7 @@
         };
         connection.is_used = true;
         // Others need the place more than a statement that may come.
-        if self.permits.are_short() {
+        if self.permits.is_scarce() {
             return;
         }
         let refused = self.pool.borrow_mut().give(self.clock.now(), connection);
@@ -165,12 +165,12 @@
         }
     }
 
-    pub async fn connect(&self, why: ConnectCause) -> Result<Connection, CallFault> {
-        if self.permits.are_short() {
+    pub async fn connect(&self, why: ConnectPurpose) -> Result<Connection, CallFault> {
+        if self.permits.is_scarce() {
             drop(self.pool.borrow_mut().take_all());
         }
-        let permit = self.permits.take().await;
-        self.connects.count(why);
+        let permit = self.permits.acquire().await;
+        self.connects.record_connect(why);
         let address = self.address.get();
         let connected = async { Async::<TcpStream>::connect(address).await };
         let late = async {
@@ -192,12 +192,12 @@
             }
             Err(e) if e.kind() == ErrorKind::ConnectionRefused => {
                 drop(self.pool.borrow_mut().take_all());
-                self.connects.count(ConnectCause::Refused);
+                self.connects.record_refused();
                 Err(CallFault::Refused)
             }
             Err(_) => {
                 drop(self.pool.borrow_mut().take_all());
-                self.connects.count(ConnectCause::Unsent);
+                self.connects.record_timed_out();
                 Err(CallFault::Unsent)
             }
         }
@@ -210,14 +210,14 @@
         own: &mut Option<Connection>,
         request: &[u8],
         limit: Duration,
-        why: ConnectCause,
+        why: ConnectPurpose,
     ) -> Result<Answer, CallFault> {
         let connection = match own.take().filter(|kept| kept.rest() == Rest::Quiet) {
             Some(kept) => kept,
             // A give-up lost on a kept connection is repeated on a new one.
             None => match self
                 .take_kept()
-                .filter(|_| matches!(why, ConnectCause::Cancel))
+                .filter(|_| matches!(why, ConnectPurpose::Cancel))
             {
                 Some(kept) => kept,
                 None => self.connect(why).await?,
@@ -301,7 +301,7 @@
             .write_all(request)
             .await
             .map_err(|_| CallFault::Unsent)?;
-        self.traffic.engines.sent(request.len());
+        self.traffic.engines.record_sent(request.len());
         Ok(())
     }
 
@@ -329,7 +329,7 @@
             }
             match read_some(&self.stream, &mut self.input).await {
                 Ok(0) | Err(_) => return Err(CallFault::NoAnswer),
-                Ok(n) => self.traffic.engines.received(n),
+                Ok(n) => self.traffic.engines.record_received(n),
             }
         }
     }
--- a/crates/ivypitch-gateway/src/actors/messages.rs
+++ b/crates/ivypitch-gateway/src/actors/messages.rs
@@ -122,7 +122,7 @@
 }
 
 impl ClientPresence {
-    pub fn waits(&self) -> bool {
+    pub fn is_waiting(&self) -> bool {
         let Some(stream) = self.stream.upgrade().filter(|_| !self.has_left.get()) else {
             return false;
         };
--- a/crates/ivypitch-gateway/src/actors/ownership.rs
+++ b/crates/ivypitch-gateway/src/actors/ownership.rs
@@ -280,7 +280,7 @@
         FinalAnswer::Rows(pages) => {
             let mut rows = Rows::default();
             for page in pages {
-                if rows.add(Bytes::from(page.into_vec())).is_err() {
+                if rows.push_page(Bytes::from(page.into_vec())).is_err() {
                     return Answer::EndedBefore;
                 }
             }
--- a/crates/ivypitch-gateway/src/actors/peer_links.rs
+++ b/crates/ivypitch-gateway/src/actors/peer_links.rs
@@ -240,7 +240,7 @@
             let step = mail.or(came).or(timer).await;
             let now = self.shared.clock.now();
             if let Step::Datagram(n) = step {
-                self.shared.traffic.datagrams.received(n);
+                self.shared.traffic.datagrams.record_received(n);
             }
             match step {
                 Step::Datagram(n) => match peers::read_gossip(&datagram[..n]) {
@@ -281,7 +281,7 @@
                 .send_to(&data, seat.address)
                 .is_ok()
             {
-                self.shared.traffic.datagrams.sent(data.len());
+                self.shared.traffic.datagrams.record_sent(data.len());
             }
         }
         let tell = |peer| {
@@ -346,7 +346,7 @@
                         .send_to(&data, seat.address)
                         .is_ok()
                     {
-                        self.shared.traffic.datagrams.sent(data.len());
+                        self.shared.traffic.datagrams.record_sent(data.len());
                     }
                 }
             }
@@ -564,7 +564,7 @@
         }
         match read_some(stream, input).await.ok()? {
             0 => return None,
-            n => shared.traffic.links.received(n),
+            n => shared.traffic.links.record_received(n),
         }
     }
 }
@@ -595,7 +595,7 @@
             if !written.or(late).await {
                 return;
             }
-            shared.traffic.links.sent(next.len());
+            shared.traffic.links.record_sent(next.len());
             let said = async { frames.recv().await.ok().map(|frame| (frame.len(), frame)) };
             let beat = async {
                 Timer::after(BEAT).await;
--- a/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
@@ -30,10 +30,10 @@
 use crate::actors::peer_links::Peer;
 use crate::actors::queueing::{Action, QueueingDriver};
 use crate::lifecycle::clock::Clock;
-use crate::state::connects::ConnectCounters;
+use crate::state::connections::ConnectionCounters;
 use crate::state::engines::{EngineIds, engine_id_hash};
-use crate::state::permits::Permits;
-use crate::state::statements::{Out, Statements};
+use crate::state::permits::ConnectionPermits;
+use crate::state::statements::{InFlightAttempt, StatementTable};
 use crate::state::traffic::Traffic;
 use crate::wire::fields::{self, Fields};
 use crate::wire::http::Start;
@@ -91,7 +91,7 @@
 struct World {
     clock: Clock,
     now: Nanos,
-    stmts: Statements,
+    stmts: StatementTable,
     timers: Timers,
     engines: EngineIds,
     /// By index, as the ids.
@@ -121,8 +121,8 @@
     /// Of the engines' ids, by index; and whether they are ready by the list.
     numbers: Vec<u64>,
     ready: Vec<bool>,
-    permits: Rc<Permits>,
-    connects: Rc<ConnectCounters>,
+    permits: Rc<ConnectionPermits>,
+    connects: Rc<ConnectionCounters>,
     traffic: Rc<Traffic>,
     module: Sender<SchedulerMessage>,
     executor: Rc<LocalExecutor<'static>>,
@@ -142,8 +142,8 @@
     pub budgets: Option<Budgets>,
     pub keeper: Option<OwnershipDriver>,
     pub sharing: Option<CoordinationDriver>,
-    pub permits: Rc<Permits>,
-    pub connects: Rc<ConnectCounters>,
+    pub permits: Rc<ConnectionPermits>,
+    pub connects: Rc<ConnectionCounters>,
     pub traffic: Rc<Traffic>,
 }
 
@@ -186,7 +186,7 @@
             world: World {
                 clock,
                 now,
-                stmts: Statements::default(),
+                stmts: StatementTable::default(),
                 timers: Timers::default(),
                 engines: EngineIds::default(),
                 mailboxes: Vec::new(),
@@ -931,7 +931,7 @@
             return Vec::new();
         };
         let now = world.now;
-        let shown = |stmts: &mut Statements, stmt: StatementIndex| {
+        let shown = |stmts: &mut StatementTable, stmt: StatementIndex| {
             let open = stmts.get(stmt)?;
             Some(QueueRow {
                 req: String::from_utf8_lossy(&open.fields.req).into_owned(),
@@ -1138,7 +1138,7 @@
         let World {
             engines, mailboxes, ..
         } = world;
-        engines.keep(|ix| {
+        engines.retain(|ix| {
             gateway.borrow().is_engine_referenced(ix)
                 || mailboxes.get(ix.0).is_some_and(Option::is_some)
         });
@@ -1159,7 +1159,7 @@
 }
 
 impl World {
-    fn out(&mut self, key: AttemptKey) -> Option<&mut Option<Out>> {
+    fn out(&mut self, key: AttemptKey) -> Option<&mut Option<InFlightAttempt>> {
         let open = self.stmts.get_same(key.stmt, key.serial)?;
         open.out
             .as_ref()
@@ -1408,7 +1408,7 @@
         let (mailbox, letters) = async_channel::unbounded();
         let times_out_at = now + timeout;
         open.attempts += 1;
-        open.out = Some(Out {
+        open.out = Some(InFlightAttempt {
             number: key.number,
             engine,
             sent_at: now,
--- a/crates/ivypitch-gateway/src/actors/session.rs
+++ b/crates/ivypitch-gateway/src/actors/session.rs
@@ -129,7 +129,7 @@
     pub fn admit(self: &Rc<Self>, stream: Async<TcpStream>, executor: &LocalExecutor<'static>) {
         let now = Instant::now();
         let mut table = self.table.borrow_mut();
-        let has_room = table.make_room(now, |open| open.presence.waits());
+        let has_room = table.make_room(now, |open| open.presence.is_waiting());
         self.last.set(self.last.get().wrapping_add(1));
         let connection = connection_id(self.seed, self.last.get());
         let state = SessionState::new(now);
@@ -463,7 +463,7 @@
         sequence = writer.sequence;
         for page in rows.into_pages() {
             let mut writer = self.writer(sequence);
-            Rows::of_page(&page).for_each(|row| writer.row(row));
+            Rows::rows_of_page(&page).for_each(|row| writer.row(row));
             sequence = writer.sequence;
             drop(page);
             if self.output.len() >= WRITE {
--- a/crates/ivypitch-gateway/src/lifecycle/program.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/program.rs
@@ -31,8 +31,8 @@
 use crate::actors::ownership::OwnershipDriver;
 use crate::actors::peer_links;
 use crate::actors::{scheduler, session};
-use crate::state::connects::ConnectCounters;
-use crate::state::permits::Permits;
+use crate::state::connections::ConnectionCounters;
+use crate::state::permits::ConnectionPermits;
 use crate::state::traffic::Traffic;
 
 /// After SIGTERM new connections go on coming for 0.4 s and requests on open ones for 0.2 s more.
@@ -77,7 +77,7 @@
     clock: Clock,
     executor: Rc<LocalExecutor<'static>>,
     sessions: Rc<session::Sessions>,
-    connects: Rc<ConnectCounters>,
+    connects: Rc<ConnectionCounters>,
     listener: Rc<Async<TcpListener>>,
     module: Sender<SchedulerMessage>,
     list: Sender<ListMessage>,
@@ -165,7 +165,7 @@
             traffic: traffic.clone(),
         };
         let (list, list_mail) = async_channel::unbounded();
-        let permits = Permits::new(bounds.engines);
+        let permits = ConnectionPermits::new(bounds.engines);
         let talk = own
             .as_ref()
             .and_then(|(file, own)| Some((file, own.peers.as_ref().filter(|p| p.enabled)?)));
@@ -212,7 +212,7 @@
                 ));
             }
         }
-        let connects = Rc::new(ConnectCounters::default());
+        let connects = Rc::new(ConnectionCounters::default());
         let parts = scheduler::SchedulerParts {
             budgets,
             keeper,
--- a/crates/ivypitch-gateway/src/state/mod.rs
+++ b/crates/ivypitch-gateway/src/state/mod.rs
@@ -1,6 +1,6 @@
-//! What is kept. Each part says what empties it.
+//! State that actors keep or share within the process.
 
-pub mod connects;
+pub mod connections;
 pub mod engines;
 pub mod permits;
 pub mod rows;
--- a/crates/ivypitch-gateway/src/state/permits.rs
+++ b/crates/ivypitch-gateway/src/state/permits.rs
@@ -1,48 +1,58 @@
-//! How many connections to engines there may be.
+//! Bounds the number of connections to engines that are open at the same time.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 use async_channel::{Receiver, Sender};
 
-/// A permit goes back as its connection is dropped.
-pub struct Permits {
-    count: usize,
-    free: Cell<usize>,
-    freed: (Sender<()>, Receiver<()>),
+/// A counting semaphore for the tasks of one thread.
+pub struct ConnectionPermits {
+    limit: usize,
+    available: Cell<usize>,
+    /// Holds one token while a permit may be available to a task that waits.
+    released: (Sender<()>, Receiver<()>),
 }
 
-pub struct Permit(Rc<Permits>);
+/// The right to have one connection open. Dropping it returns it.
+pub struct ConnectionPermit(Rc<ConnectionPermits>);
 
-impl Permits {
-    pub fn new(count: usize) -> Rc<Permits> {
-        Rc::new(Permits {
-            count,
-            free: Cell::new(count),
-            freed: async_channel::bounded(1),
+impl ConnectionPermits {
+    /// Allows up to `limit` connections.
+    pub fn new(limit: usize) -> Rc<ConnectionPermits> {
+        Rc::new(ConnectionPermits {
+            limit,
+            available: Cell::new(limit),
+            released: async_channel::bounded(1),
         })
     }
 
-    /// Half of them are out: none is left for what only may be of use.
-    pub fn are_short(&self) -> bool {
-        2 * self.free.get() < self.count
+    /// Whether more than half of the permits are taken. Idle connections are then closed rather than kept.
+    pub fn is_scarce(&self) -> bool {
+        2 * self.available.get() < self.limit
     }
 
-    pub async fn take(self: &Rc<Self>) -> Permit {
-        while self.free.get() == 0 {
-            let _ = self.freed.1.recv().await;
+    /// Waits for a permit and takes it.
+    pub async fn acquire(self: &Rc<Self>) -> ConnectionPermit {
+        while self.available.get() == 0 {
+            let _ = self.released.1.recv().await;
         }
-        self.free.set(self.free.get() - 1);
-        if self.free.get() > 0 {
-            let _ = self.freed.0.try_send(());
+        self.available.set(self.available.get() - 1);
+        if self.available.get() > 0 {
+            // The token stood for one of several permits: wake the next task that waits.
+            self.notify_one();
         }
-        Permit(self.clone())
+        ConnectionPermit(self.clone())
+    }
+
+    fn notify_one(&self) {
+        let _ = self.released.0.try_send(());
     }
 }
 
-impl Drop for Permit {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
-        self.0.free.set(self.0.free.get() + 1);
-        let _ = self.0.freed.0.try_send(());
+        let permits = &self.0;
+        permits.available.set(permits.available.get() + 1);
+        permits.notify_one();
     }
 }
--- a/crates/ivypitch-gateway/src/state/rows.rs
+++ b/crates/ivypitch-gateway/src/state/rows.rs
@@ -1,11 +1,30 @@
-//! The result of one execution: pages of whole rows, as slices of the buffers that they were read into.
+//! The result of one attempt: pages of complete rows, as slices of the buffers that they were read into.
 
 use bytes::Bytes;
+use thiserror::Error;
 
+/// Names of a result's columns, in order.
 pub const COLUMNS: [&[u8]; 3] = [b"c1", b"c2", b"c3"];
-const LARGEST_RESULT: usize = 48_000;
+const MAX_RESULT_BYTES: usize = 48_000;
 
-/// Emptied when the client has it or is gone; one at most for each open statement.
+/// Why a page was rejected.
+#[derive(Clone, Copy, PartialEq, Eq, Debug, Error)]
+pub enum PageError {
+    /// The result would exceed its maximum size.
+    #[error("result larger than {MAX_RESULT_BYTES} bytes")]
+    ResultTooLarge,
+    /// The page is not UTF-8.
+    #[error("page is not UTF-8")]
+    NotUtf8,
+    /// The last row has no line end.
+    #[error("last row of the page is incomplete")]
+    IncompleteRow,
+    /// A row has a wrong number of columns.
+    #[error("row without {} columns", COLUMNS.len())]
+    WrongColumnCount,
+}
+
+/// The rows of a result. At most one exists for each open statement; it is dropped once its client has it or has gone.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Rows {
     pages: Vec<Bytes>,
@@ -13,41 +32,46 @@
 }
 
 impl Rows {
-    /// Adds the next page: whole rows of three columns, within the size of a result.
-    pub fn add(&mut self, page: Bytes) -> Result<(), &'static str> {
-        if self.bytes + page.len() > LARGEST_RESULT {
-            return Err("result too large");
+    /// Appends the next page. Nothing is appended on an error.
+    pub fn push_page(&mut self, page: Bytes) -> Result<(), PageError> {
+        if self.bytes + page.len() > MAX_RESULT_BYTES {
+            return Err(PageError::ResultTooLarge);
         }
         if std::str::from_utf8(&page).is_err() {
-            return Err("page is no text");
+            return Err(PageError::NotUtf8);
         }
         if !page.is_empty() && !page.ends_with(b"\n") {
-            return Err("row cut short");
+            return Err(PageError::IncompleteRow);
         }
-        let columns = |row: &[u8]| 1 + row.iter().filter(|&&b| b == b'\t').count();
-        if rows_of(&page).any(|row| columns(row) != COLUMNS.len()) {
-            return Err("row without three columns");
+        if lines(&page).any(|row| column_count(row) != COLUMNS.len()) {
+            return Err(PageError::WrongColumnCount);
         }
         self.bytes += page.len();
         self.pages.push(page);
         Ok(())
     }
 
-    pub fn pages(&self) -> usize {
+    /// How many pages have been appended.
+    pub fn page_count(&self) -> usize {
         self.pages.len()
     }
 
+    /// The pages in order.
     pub fn into_pages(self) -> impl Iterator<Item = Bytes> {
         self.pages.into_iter()
     }
 
     /// The rows of one page, each as its columns.
-    pub fn of_page(page: &[u8]) -> impl Iterator<Item = impl Iterator<Item = &[u8]>> {
-        rows_of(page).map(|row| row.split(|&b| b == b'\t'))
+    pub fn rows_of_page(page: &[u8]) -> impl Iterator<Item = impl Iterator<Item = &[u8]>> {
+        lines(page).map(|row| row.split(|&byte| byte == b'\t'))
     }
 }
 
-fn rows_of(page: &[u8]) -> impl Iterator<Item = &[u8]> {
-    page.split_inclusive(|&b| b == b'\n')
+fn lines(page: &[u8]) -> impl Iterator<Item = &[u8]> {
+    page.split_inclusive(|&byte| byte == b'\n')
         .map(|row| row.strip_suffix(b"\n").unwrap_or(row))
 }
+
+fn column_count(row: &[u8]) -> usize {
+    1 + row.iter().filter(|&&byte| byte == b'\t').count()
+}
--- a/crates/ivypitch-gateway/src/state/statements.rs
+++ b/crates/ivypitch-gateway/src/state/statements.rs
@@ -9,7 +9,7 @@
 use crate::wire::fields::Fields;
 
 /// One execution that is out.
-pub struct Out {
+pub struct InFlightAttempt {
     pub number: u32,
     pub engine: EngineIndex,
     pub sent_at: Nanos,
@@ -19,7 +19,7 @@
     pub mailbox: Sender<AttemptMessage>,
 }
 
-pub struct Open {
+pub struct OpenStatement {
     /// Distinguishes the statements that held one index in turn.
     pub serial: u64,
     pub connection: u32,
@@ -32,7 +32,7 @@
     pub attempts: u32,
     /// What custody calls its client by.
     pub token: u64,
-    pub out: Option<Out>,
+    pub out: Option<InFlightAttempt>,
     pub grant_mb: f64,
     pub priority: u8,
     /// Work of its executions so far that may have run: as their answers tell it, else threads times time.
@@ -43,8 +43,8 @@
 
 /// A place is emptied as the module forgets its statement, and then used again.
 #[derive(Default)]
-pub struct Statements {
-    places: Vec<Option<Open>>,
+pub struct StatementTable {
+    places: Vec<Option<OpenStatement>>,
     free: Vec<usize>,
     by_connection: HashMap<u32, StatementIndex>,
     /// The ids of the statements in `places`.
@@ -52,7 +52,7 @@
     serial: u64,
 }
 
-impl Statements {
+impl StatementTable {
     /// `None`, and the client back, where a statement is open, or out, under the same id: at the engines the id
     /// names the query.
     pub fn open(
@@ -73,7 +73,7 @@
         });
         self.reqs.insert(req, StatementIndex(ix));
         self.serial += 1;
-        self.places[ix] = Some(Open {
+        self.places[ix] = Some(OpenStatement {
             serial: self.serial,
             connection,
             fields,
@@ -93,12 +93,12 @@
         Ok(StatementIndex(ix))
     }
 
-    pub fn get(&mut self, ix: StatementIndex) -> Option<&mut Open> {
+    pub fn get(&mut self, ix: StatementIndex) -> Option<&mut OpenStatement> {
         self.places.get_mut(ix.0)?.as_mut()
     }
 
-    /// As [`Statements::get`], unless another has taken the index since.
-    pub fn get_same(&mut self, ix: StatementIndex, serial: u64) -> Option<&mut Open> {
+    /// As [`StatementTable::get`], unless another has taken the index since.
+    pub fn get_same(&mut self, ix: StatementIndex, serial: u64) -> Option<&mut OpenStatement> {
         self.get(ix).filter(|open| open.serial == serial)
     }
 
--- a/crates/ivypitch-gateway/tests/wire.rs
+++ b/crates/ivypitch-gateway/tests/wire.rs
@@ -210,9 +210,10 @@
 #[test_case(&[&*"a\tb\tc\n".repeat(1000); 9], false; "over 48000 bytes")]
 fn results_hold_whole_rows_within_their_size(pages: &[&str], good: bool) {
     let mut rows = Rows::default();
-    let added = pages
-        .iter()
-        .all(|page| rows.add(Bytes::copy_from_slice(page.as_bytes())).is_ok());
+    let added = pages.iter().all(|page| {
+        rows.push_page(Bytes::copy_from_slice(page.as_bytes()))
+            .is_ok()
+    });
     assert_eq!(added, good);
 }
 
