--- a/crates/ivypitch-gateway/src/actors/discovery.rs
+++ b/crates/ivypitch-gateway/src/actors/discovery.rs
@@ -15,7 +15,7 @@
 use ivypitch_discovery::{Feed, Told, Verdict};
 
 use super::SchedulerMessage;
-use super::session::read_some;
+use super::socket::read_some;
 use crate::lifecycle::clock::Clock;
 use crate::state::traffic::Traffic;
 use crate::wire::discovery::{self, Line};
--- a/crates/ivypitch-gateway/src/actors/engine.rs
+++ b/crates/ivypitch-gateway/src/actors/engine.rs
@@ -17,7 +17,7 @@
 use futures_lite::{AsyncWriteExt, FutureExt};
 use ivypitch_connection_pool::{Pool, PoolParams};
 
-use super::session::read_some;
+use super::socket::read_some;
 use crate::lifecycle::clock::Clock;
 use crate::state::connects::{ConnectCause, ConnectCounters};
 use crate::state::permits::{Permit, Permits};
--- a/crates/ivypitch-gateway/src/actors/mod.rs
+++ b/crates/ivypitch-gateway/src/actors/mod.rs
@@ -9,6 +9,7 @@
 pub mod queueing;
 pub mod scheduler;
 pub mod session;
+pub mod socket;
 
 use std::cell::Cell;
 use std::io::ErrorKind;
--- a/crates/ivypitch-gateway/src/actors/peer_links.rs
+++ b/crates/ivypitch-gateway/src/actors/peer_links.rs
@@ -17,7 +17,7 @@
 use ivypitch_ownership::Message;
 
 use super::SchedulerMessage;
-use super::session::read_some;
+use super::socket::read_some;
 use crate::lifecycle::clock::Clock;
 use crate::state::traffic::Traffic;
 use crate::wire::peers::{self, Frame};
--- a/crates/ivypitch-gateway/src/actors/session.rs
+++ b/crates/ivypitch-gateway/src/actors/session.rs
@@ -16,6 +16,7 @@
 use futures_lite::{AsyncWriteExt, FutureExt, future::yield_now};
 use ivypitch_config::Names;
 
+use super::socket::{read_now, read_some};
 use super::{Answer, Client, ClientPresence, SchedulerMessage, Shown};
 use crate::lifecycle::bounds::Bounds;
 use crate::lifecycle::clock::Clock;
@@ -38,7 +39,6 @@
 /// connection, and what the client has not read yet is gone.
 const LINGER: Duration = Duration::from_millis(500);
 const LINGER_BYTES: usize = 256 << 10;
-const READ: usize = 8 << 10;
 /// An answer is written in pieces of about this size.
 const WRITE: usize = 16 << 10;
 
@@ -615,38 +615,6 @@
     .await
 }
 
-/// Reads what is there into the buffer's free end; nothing is kept for it while nothing comes. Dropped before it
-/// is done, it leaves the buffer as it was.
-pub async fn read_some(stream: &Async<TcpStream>, into: &mut BytesMut) -> io::Result<usize> {
-    loop {
-        match read_now(stream, into) {
-            Ok(Some(n)) => return Ok(n),
-            Ok(None) => stream.readable().await?,
-            Err(e) => return Err(e),
-        }
-    }
-}
-
-/// The same without waiting; `None`: nothing is there.
-fn read_now(stream: &Async<TcpStream>, into: &mut BytesMut) -> io::Result<Option<usize>> {
-    loop {
-        let start = into.len();
-        into.resize(start + READ, 0);
-        let n = io::Read::read(&mut stream.get_ref(), &mut into[start..]);
-        into.truncate(start + n.as_ref().copied().unwrap_or(0));
-        match n {
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                if into.is_empty() {
-                    *into = BytesMut::new();
-                }
-                return Ok(None);
-            }
-            Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-            read => return read.map(Some),
-        }
-    }
-}
-
 /// Numbers of connections, each once, that a client can't guess from its own.
 fn connection_id(seed: u64, number: u32) -> u32 {
     number
--- a/crates/ivypitch-testbed/src/processes/sockets.rs
+++ b/crates/ivypitch-testbed/src/processes/sockets.rs
@@ -10,7 +10,7 @@
 
 use bytes::{Buf, BytesMut};
 use event_listener::Event;
-use ivypitch_gateway::actors::session::read_some;
+use ivypitch_gateway::actors::socket::read_some;
 use ivypitch_gateway::wire::mysql;
 use ivypitch_scheduler::Idempotency;
 use ivypitch_types::{Nanos, SECOND};
