--- a/crates/ivypitch-gateway/src/actors/mod.rs
+++ b/crates/ivypitch-gateway/src/actors/mod.rs
@@ -13,3 +13,4 @@
 pub mod queueing;
 pub mod scheduler;
 pub mod session;
+pub mod socket;
--- a/crates/ivypitch-testbed/src/processes/hollow_gateways.rs
+++ b/crates/ivypitch-testbed/src/processes/hollow_gateways.rs
@@ -26,7 +26,7 @@
 use ivypitch_gateway::lifecycle::clock::Clock;
 use ivypitch_gateway::state::engines::engine_id_hash;
 use ivypitch_gateway::state::traffic::Traffic;
-use ivypitch_gateway::wire::journal::Hosts;
+use ivypitch_gateway::wire::discovery::EndpointUpdate;
 use ivypitch_gateway::wire::peers::{Frame, next, write};
 use ivypitch_ownership::Ownership;
 use ivypitch_types::Nanos;
@@ -221,7 +221,7 @@
                     sharing.on_journal_read(now, event);
                 }
             }
-            SchedulerMessage::EndpointsUpdated { hosts } => self.listed(hosts),
+            SchedulerMessage::EndpointsUpdated { update } => self.listed(update),
             // Of clients and executions: here are none.
             _ => {}
         }
@@ -261,11 +261,11 @@
         }
     }
 
-    fn listed(&mut self, hosts: Hosts) {
-        if hosts.full {
+    fn listed(&mut self, update: EndpointUpdate) {
+        if update.is_full {
             self.engines.clear();
         }
-        for server in hosts.servers {
+        for server in update.endpoints {
             let number = engine_id_hash(&server.id);
             match server.state.as_str() {
                 "terminated" => drop(self.engines.remove(&number)),
