--- a/crates/ivypitch-gateway/src/actors/attempt.rs
+++ b/crates/ivypitch-gateway/src/actors/attempt.rs
@@ -1,4 +1,4 @@
-//! One execution at its engine: started, asked for until its end, given up. It ends with one [`End`].
+//! One execution at its engine: started, asked for until its end, given up. It ends with one [`AttemptEnd`].
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -12,9 +12,9 @@
 use ivypitch_types::{Nanos, Outcome};
 
 use super::engine::{AT_ONCE, CallFault, Connection, Link, NEWS};
-use super::{AttemptKey, AttemptMessage, ClientPresence, End, SchedulerMessage};
+use super::messages::{AttemptEnd, AttemptKey, AttemptMessage, ClientPresence, SchedulerMessage};
 use crate::lifecycle::clock::Clock;
-use crate::state::connects::ConnectCause;
+use crate::state::connections::ConnectPurpose;
 use crate::state::rows::Rows;
 use crate::wire::http::{self, Answer, Start};
 
@@ -75,10 +75,10 @@
         let end = self.to_its_end(&link).await;
         let _ = self
             .module
-            .try_send(SchedulerMessage::Ended { key: self.key, end });
+            .try_send(SchedulerMessage::AttemptEnded { key: self.key, end });
     }
 
-    async fn to_its_end(&self, link: &Link) -> End {
+    async fn to_its_end(&self, link: &Link) -> AttemptEnd {
         let mut connection = None;
         let end = self.on_connection(link, &mut connection).await;
         // What is over has no answer to come on its connection.
@@ -91,7 +91,7 @@
         end
     }
 
-    async fn on_connection(&self, link: &Link, connection: &mut Option<Connection>) -> End {
+    async fn on_connection(&self, link: &Link, connection: &mut Option<Connection>) -> AttemptEnd {
         let mut answer = match self.is_watched {
             true => None,
             false => match self.start(link, connection).await {
@@ -142,9 +142,9 @@
                 Timer::after(BREATHER).await;
             }
             if let Some(priority) = self.priority.take() {
-                let call = http::write_priority(&self.start.id, priority, &link.host());
+                let call = http::write_priority(&self.start.statement_id, priority, &link.host());
                 let _ = link
-                    .call(&mut None, &call, AT_ONCE, ConnectCause::Priority)
+                    .call(&mut None, &call, AT_ONCE, ConnectPurpose::Priority)
                     .await;
             }
             answer = match self.ask(link, connection, 0, NEWS * (1 + faults)).await {
@@ -181,11 +181,11 @@
         &self,
         link: &Link,
         own: &mut Option<Connection>,
-    ) -> Result<Option<Answer>, End> {
+    ) -> Result<Option<Answer>, AttemptEnd> {
         let mut unfit = 0;
         let connection = loop {
             let connect = async {
-                link.connection(&self.start.id)
+                link.connection(&self.start.statement_id)
                     .await
                     .map_err(|_| bare(Outcome::ConnectFailed))
             };
@@ -209,7 +209,7 @@
             break connection;
         };
         let start = Start {
-            wait_ms: self.gate.left_ms(self.until),
+            remaining_ms: self.gate.left_ms(self.until),
             ..self.start.clone()
         };
         let call = http::write_start(&start, &link.host());
@@ -239,7 +239,9 @@
                 AttemptMessage::Cancel | AttemptMessage::Detach => return false,
             }
         }
-        self.client.as_ref().is_none_or(|client| client.waits())
+        self.client
+            .as_ref()
+            .is_none_or(|client| client.is_waiting())
     }
 
     /// Asks for the news (0) or for a page.
@@ -250,10 +252,10 @@
         page: usize,
         limit: Duration,
     ) -> Step {
-        let call = http::write_get(&self.start.id, page, &link.host());
+        let call = http::write_get(&self.start.statement_id, page, &link.host());
         let asked = async {
             match link
-                .call(connection, &call, limit, ConnectCause::Again)
+                .call(connection, &call, limit, ConnectPurpose::Poll)
                 .await
             {
                 Ok(answer) => Step::Answered(answer),
@@ -274,14 +276,14 @@
             ("waits", _) => AttemptProgress::WaitingForBulkLoad,
             _ => return,
         };
-        let _ = self.module.try_send(SchedulerMessage::Noted {
+        let _ = self.module.try_send(SchedulerMessage::AttemptProgressed {
             key: self.key,
             note,
         });
     }
 
     /// What the answer that ends it proves, in the module's terms; after a good end with all its rows.
-    fn ended(&self, answer: &Answer, rows: Option<Rows>) -> End {
+    fn ended(&self, answer: &Answer, rows: Option<Rows>) -> AttemptEnd {
         let outcome = match (answer.status, answer.never_ran) {
             (200, _) => Outcome::Completed,
             (503, true) => Outcome::Overloaded,
@@ -291,7 +293,7 @@
         let cost = answer
             .work_ms
             .map(|work| (work, answer.peak_mb.unwrap_or(0.0)));
-        End {
+        AttemptEnd {
             outcome,
             true_cost: cost.filter(|_| rows.is_some()),
             report: http::load_report(&answer.load, &self.report_fields),
@@ -306,17 +308,17 @@
         connection: &mut Option<Connection>,
         mut rows: Rows,
         count: usize,
-    ) -> Result<Rows, End> {
+    ) -> Result<Rows, AttemptEnd> {
         let mut faults = 0;
-        while rows.pages() < count {
-            let number = rows.pages();
+        while rows.page_count() < count {
+            let number = rows.page_count();
             match self
                 .ask(link, connection, number, AT_ONCE * (1 + faults))
                 .await
             {
                 Step::Answered(page) if page.status == 500 => return Err(self.ended(&page, None)),
                 Step::Answered(page)
-                    if page.page == Some(number) && rows.add(page.body.clone()).is_ok() =>
+                    if page.page == Some(number) && rows.push_page(page.body.clone()).is_ok() =>
                 {
                     faults = 0
                 }
@@ -338,14 +340,14 @@
 
     /// Gives it up; it is no longer out when this returns: the engine has answered to that, has no process, or has
     /// long dropped the query since nobody asked for it.
-    async fn cancel(&self, link: &Link) -> End {
+    async fn cancel(&self, link: &Link) -> AttemptEnd {
         let dropped = Instant::now() + DROPPED_UNASKED;
-        let call = http::write_delete(&self.start.id, &link.host());
+        let call = http::write_delete(&self.start.statement_id, &link.host());
         let mut connection = None;
         let told = async {
             loop {
                 match link
-                    .call(&mut connection, &call, AT_ONCE, ConnectCause::Cancel)
+                    .call(&mut connection, &call, AT_ONCE, ConnectPurpose::Cancel)
                     .await
                 {
                     Ok(Answer {
@@ -377,11 +379,11 @@
 fn first_page(end: &Answer) -> Option<Rows> {
     let mut rows = Rows::default();
     let first = end.status == 200 && end.page_count.is_some() && matches!(end.page, None | Some(0));
-    (first && rows.add(end.body.clone()).is_ok()).then_some(rows)
+    (first && rows.push_page(end.body.clone()).is_ok()).then_some(rows)
 }
 
-fn bare(outcome: Outcome) -> End {
-    End {
+fn bare(outcome: Outcome) -> AttemptEnd {
+    AttemptEnd {
         outcome,
         true_cost: None,
         report: Vec::new(),
