--- a/crates/ivypitch-gateway/src/actors/ownership.rs
+++ b/crates/ivypitch-gateway/src/actors/ownership.rs
@@ -39,19 +39,25 @@
 }
 
 impl Output for Acts {
-    fn tell(&mut self, to: u16, message: Message) {
+    fn send(&mut self, to: u16, message: Message) {
         let _ = self.peers.try_send(PeersMessage::Tell { to, message });
     }
-    fn go(&mut self, id: StatementId, number: u32) {
+    fn on_attempt_granted(&mut self, id: StatementId, number: u32) {
         self.asked.push_back(Act::Go(id, number));
     }
-    fn denied(&mut self, id: StatementId, number: u32, why: GrantDenial) {
+    fn on_attempt_denied(&mut self, id: StatementId, number: u32, why: GrantDenial) {
         self.asked.push_back(Act::Denied(id, number, why));
     }
     fn proceed(&mut self, id: StatementId) {
         self.asked.push_back(Act::Proceed(id));
     }
-    fn adopt(&mut self, id: StatementId, facts: &StatementSpec, left: Nanos, engine: Option<u64>) {
+    fn take_over(
+        &mut self,
+        id: StatementId,
+        facts: &StatementSpec,
+        left: Nanos,
+        engine: Option<u64>,
+    ) {
         self.asked.push_back(Act::Adopt {
             id,
             text: facts.text.clone(),
--- a/crates/ivypitch-ownership/src/ownership.rs
+++ b/crates/ivypitch-ownership/src/ownership.rs
@@ -122,21 +122,33 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GrantDecision {
     Granted,
-    /// [`Output::go`] or [`Output::denied`] follows.
+    /// [`Output::on_attempt_granted`] or [`Output::on_attempt_denied`] follows.
     Pending,
     Denied(GrantDenial),
 }
 
+/// What the decisions ask of their caller, in the order in which it is to be carried out.
 pub trait Output {
-    fn tell(&mut self, to: u16, message: Message);
-    fn go(&mut self, id: StatementId, number: u32);
-    fn denied(&mut self, id: StatementId, number: u32, why: GrantDenial);
-    /// Nobody knows it: it goes on its way as a new statement.
+    /// Sends a message to another member. It may be lost; nothing waits for it to arrive.
+    fn send(&mut self, to: u16, message: Message);
+    /// A quorum granted the attempt: it may be dispatched.
+    fn on_attempt_granted(&mut self, id: StatementId, attempt: u32);
+    /// The attempt must not be dispatched.
+    fn on_attempt_denied(&mut self, id: StatementId, attempt: u32, denial: GrantDenial);
+    /// No other gateway knows the statement: it proceeds as a new one.
     fn proceed(&mut self, id: StatementId);
-    /// This gateway acts for it from now on. `at`: the engine where an execution may be, to be asked and not started.
-    fn adopt(&mut self, id: StatementId, facts: &StatementSpec, left: Nanos, at: Option<u64>);
-    /// To a client that waits here.
-    fn answer(&mut self, waiter: u64, word: &FinalAnswer);
+    /// This gateway acts for the statement from now on. `engine` is where an attempt may be running: that engine is
+    /// polled for it and nothing is started. `None` starts the statement.
+    fn take_over(
+        &mut self,
+        id: StatementId,
+        spec: &StatementSpec,
+        remaining: Nanos,
+        engine: Option<u64>,
+    );
+    /// Answers a client that waits here.
+    fn answer(&mut self, waiter: u64, answer: &FinalAnswer);
+    /// One line for the log.
     fn log(&mut self, line: &str);
 }
 
@@ -548,7 +560,7 @@
                 let vote = self.ledger.grant(now, &told, grant, &self.witnesses);
                 self.count_vote(id, self.place, vote.map_err(|why| stands(&why)));
             } else if self.is_there(to) {
-                out.tell(
+                out.send(
                     to,
                     Message::GrantRequest {
                         told: told.clone(),
@@ -807,7 +819,7 @@
                 Waiter::Local(waiter) => out.answer(waiter, word),
                 Waiter::Remote { place, serial } => {
                     let answered = LookupAnswer::Final(word.clone());
-                    out.tell(
+                    out.send(
                         place,
                         Message::LookupReply {
                             serial,
@@ -1021,9 +1033,9 @@
             .collect::<Vec<_>>();
         let rest = parts.pop().unwrap_or_default();
         for told in parts {
-            out.tell(to, Message::StateTransfer { told, last: None });
+            out.send(to, Message::StateTransfer { told, last: None });
         }
-        out.tell(
+        out.send(
             to,
             Message::StateTransfer {
                 told: rest,
@@ -1040,7 +1052,7 @@
             Message::GrantRequest { told, grant } => {
                 let id = told.id;
                 match self.ledger.grant(now, &told, grant, &self.witnesses) {
-                    Ok(()) => out.tell(
+                    Ok(()) => out.send(
                         from,
                         Message::GrantReply {
                             id,
@@ -1048,7 +1060,7 @@
                             against: None,
                         },
                     ),
-                    Err(VoteRefusal::Conflict(told)) => out.tell(
+                    Err(VoteRefusal::Conflict(told)) => out.send(
                         from,
                         Message::GrantReply {
                             id,
@@ -1056,7 +1068,7 @@
                             against: Some(*told),
                         },
                     ),
-                    Err(_) => out.tell(
+                    Err(_) => out.send(
                         from,
                         Message::Abstention {
                             id,
@@ -1077,7 +1089,7 @@
                 match self.ledger.claim(now, id, epoch, &self.witnesses) {
                     Ok(told) => {
                         self.superseded(now, id, epoch, out);
-                        out.tell(
+                        out.send(
                             from,
                             Message::TakeoverReply {
                                 id,
@@ -1087,7 +1099,7 @@
                             },
                         );
                     }
-                    Err(VoteRefusal::Conflict(told)) => out.tell(
+                    Err(VoteRefusal::Conflict(told)) => out.send(
                         from,
                         Message::TakeoverReply {
                             id,
@@ -1096,7 +1108,7 @@
                             told: Some(*told),
                         },
                     ),
-                    Err(_) => out.tell(from, Message::Abstention { id, epoch }),
+                    Err(_) => out.send(from, Message::Abstention { id, epoch }),
                 }
             }
             Message::TakeoverReply {
@@ -1116,7 +1128,7 @@
             }
             Message::LookupRequest { id, digest, serial } => {
                 if let Some(answered) = self.asked(now, from, id, digest, serial, out) {
-                    out.tell(
+                    out.send(
                         from,
                         Message::LookupReply {
                             serial,
@@ -1158,9 +1170,9 @@
             return;
         };
         match self.judge_votes(now, id, out) {
-            GrantDecision::Granted => out.go(id, number),
+            GrantDecision::Granted => out.on_attempt_granted(id, number),
             GrantDecision::Pending => {}
-            GrantDecision::Denied(why) => out.denied(id, number, why),
+            GrantDecision::Denied(why) => out.on_attempt_denied(id, number, why),
         }
     }
 
@@ -1211,7 +1223,7 @@
         let all = self.witnesses.of(id);
         for &to in all.iter().filter(|&&to| to != self.place) {
             if self.is_there(to) {
-                out.tell(to, Message::TakeoverRequest { id, epoch });
+                out.send(to, Message::TakeoverRequest { id, epoch });
             }
         }
         if all.contains(&self.place) {
@@ -1335,7 +1347,7 @@
                 self.totals.watched += 1;
                 self.turn(id, StatementState::TakenOver);
                 self.set_told(id);
-                out.adopt(id, &facts, left.max(SECOND), Some(grant.engine));
+                out.take_over(id, &facts, left.max(SECOND), Some(grant.engine));
             }
             (Some(StatementEnd::Completed { .. }), _) => {
                 self.word(id, &FinalAnswer::CompletedWithoutRows, out);
@@ -1354,7 +1366,7 @@
             // told that it was refused, and then comes under another id.
             _ if idempotent || waits => {
                 self.turn(id, StatementState::Owned);
-                out.adopt(id, &facts, left, None);
+                out.take_over(id, &facts, left, None);
             }
             _ => {
                 debug_assert!(is_known || !waits);
@@ -1369,7 +1381,7 @@
         }
     }
 
-    /// The engine at which it may be ([`Output::adopt`]) is none that is known here: nobody can be asked. What is
+    /// The engine at which it may be ([`Output::take_over`]) is none that is known here: nobody can be asked. What is
     /// harmless runs anew; of anything else nobody can say more.
     pub fn engine_unknown(&mut self, now: Nanos, id: StatementId, out: &mut dyn Output) {
         let Some(case) = self.cases.get(&id).filter(|case| case.acts()) else {
@@ -1377,7 +1389,7 @@
         };
         if case.facts.idempotent {
             let (facts, left) = (case.facts.clone(), case.deadline.saturating_sub(now));
-            out.adopt(id, &facts, left, None);
+            out.take_over(id, &facts, left, None);
         } else {
             let _ = self.answered(now, id, FinalAnswer::Aborted, out);
         }
@@ -1430,7 +1442,7 @@
             if let Some(own) = case.own.take() {
                 case.waiters.push(Waiter::Local(own));
             }
-            out.tell(to, Message::Handoff(told));
+            out.send(to, Message::Handoff(told));
             self.turn(id, StatementState::OwnedElsewhere);
             if let Some(case) = self.cases.get_mut(&id) {
                 case.at = to;
@@ -1583,7 +1595,7 @@
         let digest = case.facts.digest;
         self.turn(id, StatementState::OwnedElsewhere);
         self.wake_case(id, now + self.terms.ask_again);
-        out.tell(place, Message::LookupRequest { id, digest, serial });
+        out.send(place, Message::LookupRequest { id, digest, serial });
     }
 
     /// The next witness is asked; none left: it goes on as a new statement.
@@ -1609,14 +1621,14 @@
             } else {
                 let (facts, left) = (case.facts.clone(), case.deadline.saturating_sub(now));
                 self.turn(id, StatementState::Owned);
-                out.adopt(id, &facts, left, None);
+                out.take_over(id, &facts, left, None);
             }
             return;
         };
         (case.at, case.serial) = (to, serial);
         let digest = case.facts.digest;
         self.wake_case(id, now + self.terms.ask_wait);
-        out.tell(to, Message::LookupRequest { id, digest, serial });
+        out.send(to, Message::LookupRequest { id, digest, serial });
     }
 
     /// The gateway that clients here waited for knows nothing or is lost: the witnesses are asked anew.
@@ -1904,7 +1916,7 @@
         }
         for (to, told) in batches {
             for part in told.chunks(TOLD_AT_ONCE) {
-                out.tell(to, Message::Update(part.to_vec()));
+                out.send(to, Message::Update(part.to_vec()));
             }
         }
     }
--- a/crates/ivypitch-ownership/tests/lost_rows.rs
+++ b/crates/ivypitch-ownership/tests/lost_rows.rs
@@ -10,11 +10,11 @@
 struct Nothing;
 
 impl Output for Nothing {
-    fn tell(&mut self, _: u16, _: Message) {}
-    fn go(&mut self, _: StatementId, _: u32) {}
-    fn denied(&mut self, _: StatementId, _: u32, _: GrantDenial) {}
+    fn send(&mut self, _: u16, _: Message) {}
+    fn on_attempt_granted(&mut self, _: StatementId, _: u32) {}
+    fn on_attempt_denied(&mut self, _: StatementId, _: u32, _: GrantDenial) {}
     fn proceed(&mut self, _: StatementId) {}
-    fn adopt(&mut self, _: StatementId, _: &StatementSpec, _: Nanos, _: Option<u64>) {}
+    fn take_over(&mut self, _: StatementId, _: &StatementSpec, _: Nanos, _: Option<u64>) {}
     fn answer(&mut self, _: u64, _: &FinalAnswer) {}
     fn log(&mut self, _: &str) {}
 }
--- a/crates/ivypitch-testbed/src/virtual_time/custody_fleet.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/custody_fleet.rs
@@ -224,19 +224,19 @@
 struct Acts(Vec<Act>);
 
 impl Output for Acts {
-    fn tell(&mut self, to: u16, message: Message) {
+    fn send(&mut self, to: u16, message: Message) {
         self.0.push(Act::Tell(to, message));
     }
-    fn go(&mut self, id: StatementId, number: u32) {
+    fn on_attempt_granted(&mut self, id: StatementId, number: u32) {
         self.0.push(Act::Go(id, number));
     }
-    fn denied(&mut self, id: StatementId, _number: u32, why: GrantDenial) {
+    fn on_attempt_denied(&mut self, id: StatementId, _number: u32, why: GrantDenial) {
         self.0.push(Act::Denied(id, why));
     }
     fn proceed(&mut self, id: StatementId) {
         self.0.push(Act::Proceed(id));
     }
-    fn adopt(&mut self, id: StatementId, facts: &StatementSpec, left: Nanos, at: Option<u64>) {
+    fn take_over(&mut self, id: StatementId, facts: &StatementSpec, left: Nanos, at: Option<u64>) {
         self.0.push(Act::Adopt(id, facts.clone(), left, at));
     }
     fn answer(&mut self, waiter: u64, word: &FinalAnswer) {
