--- a/crates/ivypitch-coordination/tests/quota_lease_model.rs
+++ b/crates/ivypitch-coordination/tests/quota_lease_model.rs
@@ -105,6 +105,56 @@
             incarnation: Incarnation(state.incarnations[m]),
         }
     }
+
+    /// `None`: the message cannot arrive in this model.
+    fn deliver(&self, last: &State, state: &mut State, message: Message) -> Option<()> {
+        let Message { from, to, content } = message;
+        let m = to.member.as_usize();
+        let me = self.process(last, m);
+        let leases = state.members[m].as_mut()?;
+        let reply = match content {
+            Content::Request(request) => leases
+                .on_request(self.now(last, m), from, request, 0)
+                .map(Content::Grant),
+            Content::Grant(mut grant) => {
+                if self.without == Without::RequestTime && grant.lease == grant.request {
+                    // Requested now, as far as its expiry goes.
+                    if leases.holds(from.member, grant.lease)
+                        || !leases.is_requesting_from(from.member)
+                    {
+                        return None;
+                    }
+                    let again = leases.request(self.now(last, m), from.member, 1, None);
+                    grant = LeaseGrant {
+                        request: again.request,
+                        lease: again.request,
+                        ..grant
+                    };
+                }
+                let taken = leases.on_grant(self.now(last, m), from.member, grant);
+                let releases = match self.without {
+                    Without::Duplicates => !taken,
+                    _ => !taken && !leases.holds(from.member, grant.lease),
+                };
+                releases.then_some(Content::Release(grant.lease))
+            }
+            Content::Release(lease) => {
+                leases.on_release(self.now(last, m), from, lease);
+                None
+            }
+            Content::Revoke(lease) => leases
+                .on_revoke(self.now(last, m), from.member, lease)
+                .then_some(Content::Release(lease)),
+        };
+        if let Some(content) = reply {
+            state.messages.insert(Message {
+                from: me,
+                to: from,
+                content,
+            });
+        }
+        Some(())
+    }
 }
 
 fn member(m: usize) -> MemberId {
@@ -237,52 +287,7 @@
                     state.messages.insert(Message { from, to, content });
                 }
             }
-            Action::Deliver(Message { from, to, content }) => {
-                let m = to.member.as_usize();
-                let me = self.process(last, m);
-                let leases = state.members[m].as_mut()?;
-                let reply = match content {
-                    Content::Request(request) => leases
-                        .on_request(now(m), from, request, 0)
-                        .map(Content::Grant),
-                    Content::Grant(mut grant) => {
-                        if self.without == Without::RequestTime && grant.lease == grant.request {
-                            // Requested now, as far as its expiry goes.
-                            if leases.holds(from.member, grant.lease)
-                                || !leases.is_requesting_from(from.member)
-                            {
-                                return None;
-                            }
-                            let again = leases.request(now(m), from.member, 1, None);
-                            grant = LeaseGrant {
-                                request: again.request,
-                                lease: again.request,
-                                ..grant
-                            };
-                        }
-                        let taken = leases.on_grant(now(m), from.member, grant);
-                        let releases = match self.without {
-                            Without::Duplicates => !taken,
-                            _ => !taken && !leases.holds(from.member, grant.lease),
-                        };
-                        releases.then_some(Content::Release(grant.lease))
-                    }
-                    Content::Release(lease) => {
-                        leases.on_release(now(m), from, lease);
-                        None
-                    }
-                    Content::Revoke(lease) => leases
-                        .on_revoke(now(m), from.member, lease)
-                        .then_some(Content::Release(lease)),
-                };
-                if let Some(content) = reply {
-                    state.messages.insert(Message {
-                        from: me,
-                        to: from,
-                        content,
-                    });
-                }
-            }
+            Action::Deliver(message) => self.deliver(last, &mut state, message)?,
         }
         for m in 0..MEMBERS {
             let now = self.now(&state, m);
--- a/crates/ivypitch-gateway/src/actors/coordination.rs
+++ b/crates/ivypitch-gateway/src/actors/coordination.rs
@@ -21,18 +21,18 @@
 
 /// What the module's actor is asked to do.
 #[derive(Debug)]
-pub enum Act {
-    Part(usize, f64),
-    Advise(u64, OutlierStatus),
+pub enum Action {
+    SetQuota(usize, f64),
+    SetOutlierStatus(u64, OutlierStatus),
 }
 
-struct Acts {
-    asked: VecDeque<Act>,
+struct ActionQueue {
+    pending: VecDeque<Action>,
     peers: Sender<PeersMessage>,
     list: Sender<ListMessage>,
 }
 
-impl CoordinationOutput for Acts {
+impl CoordinationOutput for ActionQueue {
     fn send(&mut self, to: MemberId, message: CoordinationMessage) {
         let _ = self.peers.try_send(PeersMessage::Say { to: to.0, message });
     }
@@ -42,10 +42,11 @@
             .try_send(PeersMessage::Gossip { to: to.0, gossip });
     }
     fn on_quota_changed(&mut self, quota: QuotaIndex, share: f64) {
-        self.asked.push_back(Act::Part(quota.0, share));
+        self.pending.push_back(Action::SetQuota(quota.0, share));
     }
     fn on_outlier_status(&mut self, engine: u64, advice: OutlierStatus) {
-        self.asked.push_back(Act::Advise(engine, advice));
+        self.pending
+            .push_back(Action::SetOutlierStatus(engine, advice));
     }
     fn on_endpoint_event(&mut self, _number: u64, line: &[u8]) {
         let _ = self
@@ -64,60 +65,60 @@
     }
 }
 
-pub struct Sharing {
+pub struct CoordinationDriver {
     shares: Coordinator,
-    acts: Acts,
+    actions: ActionQueue,
 }
 
-impl Sharing {
+impl CoordinationDriver {
     pub fn new(
         shares: Coordinator,
         peers: Sender<PeersMessage>,
         list: Sender<ListMessage>,
-    ) -> Sharing {
-        Sharing {
+    ) -> CoordinationDriver {
+        CoordinationDriver {
             shares,
-            acts: Acts {
-                asked: VecDeque::new(),
+            actions: ActionQueue {
+                pending: VecDeque::new(),
                 peers,
                 list,
             },
         }
     }
 
-    pub fn next_act(&mut self) -> Option<Act> {
-        self.acts.asked.pop_front()
+    pub fn next_action(&mut self) -> Option<Action> {
+        self.actions.pending.pop_front()
     }
 
-    pub fn has_acts(&self) -> bool {
-        !self.acts.asked.is_empty()
+    pub fn has_actions(&self) -> bool {
+        !self.actions.pending.is_empty()
     }
 
-    pub fn member_up(&mut self, now: Nanos, place: u16, birth: u64) {
+    pub fn on_member_up(&mut self, now: Nanos, place: u16, birth: u64) {
         self.shares
-            .on_member_up(now, process(place, birth), &mut self.acts);
+            .on_member_up(now, process(place, birth), &mut self.actions);
     }
 
-    pub fn member_down(&mut self, now: Nanos, place: u16, birth: u64) {
+    pub fn on_member_down(&mut self, now: Nanos, place: u16, birth: u64) {
         self.shares
-            .on_member_down(now, process(place, birth), &mut self.acts);
+            .on_member_down(now, process(place, birth), &mut self.actions);
     }
 
-    pub fn heard(&mut self, now: Nanos, from: u16, message: CoordinationMessage) {
+    pub fn on_message(&mut self, now: Nanos, from: u16, message: CoordinationMessage) {
         self.shares
-            .on_message(now, MemberId(from), message, &mut self.acts);
+            .on_message(now, MemberId(from), message, &mut self.actions);
     }
 
-    pub fn gossip(&mut self, now: Nanos, gossip: GossipMessage) {
-        self.shares.on_gossip(now, gossip, &mut self.acts);
+    pub fn on_gossip(&mut self, now: Nanos, gossip: GossipMessage) {
+        self.shares.on_gossip(now, gossip, &mut self.actions);
     }
 
-    pub fn listed(&mut self, ready: &[u64]) {
+    pub fn on_endpoints_updated(&mut self, ready: &[u64]) {
         self.shares.set_ready_engines(ready);
     }
 
     /// A customer's statement came; of its whole allowance a second.
-    pub fn arrived(&mut self, tenant: usize, quota_per_second: f64) {
+    pub fn on_statement_arrived(&mut self, tenant: usize, quota_per_second: f64) {
         let bound = QuotaIndex(FIRST_ALLOWANCE + tenant);
         let units = f64::from(self.shares.total_units(bound));
         if quota_per_second > 0.0 {
@@ -126,7 +127,7 @@
     }
 
     /// The teams' queues hold and want so many of all cores.
-    pub fn needs_cores(&mut self, now: Nanos, cores: f64, all: f64) {
+    pub fn set_core_demand(&mut self, now: Nanos, cores: f64, all: f64) {
         let units = f64::from(self.shares.total_units(QuotaIndex(CORES)));
         self.shares.set_demand_level(
             now,
@@ -136,26 +137,26 @@
     }
 
     /// `is_first`: of its statement.
-    pub fn ended(&mut self, now: Nanos, engine: u64, outcome: Outcome, is_first: bool) {
+    pub fn on_attempt_ended(&mut self, now: Nanos, engine: u64, outcome: Outcome, is_first: bool) {
         if let Some(health) = AttemptHealth::from_outcome(outcome, is_first) {
             self.shares.on_attempt_ended(now, engine, health);
         }
     }
 
-    pub fn journal(&mut self, now: Nanos, event: Option<(u64, Bytes)>) {
+    pub fn on_journal_read(&mut self, now: Nanos, event: Option<(u64, Bytes)>) {
         match event {
             Some((number, line)) => self.shares.on_endpoint_event(now, number, &line),
             None => self.shares.on_event_source_heard(now),
         }
     }
 
-    pub fn next_wake(&self) -> Nanos {
+    pub fn next_timer(&self) -> Nanos {
         self.shares.next_timer()
     }
 
-    pub fn woken(&mut self, now: Nanos) {
+    pub fn on_timer(&mut self, now: Nanos) {
         if self.shares.next_timer() <= now {
-            self.shares.on_timer(now, &mut self.acts);
+            self.shares.on_timer(now, &mut self.actions);
         }
     }
 
--- a/crates/ivypitch-gateway/src/actors/peer_links.rs
+++ b/crates/ivypitch-gateway/src/actors/peer_links.rs
@@ -16,8 +16,8 @@
 use ivypitch_membership::{Members, News, Roster, State, Terms};
 use ivypitch_ownership::Message;
 
-use super::SchedulerMessage;
-use super::session::read_some;
+use super::messages::SchedulerMessage;
+use super::socket::read_some;
 use crate::lifecycle::clock::Clock;
 use crate::state::traffic::Traffic;
 use crate::wire::peers::{self, Frame};
@@ -235,13 +235,13 @@
                 letters
                     .recv()
                     .await
-                    .map_or(Step::End, |mail| Step::Mail(Box::new(mail)))
+                    .map_or(Step::AttemptEnd, |mail| Step::Mail(Box::new(mail)))
             };
             // Mail first: it is bounded by what the module says; a flood of datagrams must not hold it up.
             let step = mail.or(came).or(timer).await;
             let now = self.shared.clock.now();
             if let Step::Datagram(n) = step {
-                self.shared.traffic.datagrams.received(n);
+                self.shared.traffic.datagrams.record_received(n);
             }
             match step {
                 Step::Datagram(n) => match peers::read_gossip(&datagram[..n]) {
@@ -250,14 +250,17 @@
                         self.gossip_waits.set(self.gossip_waits.get() + 1);
                         let taken = Taken(self.gossip_waits.clone());
                         let heard = Peer::Gossip(Box::new(gossip), taken);
-                        let _ = self.shared.module.try_send(SchedulerMessage::Peer(heard));
+                        let _ = self
+                            .shared
+                            .module
+                            .try_send(SchedulerMessage::PeerEvent(heard));
                     }
                     // Not readable, or more than the module takes: dropped, as a network would.
                     Some(_) => {}
                 },
                 Step::Mail(mail) => self.take(*mail),
                 Step::Woken => {}
-                Step::End => return,
+                Step::AttemptEnd => return,
             }
             // However many datagrams come, what is due is done.
             if self.members.next_wake() <= now {
@@ -279,10 +282,16 @@
                 .send_to(&data, seat.address)
                 .is_ok()
             {
-                self.shared.traffic.datagrams.sent(data.len());
+                self.shared.traffic.datagrams.record_sent(data.len());
             }
         }
-        let tell = |peer| drop(self.shared.module.try_send(SchedulerMessage::Peer(peer)));
+        let tell = |peer| {
+            drop(
+                self.shared
+                    .module
+                    .try_send(SchedulerMessage::PeerEvent(peer)),
+            )
+        };
         while let Some(news) = self.members.next_news() {
             match news {
                 News::Up { place, birth } => {
@@ -338,7 +347,7 @@
                         .send_to(&data, seat.address)
                         .is_ok()
                     {
-                        self.shared.traffic.datagrams.sent(data.len());
+                        self.shared.traffic.datagrams.record_sent(data.len());
                     }
                 }
             }
@@ -397,7 +406,7 @@
     Datagram(usize),
     Mail(Box<PeersMessage>),
     Woken,
-    End,
+    AttemptEnd,
 }
 
 impl Shared {
@@ -556,7 +565,7 @@
         }
         match read_some(stream, input).await.ok()? {
             0 => return None,
-            n => shared.traffic.links.received(n),
+            n => shared.traffic.links.record_received(n),
         }
     }
 }
@@ -587,7 +596,7 @@
             if !written.or(late).await {
                 return;
             }
-            shared.traffic.links.sent(next.len());
+            shared.traffic.links.record_sent(next.len());
             let said = async { frames.recv().await.ok().map(|frame| (frame.len(), frame)) };
             let beat = async {
                 Timer::after(BEAT).await;
@@ -634,7 +643,7 @@
                     },
                     Frame::Hello { .. } | Frame::Beat => return,
                 };
-                let _ = shared.module.try_send(SchedulerMessage::Peer(heard));
+                let _ = shared.module.try_send(SchedulerMessage::PeerEvent(heard));
             }
             silent_at = Instant::now() + SILENT;
         }
--- a/crates/ivypitch-gateway/src/actors/session.rs
+++ b/crates/ivypitch-gateway/src/actors/session.rs
@@ -16,7 +16,8 @@
 use futures_lite::{AsyncWriteExt, FutureExt, future::yield_now};
 use ivypitch_config::Names;
 
-use super::{Answer, Client, ClientPresence, SchedulerMessage, Shown};
+use super::messages::{Answer, ClientHandle, ClientPresence, QueueRow, SchedulerMessage};
+use super::socket::{read_now, read_some};
 use crate::lifecycle::bounds::Bounds;
 use crate::lifecycle::clock::Clock;
 use crate::state::rows::{COLUMNS, Rows};
@@ -38,7 +39,6 @@
 /// connection, and what the client has not read yet is gone.
 const LINGER: Duration = Duration::from_millis(500);
 const LINGER_BYTES: usize = 256 << 10;
-const READ: usize = 8 << 10;
 /// An answer is written in pieces of about this size.
 const WRITE: usize = 16 << 10;
 
@@ -129,7 +129,7 @@
     pub fn admit(self: &Rc<Self>, stream: Async<TcpStream>, executor: &LocalExecutor<'static>) {
         let now = Instant::now();
         let mut table = self.table.borrow_mut();
-        let has_room = table.make_room(now, |open| open.presence.waits());
+        let has_room = table.make_room(now, |open| open.presence.is_waiting());
         self.last.set(self.last.get().wrapping_add(1));
         let connection = connection_id(self.seed, self.last.get());
         let state = SessionState::new(now);
@@ -331,7 +331,7 @@
         if let Some(connection) = mysql::kill_query(&text) {
             let _ = sessions
                 .module
-                .try_send(SchedulerMessage::Kill { connection });
+                .try_send(SchedulerMessage::KillQuery { connection });
             self.writer(sequence).ok();
             return Ok(());
         }
@@ -349,12 +349,12 @@
         let names = &sessions.names;
         let index =
             |list: &[String], name: &Bytes| list.iter().position(|n| n.as_bytes() == &name[..]);
-        let read = fields::read(&text).and_then(|fields| {
-            let workload =
-                index(&names.workloads, &fields.kind).ok_or("kind is none of the deployment's")?;
-            let tenant = match &fields.owner {
-                Some(owner) => {
-                    index(&names.tenants, owner).ok_or("owner is none of the deployment's")?
+        let read = fields::parse(&text).and_then(|fields| {
+            let workload = index(&names.workloads, &fields.workload)
+                .ok_or("kind is none of the deployment's")?;
+            let tenant = match &fields.tenant {
+                Some(tenant) => {
+                    index(&names.tenants, tenant).ok_or("owner is none of the deployment's")?
                 }
                 None => 0,
             };
@@ -373,12 +373,12 @@
         }
         let _open = OpenMark::new(&sessions);
         let (sender, answer) = async_channel::bounded(1);
-        let client = Client {
+        let client = ClientHandle {
             answer: sender,
             presence: Some(self.presence.clone()),
         };
         let connection = self.connection;
-        let arrived = SchedulerMessage::Arrived {
+        let arrived = SchedulerMessage::StatementArrived {
             connection,
             fields,
             workload,
@@ -444,7 +444,7 @@
         let _ = self
             .sessions
             .module
-            .try_send(SchedulerMessage::Show { req, client });
+            .try_send(SchedulerMessage::ShowQueue { req, client });
         let shown = shown.recv().await.map_err(|_| SessionEnd::Disconnected)?;
         let names = self.sessions.names.clone();
         let mut writer = self.writer(sequence);
@@ -463,7 +463,7 @@
         sequence = writer.sequence;
         for page in rows.into_pages() {
             let mut writer = self.writer(sequence);
-            Rows::of_page(&page).for_each(|row| writer.row(row));
+            Rows::rows_of_page(&page).for_each(|row| writer.row(row));
             sequence = writer.sequence;
             drop(page);
             if self.output.len() >= WRITE {
@@ -580,7 +580,7 @@
     b"age_ms",
 ];
 
-fn row_of(row: &Shown, names: &Names) -> [String; 9] {
+fn row_of(row: &QueueRow, names: &Names) -> [String; 9] {
     let name = |names: &[String], ix: usize| names.get(ix).cloned().unwrap_or_default();
     let ms = |span: u64| (span / 1_000_000).to_string();
     let (state, position, [low, mid, high, age]) = match &row.queued {
@@ -615,38 +615,6 @@
     .await
 }
 
-/// Reads what is there into the buffer's free end; nothing is kept for it while nothing comes. Dropped before it
-/// is done, it leaves the buffer as it was.
-pub async fn read_some(stream: &Async<TcpStream>, into: &mut BytesMut) -> io::Result<usize> {
-    loop {
-        match read_now(stream, into) {
-            Ok(Some(n)) => return Ok(n),
-            Ok(None) => stream.readable().await?,
-            Err(e) => return Err(e),
-        }
-    }
-}
-
-/// The same without waiting; `None`: nothing is there.
-fn read_now(stream: &Async<TcpStream>, into: &mut BytesMut) -> io::Result<Option<usize>> {
-    loop {
-        let start = into.len();
-        into.resize(start + READ, 0);
-        let n = io::Read::read(&mut stream.get_ref(), &mut into[start..]);
-        into.truncate(start + n.as_ref().copied().unwrap_or(0));
-        match n {
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                if into.is_empty() {
-                    *into = BytesMut::new();
-                }
-                return Ok(None);
-            }
-            Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-            read => return read.map(Some),
-        }
-    }
-}
-
 /// Numbers of connections, each once, that a client can't guess from its own.
 fn connection_id(seed: u64, number: u32) -> u32 {
     number
