--- a/crates/ivypitch-cli/src/check.rs
+++ b/crates/ivypitch-cli/src/check.rs
@@ -3,8 +3,8 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use ivypitch_config::own;
-use ivypitch_config::schema::{Fault, describe};
+use ivypitch_config::operator;
+use ivypitch_config::schema::{Problem, SettingsError, describe};
 use ivypitch_gateway::lifecycle::configuration;
 
 #[derive(clap::Args)]
@@ -27,7 +27,7 @@
     pub fn run(self) -> ExitCode {
         if self.fields {
             let mut lines = Vec::new();
-            describe(own::OWN, "", &mut lines);
+            describe(operator::fields(), "", &mut lines);
             lines.iter().for_each(|line| println!("{line}"));
             return ExitCode::SUCCESS;
         }
@@ -49,18 +49,18 @@
         }
     }
 
-    fn checked(&self) -> Result<(), Vec<Fault>> {
+    fn checked(&self) -> Result<(), Vec<SettingsError>> {
         let Some(file) = &self.file else {
             return Ok(());
         };
         let node = ivypitch_config_eval::read(file)?;
-        let whole = own::check(&node)?;
-        let fault = |what: String| vec![Fault::new("", what)];
+        let whole = operator::check(&node)?;
+        let fault = |cause: String| vec![SettingsError::new("", Problem::Unreadable(cause))];
         if let Some(config) = &self.against {
             let configuration = configuration::from_file(config).map_err(fault)?;
-            let own = own::read(whole.to_string().as_bytes())?;
+            let own = operator::read(whole.to_string().as_bytes())?;
             if let Some(peers) = own.peers.as_ref().filter(|peers| peers.enabled) {
-                peers.peering(&configuration.name)?;
+                peers.network(&configuration.name)?;
             }
             if let Some(teams) = &own.teams {
                 teams
@@ -68,9 +68,9 @@
                     .map_err(|faults| {
                         faults
                             .into_iter()
-                            .map(|f| Fault {
-                                line: node.line_of(&f.path),
-                                ..f
+                            .map(|error| {
+                                let line = node.line_of(&error.path);
+                                error.at_line(line)
                             })
                             .collect::<Vec<_>>()
                     })?;
--- a/crates/ivypitch-cli/tests/teams.rs
+++ b/crates/ivypitch-cli/tests/teams.rs
@@ -294,7 +294,7 @@
         "{}",
         String::from_utf8_lossy(&output.stderr)
     );
-    let own = ivypitch_config::own::read(&output.stdout).unwrap();
+    let own = ivypitch_config::operator::read(&output.stdout).unwrap();
     let given = ivypitch_config::read(SETTINGS.as_bytes()).unwrap();
     let budgets = own.teams.unwrap().budgets(&given, 100).unwrap();
     assert_eq!(
--- a/crates/ivypitch-config-eval/src/lib.rs
+++ b/crates/ivypitch-config-eval/src/lib.rs
@@ -1,10 +1,14 @@
-//! Evaluates an own settings file: records in Nickel, which merge, or plain JSON. What comes of it is a plain value
-//! that knows its lines; types, units, bounds and defaults are `ivypitch_config::schema`'s. Only the short-lived
-//! command `ivypitch check` uses this: the evaluator costs some ten megabytes.
+//! Evaluates an operator's settings file: records in Nickel, which merge, or plain JSON.
+//!
+//! The result is a plain value that knows its lines; types, units, bounds and defaults belong to
+//! [`ivypitch_config::schema`]. Only the short-lived command `ivypitch check` uses this crate: the evaluator costs some ten
+//! megabytes of memory.
+
+#![warn(missing_docs)]
 
 use std::path::Path;
 
-use ivypitch_config::schema::{Fault, Node, Plain};
+use ivypitch_config::schema::{Problem, SettingsError, SourceValue, SourceValueKind};
 use nickel_lang_core::error::report::{ColorOpt, report_as_str};
 use nickel_lang_core::eval::cache::CacheImpl;
 use nickel_lang_core::eval::value::{NickelValue, ValueContentRef};
@@ -13,126 +17,153 @@
 use nickel_lang_core::program::{Program, ProgramBuilder};
 
 /// A larger file is no settings file.
-const LARGEST: u64 = 1 << 20;
-/// Records nest no deeper than this in any that is right.
-const DEEPEST: usize = 32;
+const MAX_FILE_BYTES: u64 = 1 << 20;
+/// No valid file nests more deeply.
+const MAX_DEPTH: usize = 32;
+
+type Errors = Vec<SettingsError>;
 
-/// The file's value, or what stands in the way of having one.
-pub fn read(path: &Path) -> Result<Node, Vec<Fault>> {
-    let fault = |what: String| vec![Fault::new("", what)];
-    let size = std::fs::metadata(path)
-        .map_err(|e| fault(e.to_string()))?
-        .len();
-    if size > LARGEST {
-        return Err(fault(format!(
-            "{size} bytes; a settings file has {LARGEST} at most"
-        )));
+/// Reads and evaluates a file; the extension `json` marks plain JSON, all else is Nickel.
+///
+/// # Errors
+///
+/// All errors that keep the file from having a value.
+pub fn read(path: &Path) -> Result<SourceValue, Errors> {
+    let bytes = std::fs::metadata(path).map_err(unreadable)?.len();
+    if bytes > MAX_FILE_BYTES {
+        let max_bytes = MAX_FILE_BYTES;
+        let problem = Problem::TooLarge { bytes, max_bytes };
+        return Err(vec![SettingsError::new("", problem)]);
     }
-    let text = std::fs::read_to_string(path).map_err(|e| fault(e.to_string()))?;
-    if path.extension().is_some_and(|ending| ending == "json") {
-        let value: serde_json::Value =
-            serde_json::from_str(&text).map_err(|e| vec![at_line(e.line(), e.to_string())])?;
-        return Ok(Node::of_json(&value));
+    let text = std::fs::read_to_string(path).map_err(unreadable)?;
+    if path
+        .extension()
+        .is_some_and(|extension| extension == "json")
+    {
+        return read_json(&text);
     }
-    let program = ProgramBuilder::new().add_path(path).build::<CacheImpl>();
-    evaluate(program.map_err(|e| fault(e.to_string()))?)
+    let program = ProgramBuilder::new()
+        .add_path(path)
+        .build::<CacheImpl>()
+        .map_err(unreadable)?;
+    evaluate(program)
+}
+
+fn unreadable(cause: impl ToString) -> Errors {
+    vec![SettingsError::unreadable(cause)]
 }
 
-fn at_line(line: usize, what: String) -> Fault {
-    Fault {
-        line: Some(line),
-        ..Fault::new("", what)
+fn read_json(text: &str) -> Result<SourceValue, Errors> {
+    match serde_json::from_str(text) {
+        Ok(value) => Ok(SourceValue::from_json(&value)),
+        Err(error) => {
+            let line = Some(error.line());
+            Err(vec![SettingsError::unreadable(error).at_line(line)])
+        }
     }
 }
 
-fn evaluate(mut program: Program<CacheImpl>) -> Result<Node, Vec<Fault>> {
+fn evaluate(mut program: Program<CacheImpl>) -> Result<SourceValue, Errors> {
     match program.eval_full_for_export() {
         Ok(value) => {
-            let (files, positions) = (program.files(), program.pos_table());
-            node(&value, TermPos::None, &files, positions, "", 0)
+            let files = program.files();
+            let converter = Converter {
+                files: &files,
+                positions: program.pos_table(),
+            };
+            converter.convert(&value, TermPos::None, "", 0)
         }
         Err(error) => {
             let report = report_as_str(&mut program.files(), error, ColorOpt::Never);
-            Err(vec![Fault::new("", report.trim().to_owned())])
+            Err(unreadable(report.trim()))
         }
     }
 }
 
-fn node(
-    value: &NickelValue,
-    named_at: TermPos,
-    files: &Files,
-    positions: &PosTable,
-    path: &str,
-    depth: usize,
-) -> Result<Node, Vec<Fault>> {
-    let line_of = |pos: TermPos| {
-        let span = pos
+/// Converts evaluated values, with the positions of the program that they come from.
+struct Converter<'a> {
+    files: &'a Files,
+    positions: &'a PosTable,
+}
+
+impl Converter<'_> {
+    /// Converts a value at a path; `key_position` is where its key stands, if it has one.
+    fn convert(
+        &self,
+        value: &NickelValue,
+        key_position: TermPos,
+        path: &str,
+        depth: usize,
+    ) -> Result<SourceValue, Errors> {
+        let line = self
+            .line_of(key_position)
+            .or_else(|| self.line_of(value.pos(self.positions)));
+        let error = |problem| vec![SettingsError::new(path, problem).at_line(line)];
+        if depth > MAX_DEPTH {
+            return Err(error(Problem::TooDeep));
+        }
+        let kind = match value.content_ref() {
+            ValueContentRef::Null => SourceValueKind::Null,
+            ValueContentRef::Bool(flag) => SourceValueKind::Bool(flag),
+            ValueContentRef::Number(_) => {
+                let json = serde_json::to_value(value).ok();
+                let number = json.and_then(|number| number.as_f64());
+                SourceValueKind::Number(number.ok_or_else(|| error(Problem::UnusableNumber))?)
+            }
+            ValueContentRef::String(text) => SourceValueKind::Text(text.to_string()),
+            ValueContentRef::EnumVariant(tag) if tag.arg.is_none() => {
+                SourceValueKind::Text(tag.tag.to_string())
+            }
+            ValueContentRef::Array(list) => {
+                let entries = list.iter().enumerate().map(|(position, entry)| {
+                    let path = format!("{path}[{position}]");
+                    self.convert(entry, TermPos::None, &path, depth + 1)
+                });
+                SourceValueKind::List(collect_all(entries)?)
+            }
+            ValueContentRef::Record(record) => {
+                let fields = record.into_opt().into_iter().flat_map(|data| &data.fields);
+                let with_value =
+                    fields.filter_map(|(key, field)| Some((key, field.value.as_ref()?)));
+                let converted = with_value.map(|(key, value)| {
+                    let separator = if path.is_empty() { "" } else { "." };
+                    let path = format!("{path}{separator}{}", key.label());
+                    let inner = self.convert(value, key.pos, &path, depth + 1)?;
+                    Ok((key.label().to_owned(), inner))
+                });
+                SourceValueKind::Record(collect_all(converted)?)
+            }
+            _ => return Err(error(Problem::NotAValue)),
+        };
+        Ok(SourceValue { line, kind })
+    }
+
+    fn line_of(&self, position: TermPos) -> Option<usize> {
+        let span = position
             .into_opt()
-            .filter(|span| !files.is_stdlib(span.src_id))?;
-        let before = files.source(span.src_id).get(..span.start.0 as usize)?;
-        Some(before.bytes().filter(|&b| b == b'\n').count() + 1)
-    };
-    let line = line_of(named_at).or_else(|| line_of(value.pos(positions)));
-    let wrong = |what: &str| {
-        vec![Fault {
-            line,
-            ..Fault::new(path, what)
-        }]
-    };
-    if depth > DEEPEST {
-        return Err(wrong("records nest too deeply"));
+            .filter(|span| !self.files.is_stdlib(span.src_id))?;
+        let text_before = self
+            .files
+            .source(span.src_id)
+            .get(..span.start.0 as usize)?;
+        let newlines = text_before.bytes().filter(|&byte| byte == b'\n').count();
+        Some(newlines + 1)
     }
-    let plain = match value.content_ref() {
-        ValueContentRef::Null => Plain::Null,
-        ValueContentRef::Bool(b) => Plain::Bool(b),
-        ValueContentRef::Number(_) => {
-            let number = serde_json::to_value(value).ok().and_then(|n| n.as_f64());
-            Plain::Number(number.ok_or_else(|| wrong("a number that can't be used"))?)
-        }
-        ValueContentRef::String(text) => Plain::Text(text.to_string()),
-        ValueContentRef::EnumVariant(tag) if tag.arg.is_none() => Plain::Text(tag.tag.to_string()),
-        ValueContentRef::Array(list) => {
-            let each = list.iter().enumerate().map(|(i, v)| {
-                node(
-                    v,
-                    TermPos::None,
-                    files,
-                    positions,
-                    &format!("{path}[{i}]"),
-                    depth + 1,
-                )
-            });
-            Plain::List(gathered(each)?)
-        }
-        ValueContentRef::Record(record) => {
-            let fields = record.into_opt().into_iter().flat_map(|data| &data.fields);
-            let stated = fields.filter_map(|(name, field)| Some((name, field.value.as_ref()?)));
-            let each = stated.map(|(name, value)| {
-                let dot = if path.is_empty() { "" } else { "." };
-                let inner_path = format!("{path}{dot}{}", name.label());
-                let inner = node(value, name.pos, files, positions, &inner_path, depth + 1)?;
-                Ok((name.label().to_owned(), inner))
-            });
-            Plain::Record(gathered(each)?)
-        }
-        _ => return Err(wrong("a function or type where a value is wanted")),
-    };
-    Ok(Node { line, value: plain })
 }
 
-/// All of them, or all faults of any.
-fn gathered<T>(each: impl Iterator<Item = Result<T, Vec<Fault>>>) -> Result<Vec<T>, Vec<Fault>> {
-    let (mut good, mut faults) = (Vec::new(), Vec::new());
-    for one in each {
-        match one {
-            Ok(one) => good.push(one),
-            Err(more) => faults.extend(more),
+/// All values, or the errors of all that have none.
+fn collect_all<T>(results: impl Iterator<Item = Result<T, Errors>>) -> Result<Vec<T>, Errors> {
+    let mut values = Vec::new();
+    let mut errors = Vec::new();
+    for result in results {
+        match result {
+            Ok(value) => values.push(value),
+            Err(more) => errors.extend(more),
         }
     }
-    if faults.is_empty() {
-        Ok(good)
+    if errors.is_empty() {
+        Ok(values)
     } else {
-        Err(faults)
+        Err(errors)
     }
 }
--- a/crates/ivypitch-config/src/lib.rs
+++ b/crates/ivypitch-config/src/lib.rs
@@ -1,8 +1,7 @@
 //! The JSON of a deployment's settings, read into the module's facts for both of its hosts. Unknown keys are
 //! passed over; what is missing takes the value that stands for "not there".
 
-pub mod own;
-pub mod own_peers;
+pub mod operator;
 pub mod schema;
 
 use ivypitch_scheduler::*;
--- a/crates/ivypitch-gateway/src/lifecycle/own.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/own.rs
@@ -6,7 +6,7 @@
 
 use async_io::Timer;
 use futures_lite::FutureExt;
-use ivypitch_config::own::{self, Own};
+use ivypitch_config::operator::{self, OperatorConfig};
 
 /// A child that takes longer is given up; a usual file takes well under a tenth of a second.
 const EVALUATION: Duration = Duration::from_secs(10);
@@ -23,7 +23,7 @@
         self.path.extension().is_some_and(|ending| ending == "json")
     }
 
-    fn plain(&self) -> Result<Own, String> {
+    fn plain(&self) -> Result<OperatorConfig, String> {
         let named = |what: String| format!("{}: {what}", self.path.display());
         let size = std::fs::metadata(&self.path)
             .map_err(|e| named(e.to_string()))?
@@ -36,7 +36,7 @@
     }
 
     /// Before the program serves: waits for it.
-    pub fn load(&self) -> Result<Own, String> {
+    pub fn load(&self) -> Result<OperatorConfig, String> {
         if self.is_plain() {
             self.plain()
         } else {
@@ -45,7 +45,7 @@
     }
 
     /// While the program serves.
-    pub async fn load_beside(&self) -> Result<Own, String> {
+    pub async fn load_beside(&self) -> Result<OperatorConfig, String> {
         if self.is_plain() {
             self.plain()
         } else {
@@ -53,7 +53,7 @@
         }
     }
 
-    async fn evaluated(&self) -> Result<Own, String> {
+    async fn evaluated(&self) -> Result<OperatorConfig, String> {
         let program = std::env::current_exe().map_err(|e| format!("own program: {e}"))?;
         let child = async_process::Command::new(program)
             .args(["check", "--emit"])
@@ -78,8 +78,8 @@
     }
 }
 
-fn read(path: &Path, text: &[u8]) -> Result<Own, String> {
-    own::read(text).map_err(|faults| {
+fn read(path: &Path, text: &[u8]) -> Result<OperatorConfig, String> {
+    operator::read(text).map_err(|faults| {
         let all: Vec<String> = faults
             .iter()
             .map(|fault| format!("{}: {fault}", path.display()))
--- a/crates/ivypitch-gateway/src/lifecycle/program.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/program.rs
@@ -16,8 +16,8 @@
 use async_signal::{Signal, Signals};
 use futures_lite::{FutureExt, StreamExt, future::yield_now};
 use ivypitch_config::DeploymentConfig;
-use ivypitch_config::own::Own;
-use ivypitch_config::schema::Fault;
+use ivypitch_config::operator::OperatorConfig;
+use ivypitch_config::schema::SettingsError;
 use ivypitch_discovery::Feed;
 use ivypitch_queueing::Budgets;
 use ivypitch_types::Nanos;
@@ -104,7 +104,7 @@
     /// an own file all that it could set up is off.
     pub fn start(
         configuration: Configuration,
-        own: Option<(OwnFile, Own)>,
+        own: Option<(OwnFile, OperatorConfig)>,
         clock: Clock,
         mut signals: Signals,
     ) -> Result<Option<Program>, String> {
@@ -152,7 +152,7 @@
         let sharing_on = own.as_ref().is_some_and(|(_, own)| {
             own.peers
                 .as_ref()
-                .is_some_and(|p| p.enabled && p.shares.enabled)
+                .is_some_and(|p| p.enabled && p.coordination.enabled)
         });
         sessions.show_fleet(sharing_on);
         let traffic = Rc::new(Traffic::default());
@@ -171,22 +171,22 @@
             .and_then(|(file, own)| Some((file, own.peers.as_ref().filter(|p| p.enabled)?)));
         let (mut keeper, mut sharing) = (None, None);
         if let Some((file, own)) = talk {
-            let peering = own.peering(&name).map_err(|faults| told(file, faults))?;
+            let peering = own.network(&name).map_err(|faults| told(file, faults))?;
             let (now, birth) = (clock.now(), clock.now() / 1_000_000);
-            let zones: Vec<u16> = peering.roster.seats.iter().map(|seat| seat.zone).collect();
-            let place = peering.place;
+            let zones: Vec<u16> = peering.members.seats.iter().map(|seat| seat.zone).collect();
+            let place = peering.own_member;
             let start = peer_links::Start {
-                roster: peering.roster,
+                roster: peering.members,
                 place,
                 listen: peering.listen,
-                terms: peering.terms,
+                terms: peering.membership,
                 birth,
                 seed,
                 traffic: traffic.clone(),
             };
             let mailbox = peer_links::Peers::start(start, clock, module.clone(), executor.clone())?;
-            if own.shares.enabled {
-                let terms = own.shares.terms(zones.len(), &given.names.tenants);
+            if own.coordination.enabled {
+                let terms = own.coordination.config(zones.len(), &given.names.tenants);
                 let me = ivypitch_coordination::Process { place, birth };
                 let shares = ivypitch_coordination::Shares::new(
                     me,
@@ -202,13 +202,13 @@
                     list.clone(),
                 ));
             }
-            if own.custody.enabled {
-                let terms = own.custody.terms(longest_timeout);
+            if own.ownership.enabled {
+                let terms = own.ownership.config(longest_timeout);
                 let custody = ivypitch_ownership::Ownership::new(place, birth, zones, terms, now);
                 keeper = Some(OwnershipDriver::new(
                     custody,
                     mailbox,
-                    own.custody.asks_from(),
+                    own.ownership.min_lookup_work(),
                 ));
             }
         }
@@ -409,7 +409,7 @@
 /// The budgets that an own file sets up; none where it has no teams, or has them off.
 fn budgets(
     file: &OwnFile,
-    own: &Own,
+    own: &OperatorConfig,
     given: &DeploymentConfig,
     places: usize,
 ) -> Result<Option<Budgets>, String> {
@@ -422,7 +422,7 @@
         .map_err(|faults| told(file, faults))
 }
 
-fn told(file: &OwnFile, faults: Vec<Fault>) -> String {
+fn told(file: &OwnFile, faults: Vec<SettingsError>) -> String {
     let all: Vec<String> = faults
         .iter()
         .map(|f| format!("{}: {f}", file.path.display()))
--- a/crates/ivypitch-testbed/src/processes/hollow_gateways.rs
+++ b/crates/ivypitch-testbed/src/processes/hollow_gateways.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use ivypitch_config::own::{self, Own};
+use ivypitch_config::operator::{self, OperatorConfig};
 use ivypitch_coordination::{Process, Shares};
 use ivypitch_discovery::Feed;
 use ivypitch_gateway::actors::coordination::CoordinationDriver;
@@ -325,7 +325,7 @@
 
 fn start(
     crowd: &Crowd,
-    own: &Own,
+    own: &OperatorConfig,
     place: usize,
     handed: Handed,
     shared: &Arc<Shared>,
@@ -338,22 +338,22 @@
         .as_ref()
         .ok_or_else(|| told("no peers in the own file"))?;
     let mut peering = own
-        .peering(&format!("n{place}"))
+        .network(&format!("n{place}"))
         .map_err(|faults| told(&format!("{faults:?}")))?;
     let ways = &crowd.ways[place - crowd.first];
-    for (seat, &way) in peering.roster.seats.iter_mut().zip(ways) {
+    for (seat, &way) in peering.members.seats.iter_mut().zip(ways) {
         seat.address = way;
     }
     let (now, birth) = (clock.now(), clock.now() / 1_000_000);
-    let zones: Vec<u16> = peering.roster.seats.iter().map(|seat| seat.zone).collect();
+    let zones: Vec<u16> = peering.members.seats.iter().map(|seat| seat.zone).collect();
     let (traffic, at) = (Rc::new(Traffic::default()), place as u16);
     let seed = crowd.seed ^ (place as u64) << 32;
     let (module, to_module) = channel::unbounded();
     let start = peer_links::Start {
-        roster: peering.roster,
+        roster: peering.members,
         place: at,
         listen: peering.listen,
-        terms: peering.terms,
+        terms: peering.membership,
         birth,
         seed,
         traffic: traffic.clone(),
@@ -364,8 +364,8 @@
         .spawn(sort(said, mailbox, at, shared.clone()))
         .detach();
     let (list, list_mail) = channel::unbounded();
-    let sharing = own.shares.enabled.then(|| {
-        let terms = own.shares.terms(zones.len(), &crowd.tenants);
+    let sharing = own.coordination.enabled.then(|| {
+        let terms = own.coordination.config(zones.len(), &crowd.tenants);
         let shares = Shares::new(
             Process { place: at, birth },
             zones.clone(),
@@ -376,10 +376,10 @@
         );
         CoordinationDriver::new(shares, say.clone(), list.clone())
     });
-    let keeper = own.custody.enabled.then(|| {
-        let terms = own.custody.terms(crowd.longest_ms * 1_000_000);
+    let keeper = own.ownership.enabled.then(|| {
+        let terms = own.ownership.config(crowd.longest_ms * 1_000_000);
         let custody = Ownership::new(at, birth, zones.clone(), terms, now);
-        OwnershipDriver::new(custody, say.clone(), own.custody.asks_from())
+        OwnershipDriver::new(custody, say.clone(), own.ownership.min_lookup_work())
     });
     let follower = List {
         feed: RefCell::new(Feed::new(0, seed)),
@@ -487,7 +487,8 @@
             } else {
                 START_APART
             };
-            let own = own::read(crowd.own.as_bytes()).map_err(|faults| format!("{faults:?}"))?;
+            let own =
+                operator::read(crowd.own.as_bytes()).map_err(|faults| format!("{faults:?}"))?;
             for (place, handed) in theirs {
                 start(crowd, &own, place, handed, shared, clock, &executor)?;
                 Timer::after(apart).await;
