--- a/crates/ivypitch-gateway/src/actors/attempt.rs
+++ b/crates/ivypitch-gateway/src/actors/attempt.rs
@@ -12,7 +12,9 @@
 use ivypitch_types::{Nanos, Outcome};
 
 use super::engine::{AT_ONCE, CallFault, Connection, Link, NEWS};
-use super::messages::{AttemptEnd, AttemptKey, AttemptMessage, ClientPresence, SchedulerMessage};
+use super::messages::{
+    AttemptEnd, AttemptKey, AttemptMessage, ClientPresence, MeasuredCost, SchedulerMessage,
+};
 use crate::lifecycle::clock::Clock;
 use crate::state::connections::ConnectPurpose;
 use crate::state::rows::Rows;
@@ -55,7 +57,7 @@
     fn lets(&self, key: AttemptKey) -> bool {
         self.gateway
             .borrow_mut()
-            .confirm_send(self.clock.now(), key.stmt, key.number)
+            .confirm_send(self.clock.now(), key.statement, key.number)
     }
 
     fn left_ms(&self, until: Nanos) -> u64 {
@@ -269,7 +271,7 @@
         let Some((name, figure)) = &answer.note else {
             return;
         };
-        let note = match (name.as_str(), *figure) {
+        let progress = match (name.as_str(), *figure) {
             ("done", share) => AttemptProgress::FractionDone(share),
             ("spills", mb) => AttemptProgress::SpilledMb(mb),
             ("waits", 1.0) => AttemptProgress::WaitingForMemory,
@@ -278,7 +280,7 @@
         };
         let _ = self.module.try_send(SchedulerMessage::AttemptProgressed {
             key: self.key,
-            note,
+            progress,
         });
     }
 
@@ -290,13 +292,14 @@
             (504, true) => Outcome::NeverDispatched,
             _ => Outcome::Error,
         };
-        let cost = answer
-            .work_ms
-            .map(|work| (work, answer.peak_mb.unwrap_or(0.0)));
+        let cost = answer.work_ms.map(|work_ms| MeasuredCost {
+            work_ms,
+            peak_mb: answer.peak_mb.unwrap_or(0.0),
+        });
         AttemptEnd {
             outcome,
-            true_cost: cost.filter(|_| rows.is_some()),
-            report: http::load_report(&answer.load, &self.report_fields),
+            measured_cost: cost.filter(|_| rows.is_some()),
+            load_report: http::load_report(&answer.load, &self.report_fields),
             rows,
         }
     }
@@ -383,10 +386,5 @@
 }
 
 fn bare(outcome: Outcome) -> AttemptEnd {
-    AttemptEnd {
-        outcome,
-        true_cost: None,
-        report: Vec::new(),
-        rows: None,
-    }
+    AttemptEnd::without_answer(outcome)
 }
--- a/crates/ivypitch-gateway/src/actors/coordination.rs
+++ b/crates/ivypitch-gateway/src/actors/coordination.rs
@@ -10,6 +10,7 @@
 use ivypitch_types::{Nanos, Outcome};
 
 use super::discovery::ListMessage;
+use super::messages::WatchEventLine;
 use super::peer_links::PeersMessage;
 
 /// The bound on cores; behind it those of the customers' allowances, in their order.
@@ -126,9 +127,9 @@
         }
     }
 
-    pub fn on_journal_read(&mut self, now: Nanos, event: Option<(u64, Bytes)>) {
+    pub fn on_watch_line_read(&mut self, now: Nanos, event: Option<WatchEventLine>) {
         match event {
-            Some((number, line)) => self.shares.event_taken(now, number, &line),
+            Some(event) => self.shares.event_taken(now, event.position, &event.line),
             None => self.shares.journal_heard(now),
         }
     }
--- a/crates/ivypitch-gateway/src/actors/discovery.rs
+++ b/crates/ivypitch-gateway/src/actors/discovery.rs
@@ -14,7 +14,7 @@
 use futures_lite::{AsyncWriteExt, FutureExt};
 use ivypitch_discovery::{Feed, Told, Verdict};
 
-use super::messages::SchedulerMessage;
+use super::messages::{SchedulerMessage, WatchEventLine};
 use super::socket::read_some;
 use crate::lifecycle::clock::Clock;
 use crate::state::traffic::Traffic;
@@ -115,7 +115,7 @@
                 if self.shares {
                     let _ = self
                         .module
-                        .try_send(SchedulerMessage::JournalRead { event: None });
+                        .try_send(SchedulerMessage::WatchLineRead { event: None });
                 }
                 if !*well {
                     log::info!("journal {address} followed again from {}", self.last());
@@ -181,10 +181,13 @@
                         .try_send(SchedulerMessage::EndpointsUpdated { update });
                 }
                 if self.shares {
-                    let event = Some((event.position, Bytes::copy_from_slice(line)));
+                    let event = Some(WatchEventLine {
+                        position: event.position,
+                        line: Bytes::copy_from_slice(line),
+                    });
                     let _ = self
                         .module
-                        .try_send(SchedulerMessage::JournalRead { event });
+                        .try_send(SchedulerMessage::WatchLineRead { event });
                 }
                 Ok(())
             }
--- a/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
@@ -24,7 +24,8 @@
 use crate::actors::coordination::{self, CoordinationDriver};
 use crate::actors::engine::{self, EngineMessage, Link};
 use crate::actors::messages::{
-    Answer, AttemptEnd, AttemptKey, AttemptMessage, ClientHandle, QueueRow, SchedulerMessage,
+    Answer, AttemptEnd, AttemptKey, AttemptMessage, ClientHandle, ClientStatement, QueueRow,
+    SchedulerMessage,
 };
 use crate::actors::ownership::{self, OwnershipDriver, Ready, Waiting};
 use crate::actors::peer_links::Peer;
@@ -481,15 +482,15 @@
             keeper.ready.remove(&id);
         }
         let key = AttemptKey {
-            stmt,
+            statement: stmt,
             serial,
             number,
             engine,
         };
         let end = AttemptEnd {
             outcome: Outcome::NeverDispatched,
-            true_cost: None,
-            report: Vec::new(),
+            measured_cost: None,
+            load_report: Vec::new(),
             rows: None,
         };
         self.ended(key, end);
@@ -680,7 +681,7 @@
             let key = open.out.as_ref().map(|out| {
                 let _ = out.mailbox.try_send(AttemptMessage::Detach);
                 AttemptKey {
-                    stmt,
+                    statement: stmt,
                     serial: open.serial,
                     number: out.number,
                     engine: out.engine,
@@ -704,8 +705,8 @@
                 Some(key) => {
                     let end = AttemptEnd {
                         outcome: Outcome::NeverDispatched,
-                        true_cost: None,
-                        report: Vec::new(),
+                        measured_cost: None,
+                        load_report: Vec::new(),
                         rows: None,
                     };
                     self.ended(key, end);
@@ -804,12 +805,15 @@
         match mail {
             SchedulerMessage::StatementArrived {
                 connection,
-                fields,
-                workload,
-                tenant,
-                at,
+                statement,
+                arrived_at: at,
                 client,
             } => {
+                let ClientStatement {
+                    fields,
+                    workload,
+                    tenant,
+                } = statement;
                 let deadline = (at + fields.timeout_ms * MS).min(world.answer_by);
                 if let Some(sharing) = &mut world.sharing {
                     let allowance = world.allowances.get(tenant).copied().unwrap_or(0.0);
@@ -865,12 +869,12 @@
                     }
                 }
             }
-            SchedulerMessage::JournalRead { event } => {
+            SchedulerMessage::WatchLineRead { event } => {
                 if let Some(sharing) = &mut world.sharing {
-                    sharing.on_journal_read(now, event);
+                    sharing.on_watch_line_read(now, event);
                 }
             }
-            SchedulerMessage::ShowFleet { client } => {
+            SchedulerMessage::ShowFleet { reply: client } => {
                 let traffic = &*world.traffic;
                 let view = world.sharing.as_ref().map(|sharing| ShownFleet {
                     view: sharing.view(now),
@@ -887,16 +891,19 @@
                     self.expire(stmt);
                 }
             }
-            SchedulerMessage::AttemptProgressed { key, note } => {
+            SchedulerMessage::AttemptProgressed {
+                key,
+                progress: note,
+            } => {
                 if world.out(key).is_some() {
                     gateway
                         .borrow_mut()
-                        .on_progress(now, key.stmt, key.number, note, world);
+                        .on_progress(now, key.statement, key.number, note, world);
                 }
             }
             SchedulerMessage::AttemptEnded { key, end } => self.ended(key, end),
             SchedulerMessage::EndpointsUpdated { update } => self.listed(update, None),
-            SchedulerMessage::Drain { by } => {
+            SchedulerMessage::Shutdown { answer_by: by } => {
                 world.answer_by = by;
                 gateway.borrow_mut().begin_shutdown(by);
                 if world.keeper.is_some() {
@@ -914,7 +921,10 @@
                     queues.reload(now, *budgets);
                 }
             }
-            SchedulerMessage::ShowQueue { req, client } => {
+            SchedulerMessage::ShowQueue {
+                statement_id: req,
+                reply: client,
+            } => {
                 let _ = client.try_send(self.shown(req));
             }
         }
@@ -934,7 +944,7 @@
         let shown = |stmts: &mut StatementTable, stmt: StatementIndex| {
             let open = stmts.get(stmt)?;
             Some(QueueRow {
-                req: String::from_utf8_lossy(&open.fields.statement_id).into_owned(),
+                statement_id: String::from_utf8_lossy(&open.fields.statement_id).into_owned(),
                 team: open.tenant,
                 workload: open.workload,
                 queued: queues.row(now, stmt),
@@ -1003,7 +1013,7 @@
         };
         let _ = out.mailbox.try_send(AttemptMessage::Cancel);
         let key = AttemptKey {
-            stmt,
+            statement: stmt,
             serial,
             number,
             engine: out.engine,
@@ -1022,8 +1032,8 @@
         } else {
             let end = AttemptEnd {
                 outcome: Outcome::TimedOut,
-                true_cost: None,
-                report: Vec::new(),
+                measured_cost: None,
+                load_report: Vec::new(),
                 rows: None,
             };
             self.ended(key, end);
@@ -1040,7 +1050,7 @@
             return;
         };
         let due = Due::AttemptTimesOut {
-            stmt: key.stmt.0,
+            stmt: key.statement.0,
             serial: key.serial,
             number: key.number,
         };
@@ -1052,25 +1062,25 @@
             sharing.on_attempt_ended(world.now, number, end.outcome, key.number == 0);
         }
         if let Some(rows) = end.rows {
-            world.answer(key.stmt, Answer::Completed(rows));
+            world.answer(key.statement, Answer::Completed(rows));
         }
         let took = world.now.saturating_sub(out.sent_at);
         if world.has_queues
-            && let Some(open) = world.stmts.get(key.stmt)
+            && let Some(open) = world.stmts.get(key.statement)
         {
             let threads = world.threads.get(open.workload).copied().unwrap_or(1.0);
             if !end.outcome.never_ran() {
                 let on_engine = (took as f64 * threads) as Nanos;
                 let work = end
-                    .true_cost
-                    .map_or(on_engine, |(ms, _)| (ms * MS as f64) as Nanos);
+                    .measured_cost
+                    .map_or(on_engine, |cost| (cost.work_ms * MS as f64) as Nanos);
                 open.real = Some(open.real.unwrap_or(0) + work);
             }
             open.took = (end.outcome == Outcome::Completed).then_some(took);
         }
         let closed = world
             .stmts
-            .get(key.stmt)
+            .get(key.statement)
             .is_none_or(|open| open.client.is_none());
         let ended = AttemptEnded {
             attempt: key.number,
@@ -1078,12 +1088,12 @@
             outcome: end.outcome,
             took,
             closed,
-            true_cost: end.true_cost,
-            report: &end.report,
+            true_cost: end.measured_cost.map(|cost| (cost.work_ms, cost.peak_mb)),
+            report: &end.load_report,
         };
         gateway
             .borrow_mut()
-            .on_attempt_ended(world.now, key.stmt, &ended, world);
+            .on_attempt_ended(world.now, key.statement, &ended, world);
     }
 
     fn listed(&mut self, update: EndpointUpdate, kind: Option<EndpointUpdateKind>) {
@@ -1160,7 +1170,7 @@
 
 impl World {
     fn out(&mut self, key: AttemptKey) -> Option<&mut Option<InFlightAttempt>> {
-        let open = self.stmts.get_same(key.stmt, key.serial)?;
+        let open = self.stmts.get_same(key.statement, key.serial)?;
         open.out
             .as_ref()
             .is_some_and(|out| out.number == key.number)
@@ -1247,7 +1257,7 @@
     fn tell_custody(&mut self, key: AttemptKey, never_ran: bool) {
         let id = self
             .stmts
-            .get(key.stmt)
+            .get(key.statement)
             .map(|open| open.fields.statement_id_number());
         if let (Some(keeper), Some(id)) = (&mut self.keeper, id) {
             keeper.ready.remove(&id);
@@ -1271,8 +1281,8 @@
     fn unsent(&mut self, key: AttemptKey) {
         let end = AttemptEnd {
             outcome: Outcome::NotSent,
-            true_cost: None,
-            report: Vec::new(),
+            measured_cost: None,
+            load_report: Vec::new(),
             rows: None,
         };
         let _ = self
@@ -1394,7 +1404,7 @@
             .and_then(|c| c.presence.clone());
         let timeout = timeout.min(open.deadline.saturating_sub(now)).max(1);
         let key = AttemptKey {
-            stmt,
+            statement: stmt,
             serial: open.serial,
             number: open.attempts,
             engine,
--- a/crates/ivypitch-gateway/src/actors/session.rs
+++ b/crates/ivypitch-gateway/src/actors/session.rs
@@ -16,7 +16,9 @@
 use futures_lite::{AsyncWriteExt, FutureExt, future::yield_now};
 use ivypitch_config::Names;
 
-use super::messages::{Answer, ClientHandle, ClientPresence, QueueRow, SchedulerMessage};
+use super::messages::{
+    Answer, ClientHandle, ClientPresence, ClientStatement, QueueRow, SchedulerMessage,
+};
 use super::socket::{read_now, read_some};
 use crate::lifecycle::bounds::Bounds;
 use crate::lifecycle::clock::Clock;
@@ -380,10 +382,12 @@
         let connection = self.connection;
         let arrived = SchedulerMessage::StatementArrived {
             connection,
-            fields,
-            workload,
-            tenant,
-            at,
+            statement: ClientStatement {
+                fields,
+                workload,
+                tenant,
+            },
+            arrived_at: at,
             client,
         };
         let _ = sessions.module.try_send(arrived);
@@ -422,11 +426,11 @@
     /// What waits in the teams' queues; no engine hears of it.
     /// What is shared, as one row of JSON: other programs lay two gateways' views beside each other.
     async fn show_fleet(&mut self, sequence: u8) -> Result<(), SessionEnd> {
-        let (client, shown) = async_channel::bounded(1);
+        let (reply, shown) = async_channel::bounded(1);
         let _ = self
             .sessions
             .module
-            .try_send(SchedulerMessage::ShowFleet { client });
+            .try_send(SchedulerMessage::ShowFleet { reply });
         let view = shown.recv().await.map_err(|_| SessionEnd::Disconnected)?;
         let mut writer = self.writer(sequence);
         writer.columns(&[b"view"]);
@@ -436,15 +440,15 @@
     }
 
     async fn show(&mut self, asked: ShowWaits, sequence: u8) -> Result<(), SessionEnd> {
-        let (client, shown) = async_channel::bounded(1);
+        let (reply, shown) = async_channel::bounded(1);
         let req = match asked {
             ShowWaits::All => None,
             ShowWaits::One(req) => Some(req),
         };
-        let _ = self
-            .sessions
-            .module
-            .try_send(SchedulerMessage::ShowQueue { req, client });
+        let _ = self.sessions.module.try_send(SchedulerMessage::ShowQueue {
+            statement_id: req,
+            reply,
+        });
         let shown = shown.recv().await.map_err(|_| SessionEnd::Disconnected)?;
         let names = self.sessions.names.clone();
         let mut writer = self.writer(sequence);
@@ -592,7 +596,7 @@
         None => ("running", 0, [0; 4].map(ms)),
     };
     [
-        row.req.clone(),
+        row.statement_id.clone(),
         name(&names.tenants, row.team),
         name(&names.workloads, row.workload),
         state.into(),
--- a/crates/ivypitch-gateway/src/lifecycle/program.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/program.rs
@@ -274,7 +274,9 @@
             let longest =
                 self.longest_timeout.min(KILL_WAITS_AT_MOST) + OVERLAP.as_nanos() as Nanos;
             let by = self.clock.now() + longest - LAST_ANSWERS;
-            let _ = self.module.try_send(SchedulerMessage::Drain { by });
+            let _ = self
+                .module
+                .try_send(SchedulerMessage::Shutdown { answer_by: by });
             self.until_shutdown(async {
                 Timer::after(OVERLAP).await;
             })
--- a/crates/ivypitch-testbed/src/processes/hollow_gateways.rs
+++ b/crates/ivypitch-testbed/src/processes/hollow_gateways.rs
@@ -209,16 +209,16 @@
     fn take(&mut self, now: Nanos, mail: SchedulerMessage) {
         match mail {
             SchedulerMessage::PeerEvent(peer) => self.peer(now, peer),
-            SchedulerMessage::JournalRead { event } => {
-                if let Some((number, _)) = &event {
+            SchedulerMessage::WatchLineRead { event } => {
+                if let Some(event) = &event {
                     self.shared
-                        .count(self.place, |counts| counts.events = *number);
+                        .count(self.place, |counts| counts.events = event.position);
                     if self.shared.tells_events {
-                        println!("{} event {} {number}", stamp(), self.place);
+                        println!("{} event {} {}", stamp(), self.place, event.position);
                     }
                 }
                 if let Some(sharing) = &mut self.sharing {
-                    sharing.on_journal_read(now, event);
+                    sharing.on_watch_line_read(now, event);
                 }
             }
             SchedulerMessage::EndpointsUpdated { update } => self.listed(update),
