--- a/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
@@ -335,16 +335,20 @@
             .and_then(CoordinationDriver::next_action)
         {
             match act {
-                coordination::Action::SetQuota(coordination::CORES, part) => {
+                coordination::Action::SetCoreQuota { fraction: part } => {
                     world.cores_part = part;
                     if let Some(queues) = queues {
                         queues.set_capacity(world.now, world.cores.iter().sum::<f64>() * part);
                     }
                 }
-                coordination::Action::SetQuota(bound, part) => gateway
-                    .borrow_mut()
-                    .set_quota_share(bound - coordination::FIRST_ALLOWANCE, part),
-                coordination::Action::SetOutlierStatus(engine, advice) => {
+                coordination::Action::SetTenantQuota {
+                    tenant,
+                    fraction: part,
+                } => gateway.borrow_mut().set_quota_share(tenant, part),
+                coordination::Action::SetOutlierStatus {
+                    engine_hash: engine,
+                    status: advice,
+                } => {
                     if let Some(ix) = world.numbers.iter().position(|&number| number == engine) {
                         gateway
                             .borrow_mut()
