--- a/crates/ivypitch-gateway/src/actors/ownership.rs
+++ b/crates/ivypitch-gateway/src/actors/ownership.rs
@@ -39,19 +39,25 @@
 }
 
 impl Output for ActionQueue {
-    fn tell(&mut self, to: u16, message: Message) {
+    fn send(&mut self, to: u16, message: Message) {
         let _ = self.peers.try_send(PeersMessage::Tell { to, message });
     }
-    fn go(&mut self, id: StatementId, number: u32) {
+    fn on_attempt_granted(&mut self, id: StatementId, number: u32) {
         self.pending.push_back(Action::Go(id, number));
     }
-    fn denied(&mut self, id: StatementId, number: u32, why: GrantDenial) {
+    fn on_attempt_denied(&mut self, id: StatementId, number: u32, why: GrantDenial) {
         self.pending.push_back(Action::Denied(id, number, why));
     }
     fn proceed(&mut self, id: StatementId) {
         self.pending.push_back(Action::Proceed(id));
     }
-    fn adopt(&mut self, id: StatementId, facts: &StatementSpec, left: Nanos, engine: Option<u64>) {
+    fn take_over(
+        &mut self,
+        id: StatementId,
+        facts: &StatementSpec,
+        left: Nanos,
+        engine: Option<u64>,
+    ) {
         self.pending.push_back(Action::Adopt {
             id,
             text: facts.text.clone(),
