--- a/crates/ivypitch-gateway/src/actors/attempt.rs
+++ b/crates/ivypitch-gateway/src/actors/attempt.rs
@@ -1,4 +1,4 @@
-//! One execution at its engine: started, asked for until its end, given up. It ends with one [`End`].
+//! One attempt of a statement at its engine: started, polled until its end, or cancelled. It ends with one [`End`].
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -11,324 +11,425 @@
 use ivypitch_scheduler::Scheduler;
 use ivypitch_types::{Nanos, Outcome};
 
-use super::engine::{AT_ONCE, CallFault, Connection, Link, NEWS};
+use super::engine_client::{EngineClient, POLL_TIMEOUT, RESPONSE_TIMEOUT};
+use super::engine_connection::{CallError, EngineConnection};
 use super::{AttemptKey, AttemptMessage, ClientPresence, End, SchedulerMessage};
 use crate::lifecycle::clock::Clock;
 use crate::state::connects::ConnectCause;
 use crate::state::rows::Rows;
-use crate::wire::http::{self, Answer, Start};
+use crate::wire::http::{self, Response, Start, status};
 
-/// An engine drops a query that has not been asked for in 2 s; the bench's times run 50 ms wide.
-const DROPPED_UNASKED: Duration = Duration::from_millis(2050);
-/// Before what brought no answer twice is asked again.
-const BREATHER: Duration = Duration::from_millis(50);
-/// A start that is given up is awaited for so long: a give-up on another connection might overtake it.
-const START_ANSWER: Duration = Duration::from_millis(500);
-/// So many connections are tried before a start that close or speak before anything was asked of them.
-const MOST_UNFIT: usize = 3;
+/// An engine drops a query that has not been polled for in 2 s; the engines' times run 50 ms wide.
+const ENGINE_DROPS_UNPOLLED_AFTER: Duration = Duration::from_millis(2050);
+/// Before what brought no response twice is asked for again.
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// The response to a start that is cancelled is awaited for so long: a cancellation on another connection might
+/// overtake the start.
+const CANCELLED_START_TIMEOUT: Duration = Duration::from_millis(500);
+/// So many connections in a row may close, or bring bytes, before the start has left.
+const MAX_UNFIT_CONNECTIONS: usize = 3;
 
+/// What an attempt's task is made of.
 pub struct Attempt {
+    /// Names it in messages.
     pub key: AttemptKey,
+    /// What the start tells the engine.
     pub start: Start,
-    /// Another gateway has started it: it is asked for only.
-    pub is_watched: bool,
+    /// Another gateway has started it: it is only polled for.
+    pub is_already_started: bool,
+    /// The fields of a load report, in the order of the settings.
     pub report_fields: Rc<Vec<String>>,
+    /// Messages to this attempt; once closed, the attempt is cancelled.
     pub mailbox: Receiver<AttemptMessage>,
-    /// A priority that has not been passed on yet.
-    pub priority: Cell<Option<u8>>,
-    pub module: Sender<SchedulerMessage>,
-    pub gate: Gate,
+    /// A priority that the engine has not been told yet.
+    pub unsent_priority: Cell<Option<u8>>,
+    /// The scheduler's mailbox.
+    pub scheduler: Sender<SchedulerMessage>,
+    /// Asked as the start is about to leave.
+    pub gate: SendGate,
     /// When its time is over.
-    pub until: Nanos,
+    pub times_out_at: Nanos,
     /// Whose it is, where it is to be sent for that client alone.
     pub client: Option<Rc<ClientPresence>>,
 }
 
-/// Asks the module as the first byte of a start is about to leave.
+/// Asks the scheduler once more as the first byte of a start is about to leave.
 #[derive(Clone)]
-pub struct Gate {
-    pub gateway: Rc<RefCell<Scheduler>>,
+pub struct SendGate {
+    /// The same scheduler that chose the engine.
+    pub scheduler: Rc<RefCell<Scheduler>>,
+    /// The gateway's clock.
     pub clock: Clock,
 }
 
-impl Gate {
-    fn lets(&self, key: AttemptKey) -> bool {
-        self.gateway
+impl SendGate {
+    fn allows_send(&self, key: AttemptKey) -> bool {
+        self.scheduler
             .borrow_mut()
             .confirm_send(self.clock.now(), key.stmt, key.number)
     }
 
-    fn left_ms(&self, until: Nanos) -> u64 {
-        (until.saturating_sub(self.clock.now()) / 1_000_000).max(1)
+    fn remaining_ms(&self, times_out_at: Nanos) -> u64 {
+        (times_out_at.saturating_sub(self.clock.now()) / 1_000_000).max(1)
     }
 }
 
-/// What a step of an execution leads to.
-enum Step {
-    Answered(Answer),
-    Fault(CallFault),
+/// What came first while an attempt waited for a response.
+enum PollOutcome {
+    Response(Response),
+    Error(CallError),
     Message(AttemptMessage),
 }
 
 impl Attempt {
-    pub async fn run(self, link: Rc<Link>) {
-        let end = self.to_its_end(&link).await;
+    /// Runs it to its end, of which the scheduler is notified.
+    pub async fn run(self, engine: Rc<EngineClient>) {
+        let end = self.run_and_release(&engine).await;
         let _ = self
-            .module
+            .scheduler
             .try_send(SchedulerMessage::Ended { key: self.key, end });
     }
 
-    async fn to_its_end(&self, link: &Link) -> End {
+    async fn run_and_release(&self, engine: &EngineClient) -> End {
         let mut connection = None;
-        let end = self.on_connection(link, &mut connection).await;
-        // What is over has no answer to come on its connection.
+        let end = self.run_on(engine, &mut connection).await;
+        // With these outcomes no response is to come on the connection any more.
         if matches!(
             end.outcome,
             Outcome::Completed | Outcome::Overloaded | Outcome::NeverDispatched | Outcome::Error
         ) {
-            link.give(&mut connection);
+            engine.release(connection);
         }
         end
     }
 
-    async fn on_connection(&self, link: &Link, connection: &mut Option<Connection>) -> End {
-        let mut answer = match self.is_watched {
-            true => None,
-            false => match self.start(link, connection).await {
-                Ok(answer) => answer,
-                Err(end) => return end,
-            },
+    async fn run_on(
+        &self,
+        engine: &EngineClient,
+        connection: &mut Option<EngineConnection>,
+    ) -> End {
+        let started = if self.is_already_started {
+            Ok(None)
+        } else {
+            self.start(engine, connection).await
         };
-        if connection
-            .as_ref()
-            .is_some_and(|connection| connection.is_used)
-            && let Some(end) = answer.as_ref().filter(|end| end.status != 202)
-        {
-            // On a connection that served another statement before, an end counts once it has come twice.
-            match self.ask(link, connection, 0, AT_ONCE).await {
-                Step::Answered(again) if is_same_end(end, &again) => {}
-                Step::Message(AttemptMessage::Cancel) => return self.cancel(link).await,
-                Step::Message(AttemptMessage::Detach) => return bare(Outcome::Cancelled),
-                _ => (answer, *connection) = (None, None),
-            }
-        }
-        let mut faults = 0;
-        loop {
-            match &answer {
-                Some(news) if news.status == 202 => self.tell_note(news),
-                Some(end) if matches!(end.status, 500 | 503 | 504) => return self.ended(end, None),
-                Some(end) => {
-                    if let Some(rows) = first_page(end) {
-                        return match self
-                            .pages(link, connection, rows, end.page_count.unwrap_or(1))
-                            .await
-                        {
-                            Ok(rows) => self.ended(end, Some(rows)),
-                            Err(end) => end,
-                        };
-                    }
-                    // No answer to a start or to this question: asked for again, as one that did not come whole.
-                    *connection = None;
-                }
-                None => {}
-            }
-            let first = self.is_watched && answer.is_none() && faults == 0;
-            faults = if first || answer.as_ref().is_some_and(|a| a.status == 202) {
-                0
-            } else {
-                faults + 1
-            };
-            if faults > 1 {
-                Timer::after(BREATHER).await;
-            }
-            if let Some(priority) = self.priority.take() {
-                let call = http::write_priority(&self.start.statement_id, priority, &link.host());
-                let _ = link
-                    .call(&mut None, &call, AT_ONCE, ConnectCause::Priority)
-                    .await;
-            }
-            answer = match self.ask(link, connection, 0, NEWS * (1 + faults)).await {
-                Step::Answered(answer) => Some(answer),
-                Step::Fault(CallFault::Refused) => return bare(Outcome::Reset),
-                Step::Fault(_) => None,
-                Step::Message(AttemptMessage::Cancel) => return self.cancel(link).await,
-                Step::Message(AttemptMessage::Detach) => return bare(Outcome::Cancelled),
-                Step::Message(AttemptMessage::Priority(priority)) => {
-                    self.priority.set(Some(priority));
-                    Some(Answer {
-                        status: 202,
-                        ..Answer::default()
-                    })
-                }
-            };
+        let response = match started {
+            Ok(response) => response,
+            Err(end) => return end,
+        };
+        match self.confirm_end(engine, connection, response).await {
+            Ok(response) => self.poll_until_end(engine, connection, response).await,
+            Err(end) => end,
         }
     }
 
-    async fn mail(&self) -> AttemptMessage {
-        self.mailbox.recv().await.unwrap_or(AttemptMessage::Cancel)
-    }
-
-    /// Returns once it is given up; what comes before that is kept for later.
-    async fn cancelled(&self) {
-        while let AttemptMessage::Priority(priority) = self.mail().await {
-            self.priority.set(Some(priority));
+    /// The start, up to its response; `None` where none came complete: it may run all the same and is polled for.
+    async fn start(
+        &self,
+        engine: &EngineClient,
+        held: &mut Option<EngineConnection>,
+    ) -> Result<Option<Response>, End> {
+        let connection = self.connection_for_start(engine).await?;
+        let start = Start {
+            remaining_ms: self.gate.remaining_ms(self.times_out_at),
+            ..self.start.clone()
+        };
+        let request = http::write_start(&start, &engine.host());
+        let is_wanted = Cell::new(true);
+        let responded = async {
+            let response = engine.exchange(connection, held, &request, POLL_TIMEOUT);
+            Some(response.await)
+        };
+        let cancelled = async {
+            self.cancelled().await;
+            is_wanted.set(false);
+            Timer::after(CANCELLED_START_TIMEOUT).await;
+            None
+        };
+        match responded.or(cancelled).await {
+            Some(Err(CallError::NotSent | CallError::ConnectionRefused)) => {
+                Err(end_without_result(Outcome::ConnectFailed))
+            }
+            Some(Ok(response)) if response.status != status::RUNNING || is_wanted.get() => {
+                Ok(Some(response))
+            }
+            _ if is_wanted.get() => Ok(None),
+            _ => Err(self.cancel(engine).await),
         }
     }
 
-    /// The start, up to its answer; `None` where none came whole: it may run all the same and is asked for.
-    /// Whether it is wanted is asked once it has its connection: nothing waits between that and its first byte.
-    async fn start(
-        &self,
-        link: &Link,
-        own: &mut Option<Connection>,
-    ) -> Result<Option<Answer>, End> {
+    /// A connection on which the start may leave now. Whether it is wanted is asked once the connection is there:
+    /// nothing waits between that and the first byte.
+    async fn connection_for_start(&self, engine: &EngineClient) -> Result<EngineConnection, End> {
         let mut unfit = 0;
-        let connection = loop {
+        loop {
             let connect = async {
-                link.connection(&self.start.statement_id)
+                engine
+                    .acquire(&self.start.statement_id)
                     .await
-                    .map_err(|_| bare(Outcome::ConnectFailed))
+                    .map_err(|_| end_without_result(Outcome::ConnectFailed))
             };
             let cancelled = async {
                 self.cancelled().await;
-                Err(bare(Outcome::NotSent))
+                Err(end_without_result(Outcome::NotSent))
             };
-            let mut connection = cancelled.or(connect).await?;
-            if !link.is_fit(&mut connection) {
-                // Something came on it, or its engine went elsewhere meanwhile: another one, and the question anew.
+            let connection = cancelled.or(connect).await?;
+            if !engine.is_fit(&connection) {
+                // Something came on it, or its engine has moved meanwhile: another one, and the question anew.
                 unfit += 1;
-                if unfit == MOST_UNFIT {
-                    return Err(bare(Outcome::ConnectFailed));
+                if unfit == MAX_UNFIT_CONNECTIONS {
+                    return Err(end_without_result(Outcome::ConnectFailed));
                 }
                 continue;
             }
-            if !self.is_wanted() || !self.gate.lets(self.key) {
-                link.give_unused(connection);
-                return Err(bare(Outcome::NotSent));
+            if !self.is_wanted() || !self.gate.allows_send(self.key) {
+                engine.release_unused(connection);
+                return Err(end_without_result(Outcome::NotSent));
             }
-            break connection;
-        };
-        let start = Start {
-            remaining_ms: self.gate.left_ms(self.until),
-            ..self.start.clone()
-        };
-        let call = http::write_start(&start, &link.host());
-        let wanted = Cell::new(true);
-        let answered = async { Some(link.exchange(connection, own, &call, NEWS).await) };
-        let cancelled = async {
-            self.cancelled().await;
-            wanted.set(false);
-            Timer::after(START_ANSWER).await;
-            None
-        };
-        match answered.or(cancelled).await {
-            // It has not gone out whole.
-            Some(Err(CallFault::Unsent | CallFault::Refused)) => Err(bare(Outcome::ConnectFailed)),
-            Some(Ok(answer)) if answer.status != 202 || wanted.get() => Ok(Some(answer)),
-            _ if wanted.get() => Ok(None),
-            _ => Err(self.cancel(link).await),
+            return Ok(connection);
         }
     }
 
-    /// Nobody has called it back, and its client, where it has one here, has neither closed nor sent anything more: a
-    /// client that does is about to be let go.
+    /// Nobody has cancelled it, and its client, where it has one here, has neither closed nor sent anything more: a
+    /// client that does is about to be disconnected.
     fn is_wanted(&self) -> bool {
         while let Ok(message) = self.mailbox.try_recv() {
             match message {
-                AttemptMessage::Priority(priority) => self.priority.set(Some(priority)),
+                AttemptMessage::Priority(priority) => self.unsent_priority.set(Some(priority)),
                 AttemptMessage::Cancel | AttemptMessage::Detach => return false,
             }
         }
         self.client.as_ref().is_none_or(|client| client.waits())
     }
 
-    /// Asks for the news (0) or for a page.
-    async fn ask(
+    /// On a connection that served another statement before, an end counts once the engine has repeated it; `None`:
+    /// it has not, and the attempt is polled for.
+    async fn confirm_end(
+        &self,
+        engine: &EngineClient,
+        connection: &mut Option<EngineConnection>,
+        response: Option<Response>,
+    ) -> Result<Option<Response>, End> {
+        let is_used = connection.as_ref().is_some_and(EngineConnection::is_used);
+        let Some(end) = response
+            .as_ref()
+            .filter(|response| is_used && response.status != status::RUNNING)
+        else {
+            return Ok(response);
+        };
+        match self.poll(engine, connection, 0, RESPONSE_TIMEOUT).await {
+            PollOutcome::Response(again) if is_same_end(end, &again) => Ok(response),
+            PollOutcome::Message(AttemptMessage::Cancel) => Err(self.cancel(engine).await),
+            PollOutcome::Message(AttemptMessage::Detach) => {
+                Err(end_without_result(Outcome::Cancelled))
+            }
+            _ => {
+                *connection = None;
+                Ok(None)
+            }
+        }
+    }
+
+    /// Polls, from the response to the start on, until the engine reports the end.
+    async fn poll_until_end(
+        &self,
+        engine: &EngineClient,
+        connection: &mut Option<EngineConnection>,
+        mut response: Option<Response>,
+    ) -> End {
+        let mut failures = 0;
+        loop {
+            if let Some(response) = &response
+                && let Some(end) = self.on_response(engine, connection, response).await
+            {
+                return end;
+            }
+            // An attempt that another gateway started has no response to begin with.
+            let is_first_poll = self.is_already_started && response.is_none() && failures == 0;
+            let is_running = response.is_some_and(|r| r.status == status::RUNNING);
+            failures = if is_first_poll || is_running {
+                0
+            } else {
+                failures + 1
+            };
+            if failures > 1 {
+                Timer::after(RETRY_PAUSE).await;
+            }
+            self.send_priority(engine).await;
+            let timeout = POLL_TIMEOUT * (1 + failures);
+            response = match self.poll(engine, connection, 0, timeout).await {
+                PollOutcome::Response(response) => Some(response),
+                PollOutcome::Error(CallError::ConnectionRefused) => {
+                    return end_without_result(Outcome::Reset);
+                }
+                PollOutcome::Error(_) => None,
+                PollOutcome::Message(AttemptMessage::Cancel) => return self.cancel(engine).await,
+                PollOutcome::Message(AttemptMessage::Detach) => {
+                    return end_without_result(Outcome::Cancelled);
+                }
+                PollOutcome::Message(AttemptMessage::Priority(priority)) => {
+                    self.unsent_priority.set(Some(priority));
+                    Some(Response {
+                        status: status::RUNNING,
+                        ..Response::default()
+                    })
+                }
+            };
+        }
+    }
+
+    /// Handles the response to a start or a poll; `Some`: the attempt has ended. A response that is neither progress
+    /// nor an end counts as one that did not come complete, and its connection is closed.
+    async fn on_response(
         &self,
-        link: &Link,
-        connection: &mut Option<Connection>,
+        engine: &EngineClient,
+        connection: &mut Option<EngineConnection>,
+        response: &Response,
+    ) -> Option<End> {
+        match response.status {
+            status::RUNNING => {
+                self.report_progress(response);
+                None
+            }
+            status::FAILED | status::UNAVAILABLE | status::TIMED_OUT => {
+                Some(self.end(response, None))
+            }
+            _ => {
+                let Some(rows) = first_page(response) else {
+                    *connection = None;
+                    return None;
+                };
+                let page_count = response.page_count.unwrap_or(1);
+                let fetched = self.fetch_pages(engine, connection, rows, page_count).await;
+                Some(match fetched {
+                    Ok(rows) => self.end(response, Some(rows)),
+                    Err(end) => end,
+                })
+            }
+        }
+    }
+
+    /// Tells the engine a new priority, if there is one; what it responds is of no account.
+    async fn send_priority(&self, engine: &EngineClient) {
+        let Some(priority) = self.unsent_priority.take() else {
+            return;
+        };
+        let request = http::write_priority(&self.start.statement_id, priority, &engine.host());
+        let _ = engine
+            .call(
+                &mut None,
+                &request,
+                RESPONSE_TIMEOUT,
+                ConnectCause::Priority,
+            )
+            .await;
+    }
+
+    async fn next_message(&self) -> AttemptMessage {
+        self.mailbox.recv().await.unwrap_or(AttemptMessage::Cancel)
+    }
+
+    /// Returns once it is cancelled; a priority that comes before that is kept for later.
+    async fn cancelled(&self) {
+        while let AttemptMessage::Priority(priority) = self.next_message().await {
+            self.unsent_priority.set(Some(priority));
+        }
+    }
+
+    /// Asks for the attempt's progress or end (page 0), or for a further page.
+    async fn poll(
+        &self,
+        engine: &EngineClient,
+        connection: &mut Option<EngineConnection>,
         page: usize,
-        limit: Duration,
-    ) -> Step {
-        let call = http::write_get(&self.start.statement_id, page, &link.host());
-        let asked = async {
-            match link
-                .call(connection, &call, limit, ConnectCause::Again)
+        timeout: Duration,
+    ) -> PollOutcome {
+        let request = http::write_get(&self.start.statement_id, page, &engine.host());
+        let responded = async {
+            match engine
+                .call(connection, &request, timeout, ConnectCause::Again)
                 .await
             {
-                Ok(answer) => Step::Answered(answer),
-                Err(fault) => Step::Fault(fault),
+                Ok(response) => PollOutcome::Response(response),
+                Err(error) => PollOutcome::Error(error),
             }
         };
-        asked.or(async { Step::Message(self.mail().await) }).await
+        let message = async { PollOutcome::Message(self.next_message().await) };
+        responded.or(message).await
     }
 
-    fn tell_note(&self, answer: &Answer) {
-        let Some((name, figure)) = &answer.note else {
+    fn report_progress(&self, response: &Response) {
+        let Some((name, figure)) = &response.note else {
             return;
         };
         let note = match (name.as_str(), *figure) {
-            ("done", share) => AttemptProgress::FractionDone(share),
+            ("done", fraction) => AttemptProgress::FractionDone(fraction),
             ("spills", mb) => AttemptProgress::SpilledMb(mb),
             ("waits", 1.0) => AttemptProgress::WaitingForMemory,
             ("waits", _) => AttemptProgress::WaitingForBulkLoad,
             _ => return,
         };
-        let _ = self.module.try_send(SchedulerMessage::Noted {
+        let _ = self.scheduler.try_send(SchedulerMessage::Noted {
             key: self.key,
             note,
         });
     }
 
-    /// What the answer that ends it proves, in the module's terms; after a good end with all its rows.
-    fn ended(&self, answer: &Answer, rows: Option<Rows>) -> End {
-        let outcome = match (answer.status, answer.never_ran) {
-            (200, _) => Outcome::Completed,
-            (503, true) => Outcome::Overloaded,
-            (504, true) => Outcome::NeverDispatched,
+    /// What the response that ends it proves, in the scheduler's terms; with `rows` once all of them are there.
+    fn end(&self, response: &Response, rows: Option<Rows>) -> End {
+        let outcome = match (response.status, response.never_ran) {
+            (status::COMPLETED, _) => Outcome::Completed,
+            (status::UNAVAILABLE, true) => Outcome::Overloaded,
+            (status::TIMED_OUT, true) => Outcome::NeverDispatched,
             _ => Outcome::Error,
         };
-        let cost = answer
+        let cost = response
             .work_ms
-            .map(|work| (work, answer.peak_mb.unwrap_or(0.0)));
+            .map(|work| (work, response.peak_mb.unwrap_or(0.0)));
         End {
             outcome,
             true_cost: cost.filter(|_| rows.is_some()),
-            report: http::load_report(&answer.load, &self.report_fields),
+            report: http::load_report(&response.load, &self.report_fields),
             rows,
         }
     }
 
-    /// The pages after the first. One that did not come whole, or is no page of such a result, is asked for again.
-    async fn pages(
+    /// The pages after the first. One that did not come complete, or is no page of such a result, is asked for again.
+    async fn fetch_pages(
         &self,
-        link: &Link,
-        connection: &mut Option<Connection>,
+        engine: &EngineClient,
+        connection: &mut Option<EngineConnection>,
         mut rows: Rows,
-        count: usize,
+        page_count: usize,
     ) -> Result<Rows, End> {
-        let mut faults = 0;
-        while rows.pages() < count {
+        let mut failures = 0;
+        while rows.pages() < page_count {
             let number = rows.pages();
-            match self
-                .ask(link, connection, number, AT_ONCE * (1 + faults))
-                .await
-            {
-                Step::Answered(page) if page.status == 500 => return Err(self.ended(&page, None)),
-                Step::Answered(page)
+            let timeout = RESPONSE_TIMEOUT * (1 + failures);
+            match self.poll(engine, connection, number, timeout).await {
+                PollOutcome::Response(page) if page.status == status::FAILED => {
+                    return Err(self.end(&page, None));
+                }
+                PollOutcome::Response(page)
                     if page.page == Some(number) && rows.add(page.body.clone()).is_ok() =>
                 {
-                    faults = 0
+                    failures = 0;
+                }
+                PollOutcome::Error(CallError::ConnectionRefused) => {
+                    return Err(end_without_result(Outcome::Reset));
+                }
+                PollOutcome::Message(AttemptMessage::Cancel) => {
+                    return Err(self.cancel(engine).await);
                 }
-                Step::Fault(CallFault::Refused) => return Err(bare(Outcome::Reset)),
-                Step::Message(AttemptMessage::Cancel) => return Err(self.cancel(link).await),
-                Step::Message(AttemptMessage::Detach) => return Err(bare(Outcome::Cancelled)),
-                Step::Message(AttemptMessage::Priority(_)) => {}
-                Step::Answered(_) | Step::Fault(_) => {
+                PollOutcome::Message(AttemptMessage::Detach) => {
+                    return Err(end_without_result(Outcome::Cancelled));
+                }
+                PollOutcome::Message(AttemptMessage::Priority(_)) => {}
+                PollOutcome::Response(_) | PollOutcome::Error(_) => {
                     *connection = None;
-                    faults += 1;
-                    if faults > 1 {
-                        Timer::after(BREATHER).await;
+                    failures += 1;
+                    if failures > 1 {
+                        Timer::after(RETRY_PAUSE).await;
                     }
                 }
             }
@@ -336,51 +437,67 @@
         Ok(rows)
     }
 
-    /// Gives it up; it is no longer out when this returns: the engine has answered to that, has no process, or has
-    /// long dropped the query since nobody asked for it.
-    async fn cancel(&self, link: &Link) -> End {
-        let dropped = Instant::now() + DROPPED_UNASKED;
-        let call = http::write_delete(&self.start.statement_id, &link.host());
+    /// Cancels it. It no longer runs when this returns: the engine has confirmed that, has no process, or has long
+    /// dropped the query since nobody polled for it.
+    async fn cancel(&self, engine: &EngineClient) -> End {
+        let dropped_at = Instant::now() + ENGINE_DROPS_UNPOLLED_AFTER;
         let mut connection = None;
-        let told = async {
-            loop {
-                match link
-                    .call(&mut connection, &call, AT_ONCE, ConnectCause::Cancel)
-                    .await
-                {
-                    Ok(Answer {
-                        status: 204 | 500, ..
-                    })
-                    | Err(CallFault::Refused) => return,
-                    Ok(_) | Err(_) => Timer::after(BREATHER).await,
-                };
-            }
+        let confirmed = self.cancel_until_confirmed(engine, &mut connection);
+        let dropped = async {
+            Timer::at(dropped_at).await;
         };
-        told.or(async {
-            Timer::at(dropped).await;
-        })
-        .await;
-        link.give(&mut connection);
-        bare(Outcome::Cancelled)
+        confirmed.or(dropped).await;
+        engine.release(connection);
+        end_without_result(Outcome::Cancelled)
+    }
+
+    async fn cancel_until_confirmed(
+        &self,
+        engine: &EngineClient,
+        connection: &mut Option<EngineConnection>,
+    ) {
+        let request = http::write_delete(&self.start.statement_id, &engine.host());
+        loop {
+            let cause = ConnectCause::Cancel;
+            match engine
+                .call(connection, &request, RESPONSE_TIMEOUT, cause)
+                .await
+            {
+                Ok(Response {
+                    status: status::CANCELLED | status::FAILED,
+                    ..
+                })
+                | Err(CallError::ConnectionRefused) => return,
+                Ok(_) | Err(_) => {
+                    Timer::after(RETRY_PAUSE).await;
+                }
+            }
+        }
     }
 }
 
-/// The engine says the same end again. What never ran there, or went wrong, it does not know when asked.
-fn is_same_end(end: &Answer, again: &Answer) -> bool {
+/// The engine reports the same end again. What never ran there, or failed, it does not know when asked.
+fn is_same_end(end: &Response, again: &Response) -> bool {
     match end.status {
-        200 => again.status == 200 && end.page_count == again.page_count && end.body == again.body,
-        _ => again.status == end.status || again.status == 500,
+        status::COMPLETED => {
+            again.status == status::COMPLETED
+                && end.page_count == again.page_count
+                && end.body == again.body
+        }
+        _ => again.status == end.status || again.status == status::FAILED,
     }
 }
 
-/// The first page of a good end, if it is one.
-fn first_page(end: &Answer) -> Option<Rows> {
+/// The first page of a completed result, if this is one.
+fn first_page(response: &Response) -> Option<Rows> {
+    let is_first = response.status == status::COMPLETED
+        && response.page_count.is_some()
+        && matches!(response.page, None | Some(0));
     let mut rows = Rows::default();
-    let first = end.status == 200 && end.page_count.is_some() && matches!(end.page, None | Some(0));
-    (first && rows.add(end.body.clone()).is_ok()).then_some(rows)
+    (is_first && rows.add(response.body.clone()).is_ok()).then_some(rows)
 }
 
-fn bare(outcome: Outcome) -> End {
+fn end_without_result(outcome: Outcome) -> End {
     End {
         outcome,
         true_cost: None,
--- a/crates/ivypitch-gateway/src/actors/mod.rs
+++ b/crates/ivypitch-gateway/src/actors/mod.rs
@@ -4,6 +4,8 @@
 pub mod coordination;
 pub mod discovery;
 pub mod engine;
+pub mod engine_client;
+pub mod engine_connection;
 pub mod ownership;
 pub mod peer_links;
 pub mod queueing;
--- a/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
@@ -20,9 +20,10 @@
 
 use ivypitch_ownership::{ArrivalDecision, GrantDecision, GrantDenial, StatementId, StatementSpec};
 
-use crate::actors::attempt::{Attempt, Gate};
+use crate::actors::attempt::{Attempt, SendGate};
 use crate::actors::coordination::{self, Sharing};
-use crate::actors::engine::{self, EngineMessage, Link};
+use crate::actors::engine::{self, EngineMessage};
+use crate::actors::engine_client::{EngineClient, EngineClientParams};
 use crate::actors::ownership::{self, Keeper, Ready, Waiting};
 use crate::actors::peer_links::Peer;
 use crate::actors::queueing::{Act, Queues};
@@ -124,7 +125,7 @@
     traffic: Rc<Traffic>,
     module: Sender<SchedulerMessage>,
     executor: Rc<LocalExecutor<'static>>,
-    gate: Gate,
+    gate: SendGate,
 }
 
 /// The row of `SHOW FLEET`.
@@ -231,8 +232,8 @@
                 traffic,
                 module,
                 executor,
-                gate: Gate {
-                    gateway: gateway.clone(),
+                gate: SendGate {
+                    scheduler: gateway.clone(),
                     clock,
                 },
             },
@@ -1332,18 +1333,18 @@
             self.gateways as usize,
             self.limits.idle_close,
         );
-        let link = Link::new(
+        let client = EngineClient::new(EngineClientParams {
             address,
             connect_timeout,
-            lines,
-            self.clock,
-            self.permits.clone(),
-            self.connects.clone(),
-            self.traffic.clone(),
-        );
+            pool: lines,
+            clock: self.clock,
+            permits: self.permits.clone(),
+            connects: self.connects.clone(),
+            traffic: self.traffic.clone(),
+        });
         let (mailbox, letters) = async_channel::unbounded();
         self.executor
-            .spawn(engine::run(link, letters, self.executor.clone()))
+            .spawn(engine::run(client, letters, self.executor.clone()))
             .detach();
         self.mailboxes[ix.0] = Some(EngineActor { address, mailbox });
     }
@@ -1404,13 +1405,13 @@
         Some(Attempt {
             key,
             start,
-            is_watched,
+            is_already_started: is_watched,
             report_fields: self.report_fields.clone(),
             mailbox: letters,
-            priority: Cell::new(None),
-            module: self.module.clone(),
+            unsent_priority: Cell::new(None),
+            scheduler: self.module.clone(),
             gate: self.gate.clone(),
-            until: times_out_at,
+            times_out_at,
             client,
         })
     }
--- a/crates/ivypitch-gateway/tests/wire.rs
+++ b/crates/ivypitch-gateway/tests/wire.rs
@@ -6,7 +6,7 @@
 use ivypitch_gateway::state::sessions::{SessionStage, SessionState, SessionTable};
 use ivypitch_gateway::wire::discovery::{Line, parse_line};
 use ivypitch_gateway::wire::fields::{self, table_group};
-use ivypitch_gateway::wire::http::{self, Answer, Start};
+use ivypitch_gateway::wire::http::{self, Response, Start};
 use ivypitch_gateway::wire::mysql::{self, Command, Writer};
 use test_case::test_case;
 
@@ -163,10 +163,14 @@
                  Srv-Note: stage\r\nFigure: 0.25\r\nX-Other: 1\r\nContent-Length: 6\r\n\r\na\tb\tc\nrest";
     for cut in 0..text.len() - 4 {
         let mut input = BytesMut::from(&text[..cut]);
-        assert_eq!(http::next_answer(&mut input).unwrap(), None, "cut at {cut}");
+        assert_eq!(
+            http::next_response(&mut input).unwrap(),
+            None,
+            "cut at {cut}"
+        );
         input.extend_from_slice(&text[cut..]);
-        let answer = http::next_answer(&mut input).unwrap().unwrap();
-        let expected = Answer {
+        let answer = http::next_response(&mut input).unwrap().unwrap();
+        let expected = Response {
             status: 200,
             page_count: Some(2),
             work_ms: Some(12.5),
@@ -174,7 +178,7 @@
             note: Some(("stage".into(), 0.25)),
             load: "active:7;x0:0.5".into(),
             body: Bytes::from("a\tb\tc\n"),
-            ..Answer::default()
+            ..Response::default()
         };
         assert_eq!((answer, &input[..]), (expected, &b"rest"[..]));
     }
@@ -189,7 +193,7 @@
 #[test_case("nonsense\r\n\r\n"; "no HTTP")]
 #[test_case(&format!("HTTP/1.1 200 OK\r\nX: {}", "x".repeat(9000)); "a head without end")]
 fn what_is_no_answer_is_malformed(text: &str) {
-    assert!(http::next_answer(&mut BytesMut::from(text)).is_err());
+    assert!(http::next_response(&mut BytesMut::from(text)).is_err());
 }
 
 #[test_case("waiting:1;active:7;x0:0.5", &[7.0, 0.5]; "in the settings' order")]
@@ -365,8 +369,8 @@
             bytes.push(b'\n');
         }
         let mut input = BytesMut::from(&bytes[..]);
-        while let Ok(Some(answer)) = http::next_answer(&mut input) {
-            assert!(answer.body.len() <= http::LARGEST_BODY);
+        while let Ok(Some(answer)) = http::next_response(&mut input) {
+            assert!(answer.body.len() <= http::MAX_BODY_BYTES);
             read += 1;
         }
         let mut input = BytesMut::from(&bytes[..]);
