--- a/crates/ivypitch-gateway/src/actors/attempt.rs
+++ b/crates/ivypitch-gateway/src/actors/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a statement at its engine: started, polled until its end, or cancelled. It ends with one [`End`].
+//! One attempt of a statement at its engine: started, polled until its end, or cancelled. It ends with one [`AttemptEnd`].
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -13,9 +13,11 @@
 
 use super::engine_client::{EngineClient, POLL_TIMEOUT, RESPONSE_TIMEOUT};
 use super::engine_connection::{CallError, EngineConnection};
-use super::{AttemptKey, AttemptMessage, ClientPresence, End, SchedulerMessage};
+use super::messages::{
+    AttemptEnd, AttemptKey, AttemptMessage, ClientPresence, MeasuredCost, SchedulerMessage,
+};
 use crate::lifecycle::clock::Clock;
-use crate::state::connects::ConnectCause;
+use crate::state::connections::ConnectPurpose;
 use crate::state::rows::Rows;
 use crate::wire::http::{self, Response, Start, status};
 
@@ -66,7 +68,7 @@
     fn allows_send(&self, key: AttemptKey) -> bool {
         self.scheduler
             .borrow_mut()
-            .confirm_send(self.clock.now(), key.stmt, key.number)
+            .confirm_send(self.clock.now(), key.statement, key.number)
     }
 
     fn remaining_ms(&self, times_out_at: Nanos) -> u64 {
@@ -87,10 +89,10 @@
         let end = self.run_and_release(&engine).await;
         let _ = self
             .scheduler
-            .try_send(SchedulerMessage::Ended { key: self.key, end });
+            .try_send(SchedulerMessage::AttemptEnded { key: self.key, end });
     }
 
-    async fn run_and_release(&self, engine: &EngineClient) -> End {
+    async fn run_and_release(&self, engine: &EngineClient) -> AttemptEnd {
         let mut connection = None;
         let end = self.run_on(engine, &mut connection).await;
         // With these outcomes no response is to come on the connection any more.
@@ -107,7 +109,7 @@
         &self,
         engine: &EngineClient,
         connection: &mut Option<EngineConnection>,
-    ) -> End {
+    ) -> AttemptEnd {
         let started = if self.is_already_started {
             Ok(None)
         } else {
@@ -128,7 +130,7 @@
         &self,
         engine: &EngineClient,
         held: &mut Option<EngineConnection>,
-    ) -> Result<Option<Response>, End> {
+    ) -> Result<Option<Response>, AttemptEnd> {
         let connection = self.connection_for_start(engine).await?;
         let start = Start {
             remaining_ms: self.gate.remaining_ms(self.times_out_at),
@@ -148,7 +150,7 @@
         };
         match responded.or(cancelled).await {
             Some(Err(CallError::NotSent | CallError::ConnectionRefused)) => {
-                Err(end_without_result(Outcome::ConnectFailed))
+                Err(AttemptEnd::without_answer(Outcome::ConnectFailed))
             }
             Some(Ok(response)) if response.status != status::RUNNING || is_wanted.get() => {
                 Ok(Some(response))
@@ -160,31 +162,34 @@
 
     /// A connection on which the start may leave now. Whether it is wanted is asked once the connection is there:
     /// nothing waits between that and the first byte.
-    async fn connection_for_start(&self, engine: &EngineClient) -> Result<EngineConnection, End> {
+    async fn connection_for_start(
+        &self,
+        engine: &EngineClient,
+    ) -> Result<EngineConnection, AttemptEnd> {
         let mut unfit = 0;
         loop {
             let connect = async {
                 engine
                     .acquire(&self.start.statement_id)
                     .await
-                    .map_err(|_| end_without_result(Outcome::ConnectFailed))
+                    .map_err(|_| AttemptEnd::without_answer(Outcome::ConnectFailed))
             };
             let cancelled = async {
                 self.cancelled().await;
-                Err(end_without_result(Outcome::NotSent))
+                Err(AttemptEnd::without_answer(Outcome::NotSent))
             };
             let connection = cancelled.or(connect).await?;
             if !engine.is_fit(&connection) {
                 // Something came on it, or its engine has moved meanwhile: another one, and the question anew.
                 unfit += 1;
                 if unfit == MAX_UNFIT_CONNECTIONS {
-                    return Err(end_without_result(Outcome::ConnectFailed));
+                    return Err(AttemptEnd::without_answer(Outcome::ConnectFailed));
                 }
                 continue;
             }
             if !self.is_wanted() || !self.gate.allows_send(self.key) {
                 engine.release_unused(connection);
-                return Err(end_without_result(Outcome::NotSent));
+                return Err(AttemptEnd::without_answer(Outcome::NotSent));
             }
             return Ok(connection);
         }
@@ -199,7 +204,9 @@
                 AttemptMessage::Cancel | AttemptMessage::Detach => return false,
             }
         }
-        self.client.as_ref().is_none_or(|client| client.waits())
+        self.client
+            .as_ref()
+            .is_none_or(|client| client.is_waiting())
     }
 
     /// On a connection that served another statement before, an end counts once the engine has repeated it; `None`:
@@ -209,7 +216,7 @@
         engine: &EngineClient,
         connection: &mut Option<EngineConnection>,
         response: Option<Response>,
-    ) -> Result<Option<Response>, End> {
+    ) -> Result<Option<Response>, AttemptEnd> {
         let is_used = connection.as_ref().is_some_and(EngineConnection::is_used);
         let Some(end) = response
             .as_ref()
@@ -221,7 +228,7 @@
             PollOutcome::Response(again) if is_same_end(end, &again) => Ok(response),
             PollOutcome::Message(AttemptMessage::Cancel) => Err(self.cancel(engine).await),
             PollOutcome::Message(AttemptMessage::Detach) => {
-                Err(end_without_result(Outcome::Cancelled))
+                Err(AttemptEnd::without_answer(Outcome::Cancelled))
             }
             _ => {
                 *connection = None;
@@ -236,7 +243,7 @@
         engine: &EngineClient,
         connection: &mut Option<EngineConnection>,
         mut response: Option<Response>,
-    ) -> End {
+    ) -> AttemptEnd {
         let mut failures = 0;
         loop {
             if let Some(response) = &response
@@ -260,12 +267,12 @@
             response = match self.poll(engine, connection, 0, timeout).await {
                 PollOutcome::Response(response) => Some(response),
                 PollOutcome::Error(CallError::ConnectionRefused) => {
-                    return end_without_result(Outcome::Reset);
+                    return AttemptEnd::without_answer(Outcome::Reset);
                 }
                 PollOutcome::Error(_) => None,
                 PollOutcome::Message(AttemptMessage::Cancel) => return self.cancel(engine).await,
                 PollOutcome::Message(AttemptMessage::Detach) => {
-                    return end_without_result(Outcome::Cancelled);
+                    return AttemptEnd::without_answer(Outcome::Cancelled);
                 }
                 PollOutcome::Message(AttemptMessage::Priority(priority)) => {
                     self.unsent_priority.set(Some(priority));
@@ -285,7 +292,7 @@
         engine: &EngineClient,
         connection: &mut Option<EngineConnection>,
         response: &Response,
-    ) -> Option<End> {
+    ) -> Option<AttemptEnd> {
         match response.status {
             status::RUNNING => {
                 self.report_progress(response);
@@ -320,7 +327,7 @@
                 &mut None,
                 &request,
                 RESPONSE_TIMEOUT,
-                ConnectCause::Priority,
+                ConnectPurpose::Priority,
             )
             .await;
     }
@@ -347,7 +354,7 @@
         let request = http::write_get(&self.start.statement_id, page, &engine.host());
         let responded = async {
             match engine
-                .call(connection, &request, timeout, ConnectCause::Again)
+                .call(connection, &request, timeout, ConnectPurpose::Poll)
                 .await
             {
                 Ok(response) => PollOutcome::Response(response),
@@ -362,34 +369,37 @@
         let Some((name, figure)) = &response.note else {
             return;
         };
-        let note = match (name.as_str(), *figure) {
+        let progress = match (name.as_str(), *figure) {
             ("done", fraction) => AttemptProgress::FractionDone(fraction),
             ("spills", mb) => AttemptProgress::SpilledMb(mb),
             ("waits", 1.0) => AttemptProgress::WaitingForMemory,
             ("waits", _) => AttemptProgress::WaitingForBulkLoad,
             _ => return,
         };
-        let _ = self.scheduler.try_send(SchedulerMessage::Noted {
-            key: self.key,
-            note,
-        });
+        let _ = self
+            .scheduler
+            .try_send(SchedulerMessage::AttemptProgressed {
+                key: self.key,
+                progress,
+            });
     }
 
     /// What the response that ends it proves, in the scheduler's terms; with `rows` once all of them are there.
-    fn end(&self, response: &Response, rows: Option<Rows>) -> End {
+    fn end(&self, response: &Response, rows: Option<Rows>) -> AttemptEnd {
         let outcome = match (response.status, response.never_ran) {
             (status::COMPLETED, _) => Outcome::Completed,
             (status::UNAVAILABLE, true) => Outcome::Overloaded,
             (status::TIMED_OUT, true) => Outcome::NeverDispatched,
             _ => Outcome::Error,
         };
-        let cost = response
-            .work_ms
-            .map(|work| (work, response.peak_mb.unwrap_or(0.0)));
-        End {
+        let measured_cost = response.work_ms.map(|work_ms| MeasuredCost {
+            work_ms,
+            peak_mb: response.peak_mb.unwrap_or(0.0),
+        });
+        AttemptEnd {
             outcome,
-            true_cost: cost.filter(|_| rows.is_some()),
-            report: http::load_report(&response.load, &self.report_fields),
+            measured_cost: measured_cost.filter(|_| rows.is_some()),
+            load_report: http::load_report(&response.load, &self.report_fields),
             rows,
         }
     }
@@ -401,28 +411,28 @@
         connection: &mut Option<EngineConnection>,
         mut rows: Rows,
         page_count: usize,
-    ) -> Result<Rows, End> {
+    ) -> Result<Rows, AttemptEnd> {
         let mut failures = 0;
-        while rows.pages() < page_count {
-            let number = rows.pages();
+        while rows.page_count() < page_count {
+            let number = rows.page_count();
             let timeout = RESPONSE_TIMEOUT * (1 + failures);
             match self.poll(engine, connection, number, timeout).await {
                 PollOutcome::Response(page) if page.status == status::FAILED => {
                     return Err(self.end(&page, None));
                 }
                 PollOutcome::Response(page)
-                    if page.page == Some(number) && rows.add(page.body.clone()).is_ok() =>
+                    if page.page == Some(number) && rows.push_page(page.body.clone()).is_ok() =>
                 {
                     failures = 0;
                 }
                 PollOutcome::Error(CallError::ConnectionRefused) => {
-                    return Err(end_without_result(Outcome::Reset));
+                    return Err(AttemptEnd::without_answer(Outcome::Reset));
                 }
                 PollOutcome::Message(AttemptMessage::Cancel) => {
                     return Err(self.cancel(engine).await);
                 }
                 PollOutcome::Message(AttemptMessage::Detach) => {
-                    return Err(end_without_result(Outcome::Cancelled));
+                    return Err(AttemptEnd::without_answer(Outcome::Cancelled));
                 }
                 PollOutcome::Message(AttemptMessage::Priority(_)) => {}
                 PollOutcome::Response(_) | PollOutcome::Error(_) => {
@@ -439,7 +449,7 @@
 
     /// Cancels it. It no longer runs when this returns: the engine has confirmed that, has no process, or has long
     /// dropped the query since nobody polled for it.
-    async fn cancel(&self, engine: &EngineClient) -> End {
+    async fn cancel(&self, engine: &EngineClient) -> AttemptEnd {
         let dropped_at = Instant::now() + ENGINE_DROPS_UNPOLLED_AFTER;
         let mut connection = None;
         let confirmed = self.cancel_until_confirmed(engine, &mut connection);
@@ -448,7 +458,7 @@
         };
         confirmed.or(dropped).await;
         engine.release(connection);
-        end_without_result(Outcome::Cancelled)
+        AttemptEnd::without_answer(Outcome::Cancelled)
     }
 
     async fn cancel_until_confirmed(
@@ -458,9 +468,9 @@
     ) {
         let request = http::write_delete(&self.start.statement_id, &engine.host());
         loop {
-            let cause = ConnectCause::Cancel;
+            let purpose = ConnectPurpose::Cancel;
             match engine
-                .call(connection, &request, RESPONSE_TIMEOUT, cause)
+                .call(connection, &request, RESPONSE_TIMEOUT, purpose)
                 .await
             {
                 Ok(Response {
@@ -494,14 +504,5 @@
         && response.page_count.is_some()
         && matches!(response.page, None | Some(0));
     let mut rows = Rows::default();
-    (is_first && rows.add(response.body.clone()).is_ok()).then_some(rows)
-}
-
-fn end_without_result(outcome: Outcome) -> End {
-    End {
-        outcome,
-        true_cost: None,
-        report: Vec::new(),
-        rows: None,
-    }
+    (is_first && rows.push_page(response.body.clone()).is_ok()).then_some(rows)
 }
--- a/crates/ivypitch-gateway/src/actors/discovery.rs
+++ b/crates/ivypitch-gateway/src/actors/discovery.rs
@@ -14,7 +14,7 @@
 use futures_lite::{AsyncWriteExt, FutureExt};
 use ivypitch_discovery::{Feed, Told, Verdict};
 
-use super::SchedulerMessage;
+use super::messages::{SchedulerMessage, WatchEventLine};
 use super::socket::read_some;
 use crate::lifecycle::clock::Clock;
 use crate::state::traffic::Traffic;
@@ -103,7 +103,7 @@
         if let Err(e) = (&stream).write_all(tail.as_bytes()).await {
             return e.to_string();
         }
-        self.traffic.journal.sent(tail.len());
+        self.traffic.journal.record_sent(tail.len());
         let mut input = BytesMut::new();
         let mut silent_at = Instant::now() + SILENT;
         loop {
@@ -115,7 +115,7 @@
                 if self.shares {
                     let _ = self
                         .module
-                        .try_send(SchedulerMessage::Journal { event: None });
+                        .try_send(SchedulerMessage::WatchLineRead { event: None });
                 }
                 if !*well {
                     log::info!("journal {address} followed again from {}", self.last());
@@ -143,7 +143,7 @@
             };
             match read.or(never_came).or(late(silent_at, "silent")).await {
                 Ok(0) => return "closed".into(),
-                Ok(n) => self.traffic.journal.received(n),
+                Ok(n) => self.traffic.journal.record_received(n),
                 Err(e) => {
                     if ahead.is_some_and(|at| at <= Instant::now()) {
                         self.feed.borrow_mut().never_came();
@@ -176,11 +176,18 @@
                     );
                 }
                 if let Some(update) = event.update {
-                    let _ = self.module.try_send(SchedulerMessage::Listed { update });
+                    let _ = self
+                        .module
+                        .try_send(SchedulerMessage::EndpointsUpdated { update });
                 }
                 if self.shares {
-                    let event = Some((event.position, Bytes::copy_from_slice(line)));
-                    let _ = self.module.try_send(SchedulerMessage::Journal { event });
+                    let event = Some(WatchEventLine {
+                        position: event.position,
+                        line: Bytes::copy_from_slice(line),
+                    });
+                    let _ = self
+                        .module
+                        .try_send(SchedulerMessage::WatchLineRead { event });
                 }
                 Ok(())
             }
--- a/crates/ivypitch-gateway/src/actors/engine_client.rs
+++ b/crates/ivypitch-gateway/src/actors/engine_client.rs
@@ -18,8 +18,8 @@
 
 use super::engine_connection::{CallError, EngineConnection, Pending};
 use crate::lifecycle::clock::Clock;
-use crate::state::connects::{ConnectCause, ConnectCounters};
-use crate::state::permits::Permits;
+use crate::state::connections::{ConnectPurpose, ConnectionCounters};
+use crate::state::permits::ConnectionPermits;
 use crate::state::traffic::Traffic;
 use crate::wire::http::{self, Response, status};
 
@@ -42,9 +42,9 @@
     /// The gateway's clock.
     pub clock: Clock,
     /// Bounds the connections to all engines together.
-    pub permits: Rc<Permits>,
+    pub permits: Rc<ConnectionPermits>,
     /// Counts connections by what they were opened for.
-    pub connects: Rc<ConnectCounters>,
+    pub connects: Rc<ConnectionCounters>,
     /// Counts bytes.
     pub traffic: Rc<Traffic>,
 }
@@ -53,8 +53,8 @@
 pub struct EngineClient {
     address: Cell<SocketAddr>,
     connect_timeout: Duration,
-    permits: Rc<Permits>,
-    connects: Rc<ConnectCounters>,
+    permits: Rc<ConnectionPermits>,
+    connects: Rc<ConnectionCounters>,
     traffic: Rc<Traffic>,
     pool: RefCell<Pool<EngineConnection>>,
     clock: Clock,
@@ -92,13 +92,13 @@
     pub(crate) async fn acquire(&self, statement_id: &[u8]) -> Result<EngineConnection, CallError> {
         while let Some(mut idle) = self.take_idle() {
             if self.is_proved_clean(&mut idle, statement_id).await {
-                self.connects.count(ConnectCause::Reused);
+                self.connects.record_reused();
                 return Ok(idle);
             }
-            self.connects.count(ConnectCause::Spoilt);
+            self.connects.record_discarded();
             self.on_surprise();
         }
-        self.connect(ConnectCause::Start).await
+        self.connect(ConnectPurpose::Start).await
     }
 
     /// Asks on an idle connection for a statement that has not started: the engine has to say that it does not know it.
@@ -134,7 +134,7 @@
         };
         connection.mark_used();
         // Other engines need the permit more than a statement that may come.
-        if self.permits.are_short() {
+        if self.permits.is_scarce() {
             return;
         }
         let refused = self.pool.borrow_mut().give(self.clock.now(), connection);
@@ -158,12 +158,12 @@
     }
 
     /// Opens a connection, as soon as there is a permit for it.
-    async fn connect(&self, cause: ConnectCause) -> Result<EngineConnection, CallError> {
-        if self.permits.are_short() {
+    async fn connect(&self, purpose: ConnectPurpose) -> Result<EngineConnection, CallError> {
+        if self.permits.is_scarce() {
             self.close_idle();
         }
-        let permit = self.permits.take().await;
-        self.connects.count(cause);
+        let permit = self.permits.acquire().await;
+        self.connects.record_connect(purpose);
         let address = self.address.get();
         let connected = async { Async::<TcpStream>::connect(address).await };
         let timed_out = async {
@@ -178,12 +178,12 @@
             }
             Err(e) if e.kind() == ErrorKind::ConnectionRefused => {
                 self.close_idle();
-                self.connects.count(ConnectCause::Refused);
+                self.connects.record_refused();
                 Err(CallError::ConnectionRefused)
             }
             Err(_) => {
                 self.close_idle();
-                self.connects.count(ConnectCause::Unsent);
+                self.connects.record_timed_out();
                 Err(CallError::NotSent)
             }
         }
@@ -196,22 +196,22 @@
         held: &mut Option<EngineConnection>,
         request: &[u8],
         timeout: Duration,
-        cause: ConnectCause,
+        purpose: ConnectPurpose,
     ) -> Result<Response, CallError> {
         let connection = match held.take().filter(EngineConnection::is_clean) {
             Some(connection) => connection,
-            None => self.replace(cause).await?,
+            None => self.replace(purpose).await?,
         };
         self.exchange(connection, held, request, timeout).await
     }
 
     /// A connection for a call that is no start. A cancellation that is lost on an idle one is repeated on a new one, so
     /// it may use that; an idle one that any other call takes is closed.
-    async fn replace(&self, cause: ConnectCause) -> Result<EngineConnection, CallError> {
+    async fn replace(&self, purpose: ConnectPurpose) -> Result<EngineConnection, CallError> {
         let idle = self.take_idle();
-        match idle.filter(|_| matches!(cause, ConnectCause::Cancel)) {
+        match idle.filter(|_| matches!(purpose, ConnectPurpose::Cancel)) {
             Some(idle) => Ok(idle),
-            None => self.connect(cause).await,
+            None => self.connect(purpose).await,
         }
     }
 
--- a/crates/ivypitch-gateway/src/actors/engine_connection.rs
+++ b/crates/ivypitch-gateway/src/actors/engine_connection.rs
@@ -10,7 +10,7 @@
 use futures_lite::{AsyncWriteExt, FutureExt};
 
 use super::socket::read_some;
-use crate::state::permits::Permit;
+use crate::state::permits::ConnectionPermit;
 use crate::state::traffic::Traffic;
 use crate::wire::http::{self, Response};
 
@@ -42,7 +42,7 @@
     Closed,
 }
 
-/// An open connection to an engine; it holds one of the [permits](crate::state::permits::Permits).
+/// An open connection to an engine; it holds one of the [permits](crate::state::permits::ConnectionPermits).
 pub struct EngineConnection {
     stream: Async<TcpStream>,
     address: SocketAddr,
@@ -50,7 +50,7 @@
     is_used: bool,
     had_informational_response: bool,
     traffic: Rc<Traffic>,
-    _permit: Permit,
+    _permit: ConnectionPermit,
 }
 
 impl EngineConnection {
@@ -59,7 +59,7 @@
         stream: Async<TcpStream>,
         address: SocketAddr,
         traffic: Rc<Traffic>,
-        permit: Permit,
+        permit: ConnectionPermit,
     ) -> Self {
         EngineConnection {
             stream,
@@ -113,7 +113,7 @@
             .write_all(request)
             .await
             .map_err(|_| CallError::NotSent)?;
-        self.traffic.engines.sent(request.len());
+        self.traffic.engines.record_sent(request.len());
         Ok(())
     }
 
@@ -141,7 +141,7 @@
             }
             match read_some(&self.stream, &mut self.input).await {
                 Ok(0) | Err(_) => return Err(CallError::NoResponse),
-                Ok(n) => self.traffic.engines.received(n),
+                Ok(n) => self.traffic.engines.record_received(n),
             }
         }
     }
--- a/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
@@ -21,18 +21,21 @@
 use ivypitch_ownership::{ArrivalDecision, GrantDecision, GrantDenial, StatementId, StatementSpec};
 
 use crate::actors::attempt::{Attempt, SendGate};
-use crate::actors::coordination::{self, Sharing};
+use crate::actors::coordination::{self, CoordinationDriver};
 use crate::actors::engine::{self, EngineMessage};
 use crate::actors::engine_client::{EngineClient, EngineClientParams};
-use crate::actors::ownership::{self, Keeper, Ready, Waiting};
+use crate::actors::messages::{
+    Answer, AttemptEnd, AttemptKey, AttemptMessage, ClientHandle, ClientStatement, QueueRow,
+    SchedulerMessage,
+};
+use crate::actors::ownership::{self, OwnershipDriver, Ready, Waiting};
 use crate::actors::peer_links::Peer;
-use crate::actors::queueing::{Act, Queues};
-use crate::actors::{Answer, AttemptKey, AttemptMessage, Client, End, SchedulerMessage, Shown};
+use crate::actors::queueing::{Action, QueueingDriver};
 use crate::lifecycle::clock::Clock;
-use crate::state::connects::ConnectCounters;
-use crate::state::engines::{EngineIds, id_as_number};
-use crate::state::permits::Permits;
-use crate::state::statements::{Out, Statements};
+use crate::state::connections::ConnectionCounters;
+use crate::state::engines::{EngineIds, engine_id_hash};
+use crate::state::permits::ConnectionPermits;
+use crate::state::statements::{InFlightAttempt, StatementTable};
 use crate::state::traffic::Traffic;
 use crate::wire::discovery::{Endpoint, EndpointUpdate, Snapshot};
 use crate::wire::fields::{self, Fields};
@@ -90,7 +93,7 @@
 struct World {
     clock: Clock,
     now: Nanos,
-    stmts: Statements,
+    stmts: StatementTable,
     timers: Timers,
     engines: EngineIds,
     /// By index, as the ids.
@@ -114,14 +117,14 @@
     over: Vec<(StatementIndex, Option<Nanos>, Option<Nanos>)>,
     has_queues: bool,
     /// Where gateways talk.
-    keeper: Option<Keeper>,
-    sharing: Option<Sharing>,
+    keeper: Option<OwnershipDriver>,
+    sharing: Option<CoordinationDriver>,
     allowances: Vec<f64>,
     /// Of the engines' ids, by index; and whether they are ready by the list.
     numbers: Vec<u64>,
     ready: Vec<bool>,
-    permits: Rc<Permits>,
-    connects: Rc<ConnectCounters>,
+    permits: Rc<ConnectionPermits>,
+    connects: Rc<ConnectionCounters>,
     traffic: Rc<Traffic>,
     module: Sender<SchedulerMessage>,
     executor: Rc<LocalExecutor<'static>>,
@@ -137,12 +140,12 @@
 }
 
 /// What stands beside the module: the first two only where the own file sets them up.
-pub struct Parts {
+pub struct SchedulerParts {
     pub budgets: Option<Budgets>,
-    pub keeper: Option<Keeper>,
-    pub sharing: Option<Sharing>,
-    pub permits: Rc<Permits>,
-    pub connects: Rc<ConnectCounters>,
+    pub keeper: Option<OwnershipDriver>,
+    pub sharing: Option<CoordinationDriver>,
+    pub permits: Rc<ConnectionPermits>,
+    pub connects: Rc<ConnectionCounters>,
     pub traffic: Rc<Traffic>,
 }
 
@@ -151,24 +154,24 @@
     mailbox: Sender<EngineMessage>,
 }
 
-/// The order in which a statement meets what decides on it stands here and in [`Module::settle`]: first its team's
+/// The order in which a statement meets what decides on it stands here and in [`SchedulerActor::settle`]: first its team's
 /// queue, where the own file sets up teams, then the module.
-pub struct Module {
-    queues: Option<Queues>,
+pub struct SchedulerActor {
+    queues: Option<QueueingDriver>,
     gateway: Rc<RefCell<Scheduler>>,
     world: World,
 }
 
-impl Module {
+impl SchedulerActor {
     pub fn new(
         given: DeploymentConfig,
-        parts: Parts,
+        parts: SchedulerParts,
         seed: u64,
         clock: Clock,
         module: Sender<SchedulerMessage>,
         executor: Rc<LocalExecutor<'static>>,
-    ) -> Module {
-        let Parts {
+    ) -> SchedulerActor {
+        let SchedulerParts {
             budgets,
             keeper,
             sharing,
@@ -180,12 +183,12 @@
         let has_queues = budgets.is_some();
         let tenants = given.names.tenants.clone();
         let gateway = Rc::new(RefCell::new(Scheduler::new(given.facts.clone(), seed, now)));
-        Module {
-            queues: budgets.map(|budgets| Queues::new(budgets, tenants, seed, now)),
+        SchedulerActor {
+            queues: budgets.map(|budgets| QueueingDriver::new(budgets, tenants, seed, now)),
             world: World {
                 clock,
                 now,
-                stmts: Statements::default(),
+                stmts: StatementTable::default(),
                 timers: Timers::default(),
                 engines: EngineIds::default(),
                 mailboxes: Vec::new(),
@@ -252,14 +255,18 @@
         }
         self.settle();
         loop {
-            let wake = self.queues.as_ref().and_then(Queues::next_wake);
+            let wake = self.queues.as_ref().and_then(QueueingDriver::next_timer);
             let keeper = self
                 .world
                 .keeper
                 .as_ref()
-                .map(Keeper::next_wake)
+                .map(OwnershipDriver::next_timer)
                 .filter(|&at| at < Nanos::MAX);
-            let sharing = self.world.sharing.as_ref().map(Sharing::next_wake);
+            let sharing = self
+                .world
+                .sharing
+                .as_ref()
+                .map(CoordinationDriver::next_timer);
             let due = self
                 .world
                 .timers
@@ -291,7 +298,7 @@
                 self.come_due(due);
             }
             if let Some(queues) = &mut self.queues {
-                queues.woken(self.world.now);
+                queues.on_timer(self.world.now);
             }
             self.keeper_woken();
             self.sharing_woken();
@@ -300,7 +307,7 @@
     }
 
     fn sharing_woken(&mut self) {
-        let Module { queues, world, .. } = self;
+        let SchedulerActor { queues, world, .. } = self;
         let World {
             sharing: Some(sharing),
             now,
@@ -311,30 +318,34 @@
             return;
         };
         if let Some(queues) = queues {
-            sharing.needs_cores(*now, queues.cores_wanted(), cores.iter().sum());
+            sharing.set_core_demand(*now, queues.cores_wanted(), cores.iter().sum());
         }
-        sharing.woken(*now);
+        sharing.on_timer(*now);
     }
 
     /// Does what sharing asks for.
     fn settle_sharing(&mut self) {
-        let Module {
+        let SchedulerActor {
             queues,
             gateway,
             world,
         } = self;
-        while let Some(act) = world.sharing.as_mut().and_then(Sharing::next_act) {
+        while let Some(act) = world
+            .sharing
+            .as_mut()
+            .and_then(CoordinationDriver::next_action)
+        {
             match act {
-                coordination::Act::Part(coordination::CORES, part) => {
+                coordination::Action::SetQuota(coordination::CORES, part) => {
                     world.cores_part = part;
                     if let Some(queues) = queues {
-                        queues.capacity(world.now, world.cores.iter().sum::<f64>() * part);
+                        queues.set_capacity(world.now, world.cores.iter().sum::<f64>() * part);
                     }
                 }
-                coordination::Act::Part(bound, part) => gateway
+                coordination::Action::SetQuota(bound, part) => gateway
                     .borrow_mut()
                     .set_quota_share(bound - coordination::FIRST_ALLOWANCE, part),
-                coordination::Act::Advise(engine, advice) => {
+                coordination::Action::SetOutlierStatus(engine, advice) => {
                     if let Some(ix) = world.numbers.iter().position(|&number| number == engine) {
                         gateway
                             .borrow_mut()
@@ -354,19 +365,24 @@
         else {
             return;
         };
-        keeper.woken(*now);
-        for late in keeper.late(*now) {
+        keeper.on_timer(*now);
+        for late in keeper.remove_expired_waiters(*now) {
             late.client.send(Answer::Aborted);
         }
     }
 
     /// Does what custody asks for, until nothing is left.
     fn settle_custody(&mut self) {
-        while let Some(act) = self.world.keeper.as_mut().and_then(Keeper::next_act) {
+        while let Some(act) = self
+            .world
+            .keeper
+            .as_mut()
+            .and_then(OwnershipDriver::next_action)
+        {
             match act {
-                ownership::Act::Go(id, number) => self.go(id, number),
-                ownership::Act::Denied(id, number, why) => self.denied(id, number, why),
-                ownership::Act::Proceed(id) => {
+                ownership::Action::Go(id, number) => self.go(id, number),
+                ownership::Action::Denied(id, number, why) => self.denied(id, number, why),
+                ownership::Action::Proceed(id) => {
                     let Some(keeper) = self.world.keeper.as_mut() else {
                         continue;
                     };
@@ -391,13 +407,13 @@
                         self.begin(connection, fields, (workload, tenant), deadline, client);
                     }
                 }
-                ownership::Act::Adopt {
+                ownership::Action::Adopt {
                     id,
                     text,
                     left,
                     engine,
                 } => self.adopt(id, text, left, engine),
-                ownership::Act::Answer(token, word) => {
+                ownership::Action::Answer(token, word) => {
                     let waiting = self
                         .world
                         .keeper
@@ -467,15 +483,15 @@
             keeper.ready.remove(&id);
         }
         let key = AttemptKey {
-            stmt,
+            statement: stmt,
             serial,
             number,
             engine,
         };
-        let end = End {
+        let end = AttemptEnd {
             outcome: Outcome::NeverDispatched,
-            true_cost: None,
-            report: Vec::new(),
+            measured_cost: None,
+            load_report: Vec::new(),
             rows: None,
         };
         self.ended(key, end);
@@ -483,7 +499,7 @@
 
     /// Another gateway's statement is this one's now.
     fn adopt(&mut self, id: StatementId, text: Vec<u8>, left: Nanos, engine: Option<u64>) {
-        let Module { gateway, world, .. } = self;
+        let SchedulerActor { gateway, world, .. } = self;
         let now = world.now;
         let at = engine.map(|number| {
             world
@@ -497,11 +513,11 @@
             return;
         };
         if at.is_some_and(|at| !at.as_ref().is_some_and(is_there)) {
-            return keeper.engine_unknown(now, id);
+            return keeper.on_engine_unknown(now, id);
         }
         let Ok(fields) = fields::parse(&Bytes::from(text)) else {
             log::warn!("custody: statement {id:016x} can't be read again");
-            let _ = keeper.answered(now, id, &Answer::Aborted);
+            let _ = keeper.on_answered(now, id, &Answer::Aborted);
             return;
         };
         let index =
@@ -516,7 +532,7 @@
         let arrival = arrival(&fields, workload, tenant, deadline.saturating_sub(now));
         // Nobody waits for it here but those that custody knows of.
         let (answer, _) = async_channel::bounded(1);
-        let nobody = Client {
+        let nobody = ClientHandle {
             answer,
             presence: None,
         };
@@ -526,7 +542,7 @@
         else {
             // An execution of it is still out here, under the same id.
             log::warn!("custody: statement {id:016x} is open here still");
-            let _ = keeper.answered(now, id, &Answer::Aborted);
+            let _ = keeper.on_answered(now, id, &Answer::Aborted);
             return;
         };
         world.watch_statement(stmt);
@@ -550,9 +566,9 @@
         fields: Fields,
         (workload, tenant): (usize, usize),
         deadline: Nanos,
-        client: Client,
+        client: ClientHandle,
     ) {
-        let Module {
+        let SchedulerActor {
             queues,
             gateway,
             world,
@@ -575,7 +591,7 @@
                         bytes,
                         deadline,
                     };
-                    queues.arrive(now, stmt, claim);
+                    queues.on_statement_queued(now, stmt, claim);
                 } else {
                     gateway
                         .borrow_mut()
@@ -584,7 +600,7 @@
             }
             Err(client) => {
                 if let Some(keeper) = &mut world.keeper {
-                    let _ = keeper.answered(now, id, &Answer::IdTaken);
+                    let _ = keeper.on_answered(now, id, &Answer::IdTaken);
                 }
                 client.send(Answer::IdTaken);
             }
@@ -598,7 +614,7 @@
         fields: Fields,
         (workload, tenant): (usize, usize),
         deadline: Nanos,
-        client: Client,
+        client: ClientHandle,
     ) {
         let world = &mut self.world;
         let now = world.now;
@@ -616,8 +632,8 @@
             text: fields.write(left_ms.max(1)),
         };
         let work = fields.work_ms.map_or(0, |ms| (ms * MS as f64) as Nanos);
-        let token = keeper.token();
-        match keeper.arrive(now, id, facts, work, token) {
+        let token = keeper.next_waiter_token();
+        match keeper.on_statement_arrived(now, id, facts, work, token) {
             ArrivalDecision::Proceed => {
                 self.begin(connection, fields, (workload, tenant), deadline, client);
                 if let Some(open) = self
@@ -652,8 +668,8 @@
         let Some(keeper) = self.world.keeper.as_mut() else {
             return;
         };
-        keeper.tell_record();
-        let handed = keeper.hand_over(now);
+        keeper.log_totals();
+        let handed = keeper.hand_off(now);
         for id in handed {
             let world = &mut self.world;
             let Some(stmt) = world.stmts.of_req(id) else {
@@ -666,7 +682,7 @@
             let key = open.out.as_ref().map(|out| {
                 let _ = out.mailbox.try_send(AttemptMessage::Detach);
                 AttemptKey {
-                    stmt,
+                    statement: stmt,
                     serial: open.serial,
                     number: out.number,
                     engine: out.engine,
@@ -688,10 +704,10 @@
             }
             match key {
                 Some(key) => {
-                    let end = End {
+                    let end = AttemptEnd {
                         outcome: Outcome::NeverDispatched,
-                        true_cost: None,
-                        report: Vec::new(),
+                        measured_cost: None,
+                        load_report: Vec::new(),
                         rows: None,
                     };
                     self.ended(key, end);
@@ -704,8 +720,16 @@
     /// Does what the teams' queues ask for, and tells them what came of it, until nothing is left.
     fn settle(&mut self) {
         self.settle_queues();
-        while self.world.keeper.as_ref().is_some_and(Keeper::has_acts)
-            || self.world.sharing.as_ref().is_some_and(Sharing::has_acts)
+        while self
+            .world
+            .keeper
+            .as_ref()
+            .is_some_and(OwnershipDriver::has_actions)
+            || self
+                .world
+                .sharing
+                .as_ref()
+                .is_some_and(CoordinationDriver::has_actions)
         {
             self.settle_custody();
             self.settle_sharing();
@@ -714,7 +738,7 @@
     }
 
     fn settle_queues(&mut self) {
-        let Module {
+        let SchedulerActor {
             queues: Some(queues),
             gateway,
             world,
@@ -725,11 +749,11 @@
         let now = world.now;
         loop {
             if let Some((stmt, real, took)) = world.over.pop() {
-                queues.over(now, stmt, real, took);
+                queues.on_statement_ended(now, stmt, real, took);
                 continue;
             }
-            match queues.next_act() {
-                Some(Act::Release(stmt, within)) => {
+            match queues.next_action() {
+                Some(Action::Release(stmt, within)) => {
                     let by = world.answer_by;
                     let Some(open) = world.stmts.get(stmt) else {
                         continue;
@@ -742,7 +766,7 @@
                         .borrow_mut()
                         .on_statement_arrived(now, stmt, arrival, world);
                 }
-                Some(Act::Reject(stmt, retry_after)) => {
+                Some(Action::Reject(stmt, retry_after)) => {
                     world.answer(stmt, Answer::Rejected { retry_after });
                     world.drop_statement(stmt);
                 }
@@ -753,14 +777,14 @@
 
     /// Its client waits no more, or has its answer. Where it is still queued, that is all; else the module is told.
     fn expire(&mut self, stmt: StatementIndex) {
-        let Module {
+        let SchedulerActor {
             queues,
             gateway,
             world,
         } = self;
         if queues
             .as_mut()
-            .is_some_and(|queues| queues.leave(world.now, stmt))
+            .is_some_and(|queues| queues.remove(world.now, stmt))
         {
             world.stmts.answer(stmt);
             world.drop_statement(stmt);
@@ -772,7 +796,7 @@
     }
 
     fn take(&mut self, mail: SchedulerMessage) {
-        let Module {
+        let SchedulerActor {
             queues,
             gateway,
             world,
@@ -780,18 +804,21 @@
         world.now = world.clock.now();
         let now = world.now;
         match mail {
-            SchedulerMessage::Arrived {
+            SchedulerMessage::StatementArrived {
                 connection,
-                fields,
-                workload,
-                tenant,
-                at,
+                statement,
+                arrived_at: at,
                 client,
             } => {
+                let ClientStatement {
+                    fields,
+                    workload,
+                    tenant,
+                } = statement;
                 let deadline = (at + fields.timeout_ms * MS).min(world.answer_by);
                 if let Some(sharing) = &mut world.sharing {
                     let allowance = world.allowances.get(tenant).copied().unwrap_or(0.0);
-                    sharing.arrived(tenant, allowance);
+                    sharing.on_statement_arrived(tenant, allowance);
                 }
                 if world.keeper.is_some() {
                     self.arrive_known(connection, fields, (workload, tenant), deadline, client);
@@ -801,7 +828,7 @@
             }
             SchedulerMessage::ClientDisconnected { connection } => {
                 if let Some(keeper) = &mut world.keeper
-                    && keeper.gone(connection).is_some()
+                    && keeper.on_client_disconnected(connection).is_some()
                 {
                     return self.settle();
                 }
@@ -819,36 +846,36 @@
                         return self.settle();
                     }
                     if let Some(keeper) = &mut world.keeper {
-                        let _ = keeper.answered(now, id, &Answer::Killed);
+                        let _ = keeper.on_answered(now, id, &Answer::Killed);
                     }
                     world.stmts.answer(stmt);
                     self.expire(stmt);
                 }
             }
-            SchedulerMessage::Peer(peer) => {
+            SchedulerMessage::PeerEvent(peer) => {
                 if let Some(keeper) = &mut world.keeper {
-                    keeper.peer(now, &peer);
+                    keeper.on_peer_event(now, &peer);
                 }
                 if let Some(sharing) = &mut world.sharing {
                     match peer {
-                        Peer::Up { place, birth } => sharing.member_up(now, place, birth),
-                        Peer::Down { place, birth } => sharing.member_down(now, place, birth),
+                        Peer::Up { place, birth } => sharing.on_member_up(now, place, birth),
+                        Peer::Down { place, birth } => sharing.on_member_down(now, place, birth),
                         Peer::Shared {
                             from,
                             message,
                             _receipt,
-                        } => sharing.heard(now, from, *message),
-                        Peer::Gossip(gossip, _taken) => sharing.gossip(now, *gossip),
+                        } => sharing.on_message(now, from, *message),
+                        Peer::Gossip(gossip, _taken) => sharing.on_gossip(now, *gossip),
                         Peer::Heard { .. } | Peer::Suspected { .. } => {}
                     }
                 }
             }
-            SchedulerMessage::Journal { event } => {
+            SchedulerMessage::WatchLineRead { event } => {
                 if let Some(sharing) = &mut world.sharing {
-                    sharing.journal(now, event);
+                    sharing.on_watch_line_read(now, event);
                 }
             }
-            SchedulerMessage::ShowFleet { client } => {
+            SchedulerMessage::ShowFleet { reply: client } => {
                 let traffic = &*world.traffic;
                 let view = world.sharing.as_ref().map(|sharing| ShownFleet {
                     view: sharing.view(now),
@@ -859,22 +886,25 @@
                     .unwrap_or_default();
                 let _ = client.try_send(text);
             }
-            SchedulerMessage::Kill { connection } => {
+            SchedulerMessage::KillQuery { connection } => {
                 if let Some(stmt) = world.stmts.of_connection(connection) {
                     world.answer(stmt, Answer::Killed);
                     self.expire(stmt);
                 }
             }
-            SchedulerMessage::Noted { key, note } => {
+            SchedulerMessage::AttemptProgressed {
+                key,
+                progress: note,
+            } => {
                 if world.out(key).is_some() {
                     gateway
                         .borrow_mut()
-                        .on_progress(now, key.stmt, key.number, note, world);
+                        .on_progress(now, key.statement, key.number, note, world);
                 }
             }
-            SchedulerMessage::Ended { key, end } => self.ended(key, end),
-            SchedulerMessage::Listed { update } => self.listed(update, None),
-            SchedulerMessage::Drain { by } => {
+            SchedulerMessage::AttemptEnded { key, end } => self.ended(key, end),
+            SchedulerMessage::EndpointsUpdated { update } => self.listed(update, None),
+            SchedulerMessage::Shutdown { answer_by: by } => {
                 world.answer_by = by;
                 gateway.borrow_mut().begin_shutdown(by);
                 if world.keeper.is_some() {
@@ -883,24 +913,27 @@
                         .set(by.saturating_sub(HAND_OVER), Due::HandOver);
                 }
                 if let Some(queues) = queues {
-                    queues.ending(now, by);
-                    queues.tell_record();
+                    queues.on_shutdown(now, by);
+                    queues.log_totals();
                 }
             }
-            SchedulerMessage::Budgets { budgets } => {
+            SchedulerMessage::ReloadBudgets { budgets } => {
                 if let Some(queues) = queues {
                     queues.reload(now, *budgets);
                 }
             }
-            SchedulerMessage::Show { req, client } => {
+            SchedulerMessage::ShowQueue {
+                statement_id: req,
+                reply: client,
+            } => {
                 let _ = client.try_send(self.shown(req));
             }
         }
         self.settle();
     }
 
-    fn shown(&mut self, req: Option<u64>) -> Vec<Shown> {
-        let Module {
+    fn shown(&mut self, req: Option<u64>) -> Vec<QueueRow> {
+        let SchedulerActor {
             queues: Some(queues),
             world,
             ..
@@ -909,10 +942,10 @@
             return Vec::new();
         };
         let now = world.now;
-        let shown = |stmts: &mut Statements, stmt: StatementIndex| {
+        let shown = |stmts: &mut StatementTable, stmt: StatementIndex| {
             let open = stmts.get(stmt)?;
-            Some(Shown {
-                req: String::from_utf8_lossy(&open.fields.statement_id).into_owned(),
+            Some(QueueRow {
+                statement_id: String::from_utf8_lossy(&open.fields.statement_id).into_owned(),
                 team: open.tenant,
                 workload: open.workload,
                 queued: queues.row(now, stmt),
@@ -934,7 +967,7 @@
     }
 
     fn come_due(&mut self, due: Due) {
-        let Module {
+        let SchedulerActor {
             gateway,
             world,
             queues,
@@ -981,7 +1014,7 @@
         };
         let _ = out.mailbox.try_send(AttemptMessage::Cancel);
         let key = AttemptKey {
-            stmt,
+            statement: stmt,
             serial,
             number,
             engine: out.engine,
@@ -998,10 +1031,10 @@
                 },
             );
         } else {
-            let end = End {
+            let end = AttemptEnd {
                 outcome: Outcome::TimedOut,
-                true_cost: None,
-                report: Vec::new(),
+                measured_cost: None,
+                load_report: Vec::new(),
                 rows: None,
             };
             self.ended(key, end);
@@ -1009,8 +1042,8 @@
     }
 
     /// Ends an execution for the module, unless that has been done.
-    fn ended(&mut self, key: AttemptKey, end: End) {
-        let Module { gateway, world, .. } = self;
+    fn ended(&mut self, key: AttemptKey, end: AttemptEnd) {
+        let SchedulerActor { gateway, world, .. } = self;
         let Some(out) = world.out(key) else { return };
         let over = matches!(end.outcome, Outcome::Cancelled | Outcome::NotSent);
         let cancelled = over && out.as_ref().is_some_and(|out| out.timed_out);
@@ -1018,7 +1051,7 @@
             return;
         };
         let due = Due::AttemptTimesOut {
-            stmt: key.stmt.0,
+            stmt: key.statement.0,
             serial: key.serial,
             number: key.number,
         };
@@ -1027,28 +1060,28 @@
         if let Some(sharing) = &mut world.sharing
             && let Some(&number) = world.numbers.get(key.engine.0)
         {
-            sharing.ended(world.now, number, end.outcome, key.number == 0);
+            sharing.on_attempt_ended(world.now, number, end.outcome, key.number == 0);
         }
         if let Some(rows) = end.rows {
-            world.answer(key.stmt, Answer::Completed(rows));
+            world.answer(key.statement, Answer::Completed(rows));
         }
         let took = world.now.saturating_sub(out.sent_at);
         if world.has_queues
-            && let Some(open) = world.stmts.get(key.stmt)
+            && let Some(open) = world.stmts.get(key.statement)
         {
             let threads = world.threads.get(open.workload).copied().unwrap_or(1.0);
             if !end.outcome.never_ran() {
                 let on_engine = (took as f64 * threads) as Nanos;
                 let work = end
-                    .true_cost
-                    .map_or(on_engine, |(ms, _)| (ms * MS as f64) as Nanos);
+                    .measured_cost
+                    .map_or(on_engine, |cost| (cost.work_ms * MS as f64) as Nanos);
                 open.real = Some(open.real.unwrap_or(0) + work);
             }
             open.took = (end.outcome == Outcome::Completed).then_some(took);
         }
         let closed = world
             .stmts
-            .get(key.stmt)
+            .get(key.statement)
             .is_none_or(|open| open.client.is_none());
         let ended = AttemptEnded {
             attempt: key.number,
@@ -1056,16 +1089,16 @@
             outcome: end.outcome,
             took,
             closed,
-            true_cost: end.true_cost,
-            report: &end.report,
+            true_cost: end.measured_cost.map(|cost| (cost.work_ms, cost.peak_mb)),
+            report: &end.load_report,
         };
         gateway
             .borrow_mut()
-            .on_attempt_ended(world.now, key.stmt, &ended, world);
+            .on_attempt_ended(world.now, key.statement, &ended, world);
     }
 
     fn listed(&mut self, update: EndpointUpdate, kind: Option<EndpointUpdateKind>) {
-        let Module {
+        let SchedulerActor {
             queues,
             gateway,
             world,
@@ -1091,7 +1124,7 @@
             .on_endpoints_updated(world.now, kind, &rows, world);
         if let Some(queues) = queues {
             let cores = world.cores_listed(kind, &rows);
-            queues.capacity(world.now, cores * world.cores_part);
+            queues.set_capacity(world.now, cores * world.cores_part);
         }
         for row in &rows {
             let ready = row.phase == EngineState::Ready;
@@ -1111,12 +1144,12 @@
                 .filter(|(_, ready)| **ready)
                 .map(|(&number, _)| number)
                 .collect();
-            sharing.listed(&ready);
+            sharing.on_endpoints_updated(&ready);
         }
         let World {
             engines, mailboxes, ..
         } = world;
-        engines.keep(|ix| {
+        engines.retain(|ix| {
             gateway.borrow().is_engine_referenced(ix)
                 || mailboxes.get(ix.0).is_some_and(Option::is_some)
         });
@@ -1137,8 +1170,8 @@
 }
 
 impl World {
-    fn out(&mut self, key: AttemptKey) -> Option<&mut Option<Out>> {
-        let open = self.stmts.get_same(key.stmt, key.serial)?;
+    fn out(&mut self, key: AttemptKey) -> Option<&mut Option<InFlightAttempt>> {
+        let open = self.stmts.get_same(key.statement, key.serial)?;
         open.out
             .as_ref()
             .is_some_and(|out| out.number == key.number)
@@ -1205,7 +1238,7 @@
             return;
         };
         if let Some(keeper) = &mut self.keeper
-            && let Some(token) = keeper.answered(self.now, id, &answer)
+            && let Some(token) = keeper.on_answered(self.now, id, &answer)
         {
             keeper.waiting.insert(
                 token,
@@ -1225,7 +1258,7 @@
     fn tell_custody(&mut self, key: AttemptKey, never_ran: bool) {
         let id = self
             .stmts
-            .get(key.stmt)
+            .get(key.statement)
             .map(|open| open.fields.statement_id_number());
         if let (Some(keeper), Some(id)) = (&mut self.keeper, id) {
             keeper.ready.remove(&id);
@@ -1247,13 +1280,15 @@
     }
 
     fn unsent(&mut self, key: AttemptKey) {
-        let end = End {
+        let end = AttemptEnd {
             outcome: Outcome::NotSent,
-            true_cost: None,
-            report: Vec::new(),
+            measured_cost: None,
+            load_report: Vec::new(),
             rows: None,
         };
-        let _ = self.module.try_send(SchedulerMessage::Ended { key, end });
+        let _ = self
+            .module
+            .try_send(SchedulerMessage::AttemptEnded { key, end });
     }
 
     /// The execution of an adopted statement: asked for, never started.
@@ -1278,7 +1313,7 @@
         };
         let ix = self.engines.index_of(&server.id);
         self.numbers.resize(self.numbers.len().max(ix.0 + 1), 0);
-        self.numbers[ix.0] = id_as_number(&server.id);
+        self.numbers[ix.0] = engine_id_hash(&server.id);
         if self.mailboxes.len() <= ix.0 {
             self.mailboxes.resize_with(ix.0 + 1, || None);
         }
@@ -1302,7 +1337,7 @@
         }
         Some(EngineEndpoint {
             engine: ix,
-            id: id_as_number(&server.id),
+            id: engine_id_hash(&server.id),
             zone: index(&self.names.zones, &server.zone).unwrap_or(u16::MAX),
             kind: index(&self.names.kinds, &server.kind).unwrap_or(u16::MAX),
             cell: server.cell,
@@ -1370,7 +1405,7 @@
             .and_then(|c| c.presence.clone());
         let timeout = timeout.min(open.deadline.saturating_sub(now)).max(1);
         let key = AttemptKey {
-            stmt,
+            statement: stmt,
             serial: open.serial,
             number: open.attempts,
             engine,
@@ -1388,7 +1423,7 @@
         let (mailbox, letters) = async_channel::unbounded();
         let times_out_at = now + timeout;
         open.attempts += 1;
-        open.out = Some(Out {
+        open.out = Some(InFlightAttempt {
             number: key.number,
             engine,
             sent_at: now,
@@ -1430,7 +1465,7 @@
             return self.post(engine, attempt);
         };
         let number = attempt.key.number;
-        match keeper.grant(
+        match keeper.request_attempt_grant(
             self.now,
             id,
             number,
@@ -1445,7 +1480,7 @@
                     attempt,
                 },
             )),
-            GrantDecision::Denied(why) => keeper.deny_later(id, number, why),
+            GrantDecision::Denied(why) => keeper.defer_denial(id, number, why),
         }
     }
 
--- a/crates/ivypitch-gateway/src/actors/session.rs
+++ b/crates/ivypitch-gateway/src/actors/session.rs
@@ -16,8 +16,10 @@
 use futures_lite::{AsyncWriteExt, FutureExt, future::yield_now};
 use ivypitch_config::Names;
 
+use super::messages::{
+    Answer, ClientHandle, ClientPresence, ClientStatement, QueueRow, SchedulerMessage,
+};
 use super::socket::{read_now, read_some};
-use super::{Answer, Client, ClientPresence, SchedulerMessage, Shown};
 use crate::lifecycle::bounds::Bounds;
 use crate::lifecycle::clock::Clock;
 use crate::state::rows::{COLUMNS, Rows};
@@ -129,7 +131,7 @@
     pub fn admit(self: &Rc<Self>, stream: Async<TcpStream>, executor: &LocalExecutor<'static>) {
         let now = Instant::now();
         let mut table = self.table.borrow_mut();
-        let has_room = table.make_room(now, |open| open.presence.waits());
+        let has_room = table.make_room(now, |open| open.presence.is_waiting());
         self.last.set(self.last.get().wrapping_add(1));
         let connection = connection_id(self.seed, self.last.get());
         let state = SessionState::new(now);
@@ -331,7 +333,7 @@
         if let Some(connection) = mysql::kill_query(&text) {
             let _ = sessions
                 .module
-                .try_send(SchedulerMessage::Kill { connection });
+                .try_send(SchedulerMessage::KillQuery { connection });
             self.writer(sequence).ok();
             return Ok(());
         }
@@ -373,17 +375,19 @@
         }
         let _open = OpenMark::new(&sessions);
         let (sender, answer) = async_channel::bounded(1);
-        let client = Client {
+        let client = ClientHandle {
             answer: sender,
             presence: Some(self.presence.clone()),
         };
         let connection = self.connection;
-        let arrived = SchedulerMessage::Arrived {
+        let arrived = SchedulerMessage::StatementArrived {
             connection,
-            fields,
-            workload,
-            tenant,
-            at,
+            statement: ClientStatement {
+                fields,
+                workload,
+                tenant,
+            },
+            arrived_at: at,
             client,
         };
         let _ = sessions.module.try_send(arrived);
@@ -422,11 +426,11 @@
     /// What waits in the teams' queues; no engine hears of it.
     /// What is shared, as one row of JSON: other programs lay two gateways' views beside each other.
     async fn show_fleet(&mut self, sequence: u8) -> Result<(), SessionEnd> {
-        let (client, shown) = async_channel::bounded(1);
+        let (reply, shown) = async_channel::bounded(1);
         let _ = self
             .sessions
             .module
-            .try_send(SchedulerMessage::ShowFleet { client });
+            .try_send(SchedulerMessage::ShowFleet { reply });
         let view = shown.recv().await.map_err(|_| SessionEnd::Disconnected)?;
         let mut writer = self.writer(sequence);
         writer.columns(&[b"view"]);
@@ -436,15 +440,15 @@
     }
 
     async fn show(&mut self, asked: ShowWaits, sequence: u8) -> Result<(), SessionEnd> {
-        let (client, shown) = async_channel::bounded(1);
+        let (reply, shown) = async_channel::bounded(1);
         let req = match asked {
             ShowWaits::All => None,
             ShowWaits::One(req) => Some(req),
         };
-        let _ = self
-            .sessions
-            .module
-            .try_send(SchedulerMessage::Show { req, client });
+        let _ = self.sessions.module.try_send(SchedulerMessage::ShowQueue {
+            statement_id: req,
+            reply,
+        });
         let shown = shown.recv().await.map_err(|_| SessionEnd::Disconnected)?;
         let names = self.sessions.names.clone();
         let mut writer = self.writer(sequence);
@@ -463,7 +467,7 @@
         sequence = writer.sequence;
         for page in rows.into_pages() {
             let mut writer = self.writer(sequence);
-            Rows::of_page(&page).for_each(|row| writer.row(row));
+            Rows::rows_of_page(&page).for_each(|row| writer.row(row));
             sequence = writer.sequence;
             drop(page);
             if self.output.len() >= WRITE {
@@ -580,7 +584,7 @@
     b"age_ms",
 ];
 
-fn row_of(row: &Shown, names: &Names) -> [String; 9] {
+fn row_of(row: &QueueRow, names: &Names) -> [String; 9] {
     let name = |names: &[String], ix: usize| names.get(ix).cloned().unwrap_or_default();
     let ms = |span: u64| (span / 1_000_000).to_string();
     let (state, position, [low, mid, high, age]) = match &row.queued {
@@ -592,7 +596,7 @@
         None => ("running", 0, [0; 4].map(ms)),
     };
     [
-        row.req.clone(),
+        row.statement_id.clone(),
         name(&names.tenants, row.team),
         name(&names.workloads, row.workload),
         state.into(),
