--- a/crates/ivypitch-gateway/src/lifecycle/program.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/program.rs
@@ -16,8 +16,8 @@
 use async_signal::{Signal, Signals};
 use futures_lite::{FutureExt, StreamExt, future::yield_now};
 use ivypitch_config::DeploymentConfig;
-use ivypitch_config::own::Own;
-use ivypitch_config::schema::Fault;
+use ivypitch_config::operator::OperatorConfig;
+use ivypitch_config::schema::SettingsError;
 use ivypitch_discovery::Feed;
 use ivypitch_queueing::Budgets;
 use ivypitch_types::{Incarnation, MemberId, Nanos, ProcessId};
@@ -25,13 +25,14 @@
 use super::clock::Clock;
 use super::configuration::{self, Configuration};
 use super::own::OwnFile;
-use crate::actors::coordination::Sharing;
+use crate::actors::coordination::CoordinationDriver;
 use crate::actors::discovery::{List, ListMessage};
-use crate::actors::ownership::Keeper;
+use crate::actors::messages::SchedulerMessage;
+use crate::actors::ownership::OwnershipDriver;
 use crate::actors::peer_links;
-use crate::actors::{SchedulerMessage, scheduler, session};
-use crate::state::connects::ConnectCounters;
-use crate::state::permits::Permits;
+use crate::actors::{scheduler, session};
+use crate::state::connections::ConnectionCounters;
+use crate::state::permits::ConnectionPermits;
 use crate::state::traffic::Traffic;
 
 /// After SIGTERM new connections go on coming for 0.4 s and requests on open ones for 0.2 s more.
@@ -76,7 +77,7 @@
     clock: Clock,
     executor: Rc<LocalExecutor<'static>>,
     sessions: Rc<session::Sessions>,
-    connects: Rc<ConnectCounters>,
+    connects: Rc<ConnectionCounters>,
     listener: Rc<Async<TcpListener>>,
     module: Sender<SchedulerMessage>,
     list: Sender<ListMessage>,
@@ -103,7 +104,7 @@
     /// an own file all that it could set up is off.
     pub fn start(
         configuration: Configuration,
-        own: Option<(OwnFile, Own)>,
+        own: Option<(OwnFile, OperatorConfig)>,
         clock: Clock,
         mut signals: Signals,
     ) -> Result<Option<Program>, String> {
@@ -151,12 +152,12 @@
         let sharing_on = own.as_ref().is_some_and(|(_, own)| {
             own.peers
                 .as_ref()
-                .is_some_and(|p| p.enabled && p.shares.enabled)
+                .is_some_and(|p| p.enabled && p.coordination.enabled)
         });
         sessions.show_fleet(sharing_on);
         let traffic = Rc::new(Traffic::default());
         let follower = List {
-            feed: RefCell::new(Feed::new(known.pos, seed)),
+            feed: RefCell::new(Feed::new(known.position, seed)),
             clock,
             longest_line: bounds.journal_line,
             module: module.clone(),
@@ -164,51 +165,59 @@
             traffic: traffic.clone(),
         };
         let (list, list_mail) = async_channel::unbounded();
-        let permits = Permits::new(bounds.engines);
+        let permits = ConnectionPermits::new(bounds.engines);
         let talk = own
             .as_ref()
             .and_then(|(file, own)| Some((file, own.peers.as_ref().filter(|p| p.enabled)?)));
         let (mut keeper, mut sharing) = (None, None);
         if let Some((file, own)) = talk {
-            let peering = own.peering(&name).map_err(|faults| told(file, faults))?;
+            let peering = own.network(&name).map_err(|faults| told(file, faults))?;
             let (now, birth) = (clock.now(), clock.now() / 1_000_000);
-            let zones: Vec<u16> = peering.roster.seats.iter().map(|seat| seat.zone).collect();
-            let place = peering.place;
+            let zones: Vec<u16> = peering.members.seats.iter().map(|seat| seat.zone).collect();
+            let place = peering.own_member;
             let start = peer_links::Start {
-                roster: peering.roster,
+                roster: peering.members,
                 place,
                 listen: peering.listen,
-                terms: peering.terms,
+                terms: peering.membership,
                 birth,
                 seed,
                 traffic: traffic.clone(),
             };
             let mailbox = peer_links::Peers::start(start, clock, module.clone(), executor.clone())?;
-            if own.shares.enabled {
-                let terms = own.shares.terms(zones.len(), &given.names.tenants);
+            if own.coordination.enabled {
+                let terms = own.coordination.config(zones.len(), &given.names.tenants);
                 let me = ivypitch_coordination::Process { place, birth };
                 let shares = ivypitch_coordination::Shares::new(
                     me,
                     zones.clone(),
                     terms,
-                    known.pos,
+                    known.position,
                     seed,
                     now,
                 );
-                sharing = Some(Sharing::new(shares, mailbox.clone(), list.clone()));
+                sharing = Some(CoordinationDriver::new(
+                    shares,
+                    mailbox.clone(),
+                    list.clone(),
+                ));
             }
-            if own.custody.enabled {
-                let terms = own.custody.terms(longest_timeout);
+            if own.ownership.enabled {
+                let terms = own.ownership.config(longest_timeout);
                 let this = ProcessId {
                     member: MemberId(place),
                     incarnation: Incarnation(birth),
                 };
                 let custody = ivypitch_ownership::Ownership::new(this, zones, terms, now);
-                keeper = Some(Keeper::new(custody, mailbox, own.custody.asks_from()));
+                keeper = Some(OwnershipDriver::new(
+                    custody,
+                    mailbox,
+                    own.ownership.min_lookup_work(),
+                ));
             }
         }
-        let connects = Rc::new(ConnectCounters::default());
-        let parts = scheduler::Parts {
+        let connects = Rc::new(ConnectionCounters::default());
+        let parts = scheduler::SchedulerParts {
             budgets,
             keeper,
             sharing,
@@ -216,8 +225,14 @@
             connects: connects.clone(),
             traffic,
         };
-        let actor =
-            scheduler::Module::new(given, parts, seed, clock, module.clone(), executor.clone());
+        let actor = scheduler::SchedulerActor::new(
+            given,
+            parts,
+            seed,
+            clock,
+            module.clone(),
+            executor.clone(),
+        );
         executor.spawn(actor.run(mailbox, known)).detach();
         executor.spawn(follower.run(journal, list_mail)).detach();
         let program = Program {
@@ -263,7 +278,9 @@
             let longest =
                 self.longest_timeout.min(KILL_WAITS_AT_MOST) + OVERLAP.as_nanos() as Nanos;
             let by = self.clock.now() + longest - LAST_ANSWERS;
-            let _ = self.module.try_send(SchedulerMessage::Drain { by });
+            let _ = self
+                .module
+                .try_send(SchedulerMessage::Shutdown { answer_by: by });
             self.until_shutdown(async {
                 Timer::after(OVERLAP).await;
             })
@@ -323,7 +340,7 @@
                     Ok((Some(budgets), own)) if has_queues => {
                         log::info!("reload: budgets of {} teams", budgets.teams.len());
                         sessions.show(own.teams.is_some_and(|teams| teams.show));
-                        let _ = module.try_send(SchedulerMessage::Budgets {
+                        let _ = module.try_send(SchedulerMessage::ReloadBudgets {
                             budgets: Box::new(budgets),
                         });
                     }
@@ -398,7 +415,7 @@
 /// The budgets that an own file sets up; none where it has no teams, or has them off.
 fn budgets(
     file: &OwnFile,
-    own: &Own,
+    own: &OperatorConfig,
     given: &DeploymentConfig,
     places: usize,
 ) -> Result<Option<Budgets>, String> {
@@ -411,7 +428,7 @@
         .map_err(|faults| told(file, faults))
 }
 
-fn told(file: &OwnFile, faults: Vec<Fault>) -> String {
+fn told(file: &OwnFile, faults: Vec<SettingsError>) -> String {
     let all: Vec<String> = faults
         .iter()
         .map(|f| format!("{}: {f}", file.path.display()))
--- a/crates/ivypitch-gateway/src/state/statements.rs
+++ b/crates/ivypitch-gateway/src/state/statements.rs
@@ -5,11 +5,11 @@
 use async_channel::Sender;
 use ivypitch_types::{EngineIndex, Nanos, StatementIndex};
 
-use crate::actors::{AttemptMessage, Client};
+use crate::actors::messages::{AttemptMessage, ClientHandle};
 use crate::wire::fields::Fields;
 
 /// One execution that is out.
-pub struct Out {
+pub struct InFlightAttempt {
     pub number: u32,
     pub engine: EngineIndex,
     pub sent_at: Nanos,
@@ -19,7 +19,7 @@
     pub mailbox: Sender<AttemptMessage>,
 }
 
-pub struct Open {
+pub struct OpenStatement {
     /// Distinguishes the statements that held one index in turn.
     pub serial: u64,
     pub connection: u32,
@@ -28,11 +28,11 @@
     pub tenant: usize,
     pub deadline: Nanos,
     /// Taken by the answer.
-    pub client: Option<Client>,
+    pub client: Option<ClientHandle>,
     pub attempts: u32,
     /// What custody calls its client by.
     pub token: u64,
-    pub out: Option<Out>,
+    pub out: Option<InFlightAttempt>,
     pub grant_mb: f64,
     pub priority: u8,
     /// Work of its executions so far that may have run: as their answers tell it, else threads times time.
@@ -43,8 +43,8 @@
 
 /// A place is emptied as the module forgets its statement, and then used again.
 #[derive(Default)]
-pub struct Statements {
-    places: Vec<Option<Open>>,
+pub struct StatementTable {
+    places: Vec<Option<OpenStatement>>,
     free: Vec<usize>,
     by_connection: HashMap<u32, StatementIndex>,
     /// The ids of the statements in `places`.
@@ -52,7 +52,7 @@
     serial: u64,
 }
 
-impl Statements {
+impl StatementTable {
     /// `None`, and the client back, where a statement is open, or out, under the same id: at the engines the id
     /// names the query.
     pub fn open(
@@ -61,9 +61,9 @@
         fields: Fields,
         (workload, tenant): (usize, usize),
         deadline: Nanos,
-        client: Client,
-    ) -> Result<StatementIndex, Client> {
-        let req = fields.req_number();
+        client: ClientHandle,
+    ) -> Result<StatementIndex, ClientHandle> {
+        let req = fields.statement_id_number();
         if self.reqs.contains_key(&req) {
             return Err(client);
         }
@@ -73,7 +73,7 @@
         });
         self.reqs.insert(req, StatementIndex(ix));
         self.serial += 1;
-        self.places[ix] = Some(Open {
+        self.places[ix] = Some(OpenStatement {
             serial: self.serial,
             connection,
             fields,
@@ -93,12 +93,12 @@
         Ok(StatementIndex(ix))
     }
 
-    pub fn get(&mut self, ix: StatementIndex) -> Option<&mut Open> {
+    pub fn get(&mut self, ix: StatementIndex) -> Option<&mut OpenStatement> {
         self.places.get_mut(ix.0)?.as_mut()
     }
 
-    /// As [`Statements::get`], unless another has taken the index since.
-    pub fn get_same(&mut self, ix: StatementIndex, serial: u64) -> Option<&mut Open> {
+    /// As [`StatementTable::get`], unless another has taken the index since.
+    pub fn get_same(&mut self, ix: StatementIndex, serial: u64) -> Option<&mut OpenStatement> {
         self.get(ix).filter(|open| open.serial == serial)
     }
 
@@ -115,7 +115,7 @@
     }
 
     /// Takes the place where the answer goes; only the first call gets it.
-    pub fn answer(&mut self, ix: StatementIndex) -> Option<Client> {
+    pub fn answer(&mut self, ix: StatementIndex) -> Option<ClientHandle> {
         let open = self.get(ix)?;
         let client = open.client.take()?;
         let connection = open.connection;
@@ -126,7 +126,7 @@
     pub fn close(&mut self, ix: StatementIndex) {
         self.answer(ix);
         if let Some(open) = self.places.get_mut(ix.0).and_then(Option::take) {
-            self.reqs.remove(&open.fields.req_number());
+            self.reqs.remove(&open.fields.statement_id_number());
             self.free.push(ix.0);
         }
     }
