--- a/crates/ivypitch-ownership/tests/recorded_messages.rs
+++ b/crates/ivypitch-ownership/tests/recorded_messages.rs
@@ -83,14 +83,15 @@
     }
 }
 
-#[test]
-fn every_message_keeps_its_recorded_bytes() {
-    let rows = FinalAnswer::Rows(vec![ByteBuf::from(b"page 1".to_vec()), ByteBuf::new()]);
+/// A message and its bytes in hexadecimal.
+type Recorded = (Message, &'static str);
+
+fn recorded_votes_and_updates() -> Vec<Recorded> {
     let completed = StatementEnd::Completed {
         rows_at: process(4, 77),
     };
     let (id, epoch, grant) = (ID, EPOCH, GRANT);
-    let recorded = [
+    vec![
         (
             Message::Update(vec![
                 full_record(None),
@@ -154,9 +155,15 @@
             Message::Abstention { id, epoch },
             "05e6aa919aa3a40407ac02fbd095ffbc31",
         ),
+    ]
+}
+
+fn recorded_lookups_and_transfers() -> Vec<Recorded> {
+    let rows = FinalAnswer::Rows(vec![ByteBuf::from(b"page 1".to_vec()), ByteBuf::new()]);
+    vec![
         (
             Message::LookupRequest {
-                id,
+                id: ID,
                 digest: 1 << 40,
                 request_id: 129,
             },
@@ -217,7 +224,14 @@
             },
             "0900010102019003",
         ),
-    ];
+    ]
+}
+
+#[test]
+fn every_message_keeps_its_recorded_bytes() {
+    let recorded = recorded_votes_and_updates()
+        .into_iter()
+        .chain(recorded_lookups_and_transfers());
     for (message, recorded) in recorded {
         assert_eq!(
             hex(&postcard::to_allocvec(&message).unwrap()),
