--- a/crates/ivypitch-config/src/operator/peers.rs
+++ b/crates/ivypitch-config/src/operator/peers.rs
@@ -213,18 +213,18 @@
 impl OwnershipSettings {
     /// The configuration of ownership, in a deployment whose longest statement timeout is this.
     pub fn config(&self, max_statement_timeout: Nanos) -> OwnershipConfig {
-        let policy = match self.without_quorum.as_str() {
+        let no_quorum = match self.without_quorum.as_str() {
             "single" => NoQuorumPolicy::ProceedAlone,
             _ => NoQuorumPolicy::Reject,
         };
         OwnershipConfig {
-            witnesses: self.voters,
-            policy,
-            longest: max_statement_timeout,
-            remembered: nanos_from_millis(self.retention_ms),
+            voters_per_statement: self.voters,
+            no_quorum,
+            max_statement_timeout,
+            retention: nanos_from_millis(self.retention_ms),
             result_cache_bytes_per_tenant: (self.result_cache_mb_per_tenant * BYTES_PER_MB)
                 as usize,
-            most_entries: self.max_voted_statements,
+            max_entries: self.max_voted_statements,
             ..OwnershipConfig::default()
         }
     }
--- a/crates/ivypitch-gateway/src/lifecycle/program.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/program.rs
@@ -208,7 +208,11 @@
             }
             if own.ownership.enabled {
                 let terms = own.ownership.config(longest_timeout);
-                let custody = ivypitch_ownership::Ownership::new(place, birth, zones, terms, now);
+                let this = ProcessId {
+                    member: MemberId(place),
+                    incarnation: Incarnation(birth),
+                };
+                let custody = ivypitch_ownership::Ownership::new(this, zones, terms, now);
                 keeper = Some(OwnershipDriver::new(
                     custody,
                     mailbox,
--- a/crates/ivypitch-gateway/tests/recorded_peer_messages.rs
+++ b/crates/ivypitch-gateway/tests/recorded_peer_messages.rs
@@ -24,8 +24,10 @@
 fn every_frame_keeps_its_recorded_bytes() {
     let epoch = Epoch {
         count: 7,
-        place: 300,
-        birth: 1_700_000_000_123,
+        process: ProcessId {
+            member: MemberId(300),
+            incarnation: Incarnation(1_700_000_000_123),
+        },
     };
     let recorded = [
         (
--- a/crates/ivypitch-testbed/src/processes/hollow_gateways.rs
+++ b/crates/ivypitch-testbed/src/processes/hollow_gateways.rs
@@ -381,7 +381,11 @@
     });
     let keeper = own.ownership.enabled.then(|| {
         let terms = own.ownership.config(crowd.longest_ms * 1_000_000);
-        let custody = Ownership::new(at, birth, zones.clone(), terms, now);
+        let this = ProcessId {
+            member: MemberId(at),
+            incarnation: Incarnation(birth),
+        };
+        let custody = Ownership::new(this, zones.clone(), terms, now);
         OwnershipDriver::new(custody, say.clone(), own.ownership.min_lookup_work())
     });
     let follower = List {
