--- a/crates/ivypitch-config/src/lib.rs
+++ b/crates/ivypitch-config/src/lib.rs
@@ -210,7 +210,7 @@
             latency_objective_stretch: c.aim_stretch,
             statement_timeout: c.give_up_ns,
             priority_weight: c.worth,
-            effect: match c.effect.as_str() {
+            idempotency: match c.effect.as_str() {
                 "safe" => Idempotency::Idempotent,
                 "keyed" => Idempotency::IdempotentWithKey,
                 "unsafe" => Idempotency::NonIdempotent,
@@ -227,7 +227,7 @@
             allowed_zones: c.zones_allowed,
             allowed_engine_kinds: c.host_types_allowed,
             threads: extra.dop.get(i).copied().unwrap_or(1.0),
-            is_load: at(&extra.loads, i),
+            is_bulk_load: at(&extra.loads, i),
             waits_for_bulk_loads: at(&extra.yields_to_loads, i),
         });
     }
@@ -251,7 +251,7 @@
     let may = &options.permissions;
     let facts = Deployment {
         gateways: options.balancers,
-        me: options.me,
+        member_index: options.me,
         zone: options.zone,
         tick: options.tick_ns,
         workloads,
@@ -270,41 +270,41 @@
             options.permissions.max_open_statements
         },
         report_fields: options.load_info.fields.iter().map(field).collect(),
-        report_path: match options.load_info.how.as_str() {
-            "piggyback" => LoadReporting::WithAnswers,
-            "pull" => LoadReporting::ProbesOnly,
-            _ => LoadReporting::Silent,
+        load_reporting: match options.load_info.how.as_str() {
+            "piggyback" => LoadReporting::WithResults,
+            "pull" => LoadReporting::OnRequest,
+            _ => LoadReporting::None,
         },
-        progress_pace: extra.progress_pace_ns,
-        memory_heeded: extra.memory_heeded,
-        priority_heeded: extra.ranks_heeded,
-        most_grant: extra.most_grant,
-        tells_cost: extra.tells_cost,
-        must_ask_for_list: options.registry_mode == "on_request",
-        must_ask_within: contract.must_ask_in_ns,
-        may_probe: may.may_probe,
-        may_withdraw: may.may_cancel,
-        may_publish: may.peers,
-        come_back_heeded: may.retry_after,
-        longest_come_back: may.max_retry_after_ns,
-        second_copies: may.second_copies,
+        progress_interval: extra.progress_pace_ns,
+        honors_memory_grants: extra.memory_heeded,
+        honors_priorities: extra.ranks_heeded,
+        max_memory_grant: extra.most_grant,
+        reports_true_cost: extra.tells_cost,
+        must_request_endpoints: options.registry_mode == "on_request",
+        endpoint_request_deadline: contract.must_ask_in_ns,
+        can_request_load_reports: may.may_probe,
+        can_cancel: may.may_cancel,
+        can_broadcast: may.peers,
+        honors_retry_after: may.retry_after,
+        max_retry_after: may.max_retry_after_ns,
+        allows_hedged_requests: may.second_copies,
         max_attempts: if may.max_attempts == 0 {
             u32::MAX
         } else {
             may.max_attempts
         },
-        drain_grace: contract.drain_grace_ns,
+        drain_period: contract.drain_grace_ns,
         answer_grace: contract.grace_to_answer_ns,
-        cold_from: contract.cold_from,
-        warm_up: contract.warm_up_ns,
+        slow_start_initial_fraction: contract.cold_from,
+        slow_start_duration: contract.warm_up_ns,
         overload_factor: contract.overload_factor,
         overload_window: contract.tip_after_ns,
         retry_budget: contract.resend_span_ns.map(|window| RetryBudget {
             window,
-            free: contract.budget_free.unwrap_or(0.0),
+            base: contract.budget_free.unwrap_or(0.0),
             per_statement: contract.repeat_ratio.unwrap_or(0.0),
         }),
-        key_rest: contract.settle_after_doubt_ns,
+        key_settle_time: contract.settle_after_doubt_ns,
         wasted_work_price: options.prices.waste,
     };
     Ok(DeploymentConfig {
--- a/crates/ivypitch-config/src/own.rs
+++ b/crates/ivypitch-config/src/own.rs
@@ -368,7 +368,7 @@
                     priority_weight: facts.priority_weight,
                     latency_objective: facts.latency_objective,
                     threads: facts.threads,
-                    is_load: facts.is_load,
+                    is_load: facts.is_bulk_load,
                     usual_work: stated(|own| own.usual_work_ms)
                         .unwrap_or(facts.latency_objective / 3),
                     slack: stated(|own| own.slack_ms).unwrap_or(in_order),
@@ -388,8 +388,8 @@
             most_queued: self.most_queued.unwrap_or(places),
             most_queued_bytes: bytes(self.most_queued_kb),
             preempts_from: self.preempts_from_importance,
-            longest_come_back: if facts.come_back_heeded {
-                facts.longest_come_back
+            longest_come_back: if facts.honors_retry_after {
+                facts.max_retry_after
             } else {
                 0
             },
--- a/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
@@ -197,7 +197,7 @@
                     .facts
                     .workloads
                     .iter()
-                    .map(|w| w.effect == Idempotency::Idempotent)
+                    .map(|w| w.idempotency == Idempotency::Idempotent)
                     .collect(),
                 threads: given
                     .facts
--- a/crates/ivypitch-scheduler/tests/deal.rs
+++ b/crates/ivypitch-scheduler/tests/deal.rs
@@ -1,6 +1,6 @@
 //! How engines are dealt to gateways: by counts of places alone, the same on any machine.
 
-use ivypitch_scheduler::place_of;
+use ivypitch_scheduler::gateway_rank;
 use ivypitch_types::unit_hash;
 use test_case::test_case;
 
@@ -8,7 +8,7 @@
 fn kept(engines: &[u64], me: usize, gateways: usize, count: usize) -> Vec<u64> {
     let key = |id: &u64| {
         (
-            place_of(*id, me, gateways),
+            gateway_rank(*id, me, gateways),
             (unit_hash(id) * 1e9) as u64,
             *id,
         )
@@ -49,7 +49,9 @@
 #[test_case(3800)]
 fn every_place_at_an_engine_goes_to_one_gateway(gateways: usize) {
     for id in ids(5) {
-        let mut places: Vec<usize> = (0..gateways).map(|me| place_of(id, me, gateways)).collect();
+        let mut places: Vec<usize> = (0..gateways)
+            .map(|me| gateway_rank(id, me, gateways))
+            .collect();
         places.sort_unstable();
         assert!(
             places.iter().enumerate().all(|(i, place)| i == *place),
--- a/crates/ivypitch-scheduler/tests/scenarios.rs
+++ b/crates/ivypitch-scheduler/tests/scenarios.rs
@@ -13,7 +13,6 @@
 //! sent to, `held A B` the gateways of a fleet that have sent to an engine, `restart` begins it anew with nothing but its facts.
 
 use ivypitch_scheduler::Scheduler;
-use ivypitch_scheduler::load_tag;
 use ivypitch_scheduler::*;
 use ivypitch_types::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -109,16 +108,16 @@
         over_quota_priority_weight: 0.1,
         max_open_statements: usize::MAX,
         report_fields: vec![ReportField::Inflight, ReportField::Cpu],
-        progress_pace: 2 * SECOND,
-        may_withdraw: true,
-        come_back_heeded: true,
-        longest_come_back: SECOND,
+        progress_interval: 2 * SECOND,
+        can_cancel: true,
+        honors_retry_after: true,
+        max_retry_after: SECOND,
         max_attempts: 4,
-        cold_from: 0.3,
-        warm_up: 15 * SECOND,
+        slow_start_initial_fraction: 0.3,
+        slow_start_duration: 15 * SECOND,
         overload_factor: 2.0,
         overload_window: SECOND,
-        key_rest: Some(SECOND),
+        key_settle_time: Some(SECOND),
         ..Deployment::default()
     }
 }
@@ -127,19 +126,19 @@
     let on = value != 0.0;
     match name {
         "gateways" => facts.gateways = value as usize,
-        "me" => facts.me = value as usize,
-        "probes" => facts.may_probe = on,
-        "ask" => facts.must_ask_for_list = on,
-        "publish" => facts.may_publish = on,
-        "memory" => facts.memory_heeded = on,
+        "me" => facts.member_index = value as usize,
+        "probes" => facts.can_request_load_reports = on,
+        "ask" => facts.must_request_endpoints = on,
+        "publish" => facts.can_broadcast = on,
+        "memory" => facts.honors_memory_grants = on,
         "executions" => facts.max_attempts = value as u32,
         "places" => facts.max_open_statements = value as usize,
-        "priority" => facts.priority_heeded = on,
+        "priority" => facts.honors_priorities = on,
         "budget-free" => {
             let window = 5 * SECOND;
             facts.retry_budget = Some(RetryBudget {
                 window,
-                free: value,
+                base: value,
                 per_statement: 0.0,
             });
         }
@@ -153,7 +152,7 @@
         latency_objective_stretch: 1.5,
         statement_timeout: f.ms("timeout", 4000.0),
         priority_weight: f.number("importance", 1.0),
-        effect: match f.text("effect") {
+        idempotency: match f.text("effect") {
             Some("deduplicated") => Idempotency::IdempotentWithKey,
             Some("non-idempotent") => Idempotency::NonIdempotent,
             _ => Idempotency::Idempotent,
@@ -168,7 +167,7 @@
         allowed_zones: f.list("zones"),
         allowed_engine_kinds: f.list("kinds"),
         threads: f.number("threads", 1.0),
-        is_load: f.text("load").is_some(),
+        is_bulk_load: f.text("load").is_some(),
         waits_for_bulk_loads: f.text("waits").is_some(),
     }
 }
@@ -449,7 +448,7 @@
             }
             "restart" => self.gateway = None,
             "first" => {
-                if self.facts.me < words[1].parse().unwrap() {
+                if self.facts.member_index < words[1].parse().unwrap() {
                     self.step(&words[2..].join(" "));
                 }
             }
@@ -467,7 +466,7 @@
             }
             "peer" => {
                 let engine = self.engine(words[3]);
-                let tag = load_tag(engine.0 as u64 * 77 + 5, words[4].parse().unwrap());
+                let tag = bulk_load_tag(engine.0 as u64 * 77 + 5, words[4].parse().unwrap());
                 let bytes = (tag << 1 | u32::from(words[2] == "begins")).to_le_bytes();
                 self.gateway().0.on_peer_message(now, &bytes);
             }
@@ -486,7 +485,7 @@
                 let (gateway, _) = self.gateway();
                 assert_eq!(
                     gateway.in_flight(),
-                    (0, 0, 0.0),
+                    InFlight::default(),
                     "statements, executions, threads"
                 );
             }
@@ -527,7 +526,7 @@
                 names: vec![],
                 passed: BTreeMap::new(),
             };
-            play.facts.me = me;
+            play.facts.member_index = me;
             for (i, line) in steps.lines().enumerate() {
                 let line = line.split('#').next().unwrap_or("").trim();
                 let of_all = ["fleet ", "together ", "held "];
