--- a/crates/ivypitch-scheduler/src/bulk_loads.rs
+++ b/crates/ivypitch-scheduler/src/bulk_loads.rs
@@ -1,4 +1,5 @@
-//! Bulk loads lock their table group on their engine: which engine holds which group, here and at other gateways.
+//! Bulk loads lock their table group on their engine: which engine holds which group, here and at other
+//! gateways.
 
 use crate::engine::Engine;
 use crate::output::Output;
--- a/crates/ivypitch-scheduler/src/capacity.rs
+++ b/crates/ivypitch-scheduler/src/capacity.rs
@@ -85,8 +85,8 @@
         }
     }
 
-    /// The bound on the threads per core of a statement's class: narrower beyond its tenant's quota, and for much
-    /// work the more engines are under pressure.
+    /// The bound on the threads per core of a statement's class: narrower beyond its tenant's quota, and for
+    /// much work the more engines are under pressure.
     fn class_threads_per_core(&self, statement: &Statement) -> f64 {
         let workload = &self.deployment.workloads[statement.workload];
         let state = &self.workloads[statement.workload];
@@ -109,8 +109,8 @@
 
     /// An engine's cores, less what workloads that may run on fewer engines need there.
     ///
-    /// Guards against statements that may run anywhere filling the only engines of others. Hurts for a while when
-    /// the mix of workloads changes.
+    /// Guards against statements that may run anywhere filling the only engines of others. Hurts for a while
+    /// when the mix of workloads changes.
     pub(crate) fn remaining_cores(&self, workload: usize, engine: &Engine) -> f64 {
         let total_demand = self
             .workloads
--- a/crates/ivypitch-scheduler/src/cost_model.rs
+++ b/crates/ivypitch-scheduler/src/cost_model.rs
@@ -14,7 +14,8 @@
 const DEMAND_LEARNING_RATE: f64 = 0.01;
 /// Smoothing of an engine's slowness, per result.
 const ENGINE_LEARNING_RATE: f64 = 0.1;
-/// An engine's best slowness grows by this factor with each result, so that an old record does not stand forever.
+/// An engine's best slowness grows by this factor with each result, so that an old record does not stand
+/// forever.
 const BEST_SLOWNESS_DECAY: f64 = 1.001;
 /// A latency objective is taken for this many times the usual work until results tell more.
 const OBJECTIVE_PER_WORK: f64 = 3.0;
--- a/crates/ivypitch-scheduler/src/deployment.rs
+++ b/crates/ivypitch-scheduler/src/deployment.rs
@@ -190,7 +190,8 @@
     pub slow_start_initial_fraction: f64,
     /// Time after which a started engine has its full capacity.
     pub slow_start_duration: Nanos,
-    /// Work within [`overload_window`](Self::overload_window), as a multiple of an engine's capacity, that overloads it.
+    /// Work within [`overload_window`](Self::overload_window), as a multiple of an engine's capacity, that
+    /// overloads it.
     pub overload_factor: f64,
     /// Window over which work adds up to an overload.
     pub overload_window: Nanos,
--- a/crates/ivypitch-scheduler/src/dispatch.rs
+++ b/crates/ivypitch-scheduler/src/dispatch.rs
@@ -1,13 +1,11 @@
 //! Which waiting statement is sent next, and load shedding: which one is rejected.
 
-use crate::bulk_loads::BulkLoadChange;
 use crate::deployment::Workload;
-use crate::outlier_detection::TRIAL_INTERVAL;
 use crate::output::Output;
 use crate::safety_rules::Action;
 use crate::scheduler::Scheduler;
-use crate::statement::{Attempt, Statement, StatementState};
-use ivypitch_types::{EngineIndex, Nanos, SECOND, StatementIndex};
+use crate::statement::{Statement, StatementState};
+use ivypitch_types::{Nanos, SECOND, StatementIndex};
 
 /// Where more statements wait, they are looked at once for each time of the clock.
 const MAX_WAITING_FOR_EVERY_EVENT: usize = 8;
@@ -18,10 +16,6 @@
 /// Out of turn in its key's order, a statement waits on until so long before its deadline.
 const KEY_ORDER_MARGIN: Nanos = SECOND;
 
-const LONG_PRIORITY: u8 = 1;
-const SHORT_PRIORITY: u8 = 3;
-const OVER_QUOTA_PRIORITY: u8 = 0;
-
 struct WaitingStatement {
     /// Priority weight for each second of work.
     value: f64,
@@ -117,8 +111,8 @@
 
     /// Whether the statement may take one of the slots for open statements.
     ///
-    /// The last are for statements that are worth much for their time. Guards against few that run long keeping out
-    /// many. Hurts where estimates mislead.
+    /// The last are for statements that are worth much for their time. Guards against few that run long
+    /// keeping out many. Hurts where estimates mislead.
     fn has_slot(&self, statement: &Statement) -> bool {
         let time_secs = |work_secs: f64, workload: usize| {
             work_secs / self.deployment.workloads[workload].threads.max(1.0)
@@ -136,125 +130,8 @@
         self.open_statements as f64 <= slots
     }
 
-    /// Sends a statement to an engine, if the safety rules allow it.
-    fn send(
-        &mut self,
-        now: Nanos,
-        index: StatementIndex,
-        engine: EngineIndex,
-        out: &mut dyn Output,
-    ) {
-        if !self.is_permitted(now, index, Action::Send(engine)) {
-            return;
-        }
-        self.transition(index, StatementState::Running);
-        self.set_resources(index, out);
-        let Some(statement) = &mut self.statements[index.0] else {
-            return;
-        };
-        if statement.is_retry() {
-            self.retry_budget.record_retry(now);
-        }
-        let timeout = statement
-            .deadline
-            .saturating_sub(now + 2 * self.deployment.tick)
-            .max(1);
-        out.send(index, engine, timeout);
-        let charged_work_secs = statement.charged_work_secs;
-        statement.attempt = Some(Attempt {
-            engine,
-            started_at: now,
-            number: statement.attempts,
-            charged_work_secs,
-            last_progress_at: now,
-        });
-        statement.attempts += 1;
-        let (workload, point) = (statement.workload, statement.point);
-        let table_group = statement.table_group;
-        self.count_attempt(workload, engine);
-        self.charge_engine(now, engine, charged_work_secs);
-        if self.deployment.workloads[workload].is_bulk_load {
-            self.on_own_bulk_load(now, engine, table_group, BulkLoadChange::Begins, out);
-        }
-        self.record_send(engine, point, table_group);
-    }
-
-    /// Tells the engine the memory and the priority of the next attempt, where engines honor either.
-    fn set_resources(&self, index: StatementIndex, out: &mut dyn Output) {
-        let deployment = &self.deployment;
-        if !deployment.honors_priorities && !deployment.honors_memory_grants {
-            return;
-        }
-        let Some(statement) = self.statement(index) else {
-            return;
-        };
-        let state = &self.workloads[statement.workload];
-        let grant_mb = if deployment.honors_memory_grants {
-            statement.estimated_mb * state.cost.memory_factor
-        } else {
-            0.0
-        };
-        let full_weight = deployment.workloads[statement.workload].priority_weight;
-        let priority = if statement.priority_weight < full_weight {
-            OVER_QUOTA_PRIORITY
-        } else if state.is_long {
-            LONG_PRIORITY
-        } else {
-            SHORT_PRIORITY
-        };
-        out.set_resources(index, grant_mb, priority);
-    }
-
-    /// Counts an attempt of the workload that runs on the engine from now on.
-    pub(crate) fn count_attempt(&mut self, workload: usize, engine: EngineIndex) {
-        let threads = self.deployment.workloads[workload].threads;
-        let state = &mut self.workloads[workload];
-        state.in_flight += 1;
-        let engine = &mut self.engines[engine.0];
-        engine.in_flight += 1;
-        *engine.threads.of_class_mut(state.is_long) += threads;
-    }
-
-    /// Takes back [`Self::count_attempt`] as the attempt ends.
-    pub(crate) fn uncount_attempt(&mut self, workload: usize, engine: EngineIndex) {
-        let threads = self.deployment.workloads[workload].threads;
-        let state = &mut self.workloads[workload];
-        state.in_flight -= 1;
-        let engine = &mut self.engines[engine.0];
-        engine.in_flight -= 1;
-        *engine.threads.of_class_mut(state.is_long) -= threads;
-    }
-
-    /// Counts a send for trials and for the engine's slow-start limit.
-    fn charge_engine(&mut self, now: Nanos, engine: EngineIndex, work_secs: f64) {
-        let window_start = now.saturating_sub(self.deployment.overload_window);
-        let engine = &mut self.engines[engine.0];
-        engine.next_trial_at = now + TRIAL_INTERVAL;
-        if engine.is_suspected() {
-            self.sends_since_trial = 0;
-        } else {
-            self.sends_since_trial += 1;
-        }
-        engine.sends.push(now, work_secs);
-        engine.sends.evict_before(window_start);
-    }
-
-    /// Cancels the statement's attempt, where one runs and attempts may be cancelled.
-    pub(crate) fn cancel_attempt(&mut self, index: StatementIndex, out: &mut dyn Output) {
-        let Some(statement) = self.statement(index) else {
-            return;
-        };
-        if statement.state != StatementState::Running || !self.deployment.can_cancel {
-            return;
-        }
-        if let Some(attempt) = &statement.attempt {
-            out.cancel(index, attempt.number);
-            self.transition(index, StatementState::Cancelling);
-        }
-    }
-
-    /// Gives the final answer to a statement that will not complete: a rejection where the safety rules allow it,
-    /// else an abort.
+    /// Gives the final answer to a statement that will not complete: a rejection where the safety rules allow
+    /// it, else an abort.
     pub(crate) fn reject_or_abort(
         &mut self,
         now: Nanos,
--- a/crates/ivypitch-scheduler/src/events.rs
+++ b/crates/ivypitch-scheduler/src/events.rs
@@ -93,7 +93,8 @@
     pub closed: bool,
     /// True work in ms and memory in MB, where results tell them.
     pub true_cost: Option<(f64, f64)>,
-    /// Load report that came with it; empty: none. See [`Deployment::report_fields`](crate::Deployment::report_fields).
+    /// Load report that came with it; empty: none. See
+    /// [`Deployment::report_fields`](crate::Deployment::report_fields).
     pub report: &'a [f32],
 }
 
--- a/crates/ivypitch-scheduler/src/lib.rs
+++ b/crates/ivypitch-scheduler/src/lib.rs
@@ -1,30 +1,33 @@
-//! The decisions of one ivypitch gateway: which engine runs a statement, whether it is retried and what is rejected.
+//! The decisions of one ivypitch gateway: which engine runs a statement, whether it is retried and what is
+//! rejected.
 //!
 //! # Contract
 //!
-//! [`Scheduler`] has one method for each thing that can happen (`on_...`, `begin_shutdown`, `set_quota_share`). The
-//! host calls it with the time of the event; the scheduler calls [`Output`] before the method returns. It performs no
-//! I/O, reads no clock and starts no threads: the same calls with the same times and seed give the same decisions.
+//! [`Scheduler`] has one method for each thing that can happen (`on_...`, `begin_shutdown`,
+//! `set_quota_share`). The host calls it with the time of the event; the scheduler calls [`Output`] before
+//! the method returns. It performs no I/O, reads no clock and starts no threads: the same calls with the same
+//! times and seed give the same decisions.
 //!
 //! - Times are [`Nanos`](ivypitch_types::Nanos) of one clock that never goes backwards.
-//! - A [`StatementIndex`](ivypitch_types::StatementIndex) is free again once [`Output::forget`] has named it. An
-//!   [`EngineIndex`](ivypitch_types::EngineIndex) is free once [`Scheduler::is_engine_referenced`] denies it.
-//! - Every statement that arrives gets exactly one final answer: a complete result by the host, [`Output::reject`] or
-//!   [`Output::abort`].
-//! - [`Scheduler::confirm_send`] is asked as the first byte of an attempt leaves. A denied attempt is reported as
-//!   [`Outcome::NotSent`](ivypitch_types::Outcome::NotSent).
+//! - A [`StatementIndex`](ivypitch_types::StatementIndex) is free again once [`Output::forget`] has named it.
+//!   An [`EngineIndex`](ivypitch_types::EngineIndex) is free once [`Scheduler::is_engine_referenced`] denies
+//!   it.
+//! - Every statement that arrives gets exactly one final answer: a complete result by the host,
+//!   [`Output::reject`] or [`Output::abort`].
+//! - [`Scheduler::confirm_send`] is asked as the first byte of an attempt leaves. A denied attempt is
+//!   reported as [`Outcome::NotSent`](ivypitch_types::Outcome::NotSent).
 //!
 //! # Where to read
 //!
-//! `scheduler.rs` holds the entry points, `placement.rs` the choice of an engine (BEMA) and `safety_rules.rs` the seven
-//! rules that every send, rejection and abort must pass. The other files are the departures from the ordinary path,
-//! one each.
+//! `scheduler.rs` holds the entry points, `placement.rs` the choice of an engine (BEMA) and `safety_rules.rs`
+//! the seven rules that every send, rejection and abort must pass. The other files are the departures from
+//! the ordinary path, one each.
 //!
 //! # Example
 //!
 //! ```
-//! use ivypitch_scheduler::{Arrival, Deployment, EndpointUpdateKind, EngineEndpoint, EngineKind, EngineState};
-//! use ivypitch_scheduler::{DeduplicationScope, Idempotency, Output, Scheduler, Workload};
+//! use ivypitch_scheduler::{Arrival, EndpointUpdateKind, EngineEndpoint, EngineState, Output, Scheduler};
+//! use ivypitch_scheduler::{DeduplicationScope, Deployment, EngineKind, Idempotency, Workload};
 //! use ivypitch_types::{EngineIndex, Nanos, SECOND, StatementIndex};
 //!
 //! #[derive(Default)]
@@ -92,11 +95,14 @@
 
 #![warn(missing_docs)]
 
+mod admission;
+mod attempts;
 mod bulk_loads;
 mod capacity;
 mod cost_model;
 mod deployment;
 mod dispatch;
+mod endpoints;
 mod engine;
 mod events;
 mod key_order;
--- a/crates/ivypitch-scheduler/src/load_reports.rs
+++ b/crates/ivypitch-scheduler/src/load_reports.rs
@@ -7,6 +7,7 @@
 use crate::outlier_detection::TRIAL_INTERVAL;
 use crate::output::Output;
 use crate::scheduler::Scheduler;
+use crate::statement::Statement;
 use ivypitch_types::{EngineIndex, Nanos, SECOND, StatementIndex};
 
 /// How long a load report is fresh.
@@ -95,8 +96,8 @@
 
     /// Whether a statement waits for a fresh load report of its engine, which is requested here.
     ///
-    /// Only long statements do, since it costs them a round trip. Guards against gateways so many that each sees
-    /// little of what an engine runs, and finds engines that answer nothing.
+    /// Only long statements do, since it costs them a round trip. Guards against gateways so many that each
+    /// sees little of what an engine runs, and finds engines that answer nothing.
     pub(crate) fn awaits_load_report(
         &mut self,
         now: Nanos,
@@ -121,10 +122,21 @@
         true
     }
 
-    /// Whether the statement has used up its requests, so that it goes only where no further one is needed.
-    /// `unresponsive` is the number of candidate engines that did not answer.
-    pub(crate) fn has_no_requests_left(&self, report_requests: usize, unresponsive: usize) -> bool {
-        self.deployment.can_request_load_reports
-            && report_requests >= MAX_REQUESTS_PER_STATEMENT + unresponsive
+    /// Whether a long statement has used up its requests, so that it goes only where no further one is needed.
+    pub(crate) fn has_no_requests_left(
+        &self,
+        now: Nanos,
+        statement: &Statement,
+        candidates: &[&Engine],
+    ) -> bool {
+        let is_long = self.workloads[statement.workload].is_long;
+        if !is_long || !self.deployment.can_request_load_reports {
+            return false;
+        }
+        let unresponsive = candidates
+            .iter()
+            .filter(|engine| engine.is_unresponsive(now))
+            .count();
+        statement.report_requests >= MAX_REQUESTS_PER_STATEMENT + unresponsive
     }
 }
--- a/crates/ivypitch-scheduler/src/outlier_detection.rs
+++ b/crates/ivypitch-scheduler/src/outlier_detection.rs
@@ -20,6 +20,9 @@
 pub(crate) const SENDS_PER_TRIAL: u32 = 16;
 /// If more than this part of the candidates is suspected, all are used: the fault is elsewhere.
 const MAX_SUSPECTED_FRACTION: f64 = 0.5;
+/// Errors of one statement by healthy engines that count against engines: where two of them answer with
+/// errors the statement may be at fault.
+pub(crate) const MAX_ERRORS_AGAINST_ENGINES: u32 = 1;
 /// An attempt is lost without a report for so many times its usual time ...
 const LOST_AFTER_USUAL_TIMES: f64 = 3.0;
 /// ... and not before this.
@@ -99,8 +102,8 @@
     /// Judges an engine by the successes among its recent outcomes.
     ///
     /// Guards against engines that fail fast and attract work, crashes, refused connections and lost attempts
-    /// before the endpoint list tells. Hurts when statements are at fault: then most engines stay in use all the
-    /// same.
+    /// before the endpoint list tells. Hurts when statements are at fault: then most engines stay in use all
+    /// the same.
     pub(crate) fn record_outcome(
         &mut self,
         now: Nanos,
@@ -130,9 +133,9 @@
 
     /// Finds lost attempts: those without a report for far longer than such statements take.
     ///
-    /// Guards against engines that answer nothing, lost results, partitions and crashes that the endpoint list has
-    /// not told. Each counts as a failure of its engine. An idempotent statement is retried elsewhere once: where
-    /// all engines are slow, more would double the work.
+    /// Guards against engines that answer nothing, lost results, partitions and crashes that the endpoint
+    /// list has not told. Each counts as a failure of its engine. An idempotent statement is retried
+    /// elsewhere once: where all engines are slow, more would double the work.
     pub(crate) fn detect_lost_attempts(&mut self, now: Nanos, out: &mut dyn Output) {
         for index in 0..self.statements.len() {
             let index = StatementIndex(index);
--- a/crates/ivypitch-scheduler/src/placement.rs
+++ b/crates/ivypitch-scheduler/src/placement.rs
@@ -1,16 +1,22 @@
-//! The choice of an engine: BEMA, the balanced policy of B. Nam, D. Hwang, J. Kim and M. Shin, "High-Throughput Query
-//! Scheduling with Spatial Clustering based on Distributed Exponential Moving Average (EMA)" (2012), Algorithm 1.
+//! The choice of an engine: BEMA, the balanced policy of B. Nam, D. Hwang, J. Kim and M. Shin,
+//! "High-Throughput Query Scheduling with Spatial Clustering based on Distributed Exponential Moving Average
+//! (EMA)" (2012), Algorithm 1.
 //!
-//! | paper | here |
-//! | --- | --- |
-//! | query *Q* (its center point) | [`Scheduler::draw_statement_point`]: the hash of the table group, with an offset |
-//! | *EMA\[s\]* | `Engine::ema_point` |
-//! | lines 4 to 8, a server without a point gets the query | a point starts at the hash of the engine's id, see [`point_of`], so that all gateways agree on it |
-//! | line 9, *Load\[s\]*, the assignment count among the last N queries | `Engine::recent_sends` plus one, over the engine's cores |
-//! | line 10, *WeightedDistance* | [`Scheduler::weighted_distance`]; distance counts at least [`MIN_DISTANCE`] |
-//! | lines 3 and 11 to 16, the least weighted distance | [`Scheduler::choose_engine`], among the engines of the subset that have capacity |
-//! | line 17, forward | `Scheduler::send` in `dispatch.rs` |
-//! | line 18, *EMA\[s\] ← αQ + (1 - α)EMA\[s\]*, equation 2 | [`Scheduler::record_send`] |
+//! How the paper's terms map to this file, Algorithm 1 line by line:
+//!
+//! - The query *Q*, its center point: [`Scheduler::draw_statement_point`], the hash of the statement's table
+//!   group with a small random offset.
+//! - *EMA\[s\]*: `Engine::ema_point`.
+//! - Lines 3 and 11 to 16, the server with the least weighted distance: [`Scheduler::choose_engine`], among
+//!   the engines of the subset that have capacity.
+//! - Lines 4 to 8, a server without a point gets the query: not here. A point starts at the hash of the
+//!   engine's id, [`point_of`], so that all gateways agree on it.
+//! - Line 9, *Load\[s\]*, the assignment count among the last N queries: `Engine::recent_sends` plus one,
+//!   over the engine's cores. Each gateway counts its own sends.
+//! - Line 10, *WeightedDistance*: [`Scheduler::weighted_distance`]. Distance counts at least
+//!   [`MIN_DISTANCE`].
+//! - Line 17, the query is forwarded: `Scheduler::send` in `attempts.rs`.
+//! - Line 18 and equation 2, *EMA\[s\] ← αQ + (1 - α)EMA\[s\]*: [`Scheduler::record_send`].
 //!
 //! What differs from the paper, and why, is in `docs/design.md`.
 
@@ -21,7 +27,8 @@
 use crate::statement::Statement;
 use ivypitch_types::{EngineIndex, Nanos, StatementIndex, unit_hash};
 
-/// The paper's α: how far the chosen engine's EMA point moves towards the query point (its best is near 0.1).
+/// The paper's α: how far the chosen engine's EMA point moves towards the query point (its
+/// best is near 0.1).
 const ALPHA: f64 = 0.1;
 /// The paper's N, for each engine in use.
 const RECENT_SENDS_PER_ENGINE: usize = 9;
@@ -54,7 +61,8 @@
 }
 
 impl Scheduler {
-    /// Draws the query point of a statement. Bulk loads that are kept apart from readers have points of their own.
+    /// Draws the query point of a statement. Bulk loads that are kept apart from readers have points of their
+    /// own.
     pub(crate) fn draw_statement_point(&mut self, table_group: u32, is_kept_apart: bool) -> Point {
         let group_point = point_of(u64::from(table_group) | u64::from(is_kept_apart) << 32);
         [0, 1].map(|axis| {
@@ -63,10 +71,11 @@
         })
     }
 
-    /// The engine with the least weighted distance among those of the subset that have capacity; `None`: none has.
+    /// The engine with the least weighted distance among those of the subset that have capacity; `None`: none
+    /// has.
     ///
-    /// Engines that are left out make way for the next by rank. Beyond the subset's size the search goes on only
-    /// while no engine has capacity.
+    /// Engines that are left out make way for the next by rank. Beyond the subset's size the search goes on
+    /// only while no engine has capacity.
     pub(crate) fn choose_engine(&self, now: Nanos, index: StatementIndex) -> Option<EngineIndex> {
         let statement = self.statement(index)?;
         let state = &self.workloads[statement.workload];
@@ -77,11 +86,7 @@
             return None;
         }
         let can_be_trial = self.can_be_trial(statement);
-        let has_no_requests_left = state.is_long && {
-            let is_unresponsive = |engine: &&&Engine| engine.is_unresponsive(now);
-            let unresponsive = candidates.iter().filter(is_unresponsive).count();
-            self.has_no_requests_left(statement.report_requests, unresponsive)
-        };
+        let has_no_requests_left = self.has_no_requests_left(now, statement, &candidates);
         let mut best: Option<Score> = None;
         let mut tried = 0;
         for &engine in &candidates {
@@ -110,8 +115,8 @@
         best.map(|score| score.engine)
     }
 
-    /// The paper's *WeightedDistance*, with load per core. Bulk loads that are kept apart from readers also spread
-    /// from the recent sends of their own table group.
+    /// The paper's *WeightedDistance*, with load per core. Bulk loads that are kept apart from readers also
+    /// spread from the recent sends of their own table group.
     fn weighted_distance(
         &self,
         statement: &Statement,
--- a/crates/ivypitch-scheduler/src/retry_budget.rs
+++ b/crates/ivypitch-scheduler/src/retry_budget.rs
@@ -4,7 +4,8 @@
 use crate::sliding_window::SlidingWindow;
 use ivypitch_types::{Nanos, SECOND};
 
-/// Limit on retries by own suspicion where no contract states one: if more attempts seem lost, all engines are slow.
+/// Limit on retries by own suspicion where no contract states one: if more attempts seem lost, all engines
+/// are slow.
 const DEFAULT_RETRY_BUDGET: RetryBudget = RetryBudget {
     window: SECOND * 5,
     base: 5.0,
--- a/crates/ivypitch-scheduler/src/safety_rules.rs
+++ b/crates/ivypitch-scheduler/src/safety_rules.rs
@@ -1,5 +1,5 @@
-//! The seven safety rules, one function each, in the rules' order. Every send, rejection and abort is checked here
-//! first, and a send once more as its first byte leaves.
+//! The seven safety rules, one function each, in the rules' order. Every send, rejection and abort is checked
+//! here first, and a send once more as its first byte leaves.
 
 use crate::deployment::{DeduplicationScope, Idempotency, Workload};
 use crate::engine::Engine;
--- a/crates/ivypitch-scheduler/src/scheduler.rs
+++ b/crates/ivypitch-scheduler/src/scheduler.rs
@@ -2,43 +2,25 @@
 
 use crate::bulk_loads::{BulkLoadChange, BulkLoads};
 use crate::cost_model::ArrivalMix;
-use crate::deployment::{Deployment, Idempotency, Workload};
-use crate::engine::{Engine, EngineHealth};
+use crate::deployment::{Deployment, Workload};
+use crate::engine::Engine;
 use crate::events::{
-    Arrival, AttemptEnded, AttemptProgress, EndpointUpdateKind, EngineEndpoint, EngineState,
-    OutlierStatus,
+    Arrival, AttemptEnded, AttemptProgress, EndpointUpdateKind, EngineEndpoint, OutlierStatus,
 };
 use crate::key_order::KeyQueues;
-use crate::outlier_detection::{SENDS_PER_TRIAL, TRIAL_INTERVAL};
+use crate::outlier_detection::{MAX_ERRORS_AGAINST_ENGINES, SENDS_PER_TRIAL, TRIAL_INTERVAL};
 use crate::output::Output;
 use crate::placement::RecentSend;
 use crate::retry_budget::RetryBudgetTracker;
 use crate::safety_rules::Action;
 use crate::statement::{Attempt, PossibleRun, Statement, StatementState};
-use crate::subset::EngineRank;
 use crate::tenant_quota::TenantQuotas;
 use crate::workload::WorkloadState;
-use ivypitch_types::{
-    EngineIndex, MILLISECOND, Nanos, Outcome, SECOND, StatementIndex, nanos_from_secs,
-    secs_from_nanos, unit_hash,
-};
+use ivypitch_types::{EngineIndex, MILLISECOND, Nanos, Outcome, SECOND, StatementIndex, unit_hash};
 use std::collections::VecDeque;
 
 /// While statements are open, lost attempts and deadlines are looked for at this interval.
 const HOUSEKEEPING_INTERVAL: Nanos = SECOND / 100;
-/// A statement waits for capacity for this part of its latency objective, its work counted in.
-const MAX_WAIT_FRACTION: f64 = 0.4;
-/// After a failed attempt it waits for this part of the time that is left.
-const RETRY_WAIT_DIVISOR: Nanos = 8;
-/// A statement counts as at least this much work.
-const MIN_WORK_SECS: f64 = 1e-4;
-/// A plan is bad when its projected time is this many times what its work should take ...
-const BAD_PLAN_TIME_RATIO: f64 = 2.5;
-/// ... and what is left of it this many times.
-const BAD_PLAN_TIME_LEFT_RATIO: f64 = 2.0;
-/// Errors of one statement by healthy engines that count against engines: where two of them answer with errors the
-/// statement may be at fault.
-const MAX_ERRORS_AGAINST_ENGINES: u32 = 1;
 
 const TIMER_HOUSEKEEPING: u64 = 0;
 const TIMER_WATCH_ENDPOINTS: u64 = 1;
@@ -97,7 +79,7 @@
     /// Part of the load reports that show pressure, smoothed.
     pub(crate) pressure_fraction: f64,
     pub(crate) dispatched_at: Nanos,
-    is_housekeeping_due: bool,
+    is_housekeeping_timer_set: bool,
 }
 
 impl Scheduler {
@@ -147,56 +129,15 @@
         self.dispatch(now, out);
     }
 
-    /// Drops the engines that a complete list does not name.
-    fn unlist_missing(&mut self, endpoints: &[EngineEndpoint]) {
-        let mut is_named = vec![false; self.engines.len()];
-        for endpoint in endpoints {
-            if let Some(named) = is_named.get_mut(endpoint.engine.0) {
-                *named = true;
-            }
-        }
-        for (index, is_named) in is_named.into_iter().enumerate() {
-            if !is_named {
-                self.set_listed(EngineIndex(index), false);
-            }
-        }
-    }
-
-    fn update_endpoint(&mut self, endpoint: &EngineEndpoint, out: &mut dyn Output) {
-        let index = endpoint.engine;
-        if self.engines.len() <= index.0 {
-            self.engines.resize_with(index.0 + 1, Engine::default);
-        }
-        let former = self.engines[index.0].endpoint;
-        if former.id != endpoint.id || former.engine != index {
-            self.set_listed(index, false);
-            let Deployment {
-                member_index,
-                gateways,
-                ..
-            } = self.deployment;
-            let rank = EngineRank::new(endpoint, member_index, gateways);
-            self.engines[index.0] = Engine::new(*endpoint, rank);
-        }
-        let engine = &mut self.engines[index.0];
-        engine.on_endpoint_changed(endpoint, out);
-        if engine.has_same_eligibility(endpoint) {
-            engine.endpoint = *endpoint;
-            return;
-        }
-        self.set_listed(index, false);
-        self.engines[index.0].endpoint = *endpoint;
-        self.set_listed(index, endpoint.phase != EngineState::Gone);
-    }
-
-    /// The request for the endpoint list has failed: it is repeated after a pause that differs among gateways.
+    /// The request for the endpoint list has failed: it is repeated after a pause that differs among
+    /// gateways.
     pub fn on_endpoint_watch_failed(&mut self, _now: Nanos, out: &mut dyn Output) {
         let jitter = (self.random.next_unit() * TRIAL_INTERVAL as f64) as Nanos;
         out.set_timer(TIMER_WATCH_ENDPOINTS, TRIAL_INTERVAL + jitter);
     }
 
-    /// Whether an open statement, an attempt or a recent send refers to the engine, or the endpoint list has it. Else
-    /// its index may be given to another engine.
+    /// Whether an open statement, an attempt or a recent send refers to the engine, or the endpoint list has
+    /// it. Else its index may be given to another engine.
     pub fn is_engine_referenced(&self, index: EngineIndex) -> bool {
         let is_in_use =
             |engine: &Engine| engine.is_listed || engine.in_flight > 0 || engine.recent_sends > 0;
@@ -296,72 +237,8 @@
         self.set_housekeeping_timer(out);
     }
 
-    /// Puts a statement into its workload's queue; `false`: its workload is unknown and it was aborted.
-    fn admit(
-        &mut self,
-        now: Nanos,
-        index: StatementIndex,
-        arrival: &Arrival,
-        out: &mut dyn Output,
-    ) -> bool {
-        if arrival.workload >= self.deployment.workloads.len() {
-            out.abort(index);
-            out.forget(index);
-            return false;
-        }
-        let statement = self.new_statement(now, arrival);
-        self.key_queues.push(statement.key, index);
-        if self.statements.len() <= index.0 {
-            self.statements.resize_with(index.0 + 1, || None);
-        }
-        self.statements[index.0] = Some(statement);
-        self.open_statements += 1;
-        self.retry_budget.record_arrival(now);
-        self.resize_subsets(now);
-        self.workloads[arrival.workload].queue.push(index);
-        true
-    }
-
-    /// Learns from an arrival and builds its statement.
-    fn new_statement(&mut self, now: Nanos, arrival: &Arrival) -> Statement {
-        let work_secs = self.learn_arrival(arrival);
-        let tenants = &self.deployment.tenants;
-        let is_within_quota = self.quotas.try_take(now, tenants, arrival.tenant);
-        let workload = &self.deployment.workloads[arrival.workload];
-        let mut priority_weight = workload.priority_weight;
-        if !is_within_quota {
-            priority_weight *= self.deployment.over_quota_priority_weight;
-        }
-        let cost = &self.workloads[arrival.workload].cost;
-        let charged_work_secs = cost.true_work_secs.max(cost.estimated_work_secs);
-        self.arrival_mix.learn(priority_weight, cost.true_work_secs);
-        let objective_secs = secs_from_nanos(workload.latency_objective)
-            + workload.latency_objective_stretch * work_secs / workload.threads.max(1.0);
-        let max_wait =
-            nanos_from_secs(MAX_WAIT_FRACTION * objective_secs).min(arrival.time_left / 2);
-        let key = if workload.is_ordered_by_key {
-            arrival.key
-        } else {
-            0
-        };
-        let is_kept_apart = self.has_readers_of_bulk_loads && workload.is_bulk_load;
-        Statement {
-            workload: arrival.workload,
-            key,
-            table_group: arrival.table_group,
-            point: self.draw_statement_point(arrival.table_group, is_kept_apart),
-            deadline: now.saturating_add(arrival.time_left),
-            work_secs: work_secs.max(MIN_WORK_SECS),
-            charged_work_secs,
-            estimated_mb: arrival.estimated_mb,
-            priority_weight,
-            wait_until: now + max_wait,
-            ..Statement::default()
-        }
-    }
-
-    /// The first byte of an attempt is about to leave: checks the safety rules again, with windows that count from
-    /// now on. `false`: it must not leave; its end is to be reported as [`Outcome::NotSent`].
+    /// The first byte of an attempt is about to leave: checks the safety rules again, with windows that count
+    /// from now on. `false`: it must not leave; its end is to be reported as [`Outcome::NotSent`].
     pub fn confirm_send(&mut self, now: Nanos, index: StatementIndex, attempt: u32) -> bool {
         let Some(statement) = self.statement(index) else {
             return false;
@@ -392,14 +269,6 @@
         true
     }
 
-    /// Takes the send of a retry out of the retry budget; `false`: it was no retry.
-    fn retract_retry(&mut self, index: StatementIndex, sent_at: Nanos) -> bool {
-        let is_retry = self
-            .statement(index)
-            .is_some_and(|statement| statement.sent_attempts() > 1);
-        is_retry && self.retry_budget.retract_retry(sent_at)
-    }
-
     /// The client begins to receive the result of an attempt.
     pub fn on_response_started(&mut self, _now: Nanos, index: StatementIndex, attempt: u32) {
         let Some(statement) = self.statement(index) else {
@@ -413,8 +282,9 @@
 
     /// An engine reports the progress of an attempt.
     ///
-    /// An attempt with a bad plan is cancelled and retried: one projected to take many times what its work should
-    /// take. That covers attempts that stand still. Hurts when estimates are far too low: work is lost.
+    /// An attempt with a bad plan is cancelled and retried: one projected to take many times what its work
+    /// should take. That covers attempts that stand still. Hurts when estimates are far too low: work is
+    /// lost.
     pub fn on_progress(
         &mut self,
         now: Nanos,
@@ -442,24 +312,6 @@
         }
     }
 
-    /// Whether a running attempt is better retried, of which so much is done after so long.
-    fn has_bad_plan(&self, index: StatementIndex, elapsed: Nanos, fraction_done: f64) -> bool {
-        let Some(statement) = self.statement(index) else {
-            return false;
-        };
-        let workload = &self.deployment.workloads[statement.workload];
-        let can_retry = statement.state == StatementState::Running
-            && workload.idempotency == Idempotency::Idempotent
-            && statement.sent_attempts() < self.deployment.max_attempts;
-        let elapsed_secs = secs_from_nanos(elapsed);
-        let left_secs = elapsed_secs * (1.0 - fraction_done).max(0.0) / fraction_done.max(0.01);
-        let slowness = self.workloads[statement.workload].cost.slowness;
-        let usual_secs = statement.work_secs / workload.threads.max(1.0) * slowness;
-        can_retry
-            && left_secs > BAD_PLAN_TIME_LEFT_RATIO * usual_secs
-            && elapsed_secs + left_secs > BAD_PLAN_TIME_RATIO * usual_secs
-    }
-
     /// An attempt has ended. One that does not run is ignored.
     pub fn on_attempt_ended(
         &mut self,
@@ -508,102 +360,6 @@
         self.dispatch(now, out);
     }
 
-    /// Records at the statement and its key what the end of an attempt means. Returns whether it is a fault of the
-    /// engine.
-    fn record_end(
-        &mut self,
-        now: Nanos,
-        index: StatementIndex,
-        attempt: &Attempt,
-        outcome: Outcome,
-    ) -> bool {
-        let Some(statement) = self.statements[index.0].as_mut() else {
-            return false;
-        };
-        if !outcome.never_ran() {
-            statement.possible_run.get_or_insert(PossibleRun {
-                engine: attempt.engine,
-                started_at: attempt.started_at,
-            });
-        }
-        let is_healthy = self.engines[attempt.engine.0].health == EngineHealth::Healthy;
-        if outcome == Outcome::Error && is_healthy {
-            statement.errors += 1;
-        }
-        let is_effect_unknown = matches!(
-            outcome,
-            Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled
-        );
-        if is_effect_unknown {
-            let settles_at = now + self.deployment.key_settle_time.unwrap_or(0);
-            self.key_queues.settle_until(statement.key, settles_at);
-        }
-        match outcome {
-            Outcome::Error => statement.errors <= MAX_ERRORS_AGAINST_ENGINES,
-            Outcome::Reset | Outcome::ConnectFailed => true,
-            Outcome::Completed
-            | Outcome::Overloaded
-            | Outcome::TimedOut
-            | Outcome::Cancelled
-            | Outcome::NeverDispatched
-            | Outcome::NotSent => false,
-        }
-    }
-
-    /// Takes back what was counted for an attempt that never left the gateway.
-    fn take_back_send(&mut self, index: StatementIndex, attempt: &Attempt) {
-        let sends = &mut self.engines[attempt.engine.0].sends;
-        sends.remove(attempt.started_at, attempt.charged_work_secs);
-        self.retract_retry(index, attempt.started_at);
-        if let Some(statement) = self.statement_mut(index) {
-            statement.unsent_attempts += 1;
-        }
-    }
-
-    /// After an attempt that was no final answer the statement waits for the next or is answered.
-    fn retry_or_answer(
-        &mut self,
-        now: Nanos,
-        index: StatementIndex,
-        outcome: Outcome,
-        out: &mut dyn Output,
-    ) {
-        let Some(statement) = self.statement_mut(index) else {
-            return;
-        };
-        if statement.state == StatementState::Answered {
-            return;
-        }
-        let time_left = statement.deadline.saturating_sub(now);
-        statement.wait_until = now + time_left / RETRY_WAIT_DIVISOR;
-        let workload = statement.workload;
-        if outcome != Outcome::NeverDispatched && self.can_retry(now, index) {
-            self.transition(index, StatementState::Waiting);
-            self.workloads[workload].queue.push(index);
-        } else {
-            self.reject_or_abort(now, index, out);
-        }
-    }
-
-    /// Whether some engine may get a further attempt of the statement.
-    fn can_retry(&self, now: Nanos, index: StatementIndex) -> bool {
-        let Some(statement) = self.statement(index) else {
-            return false;
-        };
-        if statement.sent_attempts() >= self.deployment.max_attempts {
-            return false;
-        }
-        let Some(first) = statement.possible_run else {
-            return true;
-        };
-        let workload = &self.deployment.workloads[statement.workload];
-        match workload.idempotency {
-            Idempotency::Idempotent => true,
-            Idempotency::IdempotentWithKey => self.is_in_deduplication_window(now, workload, first),
-            Idempotency::NonIdempotent => false,
-        }
-    }
-
     /// The client no longer waits for the statement: it needs no answer, and its attempt is cancelled.
     pub fn on_statement_expired(
         &mut self,
@@ -631,7 +387,7 @@
         if timer == TIMER_WATCH_ENDPOINTS {
             return out.watch_endpoints();
         }
-        self.is_housekeeping_due = false;
+        self.is_housekeeping_timer_set = false;
         self.detect_lost_attempts(now, out);
         self.answer_before_deadlines(now, out);
         self.dispatch(now, out);
@@ -656,8 +412,8 @@
     }
 
     fn set_housekeeping_timer(&mut self, out: &mut dyn Output) {
-        if self.open_statements > 0 && !self.is_housekeeping_due {
-            self.is_housekeeping_due = true;
+        if self.open_statements > 0 && !self.is_housekeeping_timer_set {
+            self.is_housekeeping_timer_set = true;
             out.set_timer(TIMER_HOUSEKEEPING, HOUSEKEEPING_INTERVAL);
         }
     }
--- a/crates/ivypitch-scheduler/src/slow_start.rs
+++ b/crates/ivypitch-scheduler/src/slow_start.rs
@@ -36,9 +36,9 @@
 
     /// Whether an attempt is within this gateway's part of a warming-up engine's limit.
     ///
-    /// Work and calls are bounded apart, since engines are overloaded by either: the limit holds so many calls of
-    /// mean work, which the gateways that the engine ranks lowest share in whole calls. The ranks are the same at
-    /// every gateway, so the parts add up to the limit without a message among them.
+    /// Work and calls are bounded apart, since engines are overloaded by either: the limit holds so many
+    /// calls of mean work, which the gateways that the engine ranks lowest share in whole calls. The ranks
+    /// are the same at every gateway, so the parts add up to the limit without a message among them.
     pub(crate) fn is_within_slow_start_limit(&self, proposed: &ProposedAttempt) -> bool {
         let (now, engine) = (proposed.now, proposed.engine);
         if !engine.is_warming_up(now, self.deployment.slow_start_duration) {
--- a/crates/ivypitch-scheduler/src/subset.rs
+++ b/crates/ivypitch-scheduler/src/subset.rs
@@ -1,7 +1,8 @@
 //! The part of the engines that one gateway uses, where the fleet is large and its own traffic thin.
 //!
-//! Each engine ranks all gateways by a permutation of its own; a gateway uses the engines that rank it lowest. The
-//! subset is the same after a restart, and an engine more or less changes few subsets by one engine.
+//! Each engine ranks all gateways by a permutation of its own; a gateway uses the engines that rank it
+//! lowest. The subset is the same after a restart, and an engine more or less changes few subsets by one
+//! engine.
 
 use crate::deployment::EngineKind;
 use crate::engine::Engine;
@@ -28,8 +29,9 @@
 /// It looks at so many times its size for engines that may be used.
 const MAX_LOOKUPS_PER_ENGINE: usize = 4;
 
-/// The rank of gateway `member_index` at an engine: each rank below `gateways` goes to one gateway, and two gateways
-/// are near each other at some engines only (a multiplier without a common factor with their number, and a shift).
+/// The rank of gateway `member_index` at an engine: each rank below `gateways` goes to one gateway, and two
+/// gateways are near each other at some engines only (a multiplier without a common factor with their number,
+/// and a shift).
 pub fn gateway_rank(engine_id: u64, member_index: usize, gateways: usize) -> usize {
     let draw = |purpose: u8| (unit_hash(&(engine_id, purpose)) * gateways as f64) as usize;
     let mut multiplier = draw(2).max(1);
@@ -47,7 +49,8 @@
     }
 }
 
-/// Order of the engines at one gateway: by the gateway's rank at the engine, then by a hash of the engine's id.
+/// Order of the engines at one gateway: by the gateway's rank at the engine, then by a hash of the engine's
+/// id.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default)]
 pub(crate) struct EngineRank {
     gateway_rank: u32,
@@ -166,8 +169,8 @@
 
     /// Sizes the subset of each workload, so that own statements keep its engines reported on.
     ///
-    /// Guards against traffic so thin that no report is fresh. Hurts where what few engines have cached is in few
-    /// subsets.
+    /// Guards against traffic so thin that no report is fresh. Hurts where what few engines have cached is in
+    /// few subsets.
     pub(crate) fn resize_subsets(&mut self, now: Nanos) {
         let span = now
             .saturating_sub(self.started_at)
@@ -187,8 +190,8 @@
         self.engines_in_use = partial_sizes.max().unwrap_or(self.listed_engines);
     }
 
-    /// The engines that the statement may be sent to now, by rank: those of the subset first, then those that it
-    /// widens by. Engines that may not be used make way for the next.
+    /// The engines that the statement may be sent to now, by rank: those of the subset first, then those that
+    /// it widens by. Engines that may not be used make way for the next.
     pub(crate) fn candidate_engines(
         &self,
         now: Nanos,
