--- a/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
@@ -201,7 +201,7 @@
                     .facts
                     .workloads
                     .iter()
-                    .map(|w| w.effect == Idempotency::Idempotent)
+                    .map(|w| w.idempotency == Idempotency::Idempotent)
                     .collect(),
                 threads: given
                     .facts
