--- a/crates/ivypitch-gateway/src/lifecycle/program.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/program.rs
@@ -148,24 +148,24 @@
         let kept = Rc::new(given.clone());
         let sessions =
             session::Sessions::new(bounds, given.names.clone(), clock, module.clone(), seed);
-        sessions.show(show && has_queues);
+        sessions.set_can_show_queue(show && has_queues);
         let sharing_on = own.as_ref().is_some_and(|(_, own)| {
             own.peers
                 .as_ref()
                 .is_some_and(|p| p.enabled && p.shares.enabled)
         });
-        sessions.show_fleet(sharing_on);
+        sessions.set_can_show_fleet(sharing_on);
         let traffic = Rc::new(Traffic::default());
         let follower = List {
             feed: RefCell::new(Feed::new(known.position, seed)),
             clock,
-            longest_line: bounds.journal_line,
+            longest_line: bounds.discovery_line_bytes,
             module: module.clone(),
             shares: sharing_on,
             traffic: traffic.clone(),
         };
         let (list, list_mail) = async_channel::unbounded();
-        let permits = ConnectionPermits::new(bounds.engines);
+        let permits = ConnectionPermits::new(bounds.engine_connections);
         let talk = own
             .as_ref()
             .and_then(|(file, own)| Some((file, own.peers.as_ref().filter(|p| p.enabled)?)));
@@ -254,7 +254,7 @@
             "{name} {}: listens on {listen}, {workloads} workloads, {} clients, {} engine connections",
             program.phase,
             bounds.clients,
-            bounds.engines
+            bounds.engine_connections
         );
         Ok(Some(program))
     }
@@ -335,7 +335,7 @@
                 match read.and_then(|own| Ok((budgets(&file, &own, &given, places)?, own))) {
                     Ok((Some(budgets), own)) if has_queues => {
                         log::info!("reload: budgets of {} teams", budgets.teams.len());
-                        sessions.show(own.teams.is_some_and(|teams| teams.show));
+                        sessions.set_can_show_queue(own.teams.is_some_and(|teams| teams.show));
                         let _ = module.try_send(SchedulerMessage::ReloadBudgets {
                             budgets: Box::new(budgets),
                         });
@@ -368,10 +368,12 @@
 
     /// The one function that changes the phase.
     fn enter(&mut self, phase: Phase) {
-        let (sessions, open) = self.sessions.counts();
+        let counts = self.sessions.counts();
         log::info!(
-            "{} -> {phase}: {sessions} sessions, {open} statements open",
-            self.phase
+            "{} -> {phase}: {} sessions, {} statements open",
+            self.phase,
+            counts.sessions,
+            counts.open_statements
         );
         self.phase = phase;
     }
--- a/crates/ivypitch-gateway/src/state/sessions.rs
+++ b/crates/ivypitch-gateway/src/state/sessions.rs
@@ -1,5 +1,7 @@
-//! The sessions that are there, up to their bound. A place is emptied as its session ends, or for another. One that
-//! has to make room closes in order, beside the table; few do so at a time.
+//! The table of sessions, up to its bound.
+//!
+//! A session leaves the table as it ends, or to make room for another. One that has to make room closes in order, outside
+//! the table; few do so at a time.
 
 use std::cell::Cell;
 use std::collections::{BTreeMap, VecDeque};
@@ -8,86 +10,107 @@
 
 use async_channel::{Receiver, Sender};
 
-/// One that has come just now may be about to ask; one that has done nothing for longer is silent.
-pub const FRESH: Duration = Duration::from_millis(200);
-/// So many close beside the table; the descriptors kept for that are `DESCRIPTORS_KEPT`'s.
-const MOST_CLOSING: usize = 24;
+/// A session without an answer that has done something within this time may be about to send its statement; one that has
+/// not is silent.
+pub const RECENT: Duration = Duration::from_millis(200);
+/// So many close outside the table; the descriptors reserved for that are `RESERVED_DESCRIPTORS`'s.
+const MAX_CLOSING: usize = 24;
 
-#[derive(Clone, Copy, PartialEq, Eq)]
+/// How far a session has come.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum SessionStage {
-    /// Connected, perhaps logged in, with no statement answered.
-    Nothing,
+    /// Connected, not logged in yet.
+    Connected,
+    /// Logged in, with no statement answered.
     LoggedIn,
+    /// At least one statement was answered.
     Answered,
 }
 
-/// How far a session is; the session itself keeps it up to date.
+/// What the table sees of a session; the session itself keeps it up to date.
 pub struct SessionState {
+    /// How far it has come.
     pub stage: Cell<SessionStage>,
+    /// When it came so far, or answered last.
     pub since: Cell<Instant>,
     /// A command has been taken and not been answered yet.
-    pub busy: Cell<bool>,
+    pub is_busy: Cell<bool>,
     /// Part of a message is there.
-    pub has_begun: Cell<bool>,
+    pub has_partial_message: Cell<bool>,
     /// It takes nothing more: nobody loses by its being closed.
     pub is_over: Cell<bool>,
+    /// Closed to request the session's end.
     end: (Sender<()>, Receiver<()>),
 }
 
 impl SessionState {
+    /// Of a session that has just connected.
     pub fn new(now: Instant) -> Rc<SessionState> {
         Rc::new(SessionState {
-            stage: Cell::new(SessionStage::Nothing),
+            stage: Cell::new(SessionStage::Connected),
             since: Cell::new(now),
-            busy: Cell::new(false),
-            has_begun: Cell::new(false),
+            is_busy: Cell::new(false),
+            has_partial_message: Cell::new(false),
             is_over: Cell::new(false),
             end: async_channel::bounded(1),
         })
     }
 
-    pub fn has(&self, stage: SessionStage, now: Instant) {
+    /// It has come so far at this time.
+    pub fn set_stage(&self, stage: SessionStage, now: Instant) {
         self.stage.set(stage);
         self.since.set(now);
     }
 
     /// It is to end once nothing of its client's is open or unread.
-    pub fn end(&self) {
+    pub fn request_end(&self) {
         self.end.0.close();
     }
 
-    pub fn is_to_end(&self) -> bool {
+    /// Whether it is to end.
+    pub fn is_end_requested(&self) -> bool {
         self.end.0.is_closed()
     }
 
-    pub async fn told_to_end(&self) {
+    /// Returns once it is to end.
+    pub async fn end_requested(&self) {
         let _ = self.end.1.recv().await;
     }
 
-    /// Who loses least by being closed: those that are over, the silent, then those that have their answer, then the
-    /// newly come and those that are in the middle of a message.
-    fn rank(&self, now: Instant) -> (u8, Instant) {
-        let since = self.since.get();
-        let fresh = now.saturating_duration_since(since) < FRESH;
-        let rank = match self.stage.get() {
-            _ if self.is_over.get() => 0,
-            SessionStage::Answered if self.has_begun.get() => 3,
-            SessionStage::Answered => 2,
-            _ if fresh => 3,
-            _ => 1,
-        };
-        (rank, since)
+    fn closing_rank(&self, now: Instant) -> ClosingRank {
+        let is_recent = now.saturating_duration_since(self.since.get()) < RECENT;
+        match self.stage.get() {
+            _ if self.is_over.get() => ClosingRank::Over,
+            SessionStage::Answered if self.has_partial_message.get() => {
+                ClosingRank::RecentOrReceiving
+            }
+            SessionStage::Answered => ClosingRank::Answered,
+            _ if is_recent => ClosingRank::RecentOrReceiving,
+            _ => ClosingRank::Silent,
+        }
     }
 }
 
+/// Who loses least by being closed, in this order.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum ClosingRank {
+    Over,
+    /// Without an answer, and has done nothing for a while.
+    Silent,
+    /// Has its answer.
+    Answered,
+    /// Newly come, or in the middle of a message.
+    RecentOrReceiving,
+}
+
 struct Entry<T> {
     state: Rc<SessionState>,
     session: T,
 }
 
-/// `T` is what ends the session as it is dropped.
+/// The sessions by connection id. `T` is what ends a session as it is dropped.
 pub struct SessionTable<T> {
-    bound: usize,
+    limit: usize,
     sessions: BTreeMap<u32, Entry<T>>,
     /// Emptied by their end, or by the next ones. The oldest first.
     closing: VecDeque<(u32, Entry<T>)>,
@@ -95,91 +118,111 @@
 }
 
 impl<T> SessionTable<T> {
-    pub fn new(bound: usize) -> Self {
+    /// An empty table for up to `limit` sessions.
+    pub fn new(limit: usize) -> Self {
         SessionTable {
-            bound,
+            limit,
             sessions: BTreeMap::new(),
             closing: VecDeque::new(),
             is_ending: false,
         }
     }
 
-    /// Where there is no more room, tells the session to end that loses least and has nothing open; `is_quiet` tells
-    /// whether none of what its client sent is unread. False: all have.
-    pub fn make_room(&mut self, now: Instant, is_quiet: impl Fn(&T) -> bool) -> bool {
-        if self.sessions.len() < self.bound {
+    /// Where the table is full, requests the end of the session that loses least and has nothing open. `has_read_all` says
+    /// whether none of what a session's client sent is unread. Returns false if there is no such session.
+    pub fn make_room(&mut self, now: Instant, has_read_all: impl Fn(&T) -> bool) -> bool {
+        if self.sessions.len() < self.limit {
             return true;
         }
+        let Some(connection) = self.loses_least(now, has_read_all) else {
+            return false;
+        };
+        if let Some(entry) = self.sessions.remove(&connection) {
+            entry.state.request_end();
+            self.insert_closing(connection, entry.state, entry.session);
+        }
+        true
+    }
+
+    fn loses_least(&self, now: Instant, has_read_all: impl Fn(&T) -> bool) -> Option<u32> {
         let idle = self
             .sessions
             .iter()
-            .filter(|(_, entry)| !entry.state.busy.get());
-        let mut idle: Vec<_> = idle
-            .map(|(&connection, e)| (e.state.rank(now), connection))
+            .filter(|(_, entry)| !entry.state.is_busy.get());
+        let mut candidates: Vec<_> = idle
+            .map(|(&connection, entry)| {
+                let state = &entry.state;
+                (state.closing_rank(now), state.since.get(), connection)
+            })
             .collect();
-        idle.sort_unstable();
-        let over = |e: &Entry<T>| e.state.is_over.get();
-        let quiet = |&(_, c): &(_, u32)| {
+        candidates.sort_unstable();
+        let can_close = |connection: u32| {
             self.sessions
-                .get(&c)
-                .is_some_and(|e| over(e) || is_quiet(&e.session))
-        };
-        let Some((_, connection)) = idle.into_iter().find(quiet) else {
-            return false;
+                .get(&connection)
+                .is_some_and(|entry| entry.state.is_over.get() || has_read_all(&entry.session))
         };
-        if let Some(entry) = self.sessions.remove(&connection) {
-            entry.state.end();
-            self.close_beside(connection, entry.state, entry.session);
-        }
-        true
+        candidates
+            .into_iter()
+            .map(|(_, _, connection)| connection)
+            .find(|&connection| can_close(connection))
     }
 
-    /// Closes beside the table. Past the bound the one is dropped that has had the longest time for that; where a
-    /// request came on all of them as they were to close, this one is.
-    pub fn close_beside(&mut self, connection: u32, state: Rc<SessionState>, session: T) {
-        if self.closing.len() == MOST_CLOSING {
-            let Some(at) = self.closing.iter().position(|(_, e)| !e.state.busy.get()) else {
+    /// Adds a session that closes outside the table. Past the bound the one is dropped that has had the longest time for
+    /// that and no request; where a request came on all of them as they were to close, this one is.
+    pub fn insert_closing(&mut self, connection: u32, state: Rc<SessionState>, session: T) {
+        if self.closing.len() == MAX_CLOSING {
+            let idle = self
+                .closing
+                .iter()
+                .position(|(_, entry)| !entry.state.is_busy.get());
+            let Some(index) = idle else {
                 return;
             };
-            self.closing.remove(at);
+            self.closing.remove(index);
         }
         self.closing
             .push_back((connection, Entry { state, session }));
     }
 
+    /// Adds a session; the caller has made room.
     pub fn insert(&mut self, connection: u32, state: Rc<SessionState>, session: T) {
         if self.is_ending {
-            state.end();
+            state.request_end();
         }
         self.sessions.insert(connection, Entry { state, session });
     }
 
+    /// Removes a session, whether it is in the table or closes outside.
     pub fn remove(&mut self, connection: u32) -> Option<T> {
         if let Some(entry) = self.sessions.remove(&connection) {
             return Some(entry.session);
         }
-        let at = self
+        let index = self
             .closing
             .iter()
             .position(|(number, _)| *number == connection)?;
-        self.closing.remove(at).map(|(_, entry)| entry.session)
+        self.closing.remove(index).map(|(_, entry)| entry.session)
     }
 
-    /// All sessions end, and those that come from now on.
+    /// Requests the end of all sessions, and of those that come from now on.
     pub fn end_all(&mut self) {
         self.is_ending = true;
-        self.sessions.values().for_each(|entry| entry.state.end());
+        for entry in self.sessions.values() {
+            entry.state.request_end();
+        }
     }
 
+    /// Whether all sessions are to end.
     pub fn is_ending(&self) -> bool {
         self.is_ending
     }
 
+    /// The number of sessions, without those that close outside the table.
     pub fn len(&self) -> usize {
         self.sessions.len()
     }
 
-    /// None is there, not even one that closes.
+    /// There is none, not even one that closes outside the table.
     pub fn is_empty(&self) -> bool {
         self.sessions.is_empty() && self.closing.is_empty()
     }
--- a/crates/ivypitch-gateway/src/wire/fields.rs
+++ b/crates/ivypitch-gateway/src/wire/fields.rs
@@ -1,293 +1,264 @@
-//! What a statement says about itself: the fields in the comment ahead of it, and the group of tables that it
-//! reads or writes.
+//! The fields of a statement, which stand in a comment ahead of it: `/* kind=report,req=9b1f03aa5c7e2d41,timeout=1500 */`.
+//!
+//! The names that clients write are mapped to the field's terms here and nowhere else.
 
 use std::hash::Hasher;
 
 use bytes::Bytes;
+use siphasher::sip::SipHasher13;
 
-const STAGING: &[u8] = b"staging";
+use super::table_group::table_group;
 
-/// The fields of a statement, names and words still as the client wrote them.
+/// The names of fields as clients write them.
+mod name {
+    pub(super) const WORKLOAD: &[u8] = b"kind";
+    pub(super) const STATEMENT_ID: &[u8] = b"req";
+    pub(super) const TIMEOUT_MS: &[u8] = b"timeout";
+    pub(super) const TENANT: &[u8] = b"owner";
+    pub(super) const WORK_MS: &[u8] = b"ms";
+    pub(super) const MEMORY_MB: &[u8] = b"space";
+    pub(super) const IDEMPOTENCY_KEY: &[u8] = b"opkey";
+    pub(super) const ORDERING_KEY: &[u8] = b"subject";
+    pub(super) const IS_REPEAT: &[u8] = b"resent";
+}
+
+const STATEMENT_ID_DIGITS: usize = 16;
+/// A day: a longer time is no figure of a statement.
+const MAX_MS: f64 = 86_400_000.0;
+/// 16 TB: more memory is no figure of a statement.
+const MAX_MB: f64 = 16_777_216.0;
+const MAX_KEY_BYTES: usize = 256;
+
+/// The fields of a statement, values still as the client wrote them.
 #[derive(Debug, Default, PartialEq)]
 pub struct Fields {
+    /// The workload's name.
     pub workload: Bytes,
     /// 16 hex digits.
     pub statement_id: Bytes,
+    /// So long the client waits for its answer.
     pub timeout_ms: u64,
+    /// The tenant's name.
     pub tenant: Option<Bytes>,
+    /// The client's estimate of the work.
     pub work_ms: Option<f64>,
+    /// The client's estimate of the memory.
     pub memory_mb: Option<f32>,
+    /// The client has sent it before.
     pub is_repeat: bool,
-    /// The mark by which engines know a repeat of it; goes on unchanged.
+    /// By which engines know a repeat of it; forwarded unchanged.
     pub idempotency_key: Option<Bytes>,
-    /// Statements of one key run in order, where their workload keeps it; goes on unchanged.
+    /// Statements of one ordering key run in order, where their workload keeps it; forwarded unchanged.
     pub ordering_key: Option<Bytes>,
     /// The statement without the comment.
     pub statement: Bytes,
+    /// The table group that the statement reads or writes.
     pub table_group: u32,
 }
 
-impl Fields {
-    /// The id as a number; [`parse`] has checked its digits.
-    pub fn statement_id_number(&self) -> u64 {
-        std::str::from_utf8(&self.statement_id)
-            .ok()
-            .and_then(|req| u64::from_str_radix(req, 16).ok())
-            .unwrap_or(0)
-    }
-
-    /// The key as a number; 0: none.
-    pub fn ordering_key_number(&self) -> u64 {
-        let Some(key) = &self.ordering_key else {
-            return 0;
-        };
-        let mut hasher = siphasher::sip::SipHasher13::new();
-        hasher.write(key);
-        hasher.finish().max(1)
-    }
-
-    /// As a client would send it, with so much of its time.
-    pub fn write(&self, timeout_ms: u64) -> Vec<u8> {
-        let word = |bytes: &Bytes| String::from_utf8_lossy(bytes).into_owned();
-        let mut text = format!(
-            "/* kind={},req={},timeout={}",
-            word(&self.workload),
-            word(&self.statement_id),
-            timeout_ms
-        );
-        if let Some(owner) = &self.tenant {
-            text += &format!(",owner={}", word(owner));
-        }
-        if let Some(ms) = self.work_ms {
-            text += &format!(",ms={ms}");
-        }
-        if let Some(mb) = self.memory_mb {
-            text += &format!(",space={mb}");
-        }
-        for (name, field) in [
-            ("opkey", &self.idempotency_key),
-            ("subject", &self.ordering_key),
-        ] {
-            if let Some(value) = field {
-                text += &format!(",{name}={}", word(value));
-            }
-        }
-        text += " */ ";
-        [text.as_bytes(), &self.statement].concat()
-    }
-
-    /// Differs where another statement is sent under the same id.
-    pub fn digest(&self) -> u64 {
-        let mut hasher = siphasher::sip::SipHasher13::new();
-        for part in [
-            &self.workload,
-            self.tenant.as_ref().unwrap_or(&Bytes::new()),
-            &self.statement,
-        ] {
-            hasher.write_usize(part.len());
-            hasher.write(part);
-        }
-        hasher.finish()
-    }
+/// Why a statement's fields can't be used, in words for the client.
+#[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
+pub enum FieldsError {
+    /// No `/*` at the begin.
+    #[error("no comment with fields stands ahead of the statement")]
+    NoComment,
+    /// No `*/`.
+    #[error("the comment with fields has no end")]
+    UnterminatedComment,
+    /// No `=`.
+    #[error("a field has no value")]
+    NoValue,
+    /// Two fields of one name.
+    #[error("a field stands twice")]
+    Duplicate,
+    /// `ms`.
+    #[error("the estimate of work is no usable number")]
+    WorkEstimate,
+    /// `space`.
+    #[error("the estimate of memory is no usable number")]
+    MemoryEstimate,
+    /// `opkey`.
+    #[error("the mark against repeats is no usable word")]
+    IdempotencyKey,
+    /// `subject`.
+    #[error("the key is no usable word")]
+    OrderingKey,
+    /// `req`.
+    #[error("req is not 16 hex digits")]
+    StatementId,
+    /// `timeout`.
+    #[error("timeout is not a usable number of milliseconds")]
+    Timeout,
+    /// No schema with a number in its name.
+    #[error("the statement names no group of tables")]
+    NoTableGroup,
 }
 
-/// A day, and 16 TB: what is longer or larger is no figure of a statement.
-const MOST_MS: f64 = 86_400_000.0;
-const MOST_MB: f64 = 16_777_216.0;
-const LONGEST_MARK: usize = 256;
-
-/// Digits, with a fraction perhaps, and no more than `most`.
-fn number(value: &[u8], most: f64) -> Option<f64> {
-    let text = std::str::from_utf8(value).ok()?;
-    let (whole, fraction) = text.split_once('.').unwrap_or((text, "0"));
-    let digits = |part: &str| !part.is_empty() && part.bytes().all(|b| b.is_ascii_digit());
-    (digits(whole) && digits(fraction))
-        .then(|| text.parse().ok())?
-        .filter(|n| *n <= most)
-}
-
-/// A word that goes on as a header of the call to an engine.
-fn mark(word: Bytes) -> Option<Bytes> {
-    let is_usable =
-        (1..=LONGEST_MARK).contains(&word.len()) && word.iter().all(u8::is_ascii_graphic);
-    is_usable.then_some(word)
-}
-
-/// Reads them; an error is a text for the client.
-pub fn parse(text: &Bytes) -> Result<Fields, &'static str> {
-    let start = text
-        .iter()
-        .position(|b| !b.is_ascii_whitespace())
-        .unwrap_or(text.len());
-    let opened = text[start..]
-        .strip_prefix(b"/*")
-        .ok_or("no comment with fields stands ahead of the statement")?;
-    let length = opened
-        .windows(2)
-        .position(|w| w == b"*/")
-        .ok_or("the comment with fields has no end")?;
-    let comment = text.slice(start + 2..start + 2 + length);
-    let rest = &text[start + 2 + length + 2..];
-    let body = start + 2 + length + 2 + rest.iter().take_while(|b| b.is_ascii_whitespace()).count();
+/// Parses the fields ahead of a statement and finds its table group.
+pub fn parse(text: &Bytes) -> Result<Fields, FieldsError> {
+    let (comment, statement) = split_comment(text)?;
     let mut fields = Fields {
-        statement: text.slice(body..),
+        statement,
         ..Fields::default()
     };
-    let mut timeout = None;
-    let mut named: Vec<&[u8]> = Vec::new();
+    let mut timeout_ms = None;
+    let mut seen: Vec<&[u8]> = Vec::new();
     for field in comment.split(|&b| b == b',') {
         let field = field.trim_ascii();
         let Some(equals) = field.iter().position(|&b| b == b'=') else {
-            return Err("a field has no value");
+            return Err(FieldsError::NoValue);
         };
         let (name, value) = (&field[..equals], &field[equals + 1..]);
-        let word = || comment.slice_ref(value);
-        if named.contains(&name) {
-            return Err("a field stands twice");
+        if seen.contains(&name) {
+            return Err(FieldsError::Duplicate);
         }
-        named.push(name);
-        match name {
-            b"kind" => fields.workload = word(),
-            b"req" => fields.statement_id = word(),
-            b"timeout" => timeout = number(value, MOST_MS).filter(|ms| *ms >= 1.0),
-            b"owner" => fields.tenant = Some(word()),
-            b"ms" => {
-                fields.work_ms =
-                    Some(number(value, MOST_MS).ok_or("the estimate of work is no usable number")?);
-            }
-            b"space" => {
-                let mb =
-                    number(value, MOST_MB).ok_or("the estimate of memory is no usable number")?;
-                fields.memory_mb = Some(mb as f32);
-            }
-            b"opkey" => {
-                fields.idempotency_key =
-                    Some(mark(word()).ok_or("the mark against repeats is no usable word")?)
-            }
-            b"subject" => {
-                fields.ordering_key = Some(mark(word()).ok_or("the key is no usable word")?)
-            }
-            b"resent" => fields.is_repeat = value != b"0",
-            _ => {}
+        seen.push(name);
+        if name == name::TIMEOUT_MS {
+            timeout_ms = number(value, MAX_MS).filter(|ms| *ms >= 1.0);
+        } else {
+            fields.set(name, comment.slice_ref(value))?;
         }
     }
-    if fields.statement_id.len() != 16 || !fields.statement_id.iter().all(u8::is_ascii_hexdigit) {
-        return Err("req is not 16 hex digits");
+    if !is_statement_id(&fields.statement_id) {
+        return Err(FieldsError::StatementId);
     }
-    fields.timeout_ms = timeout.ok_or("timeout is not a usable number of milliseconds")? as u64;
-    fields.table_group =
-        table_group(&fields.statement).ok_or("the statement names no group of tables")?;
+    fields.timeout_ms = timeout_ms.ok_or(FieldsError::Timeout)? as u64;
+    fields.table_group = table_group(&fields.statement).ok_or(FieldsError::NoTableGroup)?;
     Ok(fields)
 }
 
-enum Token<'a> {
-    Name(&'a [u8]),
-    Dot,
-    Other,
+/// The inside of the comment, and the statement behind it.
+fn split_comment(text: &Bytes) -> Result<(Bytes, Bytes), FieldsError> {
+    let text = text.slice_ref(text.trim_ascii_start());
+    let opened = text.strip_prefix(b"/*").ok_or(FieldsError::NoComment)?;
+    let length = opened
+        .windows(2)
+        .position(|pair| pair == b"*/")
+        .ok_or(FieldsError::UnterminatedComment)?;
+    let comment = text.slice_ref(&opened[..length]);
+    let statement = text.slice_ref(opened[length + 2..].trim_ascii_start());
+    Ok((comment, statement))
 }
 
-/// The number behind the underscore in the name of the schema. Strings and comments don't count, nor does the
-/// schema `staging`.
-pub fn table_group(statement: &[u8]) -> Option<u32> {
-    let mut rest = statement;
-    // The name just read, if what follows may be its dot; and whether the name before it ended in a dot.
-    let mut name: Option<&[u8]> = None;
-    let mut after_dot = false;
-    while let Some(token) = next_token(&mut rest) {
-        match token {
-            Token::Name(text) => {
-                name = (!after_dot).then_some(text);
-                after_dot = false;
-            }
-            Token::Dot => {
-                if let Some(group) = name.take().and_then(group_of_schema) {
-                    return Some(group);
-                }
-                after_dot = true;
-            }
-            Token::Other => {
-                name = None;
-                after_dot = false;
-            }
-        }
-    }
-    None
+fn is_statement_id(id: &[u8]) -> bool {
+    id.len() == STATEMENT_ID_DIGITS && id.iter().all(u8::is_ascii_hexdigit)
 }
 
-fn group_of_schema(name: &[u8]) -> Option<u32> {
-    if name.eq_ignore_ascii_case(STAGING) {
+/// Digits, with a fraction perhaps, and no more than `max`.
+fn number(value: &[u8], max: f64) -> Option<f64> {
+    let text = std::str::from_utf8(value).ok()?;
+    let (whole, fraction) = text.split_once('.').unwrap_or((text, "0"));
+    let digits = |part: &str| !part.is_empty() && part.bytes().all(|b| b.is_ascii_digit());
+    if !digits(whole) || !digits(fraction) {
         return None;
     }
-    let digits = &name[name.iter().rposition(|&b| b == b'_')? + 1..];
-    let all_digits = !digits.is_empty() && digits.iter().all(u8::is_ascii_digit);
-    std::str::from_utf8(digits)
-        .ok()
-        .filter(|_| all_digits)?
-        .parse()
-        .ok()
+    text.parse().ok().filter(|n| *n <= max)
 }
 
-fn next_token<'a>(rest: &mut &'a [u8]) -> Option<Token<'a>> {
-    loop {
-        let text = *rest;
-        let &first = text.first()?;
-        let (skip, token) = match first {
-            b if b.is_ascii_whitespace() => (1, None),
-            b'#' => (line(text), None),
-            b'-' if text.starts_with(b"--")
-                && text
-                    .get(2)
-                    .is_none_or(|b| b.is_ascii_whitespace() || b.is_ascii_control()) =>
-            {
-                (line(text), None)
-            }
-            b'/' if text.starts_with(b"/*") => {
-                let end = text[2..].windows(2).position(|w| w == b"*/");
-                (end.map_or(text.len(), |at| 2 + at + 2), None)
+/// Whether a key can go on as a header of the call to an engine.
+fn is_header_value(key: &[u8]) -> bool {
+    (1..=MAX_KEY_BYTES).contains(&key.len()) && key.iter().all(u8::is_ascii_graphic)
+}
+
+fn key(value: Bytes, error: FieldsError) -> Result<Option<Bytes>, FieldsError> {
+    if is_header_value(&value) {
+        Ok(Some(value))
+    } else {
+        Err(error)
+    }
+}
+
+impl Fields {
+    /// Sets one field; unknown ones are skipped.
+    fn set(&mut self, name: &[u8], value: Bytes) -> Result<(), FieldsError> {
+        match name {
+            name::WORKLOAD => self.workload = value,
+            name::STATEMENT_ID => self.statement_id = value,
+            name::TENANT => self.tenant = Some(value),
+            name::WORK_MS => {
+                let ms = number(&value, MAX_MS).ok_or(FieldsError::WorkEstimate)?;
+                self.work_ms = Some(ms);
             }
-            b'\'' | b'"' => (quoted(text, true).1, Some(Token::Other)),
-            b'`' => {
-                let (inner, length) = quoted(text, false);
-                (length, Some(Token::Name(inner)))
+            name::MEMORY_MB => {
+                let mb = number(&value, MAX_MB).ok_or(FieldsError::MemoryEstimate)?;
+                self.memory_mb = Some(mb as f32);
             }
-            b'.' => (1, Some(Token::Dot)),
-            b if is_name(b) => {
-                let length = text.iter().take_while(|&&b| is_name(b)).count();
-                (length, Some(Token::Name(&text[..length])))
+            name::IDEMPOTENCY_KEY => {
+                self.idempotency_key = key(value, FieldsError::IdempotencyKey)?;
             }
-            _ => (1, Some(Token::Other)),
-        };
-        *rest = &text[skip..];
-        if token.is_some() {
-            return token;
+            name::ORDERING_KEY => self.ordering_key = key(value, FieldsError::OrderingKey)?,
+            name::IS_REPEAT => self.is_repeat = value[..] != *b"0",
+            _ => {}
         }
+        Ok(())
     }
-}
 
-fn is_name(b: u8) -> bool {
-    b.is_ascii_alphanumeric() || b == b'_' || b == b'$' || b >= 0x80
-}
+    /// The id as a number; [`parse`] has checked its digits.
+    pub fn statement_id_number(&self) -> u64 {
+        std::str::from_utf8(&self.statement_id)
+            .ok()
+            .and_then(|id| u64::from_str_radix(id, 16).ok())
+            .unwrap_or(0)
+    }
 
-fn line(text: &[u8]) -> usize {
-    text.iter()
-        .position(|&b| b == b'\n')
-        .map_or(text.len(), |at| at + 1)
-}
+    /// The ordering key as a number; 0: none.
+    pub fn ordering_key_number(&self) -> u64 {
+        let Some(key) = &self.ordering_key else {
+            return 0;
+        };
+        let mut hasher = SipHasher13::new();
+        hasher.write(key);
+        hasher.finish().max(1)
+    }
 
-/// What stands between the quote that `text` starts with and its end, and the length of the whole. A doubled
-/// quote is part of it, and where `escapes` hold, what follows a backslash.
-fn quoted(text: &[u8], escapes: bool) -> (&[u8], usize) {
-    let quote = text[0];
-    let mut at = 1;
-    while at < text.len() {
-        let doubled = text[at] == quote && text.get(at + 1) == Some(&quote);
-        if doubled || (escapes && text[at] == b'\\') {
-            at += 2;
-        } else if text[at] == quote {
-            return (&text[1..at], at + 1);
-        } else {
-            at += 1;
+    /// The statement as a client would send it, with `timeout_ms` of its time left.
+    pub fn write(&self, timeout_ms: u64) -> Vec<u8> {
+        let mut text = b"/* ".to_vec();
+        put_field(&mut text, name::WORKLOAD, &self.workload);
+        put_field(&mut text, name::STATEMENT_ID, &self.statement_id);
+        put_field(
+            &mut text,
+            name::TIMEOUT_MS,
+            timeout_ms.to_string().as_bytes(),
+        );
+        if let Some(tenant) = &self.tenant {
+            put_field(&mut text, name::TENANT, tenant);
         }
+        if let Some(ms) = self.work_ms {
+            put_field(&mut text, name::WORK_MS, ms.to_string().as_bytes());
+        }
+        if let Some(mb) = self.memory_mb {
+            put_field(&mut text, name::MEMORY_MB, mb.to_string().as_bytes());
+        }
+        if let Some(key) = &self.idempotency_key {
+            put_field(&mut text, name::IDEMPOTENCY_KEY, key);
+        }
+        if let Some(key) = &self.ordering_key {
+            put_field(&mut text, name::ORDERING_KEY, key);
+        }
+        // Each field has put a comma behind itself.
+        text.pop();
+        text.extend_from_slice(b" */ ");
+        text.extend_from_slice(&self.statement);
+        text
     }
-    (&text[1..], text.len())
+
+    /// Differs where another statement is sent under the same id.
+    pub fn digest(&self) -> u64 {
+        let no_tenant = Bytes::new();
+        let tenant = self.tenant.as_ref().unwrap_or(&no_tenant);
+        let mut hasher = SipHasher13::new();
+        for part in [&self.workload, tenant, &self.statement] {
+            hasher.write_usize(part.len());
+            hasher.write(part);
+        }
+        hasher.finish()
+    }
+}
+
+fn put_field(text: &mut Vec<u8>, name: &[u8], value: &[u8]) {
+    text.extend_from_slice(name);
+    text.push(b'=');
+    text.extend_from_slice(value);
+    text.push(b',');
 }
--- a/crates/ivypitch-gateway/src/wire/gateway_statements.rs
+++ b/crates/ivypitch-gateway/src/wire/gateway_statements.rs
@@ -56,7 +56,10 @@
 fn words_of_start(statement: &[u8]) -> Option<std::str::SplitAsciiWhitespace<'_>> {
     let start = statement.get(..MAX_BYTES).unwrap_or(statement);
     let text = std::str::from_utf8(start).ok()?;
-    Some(text.trim_end_matches([';', ' ', '\n']).split_ascii_whitespace())
+    Some(
+        text.trim_end_matches([';', ' ', '\n'])
+            .split_ascii_whitespace(),
+    )
 }
 
 /// 16 hex digits, perhaps in quotes.
--- a/crates/ivypitch-gateway/tests/wire.rs
+++ b/crates/ivypitch-gateway/tests/wire.rs
@@ -5,9 +5,11 @@
 use ivypitch_gateway::state::rows::Rows;
 use ivypitch_gateway::state::sessions::{SessionStage, SessionState, SessionTable};
 use ivypitch_gateway::wire::discovery::{Line, parse_line};
-use ivypitch_gateway::wire::fields::{self, table_group};
+use ivypitch_gateway::wire::fields;
+use ivypitch_gateway::wire::gateway_statements;
 use ivypitch_gateway::wire::http::{self, Response, Start};
 use ivypitch_gateway::wire::mysql::{self, Command, Writer};
+use ivypitch_gateway::wire::table_group::table_group;
 use test_case::test_case;
 
 #[test]
@@ -27,6 +29,20 @@
     assert!(read.statement.starts_with(b"SELECT day") && read.statement.ends_with(b"GROUP BY day"));
 }
 
+#[test]
+fn a_statement_is_written_as_its_client_would_send_it() {
+    let text = "/* kind=report,req=9b1f03aa5c7e2d41,timeout=1500,owner=acme,ms=820.5,space=96,opkey=b35f,subject=0002 */ \
+                SELECT day FROM sales_17.orders";
+    let read = fields::parse(&Bytes::from(text)).unwrap();
+    let keys = (
+        read.idempotency_key.as_deref(),
+        read.ordering_key.as_deref(),
+    );
+    assert_eq!(keys, (Some(&b"b35f"[..]), Some(&b"0002"[..])));
+    let sent = String::from_utf8(read.write(700)).unwrap();
+    assert_eq!(sent, text.replace("1500", "700"));
+}
+
 #[test_case("INSERT INTO sales_17.orders SELECT * FROM staging.orders", Some(17); "staging after")]
 #[test_case("INSERT INTO x SELECT * FROM STAGING.a_1 JOIN sales_2.b", Some(2); "staging first")]
 #[test_case("SELECT 'it''s sales_1.a', \"sales_2.b\", 'x\\' sales_3.c' FROM `sales_4`.`orders`", Some(4); "quotes")]
@@ -51,7 +67,7 @@
             while let Some(packet) = mysql::next_packet(&mut input, 100).unwrap() {
                 packets.push((
                     packet.sequence,
-                    mysql::read_command(packet.payload).unwrap(),
+                    mysql::parse_command(packet.payload).unwrap(),
                 ));
             }
             input.extend_from_slice(rest);
@@ -59,7 +75,7 @@
         while let Some(packet) = mysql::next_packet(&mut input, 100).unwrap() {
             packets.push((
                 packet.sequence,
-                mysql::read_command(packet.payload).unwrap(),
+                mysql::parse_command(packet.payload).unwrap(),
             ));
         }
         assert_eq!(
@@ -104,7 +120,7 @@
 #[test_case(b"KILL 7", None; "a connection")]
 #[test_case(b"KILL QUERY -7", None; "no id")]
 fn kill_query_is_read(text: &[u8], id: Option<u32>) {
-    assert_eq!(mysql::kill_query(text), id);
+    assert_eq!(gateway_statements::kill_query(text), id);
 }
 
 #[test]
@@ -115,12 +131,12 @@
         b"app\0\0dw\0",
     ]
     .concat();
-    let whole = mysql::read_login(&login).unwrap();
+    let whole = mysql::parse_login(&login).unwrap();
     assert_eq!(
-        (whole.user, whole.database, whole.password_given),
+        (whole.user, whole.database, whole.has_password),
         (&b"app"[..], Some(&b"dw"[..]), false)
     );
-    assert!((0..login.len() - 3).all(|cut| mysql::read_login(&login[..cut]).is_err()));
+    assert!((0..login.len() - 3).all(|cut| mysql::parse_login(&login[..cut]).is_err()));
 }
 
 #[test]
@@ -253,20 +269,20 @@
 fn bounds_hold_together_within_the_limits(sockets: usize, memory_mb: usize, clients: usize) {
     let bounds = Bounds::new(sockets, memory_mb);
     assert_eq!(bounds.clients, clients);
-    assert!(bounds.clients + bounds.told + bounds.engines <= sockets);
-    let sessions = (bounds.clients + bounds.told) * (bounds.message + (8 << 10));
+    assert!(bounds.clients + bounds.surplus_sessions + bounds.engine_connections <= sockets);
+    let sessions = (bounds.clients + bounds.surplus_sessions) * (bounds.message_bytes + (8 << 10));
     let kept = sessions
         + bounds.clients * (96 << 10)
-        + bounds.engines * (22 << 10)
-        + 2 * bounds.journal_line;
+        + bounds.engine_connections * (22 << 10)
+        + 2 * bounds.discovery_line_bytes;
     assert!(kept <= (memory_mb * 7 / 8) << 20, "{kept}");
 }
 
 /// Four sessions, each with how far it is and for how long; who is told to end for a fifth.
-#[test_case([(SessionStage::Nothing, 900), (SessionStage::Nothing, 950), (SessionStage::Answered, 4000), (SessionStage::LoggedIn, 10)], Some(1); "the longest silent")]
-#[test_case([(SessionStage::LoggedIn, 900), (SessionStage::Nothing, 100), (SessionStage::Answered, 4000), (SessionStage::Nothing, 0)], Some(0); "silent after its login")]
-#[test_case([(SessionStage::Nothing, 100), (SessionStage::Answered, 5), (SessionStage::Answered, 6), (SessionStage::LoggedIn, 90)], Some(2); "answered before newly come")]
-#[test_case([(SessionStage::Nothing, 100), (SessionStage::Nothing, 50), (SessionStage::LoggedIn, 150), (SessionStage::LoggedIn, 60)], Some(2); "all newly come")]
+#[test_case([(SessionStage::Connected, 900), (SessionStage::Connected, 950), (SessionStage::Answered, 4000), (SessionStage::LoggedIn, 10)], Some(1); "the longest silent")]
+#[test_case([(SessionStage::LoggedIn, 900), (SessionStage::Connected, 100), (SessionStage::Answered, 4000), (SessionStage::Connected, 0)], Some(0); "silent after its login")]
+#[test_case([(SessionStage::Connected, 100), (SessionStage::Answered, 5), (SessionStage::Answered, 6), (SessionStage::LoggedIn, 90)], Some(2); "answered before newly come")]
+#[test_case([(SessionStage::Connected, 100), (SessionStage::Connected, 50), (SessionStage::LoggedIn, 150), (SessionStage::LoggedIn, 60)], Some(2); "all newly come")]
 fn the_session_ends_for_another_that_loses_least(
     sessions: [(SessionStage, u64); 4],
     closed: Option<u32>,
@@ -277,12 +293,12 @@
     for (connection, (stage, ms)) in (0..).zip(sessions) {
         assert!(all.make_room(now, |_| true));
         let state = SessionState::new(now);
-        state.has(stage, now - std::time::Duration::from_millis(ms));
+        state.set_stage(stage, now - std::time::Duration::from_millis(ms));
         states.push(state.clone());
         all.insert(connection, state, connection);
     }
     assert!(all.make_room(now, |_| true));
-    let told = (0..4).find(|&connection| states[connection as usize].is_to_end());
+    let told = (0..4).find(|&connection| states[connection as usize].is_end_requested());
     assert_eq!(told, closed);
     assert_eq!(
         (all.len(), all.is_empty()),
@@ -291,7 +307,7 @@
     );
     assert!((0..4).all(|connection| all.remove(connection) == Some(connection)) && all.is_empty());
     let mut busy = SessionTable::new(1);
-    states[0].busy.set(true);
+    states[0].is_busy.set(true);
     busy.insert(0, states[0].clone(), ());
     assert!(!busy.make_room(now, |_| true), "all have something open");
 }
@@ -303,13 +319,13 @@
     let mut all = SessionTable::new(3);
     let states: Vec<_> = (0..3).map(|_| SessionState::new(now)).collect();
     for (connection, state) in (0..).zip(&states) {
-        state.has(SessionStage::Answered, long);
+        state.set_stage(SessionStage::Answered, long);
         all.insert(connection, state.clone(), connection);
     }
-    states[1].has_begun.set(true);
+    states[1].has_partial_message.set(true);
     assert!(all.make_room(now, |&connection| connection != 0));
     assert!(
-        states[2].is_to_end() && !states[0].is_to_end(),
+        states[2].is_end_requested() && !states[0].is_end_requested(),
         "unread bytes wait on the first"
     );
     all.insert(3, SessionState::new(now), 3);
@@ -318,18 +334,18 @@
         all.make_room(now, |_| false),
         "one that is over loses nothing"
     );
-    assert!(states[0].is_to_end() && !states[1].is_to_end());
+    assert!(states[0].is_end_requested() && !states[1].is_end_requested());
 }
 
 #[test]
-fn few_close_beside_the_table_and_none_that_a_request_came_on() {
+fn few_insert_closing_the_table_and_none_that_a_request_came_on() {
     let now = std::time::Instant::now();
     let mut all = SessionTable::new(1);
     let busy = SessionState::new(now);
-    busy.busy.set(true);
-    all.close_beside(0, busy, 0);
+    busy.is_busy.set(true);
+    all.insert_closing(0, busy, 0);
     (1..=40)
-        .for_each(|connection| all.close_beside(connection, SessionState::new(now), connection));
+        .for_each(|connection| all.insert_closing(connection, SessionState::new(now), connection));
     assert!(all.remove(0).is_some() && all.remove(40).is_some() && all.remove(1).is_none());
     assert_eq!(
         (1..=40)
@@ -377,8 +393,8 @@
         let mut input = BytesMut::from(&bytes[..]);
         while let Ok(Some(packet)) = mysql::next_packet(&mut input, 100) {
             assert!(packet.payload.len() <= 100);
-            let _ = mysql::kill_query(&packet.payload);
-            read += usize::from(mysql::read_command(packet.payload).is_ok());
+            let _ = gateway_statements::kill_query(&packet.payload);
+            read += usize::from(mysql::parse_command(packet.payload).is_ok());
         }
         if let Ok(fields) = fields::parse(&Bytes::from(bytes.clone())) {
             assert!(
@@ -387,7 +403,7 @@
             read += 1;
         }
         read += usize::from(parse_line(&bytes).is_ok())
-            + usize::from(mysql::read_login(&bytes).is_ok());
+            + usize::from(mysql::parse_login(&bytes).is_ok());
     }
     assert!(read > 10_000, "most are still good: {read}");
 }
