--- a/crates/ivypitch-cli/src/check.rs
+++ b/crates/ivypitch-cli/src/check.rs
@@ -1,12 +1,13 @@
-//! `ivypitch check`: all faults of an own settings file at once, or its checked form as plain JSON.
+//! `ivypitch check`: all errors of an own settings file at once, or its checked form as plain JSON.
 
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 use ivypitch_config::own;
-use ivypitch_config::schema::{Fault, describe};
+use ivypitch_config::schema::{Fault as SettingsError, Node, describe};
 use ivypitch_gateway::lifecycle::configuration;
 
+/// The arguments of `ivypitch check`.
 #[derive(clap::Args)]
 pub struct Check {
     /// The file: records in Nickel (.ncl) or plain JSON (.json).
@@ -24,63 +25,81 @@
 }
 
 impl Check {
+    /// Prints the result on standard output, or each error with its place on standard error.
     pub fn run(self) -> ExitCode {
         if self.fields {
-            let mut lines = Vec::new();
-            describe(own::OWN, "", &mut lines);
-            lines.iter().for_each(|line| println!("{line}"));
+            print_fields();
             return ExitCode::SUCCESS;
         }
-        match self.checked() {
+        let Some(file) = &self.file else {
+            return ExitCode::SUCCESS;
+        };
+        match self.check(file) {
             Ok(()) => ExitCode::SUCCESS,
-            Err(mut faults) => {
-                faults.sort();
-                let file = self
-                    .file
-                    .as_ref()
-                    .map(|f| f.display().to_string())
-                    .unwrap_or_default();
-                faults.iter().for_each(|fault| eprintln!("{file}: {fault}"));
-                if faults.len() > 1 {
-                    eprintln!("{} faults", faults.len());
+            Err(mut errors) => {
+                errors.sort();
+                for error in &errors {
+                    eprintln!("{}: {error}", file.display());
+                }
+                if errors.len() > 1 {
+                    eprintln!("{} faults", errors.len());
                 }
                 ExitCode::FAILURE
             }
         }
     }
 
-    fn checked(&self) -> Result<(), Vec<Fault>> {
-        let Some(file) = &self.file else {
-            return Ok(());
-        };
+    fn check(&self, file: &Path) -> Result<(), Vec<SettingsError>> {
         let node = ivypitch_config_eval::read(file)?;
-        let whole = own::check(&node)?;
-        let fault = |what: String| vec![Fault::new("", what)];
-        if let Some(config) = &self.against {
-            let configuration = configuration::from_file(config).map_err(fault)?;
-            let own = own::read(whole.to_string().as_bytes())?;
-            if let Some(peers) = own.peers.as_ref().filter(|peers| peers.enabled) {
-                peers.peering(&configuration.name)?;
-            }
-            if let Some(teams) = &own.teams {
-                teams
-                    .budgets(&configuration.given, configuration.bounds.clients)
-                    .map_err(|faults| {
-                        faults
-                            .into_iter()
-                            .map(|f| Fault {
-                                line: node.line_of(&f.path),
-                                ..f
-                            })
-                            .collect::<Vec<_>>()
-                    })?;
-            }
+        let checked = own::check(&node)?;
+        if let Some(path) = &self.against {
+            check_against(path, &node, &checked)?;
         }
         if self.emit {
-            println!("{whole}");
+            println!("{checked}");
         } else {
             println!("{}: good", file.display());
         }
         Ok(())
     }
 }
+
+fn print_fields() {
+    let mut lines = Vec::new();
+    describe(own::OWN, "", &mut lines);
+    for line in lines {
+        println!("{line}");
+    }
+}
+
+/// Checks the names in the settings against a platform's configuration.
+fn check_against(
+    path: &Path,
+    node: &Node,
+    checked: &serde_json::Value,
+) -> Result<(), Vec<SettingsError>> {
+    let configuration = configuration::from_file(path)
+        .map_err(|error| vec![SettingsError::new("", error.to_string())])?;
+    let config = own::read(checked.to_string().as_bytes())?;
+    if let Some(peers) = config.peers.as_ref().filter(|peers| peers.enabled) {
+        peers.peering(&configuration.name)?;
+    }
+    let Some(teams) = &config.teams else {
+        return Ok(());
+    };
+    let budgets = teams.budgets(&configuration.deployment, configuration.bounds.clients);
+    match budgets {
+        Ok(_) => Ok(()),
+        Err(errors) => Err(errors
+            .into_iter()
+            .map(|error| with_line(error, node))
+            .collect()),
+    }
+}
+
+fn with_line(error: SettingsError, node: &Node) -> SettingsError {
+    SettingsError {
+        line: node.line_of(&error.path),
+        ..error
+    }
+}
--- a/crates/ivypitch-cli/src/main.rs
+++ b/crates/ivypitch-cli/src/main.rs
@@ -6,8 +6,11 @@
 use clap::{Parser, Subcommand};
 use ivypitch_cli::{check, fleet};
 use ivypitch_gateway::lifecycle::logger::{self, Format};
-use ivypitch_gateway::lifecycle::own::OwnFile;
-use ivypitch_gateway::lifecycle::{clock::Clock, configuration, program};
+use ivypitch_gateway::lifecycle::operator_config::{
+    LoadedOperatorConfig, OperatorConfigError, OperatorConfigFile,
+};
+use ivypitch_gateway::lifecycle::startup::{self, StartupError};
+use ivypitch_gateway::lifecycle::{clock::Clock, configuration, gateway::Gateway};
 
 /// Query gateway: decides which statement runs, on which engine, with how much memory and at which priority.
 #[derive(Parser)]
@@ -60,31 +63,39 @@
 fn serve(arguments: Serve) -> ExitCode {
     let clock = Clock::start();
     logger::install(clock);
-    let stated = arguments.log_format.as_deref().and_then(Format::of);
-    logger::set_format(stated.unwrap_or_default());
-    let outcome = program::signals().and_then(|signals| {
-        let configuration = configuration::from_environment(&arguments.config)?;
-        let own = match arguments.own {
-            Some(path) => {
-                let file = OwnFile { path };
-                let own = file.load()?;
-                logger::set_format(
-                    stated
-                        .or_else(|| Format::of(&own.log.format))
-                        .unwrap_or_default(),
-                );
-                Some((file, own))
-            }
-            None => None,
-        };
-        let program = program::Program::start(configuration, own, clock, signals)?;
-        program.map_or(Ok(()), program::Program::run)
-    });
-    match outcome {
+    match run_gateway(arguments, clock) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            log::error!("{what}");
+        Err(error) => {
+            log::error!("{error}");
             ExitCode::FAILURE
         }
     }
 }
+
+/// Starts a gateway and serves until SIGTERM.
+fn run_gateway(arguments: Serve, clock: Clock) -> Result<(), StartupError> {
+    let stated_format = arguments.log_format.as_deref().and_then(Format::of);
+    logger::set_format(stated_format.unwrap_or_default());
+    let signals = startup::catch_signals()?;
+    let configuration = configuration::from_environment(&arguments.config)?;
+    let operator = match arguments.own {
+        Some(path) => Some(load_operator_config(path, stated_format)?),
+        None => None,
+    };
+    if let Some(gateway) = Gateway::start(configuration, operator, clock, signals)? {
+        gateway.run();
+    }
+    Ok(())
+}
+
+/// Reads the operators' settings, which may set the format of log lines.
+fn load_operator_config(
+    path: PathBuf,
+    stated_format: Option<Format>,
+) -> Result<LoadedOperatorConfig, OperatorConfigError> {
+    let file = OperatorConfigFile { path };
+    let config = file.load()?;
+    let format = stated_format.or_else(|| Format::of(&config.log.format));
+    logger::set_format(format.unwrap_or_default());
+    Ok(LoadedOperatorConfig { file, config })
+}
--- a/crates/ivypitch-cli/tests/races.rs
+++ b/crates/ivypitch-cli/tests/races.rs
@@ -436,7 +436,7 @@
     gateway.terminate();
     gateway
         .log
-        .wait("last phase", |l| l.contains("overlap -> finishing"));
+        .wait("last phase", |l| l.contains("draining -> finishing"));
     (gateway, client)
 }
 
@@ -473,7 +473,7 @@
     gateway.terminate();
     gateway
         .log
-        .wait("last phase", |l| l.contains("overlap -> finishing"));
+        .wait("last phase", |l| l.contains("draining -> finishing"));
     client.send(&whole[40..]);
     assert_eq!(client.answer(1).code(), 1203);
     assert_eq!(client.answer(1), Answer::Closed);
@@ -493,7 +493,7 @@
     gateway.terminate();
     gateway
         .log
-        .wait("overlap", |l| l.contains("serving -> overlap"));
+        .wait("overlap", |l| l.contains("serving -> draining"));
     let began = Instant::now();
     gateway.held(|| {
         // All that happens in the rest of the overlap is met together with its end.
@@ -570,7 +570,7 @@
     gateway.terminate();
     gateway
         .log
-        .wait("last phase", |l| l.contains("overlap -> finishing"));
+        .wait("last phase", |l| l.contains("draining -> finishing"));
     // The gateway's half is closed; what crosses is read and dropped, and never sent on.
     for client in &mut resting {
         assert_eq!(client.answer(1), Answer::Closed);
@@ -610,7 +610,7 @@
     gateway.terminate();
     gateway
         .log
-        .wait("last phase", |l| l.contains("overlap -> finishing"));
+        .wait("last phase", |l| l.contains("draining -> finishing"));
     end.push(());
     assert_eq!(gateway.exit_code(), Some(0));
     let Answer::Rows(rows) = client.answer(1) else {
--- a/crates/ivypitch-cli/tests/serving.rs
+++ b/crates/ivypitch-cli/tests/serving.rs
@@ -269,7 +269,7 @@
     gateway.terminate();
     gateway
         .log
-        .wait("overlap", |l| l.contains("serving -> overlap"));
+        .wait("overlap", |l| l.contains("serving -> draining"));
     let mut late = Client::connect(&gateway);
     assert_eq!(late.ask(&statement("load", 2, 20_000)).code(), 1105);
     assert_eq!(client.answer(1).code(), 1203);
@@ -639,7 +639,7 @@
     gateway.terminate();
     gateway
         .log
-        .wait("overlap", |l| l.contains("serving -> overlap"));
+        .wait("overlap", |l| l.contains("serving -> draining"));
     gateway.signal("HUP");
     assert_eq!(gateway.exit_code(), Some(0));
 }
--- a/crates/ivypitch-gateway/src/lifecycle/clock.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/clock.rs
@@ -1,31 +1,35 @@
-//! Unix time at the start plus the monotonic time since: it never goes back.
+//! The one clock of the process.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use ivypitch_types::Nanos;
 
+/// Unix time at the start plus the monotonic time since: it never goes back.
 #[derive(Clone, Copy)]
 pub struct Clock {
-    unix: Duration,
-    started: Instant,
+    unix_at_start: Duration,
+    started_at: Instant,
 }
 
 impl Clock {
+    /// Reads the system's clocks.
     pub fn start() -> Self {
-        let unix = SystemTime::now()
+        let unix_at_start = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         Clock {
-            unix,
-            started: Instant::now(),
+            unix_at_start,
+            started_at: Instant::now(),
         }
     }
 
+    /// Nanoseconds of Unix time.
     pub fn now(&self) -> Nanos {
-        (self.unix + self.started.elapsed()).as_nanos() as Nanos
+        (self.unix_at_start + self.started_at.elapsed()).as_nanos() as Nanos
     }
 
+    /// The instant at which [`Clock::now`] is `at`; the start for earlier times.
     pub fn instant(&self, at: Nanos) -> Instant {
-        self.started + Duration::from_nanos(at).saturating_sub(self.unix)
+        self.started_at + Duration::from_nanos(at).saturating_sub(self.unix_at_start)
     }
 }
--- a/crates/ivypitch-gateway/src/lifecycle/mod.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/mod.rs
@@ -1,8 +1,17 @@
-//! Start and stop: configuration, bounds, clock, logger, signals, and the program as one object with named phases.
+//! The gateway process from start to exit: configuration, bounds, clock, log, signals and the phases of its life.
 
 pub mod bounds;
 pub mod clock;
 pub mod configuration;
+pub mod gateway;
 pub mod logger;
-pub mod own;
-pub mod program;
+pub mod operator_config;
+pub mod startup;
+
+mod accept;
+mod peers;
+mod phase;
+mod reload;
+mod shutdown;
+
+pub use phase::Phase;
--- /dev/null
+++ b/crates/ivypitch-gateway/src/lifecycle/reload.rs
@@ -0,0 +1,104 @@
+//! SIGHUP: the configuration's discovery address and the operators' team budgets are read again.
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+use async_channel::Sender;
+use ivypitch_config::DeploymentConfig;
+use ivypitch_config::own::Own as OperatorConfig;
+use ivypitch_queueing::Budgets;
+
+use super::configuration::{self, ConfigurationError};
+use super::gateway::Gateway;
+use super::operator_config::{OperatorConfigError, OperatorConfigFile};
+use crate::actors::discovery::ListMessage;
+use crate::actors::messages::SchedulerMessage;
+use crate::actors::session::Sessions;
+
+/// The operators' file, and what its team budgets are read against.
+#[derive(Clone)]
+pub(super) struct TeamBudgets {
+    pub(super) file: OperatorConfigFile,
+    pub(super) deployment: Rc<DeploymentConfig>,
+    /// So many statements are open at once.
+    pub(super) clients: usize,
+    /// The queues of teams are on; only a restart changes that.
+    pub(super) has_queues: bool,
+}
+
+impl TeamBudgets {
+    /// The budgets that the operators' settings set up; `None`: they have no teams, or have them off.
+    pub(super) fn budgets(
+        &self,
+        config: &OperatorConfig,
+    ) -> Result<Option<Budgets>, OperatorConfigError> {
+        let Some(teams) = config.teams.as_ref().filter(|teams| teams.enabled) else {
+            return Ok(None);
+        };
+        teams
+            .budgets(&self.deployment, self.clients)
+            .map(Some)
+            .map_err(|errors| self.file.settings_error(errors))
+    }
+
+    async fn reload(self, scheduler: Sender<SchedulerMessage>, sessions: Rc<Sessions>) {
+        match self.load().await {
+            Ok((Some(budgets), config)) if self.has_queues => {
+                log::info!("reload: budgets of {} teams", budgets.teams.len());
+                sessions.set_can_show_queue(config.teams.is_some_and(|teams| teams.show));
+                let _ = scheduler.try_send(SchedulerMessage::ReloadBudgets {
+                    budgets: Box::new(budgets),
+                });
+            }
+            Ok((budgets, _)) if budgets.is_some() != self.has_queues => {
+                log::warn!("reload: queues of teams are turned on and off by a restart only");
+            }
+            Ok(_) => {}
+            Err(error) => log::error!("reload: own settings stay: {error}"),
+        }
+    }
+
+    async fn load(&self) -> Result<(Option<Budgets>, OperatorConfig), OperatorConfigError> {
+        let config = self.file.load_async().await?;
+        Ok((self.budgets(&config)?, config))
+    }
+}
+
+/// Why the discovery service is followed where it was.
+#[derive(Debug, thiserror::Error)]
+enum DiscoveryReloadError {
+    #[error(transparent)]
+    Configuration(#[from] ConfigurationError),
+    #[error("it names no journal")]
+    NoAddress,
+}
+
+impl Gateway {
+    /// Reads the configuration again: the discovery service is followed at its new address. And the operators' file,
+    /// beside all that goes on: new budgets take effect once it has been read.
+    pub(super) fn reload(&mut self) {
+        if let Some(team_budgets) = self.team_budgets.clone() {
+            let task = team_budgets.reload(self.scheduler.clone(), self.sessions.clone());
+            // One child at a time: a later signal ends the reading of an earlier one.
+            self.reload = Some(self.executor.spawn(task));
+        }
+        match self.read_discovery_address() {
+            Ok(address) => {
+                log::info!("reload while {}: journal at {address}", self.phase);
+                if self.discovery_address != Some(address) {
+                    self.discovery_address = Some(address);
+                    let _ = self.discovery.try_send(ListMessage::Address(address));
+                }
+            }
+            Err(error) => {
+                log::error!("reload while {}: nothing changed: {error}", self.phase);
+            }
+        }
+    }
+
+    fn read_discovery_address(&self) -> Result<SocketAddr, DiscoveryReloadError> {
+        configuration::from_file(&self.configuration_path)?
+            .discovery
+            .ok_or(DiscoveryReloadError::NoAddress)
+    }
+}
--- /dev/null
+++ b/crates/ivypitch-gateway/src/lifecycle/startup.rs
@@ -0,0 +1,275 @@
+//! From configuration to a gateway that can serve: the listener, the actors and how they reach each other.
+
+use std::cell::RefCell;
+use std::io;
+use std::net::{SocketAddr, TcpListener};
+use std::rc::Rc;
+
+use async_channel::Sender;
+use async_executor::LocalExecutor;
+use async_io::Async;
+use async_signal::{Signal, Signals};
+use ivypitch_config::DeploymentConfig;
+use ivypitch_discovery::Feed;
+use ivypitch_queueing::Budgets;
+use ivypitch_types::Nanos;
+
+use super::Phase;
+use super::accept;
+use super::bounds::Bounds;
+use super::clock::Clock;
+use super::configuration::{Configuration, ConfigurationError};
+use super::gateway::Gateway;
+use super::operator_config::{LoadedOperatorConfig, OperatorConfigError};
+use super::peers::{PeerDrivers, PeersStart};
+use super::reload::TeamBudgets;
+use crate::actors::discovery::{List, ListMessage};
+use crate::actors::messages::SchedulerMessage;
+use crate::actors::scheduler::{SchedulerActor, SchedulerParts};
+use crate::actors::session::Sessions;
+use crate::state::connections::ConnectionCounters;
+use crate::state::permits::ConnectionPermits;
+use crate::state::traffic::Traffic;
+
+/// Why a gateway can't start, in words for the operator.
+#[derive(Debug, thiserror::Error)]
+pub enum StartupError {
+    /// Signals can't be caught.
+    #[error("signals: {0}")]
+    Signals(io::Error),
+    /// The platform's configuration.
+    #[error(transparent)]
+    Configuration(#[from] ConfigurationError),
+    /// The operators' settings.
+    #[error(transparent)]
+    OperatorConfig(#[from] OperatorConfigError),
+    /// The address for clients can't be taken.
+    #[error("listen on {address}: {source}")]
+    Listen {
+        /// The address.
+        address: SocketAddr,
+        /// The system's reason.
+        source: io::Error,
+    },
+    /// The sockets for other gateways.
+    #[error("{0}")]
+    Peers(String),
+}
+
+/// Catches the signals that the gateway heeds. From here on none of them ends it unasked; each waits to be read.
+pub fn catch_signals() -> Result<Signals, StartupError> {
+    Signals::new([Signal::Hup, Signal::Term, Signal::Int]).map_err(StartupError::Signals)
+}
+
+impl Gateway {
+    /// Brings everything up; an error ends the process before it has accepted anything, `None`: SIGTERM came first. Without
+    /// the operators' settings all that they could set up is off.
+    pub fn start(
+        configuration: Configuration,
+        operator: Option<LoadedOperatorConfig>,
+        clock: Clock,
+        mut signals: Signals,
+    ) -> Result<Option<Gateway>, StartupError> {
+        let address = configuration.listen;
+        let Some(listener) = accept::bind(address, &mut signals)? else {
+            return Ok(None);
+        };
+        let address = listener
+            .get_ref()
+            .local_addr()
+            .map_err(|source| StartupError::Listen { address, source })?;
+        let name = configuration.name.clone();
+        let bounds = configuration.bounds;
+        let workloads = configuration.deployment.facts.workloads.len();
+        let gateway = assemble(configuration, operator, clock, signals, listener)?;
+        log::info!(
+            "{name} {}: listens on {address}, {workloads} workloads, {} clients, {} engine connections",
+            gateway.phase,
+            bounds.clients,
+            bounds.engine_connections
+        );
+        Ok(Some(gateway))
+    }
+}
+
+/// What the operators' settings turn on.
+struct OperatorFeatures {
+    /// Of the teams, as they are at the start.
+    budgets: Option<Budgets>,
+    /// To read them again.
+    team_budgets: Option<TeamBudgets>,
+    can_show_queue: bool,
+    has_coordination: bool,
+}
+
+impl OperatorFeatures {
+    fn new(
+        operator: Option<&LoadedOperatorConfig>,
+        deployment: &DeploymentConfig,
+        clients: usize,
+    ) -> Result<OperatorFeatures, OperatorConfigError> {
+        let Some(LoadedOperatorConfig { file, config }) = operator else {
+            return Ok(OperatorFeatures {
+                budgets: None,
+                team_budgets: None,
+                can_show_queue: false,
+                has_coordination: false,
+            });
+        };
+        let mut team_budgets = TeamBudgets {
+            file: file.clone(),
+            deployment: Rc::new(deployment.clone()),
+            clients,
+            has_queues: false,
+        };
+        let budgets = team_budgets.budgets(config)?;
+        team_budgets.has_queues = budgets.is_some();
+        let shows_queue = config.teams.as_ref().is_some_and(|teams| teams.show);
+        let peers = config.peers.as_ref().filter(|peers| peers.enabled);
+        Ok(OperatorFeatures {
+            can_show_queue: shows_queue && budgets.is_some(),
+            has_coordination: peers.is_some_and(|peers| peers.shares.enabled),
+            budgets,
+            team_budgets: Some(team_budgets),
+        })
+    }
+}
+
+/// What the parts of a gateway have in common while they are created.
+struct Assembly {
+    seed: u64,
+    bounds: Bounds,
+    clock: Clock,
+    executor: Rc<LocalExecutor<'static>>,
+    scheduler: Sender<SchedulerMessage>,
+    discovery: Sender<ListMessage>,
+    traffic: Rc<Traffic>,
+    connections: Rc<ConnectionCounters>,
+}
+
+impl Assembly {
+    fn sessions(&self, deployment: &DeploymentConfig, features: &OperatorFeatures) -> Rc<Sessions> {
+        let names = deployment.names.clone();
+        let scheduler = self.scheduler.clone();
+        let sessions = Sessions::new(self.bounds, names, self.clock, scheduler, self.seed);
+        sessions.set_can_show_queue(features.can_show_queue);
+        sessions.set_can_show_fleet(features.has_coordination);
+        sessions
+    }
+
+    fn watch(&self, position: u64, has_coordination: bool) -> List {
+        List {
+            feed: RefCell::new(Feed::new(position, self.seed)),
+            clock: self.clock,
+            longest_line: self.bounds.discovery_line_bytes,
+            module: self.scheduler.clone(),
+            shares: has_coordination,
+            traffic: self.traffic.clone(),
+        }
+    }
+
+    fn scheduler_actor(
+        &self,
+        deployment: DeploymentConfig,
+        budgets: Option<Budgets>,
+        peers: PeerDrivers,
+    ) -> SchedulerActor {
+        let parts = SchedulerParts {
+            budgets,
+            keeper: peers.ownership,
+            sharing: peers.coordination,
+            permits: ConnectionPermits::new(self.bounds.engine_connections),
+            connects: self.connections.clone(),
+            traffic: self.traffic.clone(),
+        };
+        SchedulerActor::new(
+            deployment,
+            parts,
+            self.seed,
+            self.clock,
+            self.scheduler.clone(),
+            self.executor.clone(),
+        )
+    }
+}
+
+/// Creates the actors and connects them.
+fn assemble(
+    configuration: Configuration,
+    operator: Option<LoadedOperatorConfig>,
+    clock: Clock,
+    signals: Signals,
+    listener: Async<TcpListener>,
+) -> Result<Gateway, StartupError> {
+    let bounds = configuration.bounds;
+    let snapshot = configuration.snapshot;
+    let mut deployment = configuration.deployment;
+    limit_open_statements(&mut deployment, bounds.clients);
+    let max_statement_timeout = max_statement_timeout(&deployment);
+    let features = OperatorFeatures::new(operator.as_ref(), &deployment, bounds.clients)?;
+    let (scheduler, scheduler_mailbox) = async_channel::unbounded();
+    let (discovery, discovery_mailbox) = async_channel::unbounded();
+    let assembly = Assembly {
+        seed: configuration.seed,
+        bounds,
+        clock,
+        executor: Rc::new(LocalExecutor::new()),
+        scheduler,
+        discovery,
+        traffic: Rc::new(Traffic::default()),
+        connections: Rc::new(ConnectionCounters::default()),
+    };
+    let sessions = assembly.sessions(&deployment, &features);
+    let watch = assembly.watch(snapshot.position, features.has_coordination);
+    let peers = PeersStart {
+        name: &configuration.name,
+        seed: assembly.seed,
+        position: snapshot.position,
+        tenants: &deployment.names.tenants,
+        max_statement_timeout,
+        clock,
+        scheduler: assembly.scheduler.clone(),
+        discovery: assembly.discovery.clone(),
+        executor: assembly.executor.clone(),
+        traffic: assembly.traffic.clone(),
+    }
+    .start(operator.as_ref())?;
+    let actor = assembly.scheduler_actor(deployment, features.budgets, peers);
+    let executor = assembly.executor;
+    executor
+        .spawn(actor.run(scheduler_mailbox, snapshot))
+        .detach();
+    executor
+        .spawn(watch.run(configuration.discovery, discovery_mailbox))
+        .detach();
+    Ok(Gateway {
+        phase: Phase::Starting,
+        clock,
+        executor,
+        sessions,
+        connections: assembly.connections,
+        listener: Rc::new(listener),
+        scheduler: assembly.scheduler,
+        discovery: assembly.discovery,
+        signals,
+        configuration_path: configuration.path,
+        discovery_address: configuration.discovery,
+        max_statement_timeout,
+        team_budgets: features.team_budgets,
+        reload: None,
+    })
+}
+
+/// No more statements are open than clients may have.
+fn limit_open_statements(deployment: &mut DeploymentConfig, clients: usize) {
+    let limit = &mut deployment.facts.max_open_statements;
+    *limit = (*limit).min(clients);
+}
+
+fn max_statement_timeout(deployment: &DeploymentConfig) -> Nanos {
+    let workloads = deployment.facts.workloads.iter();
+    workloads
+        .map(|workload| workload.statement_timeout)
+        .max()
+        .unwrap_or(0)
+}
