--- a/crates/ivypitch-cli/src/check.rs
+++ b/crates/ivypitch-cli/src/check.rs
@@ -3,8 +3,8 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-use ivypitch_config::own;
-use ivypitch_config::schema::{Fault as SettingsError, Node, describe};
+use ivypitch_config::operator;
+use ivypitch_config::schema::{Problem, SettingsError, SourceValue, describe};
 use ivypitch_gateway::lifecycle::configuration;
 
 /// The arguments of `ivypitch check`.
@@ -51,7 +51,7 @@
 
     fn check(&self, file: &Path) -> Result<(), Vec<SettingsError>> {
         let node = ivypitch_config_eval::read(file)?;
-        let checked = own::check(&node)?;
+        let checked = operator::check(&node)?;
         if let Some(path) = &self.against {
             check_against(path, &node, &checked)?;
         }
@@ -66,7 +66,7 @@
 
 fn print_fields() {
     let mut lines = Vec::new();
-    describe(own::OWN, "", &mut lines);
+    describe(operator::fields(), "", &mut lines);
     for line in lines {
         println!("{line}");
     }
@@ -75,14 +75,18 @@
 /// Checks the names in the settings against a platform's configuration.
 fn check_against(
     path: &Path,
-    node: &Node,
+    node: &SourceValue,
     checked: &serde_json::Value,
 ) -> Result<(), Vec<SettingsError>> {
-    let configuration = configuration::from_file(path)
-        .map_err(|error| vec![SettingsError::new("", error.to_string())])?;
-    let config = own::read(checked.to_string().as_bytes())?;
+    let configuration = configuration::from_file(path).map_err(|error| {
+        vec![SettingsError::new(
+            "",
+            Problem::Unreadable(error.to_string()),
+        )]
+    })?;
+    let config = operator::read(checked.to_string().as_bytes())?;
     if let Some(peers) = config.peers.as_ref().filter(|peers| peers.enabled) {
-        peers.peering(&configuration.name)?;
+        peers.network(&configuration.name)?;
     }
     let Some(teams) = &config.teams else {
         return Ok(());
@@ -97,9 +101,7 @@
     }
 }
 
-fn with_line(error: SettingsError, node: &Node) -> SettingsError {
-    SettingsError {
-        line: node.line_of(&error.path),
-        ..error
-    }
+fn with_line(error: SettingsError, node: &SourceValue) -> SettingsError {
+    let line = node.line_of(&error.path);
+    error.at_line(line)
 }
--- a/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
@@ -135,7 +135,7 @@
 #[derive(serde::Serialize)]
 struct ShownFleet<'a> {
     #[serde(flatten)]
-    view: ivypitch_coordination::View,
+    view: ivypitch_coordination::CoordinationView,
     traffic: &'a Traffic,
 }
 
@@ -201,7 +201,7 @@
                     .facts
                     .workloads
                     .iter()
-                    .map(|w| w.effect == Idempotency::Idempotent)
+                    .map(|w| w.idempotency == Idempotency::Idempotent)
                     .collect(),
                 threads: given
                     .facts
@@ -336,16 +336,20 @@
             .and_then(CoordinationDriver::next_action)
         {
             match act {
-                coordination::Action::SetQuota(coordination::CORES, part) => {
+                coordination::Action::SetCoreQuota { fraction: part } => {
                     world.cores_part = part;
                     if let Some(queues) = queues {
                         queues.set_capacity(world.now, world.cores.iter().sum::<f64>() * part);
                     }
                 }
-                coordination::Action::SetQuota(bound, part) => gateway
-                    .borrow_mut()
-                    .set_quota_share(bound - coordination::FIRST_ALLOWANCE, part),
-                coordination::Action::SetOutlierStatus(engine, advice) => {
+                coordination::Action::SetTenantQuota {
+                    tenant,
+                    fraction: part,
+                } => gateway.borrow_mut().set_quota_share(tenant, part),
+                coordination::Action::SetOutlierStatus {
+                    engine_hash: engine,
+                    status: advice,
+                } => {
                     if let Some(ix) = world.numbers.iter().position(|&number| number == engine) {
                         gateway
                             .borrow_mut()
@@ -628,8 +632,8 @@
             workload: workload as u16,
             tenant: tenant as u16,
             idempotent: world.idempotent.get(workload).copied().unwrap_or(false),
-            left_ms: left_ms as u32,
-            text: fields.write(left_ms.max(1)),
+            remaining_ms: left_ms as u32,
+            request: fields.write(left_ms.max(1)),
         };
         let work = fields.work_ms.map_or(0, |ms| (ms * MS as f64) as Nanos);
         let token = keeper.next_waiter_token();
--- a/crates/ivypitch-gateway/src/lifecycle/operator_config.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/operator_config.rs
@@ -10,8 +10,8 @@
 
 use async_io::Timer;
 use futures_lite::FutureExt;
-use ivypitch_config::own::{self, Own as OperatorConfig};
-use ivypitch_config::schema::Fault as SettingsError;
+use ivypitch_config::operator::{self, OperatorConfig};
+use ivypitch_config::schema::SettingsError;
 
 /// A child that takes longer is ended; a usual file takes well under a tenth of a second.
 const EVALUATION_TIMEOUT: Duration = Duration::from_secs(10);
@@ -163,6 +163,6 @@
     }
 
     fn parse(&self, text: &[u8]) -> Result<OperatorConfig, OperatorConfigError> {
-        own::read(text).map_err(|errors| self.settings_error(errors))
+        operator::read(text).map_err(|errors| self.settings_error(errors))
     }
 }
--- a/crates/ivypitch-gateway/src/lifecycle/peers.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/peers.rs
@@ -4,7 +4,9 @@
 
 use async_channel::Sender;
 use async_executor::LocalExecutor;
-use ivypitch_types::Nanos;
+use ivypitch_coordination::{Coordinator, CoordinatorParams};
+use ivypitch_ownership::Ownership;
+use ivypitch_types::{Incarnation, MemberId, Nanos, ProcessId};
 
 use super::clock::Clock;
 use super::operator_config::LoadedOperatorConfig;
@@ -16,6 +18,8 @@
 use crate::actors::peer_links;
 use crate::state::traffic::Traffic;
 
+const NANOS_PER_MS: Nanos = 1_000_000;
+
 /// What the scheduler's actor drives; none of it without other gateways.
 #[derive(Default)]
 pub(super) struct PeerDrivers {
@@ -51,46 +55,45 @@
         let Some(peers) = config.peers.as_ref().filter(|peers| peers.enabled) else {
             return Ok(PeerDrivers::default());
         };
-        let peering = peers
-            .peering(self.name)
+        let network = peers
+            .network(self.name)
             .map_err(|errors| file.settings_error(errors))?;
         let now = self.clock.now();
-        let incarnation = self.clock.now() / 1_000_000;
-        let zones: Vec<u16> = peering.roster.seats.iter().map(|seat| seat.zone).collect();
-        let place = peering.place;
+        let process = ProcessId {
+            member: MemberId(network.own_member),
+            incarnation: Incarnation(self.clock.now() / NANOS_PER_MS),
+        };
+        let seats = network.members.seats.iter();
+        let zones: Vec<u16> = seats.map(|seat| seat.zone).collect();
         let start = peer_links::Start {
-            roster: peering.roster,
-            place,
-            listen: peering.listen,
-            terms: peering.terms,
-            birth: incarnation,
+            roster: network.members,
+            place: process.member.0,
+            listen: network.listen,
+            terms: network.membership,
+            birth: process.incarnation.0,
             seed: self.seed,
             traffic: self.traffic,
         };
         let links = peer_links::Peers::start(start, self.clock, self.scheduler, self.executor)
             .map_err(|error| StartupError::Peers(error.to_string()))?;
         let mut drivers = PeerDrivers::default();
-        if peers.shares.enabled {
-            let coordinator = ivypitch_coordination::Shares::new(
-                ivypitch_coordination::Process {
-                    place,
-                    birth: incarnation,
-                },
-                zones.clone(),
-                peers.shares.terms(zones.len(), self.tenants),
-                self.position,
-                self.seed,
+        if peers.coordination.enabled {
+            let coordinator = Coordinator::new(CoordinatorParams {
+                process,
+                zones: zones.clone(),
+                config: peers.coordination.config(zones.len(), self.tenants),
+                last_event: self.position,
+                seed: self.seed,
                 now,
-            );
+            });
             let driver = CoordinationDriver::new(coordinator, links.clone(), self.discovery);
             drivers.coordination = Some(driver);
         }
-        if peers.custody.enabled {
-            let config = peers.custody.terms(self.max_statement_timeout);
-            let ownership =
-                ivypitch_ownership::Ownership::new(place, incarnation, zones, config, now);
-            let driver = OwnershipDriver::new(ownership, links, peers.custody.asks_from());
-            drivers.ownership = Some(driver);
+        if peers.ownership.enabled {
+            let config = peers.ownership.config(self.max_statement_timeout);
+            let ownership = Ownership::new(process, zones, config, now);
+            let min_lookup_work = peers.ownership.min_lookup_work();
+            drivers.ownership = Some(OwnershipDriver::new(ownership, links, min_lookup_work));
         }
         Ok(drivers)
     }
--- a/crates/ivypitch-gateway/src/lifecycle/reload.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/reload.rs
@@ -5,7 +5,7 @@
 
 use async_channel::Sender;
 use ivypitch_config::DeploymentConfig;
-use ivypitch_config::own::Own as OperatorConfig;
+use ivypitch_config::operator::OperatorConfig;
 use ivypitch_queueing::Budgets;
 
 use super::configuration::{self, ConfigurationError};
--- a/crates/ivypitch-gateway/src/lifecycle/startup.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/startup.rs
@@ -128,7 +128,7 @@
         let peers = config.peers.as_ref().filter(|peers| peers.enabled);
         Ok(OperatorFeatures {
             can_show_queue: shows_queue && budgets.is_some(),
-            has_coordination: peers.is_some_and(|peers| peers.shares.enabled),
+            has_coordination: peers.is_some_and(|peers| peers.coordination.enabled),
             budgets,
             team_budgets: Some(team_budgets),
         })
--- a/crates/ivypitch-ownership/tests/recorded_messages.rs
+++ b/crates/ivypitch-ownership/tests/recorded_messages.rs
@@ -1,10 +1,11 @@
-//! Bytes recorded at d1ac1c5; a rename must not change them. Every message about statements in hand, with every form of
-//! what it holds.
+//! Bytes recorded at d1ac1c5; a rename must not change them. Every message about statements in flight, with every form
+//! of what it holds.
 
 use ivypitch_ownership::{
     AttemptGrant, Epoch, FinalAnswer, LookupAnswer, Message, StatementEnd, StatementRecord,
     StatementSpec, VoteLogCompleteness,
 };
+use ivypitch_types::{Incarnation, MemberId, ProcessId};
 use serde_bytes::ByteBuf;
 
 fn hex(bytes: &[u8]) -> String {
@@ -18,36 +19,42 @@
         .collect()
 }
 
+const fn process(member: u16, incarnation: u64) -> ProcessId {
+    ProcessId {
+        member: MemberId(member),
+        incarnation: Incarnation(incarnation),
+    }
+}
+
 const ID: u64 = 0x1122_3344_5566;
 const EPOCH: Epoch = Epoch {
     count: 7,
-    place: 300,
-    birth: 1_700_000_000_123,
+    process: process(300, 1_700_000_000_123),
 };
 const GRANT: AttemptGrant = AttemptGrant {
     epoch: EPOCH,
-    number: 5,
+    attempt: 5,
     engine: 0xabcd_ef01_2345,
-    void: true,
+    never_ran: true,
 };
 
-fn told(end: Option<StatementEnd>) -> StatementRecord {
-    let facts = StatementSpec {
+fn full_record(end: Option<StatementEnd>) -> StatementRecord {
+    let spec = StatementSpec {
         digest: 0xd1d2_d3d4_d5d6_d7d8,
         workload: 11,
         tenant: 512,
         idempotent: true,
-        left_ms: 29_999,
-        text: b"SELECT 1".to_vec(),
+        remaining_ms: 29_999,
+        request: b"SELECT 1".to_vec(),
     };
     StatementRecord {
         id: ID,
         epoch: EPOCH,
-        facts: Some(facts),
+        spec: Some(spec),
         grants: vec![
             GRANT,
             AttemptGrant {
-                void: false,
+                never_ran: false,
                 ..GRANT
             },
         ],
@@ -55,51 +62,53 @@
     }
 }
 
-fn bare(end: Option<StatementEnd>) -> StatementRecord {
+fn empty_record(end: Option<StatementEnd>) -> StatementRecord {
     StatementRecord {
         id: 9,
         epoch: Epoch {
             count: 1,
-            place: 2,
-            birth: 3,
+            process: process(2, 3),
         },
-        facts: None,
+        spec: None,
         grants: vec![],
         end,
     }
 }
 
-fn answer(answered: LookupAnswer) -> Message {
+fn lookup_reply(answer: LookupAnswer) -> Message {
     Message::LookupReply {
-        serial: 130,
+        request_id: 130,
         id: ID,
-        answered,
+        answer,
     }
 }
 
-#[test]
-fn every_message_keeps_its_recorded_bytes() {
-    let rows = FinalAnswer::Rows(vec![ByteBuf::from(b"page 1".to_vec()), ByteBuf::new()]);
+/// A message and its bytes in hexadecimal.
+type Recorded = (Message, &'static str);
+
+fn recorded_votes_and_updates() -> Vec<Recorded> {
     let completed = StatementEnd::Completed {
-        rows_at: 4,
-        birth: 77,
+        rows_at: process(4, 77),
     };
     let (id, epoch, grant) = (ID, EPOCH, GRANT);
-    let recorded = [
+    vec![
         (
-            Message::Update(vec![told(None), bare(Some(StatementEnd::Aborted))]),
+            Message::Update(vec![
+                full_record(None),
+                empty_record(Some(StatementEnd::Aborted)),
+            ]),
             "0002e6aa919aa3a40407ac02fbd095ffbc3101d8afdbaecdfab4e9d1010b800401afea010853454c45435420310207ac02fbd095ffbc3105c5c684f8def92a0107ac02fbd095ffbc3105c5c684f8def92a00000901020300000101",
         ),
         (
             Message::Update(vec![
-                bare(Some(completed)),
-                bare(Some(StatementEnd::Rejected)),
+                empty_record(Some(completed)),
+                empty_record(Some(StatementEnd::Rejected)),
             ]),
             "00020901020300000100044d0901020300000102",
         ),
         (
             Message::GrantRequest {
-                told: told(Some(completed)),
+                record: full_record(Some(completed)),
                 grant,
             },
             "01e6aa919aa3a40407ac02fbd095ffbc3101d8afdbaecdfab4e9d1010b800401afea010853454c45435420310207ac02fbd095ffbc3105c5c684f8def92a0107ac02fbd095ffbc3105c5c684f8def92a000100044d07ac02fbd095ffbc3105c5c684f8def92a01",
@@ -108,7 +117,7 @@
             Message::GrantReply {
                 id,
                 grant,
-                against: None,
+                conflict: None,
             },
             "02e6aa919aa3a40407ac02fbd095ffbc3105c5c684f8def92a0100",
         ),
@@ -116,7 +125,7 @@
             Message::GrantReply {
                 id,
                 grant,
-                against: Some(bare(None)),
+                conflict: Some(empty_record(None)),
             },
             "02e6aa919aa3a40407ac02fbd095ffbc3105c5c684f8def92a010109010203000000",
         ),
@@ -129,7 +138,7 @@
                 id,
                 epoch,
                 promised: true,
-                told: None,
+                record: None,
             },
             "04e6aa919aa3a40407ac02fbd095ffbc310100",
         ),
@@ -138,7 +147,7 @@
                 id,
                 epoch,
                 promised: false,
-                told: Some(bare(None)),
+                record: Some(empty_record(None)),
             },
             "04e6aa919aa3a40407ac02fbd095ffbc31000109010203000000",
         ),
@@ -146,64 +155,83 @@
             Message::Abstention { id, epoch },
             "05e6aa919aa3a40407ac02fbd095ffbc31",
         ),
+    ]
+}
+
+fn recorded_lookups_and_transfers() -> Vec<Recorded> {
+    let rows = FinalAnswer::Rows(vec![ByteBuf::from(b"page 1".to_vec()), ByteBuf::new()]);
+    vec![
         (
             Message::LookupRequest {
-                id,
+                id: ID,
                 digest: 1 << 40,
-                serial: 129,
+                request_id: 129,
             },
             "06e6aa919aa3a4048080808080208101",
         ),
-        (answer(LookupAnswer::Unknown), "078201e6aa919aa3a40400"),
         (
-            answer(LookupAnswer::HeldBy(513)),
+            lookup_reply(LookupAnswer::Unknown),
+            "078201e6aa919aa3a40400",
+        ),
+        (
+            lookup_reply(LookupAnswer::HeldBy(MemberId(513))),
             "078201e6aa919aa3a404018104",
         ),
         (
-            answer(LookupAnswer::Final(rows)),
+            lookup_reply(LookupAnswer::Final(rows)),
             "078201e6aa919aa3a4040200020670616765203100",
         ),
         (
-            answer(LookupAnswer::Final(FinalAnswer::CompletedWithoutRows)),
+            lookup_reply(LookupAnswer::Final(FinalAnswer::CompletedWithoutRows)),
             "078201e6aa919aa3a4040201",
         ),
         (
-            answer(LookupAnswer::Final(FinalAnswer::Rejected {
-                come_back_ms: 250,
+            lookup_reply(LookupAnswer::Final(FinalAnswer::Rejected {
+                retry_after_ms: 250,
             })),
             "078201e6aa919aa3a4040202fa01",
         ),
         (
-            answer(LookupAnswer::Final(FinalAnswer::Aborted)),
+            lookup_reply(LookupAnswer::Final(FinalAnswer::Aborted)),
             "078201e6aa919aa3a4040203",
         ),
         (
-            answer(LookupAnswer::Final(FinalAnswer::IdReused)),
+            lookup_reply(LookupAnswer::Final(FinalAnswer::IdReused)),
             "078201e6aa919aa3a4040204",
         ),
-        (Message::Handoff(bare(None)), "0809010203000000"),
+        (Message::Handoff(empty_record(None)), "0809010203000000"),
         (
             Message::StateTransfer {
-                told: vec![bare(None)],
-                last: None,
+                records: vec![empty_record(None)],
+                completeness: None,
             },
             "09010901020300000000",
         ),
         (
             Message::StateTransfer {
-                told: vec![],
-                last: Some(VoteLogCompleteness::Complete),
+                records: vec![],
+                completeness: Some(VoteLogCompleteness::Complete),
             },
             "09000100",
         ),
         (
             Message::StateTransfer {
-                told: vec![],
-                last: Some(VoteLogCompleteness::RestoredFrom(vec![1, 400])),
+                records: vec![],
+                completeness: Some(VoteLogCompleteness::RestoredFrom(vec![
+                    MemberId(1),
+                    MemberId(400),
+                ])),
             },
             "0900010102019003",
         ),
-    ];
+    ]
+}
+
+#[test]
+fn every_message_keeps_its_recorded_bytes() {
+    let recorded = recorded_votes_and_updates()
+        .into_iter()
+        .chain(recorded_lookups_and_transfers());
     for (message, recorded) in recorded {
         assert_eq!(
             hex(&postcard::to_allocvec(&message).unwrap()),
