--- a/crates/ivypitch-gateway/src/lifecycle/accept.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/accept.rs
@@ -43,11 +43,12 @@
             }
             Err(e) if e.kind() == ErrorKind::AddrInUse && Instant::now() < give_up_at => {
                 if !has_warned {
-                    log::warn!("listen on {address}: in use, tried again");
+                    log::warn!(address:% = address; "listen on {address}: in use, tried again");
                 }
                 has_warned = true;
                 if is_ended_while_waiting(signals) {
                     log::info!(
+                        from:% = Phase::Starting, to:% = Phase::Stopped;
                         "{} -> {}: SIGTERM came first",
                         Phase::Starting,
                         Phase::Stopped
@@ -95,7 +96,7 @@
             Err(e) => {
                 // Descriptors or memory are short for a moment, or the client has gone already.
                 if !is_failing {
-                    log::warn!("accept: {e}");
+                    log::warn!(error:% = e; "accept: {e}");
                 }
                 is_failing = true;
                 Timer::after(ACCEPT_RETRY_INTERVAL).await;
--- a/crates/ivypitch-gateway/src/lifecycle/gateway.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/gateway.rs
@@ -82,6 +82,8 @@
     pub(super) fn enter(&mut self, phase: Phase) {
         let counts = self.sessions.counts();
         log::info!(
+            from:% = self.phase, to:% = phase,
+            sessions = counts.sessions, statements = counts.open_statements;
             "{} -> {phase}: {} sessions, {} statements open",
             self.phase,
             counts.sessions,
--- a/crates/ivypitch-gateway/src/lifecycle/logger.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/logger.rs
@@ -1,5 +1,4 @@
-//! Log lines on standard error: as text (Unix time, level, words), logfmt or JSON, with the record's key-values in
-//! the last two.
+//! Log lines on standard error, as text, logfmt or JSON.
 
 use std::io::Write;
 use std::sync::atomic::{AtomicU8, Ordering};
@@ -10,15 +9,24 @@
 
 use super::clock::Clock;
 
+const NANOS_PER_MS: u64 = 1_000_000;
+/// The crates whose lines are written.
+const MODULES: &str = "ivypitch";
+
+/// How a line is written.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub enum Format {
+    /// Unix time, level and message.
     #[default]
     Text,
+    /// `key=value` pairs: time, level, message and the record's own.
     Logfmt,
+    /// The same as one JSON object.
     Json,
 }
 
 impl Format {
+    /// The format of this name in settings and arguments.
     pub fn of(name: &str) -> Option<Format> {
         match name {
             "text" => Some(Format::Text),
@@ -29,33 +37,33 @@
     }
 }
 
-/// The own file that names the format is read after the first lines may have been written.
-static FORMAT: AtomicU8 = AtomicU8::new(0);
+/// The settings that name the format are read after the first lines may have been written.
+static FORMAT: AtomicU8 = AtomicU8::new(Format::Text as u8);
 
+/// The format of all lines from now on.
 pub fn set_format(format: Format) {
     FORMAT.store(format as u8, Ordering::Relaxed);
 }
 
+fn format() -> Format {
+    let stored = FORMAT.load(Ordering::Relaxed);
+    let formats = [Format::Logfmt, Format::Json];
+    let known = formats.into_iter().find(|&format| format as u8 == stored);
+    known.unwrap_or_default()
+}
+
+/// Installs the logger, once for the process; a later call, or another logger in place already, leaves that one.
 pub fn install(clock: Clock) {
     let installed = Builder::new()
-        .filter_module("ivypitch", LevelFilter::Info)
+        .filter_module(MODULES, LevelFilter::Info)
         .target(Target::Stderr)
         .write_style(WriteStyle::Never)
         .format(move |out, record| {
-            let ms = clock.now() / 1_000_000;
-            match FORMAT.load(Ordering::Relaxed) {
-                1 => writeln!(out, "{}", logfmt(ms, record)),
-                2 => writeln!(out, "{}", json(ms, record)),
-                _ => {
-                    writeln!(
-                        out,
-                        "{}.{:03} {} {}",
-                        ms / 1000,
-                        ms % 1000,
-                        record.level(),
-                        record.args()
-                    )
-                }
+            let ms = clock.now() / NANOS_PER_MS;
+            match format() {
+                Format::Text => writeln!(out, "{}", text(ms, record)),
+                Format::Logfmt => writeln!(out, "{}", logfmt(ms, record)),
+                Format::Json => writeln!(out, "{}", json(ms, record)),
             }
         })
         .try_init();
@@ -63,8 +71,18 @@
     drop(installed);
 }
 
+/// The key-value pairs of a record.
 struct Pairs(Vec<(String, serde_json::Value)>);
 
+impl Pairs {
+    fn of(record: &Record) -> Pairs {
+        let mut pairs = Pairs(Vec::new());
+        // A pair that can't be read is left out; the message stands all the same.
+        let _ = record.key_values().visit(&mut pairs);
+        pairs
+    }
+}
+
 impl<'kvs> VisitSource<'kvs> for Pairs {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), log::kv::Error> {
         let plain = match (value.to_u64(), value.to_f64(), value.to_bool()) {
@@ -78,43 +96,45 @@
     }
 }
 
-fn pairs(record: &Record) -> Vec<(String, serde_json::Value)> {
-    let mut pairs = Pairs(Vec::new());
-    // A pair that can't be read is left out; the words stand all the same.
-    let _ = record.key_values().visit(&mut pairs);
-    pairs.0
+fn text(ms: u64, record: &Record) -> String {
+    let (level, message) = (record.level(), record.args());
+    format!("{}.{:03} {level} {message}", ms / 1000, ms % 1000)
+}
+
+fn level_name(record: &Record) -> String {
+    record.level().as_str().to_lowercase()
 }
 
 fn json(ms: u64, record: &Record) -> serde_json::Value {
     let mut line = serde_json::Map::new();
     line.insert("ts".into(), (ms as f64 / 1000.0).into());
-    line.insert(
-        "level".into(),
-        record.level().as_str().to_lowercase().into(),
-    );
+    line.insert("level".into(), level_name(record).into());
     line.insert("msg".into(), record.args().to_string().into());
-    line.extend(pairs(record));
+    line.extend(Pairs::of(record).0);
     serde_json::Value::Object(line)
 }
 
 fn logfmt(ms: u64, record: &Record) -> String {
-    let quoted = |text: &str| {
-        let plain = |b: u8| b.is_ascii_graphic() && !matches!(b, b'"' | b'=' | b'\\');
-        if !text.is_empty() && text.bytes().all(plain) {
-            text.to_owned()
-        } else {
-            format!("{text:?}")
-        }
-    };
-    let level = record.level().as_str().to_lowercase();
-    let msg = quoted(&record.args().to_string());
-    let mut line = format!("ts={}.{:03} level={level} msg={msg}", ms / 1000, ms % 1000);
-    for (key, value) in pairs(record) {
-        let value = value.as_str().map_or_else(|| value.to_string(), quoted);
-        line += &format!(
-            " {}={value}",
-            key.replace(|c: char| !c.is_ascii_alphanumeric() && c != '_', "_")
-        );
+    let level = level_name(record);
+    let message = logfmt_value(&record.args().to_string());
+    let seconds = format!("{}.{:03}", ms / 1000, ms % 1000);
+    let mut line = format!("ts={seconds} level={level} msg={message}");
+    for (key, value) in Pairs::of(record).0 {
+        let key = key.replace(|c: char| !c.is_ascii_alphanumeric() && c != '_', "_");
+        let value = value
+            .as_str()
+            .map_or_else(|| value.to_string(), logfmt_value);
+        line += &format!(" {key}={value}");
     }
     line
 }
+
+/// The text itself, or in quotes where it would not end at its end.
+fn logfmt_value(text: &str) -> String {
+    let is_plain = |b: u8| b.is_ascii_graphic() && !matches!(b, b'"' | b'=' | b'\\');
+    if !text.is_empty() && text.bytes().all(is_plain) {
+        text.to_owned()
+    } else {
+        format!("{text:?}")
+    }
+}
--- a/crates/ivypitch-gateway/src/lifecycle/reload.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/reload.rs
@@ -44,7 +44,11 @@
     async fn reload(self, scheduler: Sender<SchedulerMessage>, sessions: Rc<Sessions>) {
         match self.load().await {
             Ok((Some(budgets), config)) if self.has_queues => {
-                log::info!("reload: budgets of {} teams", budgets.teams.len());
+                log::info!(
+                    teams = budgets.teams.len();
+                    "reload: budgets of {} teams",
+                    budgets.teams.len()
+                );
                 sessions.set_can_show_queue(config.teams.is_some_and(|teams| teams.show));
                 let _ = scheduler.try_send(SchedulerMessage::ReloadBudgets {
                     budgets: Box::new(budgets),
@@ -54,7 +58,7 @@
                 log::warn!("reload: queues of teams are turned on and off by a restart only");
             }
             Ok(_) => {}
-            Err(error) => log::error!("reload: own settings stay: {error}"),
+            Err(error) => log::error!(error:% = error; "reload: own settings stay: {error}"),
         }
     }
 
@@ -84,14 +88,22 @@
         }
         match self.read_discovery_address() {
             Ok(address) => {
-                log::info!("reload while {}: journal at {address}", self.phase);
+                log::info!(
+                    phase:% = self.phase, address:% = address;
+                    "reload while {}: discovery service at {address}",
+                    self.phase
+                );
                 if self.discovery_address != Some(address) {
                     self.discovery_address = Some(address);
                     let _ = self.discovery.try_send(ListMessage::Address(address));
                 }
             }
             Err(error) => {
-                log::error!("reload while {}: nothing changed: {error}", self.phase);
+                log::error!(
+                    phase:% = self.phase, error:% = error;
+                    "reload while {}: nothing changed: {error}",
+                    self.phase
+                );
             }
         }
     }
--- a/crates/ivypitch-gateway/src/lifecycle/startup.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/startup.rs
@@ -83,6 +83,8 @@
         let workloads = configuration.deployment.facts.workloads.len();
         let gateway = assemble(configuration, operator, clock, signals, listener)?;
         log::info!(
+            name = name.as_str(), address:% = address, workloads = workloads,
+            clients = bounds.clients, engine_connections = bounds.engine_connections;
             "{name} {}: listens on {address}, {workloads} workloads, {} clients, {} engine connections",
             gateway.phase,
             bounds.clients,
--- a/crates/ivypitch-gateway/src/wire/discovery.rs
+++ b/crates/ivypitch-gateway/src/wire/discovery.rs
@@ -78,18 +78,25 @@
     Event(WatchEvent),
 }
 
+/// Why a line can't be used.
+#[derive(Debug, thiserror::Error)]
+pub enum LineError {
+    /// It begins with a digit and is no number.
+    #[error("number unreadable")]
+    Position,
+    /// It is no event as JSON.
+    #[error(transparent)]
+    Event(#[from] serde_json::Error),
+}
+
 /// Parses one line of the watch, with or without its line end.
-pub fn parse_line(line: &[u8]) -> Result<Line, String> {
+pub fn parse_line(line: &[u8]) -> Result<Line, LineError> {
     let line = line.trim_ascii();
     if line.first().is_some_and(u8::is_ascii_digit) {
         let number = std::str::from_utf8(line).ok().and_then(|l| l.parse().ok());
-        return number
-            .map(Line::LastPosition)
-            .ok_or_else(|| "number unreadable".into());
+        return number.map(Line::LastPosition).ok_or(LineError::Position);
     }
-    serde_json::from_slice(line)
-        .map(Line::Event)
-        .map_err(|e| e.to_string())
+    Ok(Line::Event(serde_json::from_slice(line)?))
 }
 
 /// The request that starts a watch behind the event at `position`.
--- a/crates/ivypitch-gateway/src/wire/mod.rs
+++ b/crates/ivypitch-gateway/src/wire/mod.rs
@@ -1,4 +1,6 @@
-//! What is spoken: reading and writing on buffers, no sockets.
+//! The protocols that the gateway speaks: parsing and writing on buffers, no sockets and no decisions.
+//!
+//! Names that a protocol fixes are mapped to the field's terms here and nowhere else.
 
 pub mod discovery;
 pub mod fields;
--- a/crates/ivypitch-gateway/tests/wire.rs
+++ b/crates/ivypitch-gateway/tests/wire.rs
@@ -254,7 +254,7 @@
         ),
         (41, "s-00c41f7a", 2, 9)
     );
-    assert_eq!(parse_line(b"41\n"), Ok(Line::LastPosition(41)));
+    assert_eq!(parse_line(b"41\n").unwrap(), Line::LastPosition(41));
     assert!(
         parse_line(b"4x\n").is_err()
             && parse_line(b"{\"pos\"").is_err()
