--- a/crates/ivypitch-cli/tests/takeover.rs
+++ b/crates/ivypitch-cli/tests/takeover.rs
@@ -10,8 +10,11 @@
 use ivypitch_testbed::processes::{Engines, Fleet, Setup};
 use std::thread;
 
-use ivypitch_membership::{Members, Roster, Seat, Terms};
+use ivypitch_membership::{
+    MemberAddress, MemberList, Membership, MembershipConfig, MembershipParams, OutgoingDatagram,
+};
 use ivypitch_testbed::stand_ins::*;
+use ivypitch_types::{Incarnation, MemberId, ProcessId};
 use rustix::process::Signal;
 use test_case::test_case;
 
@@ -658,24 +661,24 @@
     // A link whose first frame names another version.
     let hello = |version: u16| {
         let zones = ["z0", "z1", "z2"].map(String::from).to_vec();
-        let seat = |g: usize| Seat {
+        let member = |g: usize| MemberAddress {
             name: format!("n{g}"),
             zone: g as u16,
             address: s.fleet.seats[g].peers_at,
         };
-        let roster = Roster {
-            seats: (0..3).map(seat).collect(),
+        let members = MemberList {
+            members: (0..3).map(member).collect(),
             zones,
         };
         let frame = ivypitch_gateway::wire::peers::Frame::Hello {
             version,
-            roster: roster.mark(),
+            roster: members.fingerprint(),
             place: 1,
             birth: 7,
         };
-        (roster, ivypitch_gateway::wire::peers::write(&frame))
+        (members, ivypitch_gateway::wire::peers::write(&frame))
     };
-    let (roster, old) = hello(VERSION - 1);
+    let (members, old) = hello(VERSION - 1);
     for _ in 0..3 {
         let mut link = TcpStream::connect(s.fleet.seats[0].peers_at).unwrap();
         link.write_all(&old).unwrap();
@@ -688,12 +691,22 @@
     let log = &s.fleet.seats[0].log;
     log.wait("refusal", refused);
     // A datagram of such a member.
-    let mut stranger = Members::new(roster, 1, 9, VERSION - 1, Terms::default(), 1, 0);
+    let mut stranger = Membership::new(MembershipParams {
+        members,
+        process: ProcessId {
+            member: MemberId(1),
+            incarnation: Incarnation(9),
+        },
+        protocol_version: VERSION - 1,
+        config: MembershipConfig::default(),
+        seed: 1,
+        now: 0,
+    });
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     for round in 0..20u64 {
-        stranger.woken(round * 250_000_000);
-        while let Some((to, data)) = stranger.next_send() {
-            if to == 0 {
+        stranger.on_timer(round * 250_000_000);
+        while let Some(OutgoingDatagram { to, data }) = stranger.next_datagram() {
+            if to == MemberId(0) {
                 socket.send_to(&data, s.fleet.seats[0].peers_at).unwrap();
             }
         }
--- a/crates/ivypitch-config/src/operator/peers.rs
+++ b/crates/ivypitch-config/src/operator/peers.rs
@@ -7,9 +7,9 @@
     CoordinationConfig, MAX_OBSERVED_ENGINES, MAX_RETAINED_EVENT_BYTES, MAX_RETAINED_EVENTS,
     QuotaLeaseConfig, SharedQuotaConfig, UNITS_PER_MEMBER,
 };
-use ivypitch_membership::{Roster, Seat};
+use ivypitch_membership::{MemberAddress, MemberList, MembershipConfig};
 use ivypitch_ownership::{NoQuorumPolicy, OwnershipConfig};
-use ivypitch_types::{Nanos, SECOND};
+use ivypitch_types::{MemberId, Nanos, SECOND};
 
 use super::nanos_from_millis;
 use crate::schema::{Kind, Problem, SettingsError, settings_record};
@@ -103,13 +103,13 @@
 /// The checked member list, as one gateway sees it.
 pub struct PeerNetwork {
     /// All members.
-    pub members: Roster,
+    pub members: MemberList,
     /// This gateway's position among them.
-    pub own_member: u16,
+    pub own_member: MemberId,
     /// Where this gateway binds its datagram socket and its listener for links.
     pub listen: SocketAddr,
     /// Failure detection.
-    pub membership: ivypitch_membership::Terms,
+    pub membership: MembershipConfig,
 }
 
 impl PeersSettings {
@@ -125,7 +125,7 @@
             let error = SettingsError::new("peers.custody.witnesses", Problem::EvenVoterCount);
             errors.push(error);
         }
-        let own_member = members.place_of(name);
+        let own_member = members.find(name);
         if own_member.is_none() && errors.is_empty() {
             let problem = Problem::GatewayNotListed(name.to_owned());
             errors.push(SettingsError::new("peers.gateways", problem));
@@ -136,18 +136,18 @@
                 members,
                 own_member,
                 listen,
-                membership: ivypitch_membership::Terms {
-                    period: nanos_from_millis(self.probe_period_ms),
-                    suspicion: nanos_from_millis(self.suspicion_ms),
-                    ..ivypitch_membership::Terms::default()
+                membership: MembershipConfig {
+                    probe_interval: nanos_from_millis(self.probe_period_ms),
+                    suspicion_timeout: nanos_from_millis(self.suspicion_ms),
+                    ..MembershipConfig::default()
                 },
             }),
             _ => Err(errors),
         }
     }
 
-    fn member_list(&self, errors: &mut Vec<SettingsError>) -> Roster {
-        let mut members = Roster::default();
+    fn member_list(&self, errors: &mut Vec<SettingsError>) -> MemberList {
+        let mut members = MemberList::default();
         let mut names = BTreeSet::new();
         let mut addresses = BTreeSet::new();
         for (position, member) in self.members.iter().enumerate() {
@@ -172,7 +172,7 @@
             }
             let zone = zone_position(&mut members.zones, &member.zone);
             if let Ok(address) = address {
-                members.seats.push(Seat {
+                members.members.push(MemberAddress {
                     name,
                     zone,
                     address,
@@ -184,12 +184,12 @@
 
     fn listen_address(
         &self,
-        members: &Roster,
-        own_member: Option<u16>,
+        members: &MemberList,
+        own_member: Option<MemberId>,
         errors: &mut Vec<SettingsError>,
     ) -> Option<SocketAddr> {
         if self.listen.is_empty() {
-            return own_member.map(|member| members.seats[usize::from(member)].address);
+            return members.get(own_member?).map(|member| member.address);
         }
         let address = self.listen.parse().ok();
         if address.is_none() {
--- a/crates/ivypitch-gateway/src/actors/peer_links.rs
+++ b/crates/ivypitch-gateway/src/actors/peer_links.rs
@@ -13,8 +13,12 @@
 use bytes::{Bytes, BytesMut};
 use futures_lite::{AsyncWriteExt, FutureExt};
 use ivypitch_coordination::{CoordinationMessage, GossipMessage};
-use ivypitch_membership::{Members, News, Roster, State, Terms};
+use ivypitch_membership::{
+    MemberList, MemberState, Membership, MembershipConfig, MembershipEvent, MembershipParams,
+    OutgoingDatagram,
+};
 use ivypitch_ownership::Message;
+use ivypitch_types::{MemberId, ProcessId};
 
 use super::messages::SchedulerMessage;
 use super::socket::read_some;
@@ -124,17 +128,16 @@
 }
 
 pub struct Start {
-    pub roster: Roster,
-    pub place: u16,
+    pub members: MemberList,
+    pub process: ProcessId,
     pub listen: SocketAddr,
-    pub terms: Terms,
-    pub birth: u64,
+    pub membership: MembershipConfig,
     pub seed: u64,
     pub traffic: Rc<Traffic>,
 }
 
 struct Shared {
-    roster: Roster,
+    roster: MemberList,
     place: u16,
     birth: u64,
     clock: Clock,
@@ -151,7 +154,7 @@
 
 pub struct Peers {
     shared: Rc<Shared>,
-    members: Members,
+    members: Membership,
     datagrams: Async<UdpSocket>,
     links: BTreeMap<u16, Outbox>,
     suspected: Vec<bool>,
@@ -172,20 +175,19 @@
         let datagrams = Async::<UdpSocket>::bind(start.listen).map_err(bound)?;
         let listener = Async::<TcpListener>::bind(start.listen).map_err(bound)?;
         let (mailbox, letters) = async_channel::unbounded();
-        let seats = start.roster.seats.len();
-        let members = Members::new(
-            start.roster.clone(),
-            start.place,
-            start.birth,
-            VERSION,
-            start.terms,
-            start.seed,
-            clock.now(),
-        );
+        let seats = start.members.len();
+        let members = Membership::new(MembershipParams {
+            members: start.members.clone(),
+            process: start.process,
+            protocol_version: VERSION,
+            config: start.membership,
+            seed: start.seed,
+            now: clock.now(),
+        });
         let shared = Rc::new(Shared {
-            roster: start.roster,
-            place: start.place,
-            birth: start.birth,
+            roster: start.members,
+            place: start.process.member.0,
+            birth: start.process.incarnation.0,
             clock,
             module,
             mailbox: mailbox.clone(),
@@ -208,7 +210,7 @@
         executor.spawn(peers.run(letters)).detach();
         log::info!(
             "peers: {seats} gateways listed, this one is {} at {}",
-            start.place,
+            start.process.member.0,
             start.listen
         );
         Ok(mailbox)
@@ -218,7 +220,7 @@
         let mut datagram = [0; LARGEST_DATAGRAM];
         loop {
             self.settle();
-            let due = self.shared.clock.instant(self.members.next_wake());
+            let due = self.shared.clock.instant(self.members.next_timer());
             let timer = async {
                 Timer::at(due).await;
                 Step::Woken
@@ -245,7 +247,7 @@
             }
             match step {
                 Step::Datagram(n) => match peers::read_gossip(&datagram[..n]) {
-                    None => self.members.datagram(now, &datagram[..n]),
+                    None => self.members.on_datagram(now, &datagram[..n]),
                     Some(Some(gossip)) if self.gossip_waits.get() < MOST_GOSSIP => {
                         self.gossip_waits.set(self.gossip_waits.get() + 1);
                         let taken = Taken(self.gossip_waits.clone());
@@ -263,16 +265,16 @@
                 Step::AttemptEnd => return,
             }
             // However many datagrams come, what is due is done.
-            if self.members.next_wake() <= now {
-                self.members.woken(now);
+            if self.members.next_timer() <= now {
+                self.members.on_timer(now);
             }
         }
     }
 
     /// Sends what the members want sent, and tells the module what they say.
     fn settle(&mut self) {
-        while let Some((place, data)) = self.members.next_send() {
-            let Some(seat) = self.shared.roster.seats.get(usize::from(place)) else {
+        while let Some(OutgoingDatagram { to, data }) = self.members.next_datagram() {
+            let Some(seat) = self.shared.roster.get(to) else {
                 continue;
             };
             // A full socket drops it, as a network would.
@@ -292,15 +294,17 @@
                     .try_send(SchedulerMessage::PeerEvent(peer)),
             )
         };
-        while let Some(news) = self.members.next_news() {
+        while let Some(news) = self.members.next_event() {
             match news {
-                News::Up { place, birth } => {
+                MembershipEvent::MemberUp(process) => {
+                    let (place, birth) = (process.member.0, process.incarnation.0);
                     log::info!("member {} is up", self.shared.name(place));
                     tell(Peer::Up { place, birth });
                 }
-                News::Down { place, birth, .. } => {
-                    let hearing = self.members.hearing();
-                    let (heard, of) = (hearing.all_heard(), self.shared.roster.seats.len());
+                MembershipEvent::MemberDown(process) => {
+                    let (place, birth) = (process.member.0, process.incarnation.0);
+                    let heard = self.members.connectivity().reachable_members();
+                    let of = self.shared.roster.len();
                     log::warn!(
                         "member {} is lost, {heard} of {of} heard",
                         self.shared.name(place)
@@ -308,22 +312,23 @@
                     self.links.remove(&place);
                     tell(Peer::Down { place, birth });
                 }
-                News::Doubts(doubt) => {
-                    let heard = self.members.hearing().all_heard();
+                MembershipEvent::PartitionSuspicionChanged(doubt) => {
+                    let heard = self.members.connectivity().reachable_members();
                     log::warn!("members: doubt of this gateway itself {doubt:?}, {heard} heard");
                 }
-                News::Stranger {
-                    place,
-                    version,
-                    roster,
+                MembershipEvent::IncompatibleMember {
+                    member,
+                    protocol_version: version,
+                    list_fingerprint: roster,
                 } => log::warn!(
-                    "member at place {place} not spoken to: version {version}, list {roster:08x}; here {VERSION}, {:08x}",
-                    self.shared.roster.mark()
+                    "member at place {} not spoken to: version {version}, list {roster:08x}; here {VERSION}, {:08x}",
+                    member.0,
+                    self.shared.roster.fingerprint()
                 ),
             }
         }
         for place in 0..self.suspected.len() {
-            let is = self.members.life(place as u16).state == State::Suspected;
+            let is = self.members.status(MemberId(place as u16)).state == MemberState::Suspected;
             if is != self.suspected[place] {
                 self.suspected[place] = is;
                 tell(Peer::Suspected {
@@ -339,7 +344,7 @@
             PeersMessage::Tell { to, message } => self.tell(to, &Frame::Body(message)),
             PeersMessage::Say { to, message } => self.tell(to, &Frame::Coordination(message)),
             PeersMessage::Gossip { to, gossip } => {
-                if let Some(seat) = self.shared.roster.seats.get(usize::from(to)) {
+                if let Some(seat) = self.shared.roster.get(MemberId(to)) {
                     let data = peers::write_gossip(&gossip);
                     if self
                         .datagrams
@@ -377,7 +382,7 @@
     }
 
     fn tell(&mut self, to: u16, frame: &Frame) {
-        let Some(seat) = self.shared.roster.seats.get(usize::from(to)) else {
+        let Some(seat) = self.shared.roster.get(MemberId(to)) else {
             return;
         };
         let address = seat.address;
@@ -412,8 +417,7 @@
 impl Shared {
     fn name(&self, place: u16) -> &str {
         self.roster
-            .seats
-            .get(usize::from(place))
+            .get(MemberId(place))
             .map_or("?", |seat| &seat.name)
     }
 
@@ -441,22 +445,22 @@
         else {
             return None;
         };
-        if version == VERSION && roster == self.roster.mark() && place != self.place {
-            return (usize::from(place) < self.roster.seats.len()).then_some(place);
+        if version == VERSION && roster == self.roster.fingerprint() && place != self.place {
+            return (usize::from(place) < self.roster.len()).then_some(place);
         }
-        if usize::from(place) < self.roster.seats.len()
+        if usize::from(place) < self.roster.len()
             && self.strangers.borrow_mut().insert(place, birth) != Some(birth)
         {
             log::warn!(
                 "link from place {place} refused: version {version}, list {roster:08x}; here {VERSION}, {:08x}",
-                self.roster.mark()
+                self.roster.fingerprint()
             );
         }
         None
     }
 
     fn hello(&self) -> Bytes {
-        let (roster, place, birth) = (self.roster.mark(), self.place, self.birth);
+        let (roster, place, birth) = (self.roster.fingerprint(), self.place, self.birth);
         peers::write(&Frame::Hello {
             version: VERSION,
             roster,
@@ -470,7 +474,7 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                if shared.accepted.get() >= shared.roster.seats.len() + MORE_LINKS {
+                if shared.accepted.get() >= shared.roster.len() + MORE_LINKS {
                     continue;
                 }
                 shared.accepted.set(shared.accepted.get() + 1);
--- a/crates/ivypitch-gateway/src/lifecycle/program.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/program.rs
@@ -21,7 +21,7 @@
 use ivypitch_coordination::{Coordinator, CoordinatorParams};
 use ivypitch_discovery::Feed;
 use ivypitch_queueing::Budgets;
-use ivypitch_types::{Incarnation, MemberId, Nanos, ProcessId};
+use ivypitch_types::{Incarnation, Nanos, ProcessId};
 
 use super::clock::Clock;
 use super::configuration::{self, Configuration};
@@ -174,24 +174,22 @@
         if let Some((file, own)) = talk {
             let peering = own.network(&name).map_err(|faults| told(file, faults))?;
             let (now, birth) = (clock.now(), clock.now() / 1_000_000);
-            let zones: Vec<u16> = peering.members.seats.iter().map(|seat| seat.zone).collect();
-            let place = peering.own_member;
+            let zones = peering.members.zones_by_member();
+            let process = ProcessId {
+                member: peering.own_member,
+                incarnation: Incarnation(birth),
+            };
             let start = peer_links::Start {
-                roster: peering.members,
-                place,
+                members: peering.members,
+                process,
                 listen: peering.listen,
-                terms: peering.membership,
-                birth,
+                membership: peering.membership,
                 seed,
                 traffic: traffic.clone(),
             };
             let mailbox = peer_links::Peers::start(start, clock, module.clone(), executor.clone())?;
             if own.coordination.enabled {
                 let terms = own.coordination.config(zones.len(), &given.names.tenants);
-                let process = ProcessId {
-                    member: MemberId(place),
-                    incarnation: Incarnation(birth),
-                };
                 let coordinator = Coordinator::new(CoordinatorParams {
                     process,
                     zones: zones.clone(),
@@ -208,7 +206,8 @@
             }
             if own.ownership.enabled {
                 let terms = own.ownership.config(longest_timeout);
-                let custody = ivypitch_ownership::Ownership::new(place, birth, zones, terms, now);
+                let custody =
+                    ivypitch_ownership::Ownership::new(process.member.0, birth, zones, terms, now);
                 keeper = Some(OwnershipDriver::new(
                     custody,
                     mailbox,
--- a/crates/ivypitch-membership/src/lib.rs
+++ b/crates/ivypitch-membership/src/lib.rs
@@ -1,13 +1,25 @@
-//! Who of the fleet is heard, who is suspected, who is lost, and whether this gateway is the one cut off. SWIM by the
-//! library `foca` finds that out; what it tells is turned into the words that decisions need. No I/O, no clock: the
-//! caller brings datagrams and the time and carries away what is to be sent. `docs/custody.md` has the promises.
+//! Which gateways of the fleet are reachable, suspected or lost, and whether this gateway is the one that is partitioned.
+//!
+//! Failure detection is SWIM as the library `foca` implements it; [`Membership`] turns its notices into the events that
+//! decisions need. There is no I/O and no clock: the driver brings datagrams and the time, and carries away what is to be
+//! sent. `docs/custody.md` states the guarantees.
 
-mod doubt;
-mod members;
-mod roster;
-mod terms;
+#![warn(missing_docs)]
 
-pub use doubt::{Doubt, Hearing};
-pub use members::{Life, Members, News, State};
-pub use roster::{Roster, Seat, Who};
-pub use terms::Terms;
+mod config;
+mod connectivity;
+mod identity;
+mod member_list;
+mod membership;
+mod partition_suspicion;
+mod status;
+mod swim_runtime;
+
+pub use config::MembershipConfig;
+pub use connectivity::Connectivity;
+pub use identity::MemberIdentity;
+pub use member_list::{MemberAddress, MemberList};
+pub use membership::{Membership, MembershipEvent, MembershipParams};
+pub use partition_suspicion::PartitionSuspicion;
+pub use status::{MemberState, MemberStatus};
+pub use swim_runtime::OutgoingDatagram;
--- a/crates/ivypitch-testbed/src/experiments/members.rs
+++ b/crates/ivypitch-testbed/src/experiments/members.rs
@@ -22,7 +22,7 @@
             seconds: 3600,
             kill_each: 0,
             cut: 0,
-            terms: ivypitch_membership::Terms::default(),
+            config: ivypitch_membership::MembershipConfig::default(),
         };
         let told = members_fleet::play(hour, seed);
         let what =
@@ -32,7 +32,7 @@
             .push(Bound::new(what, told.false_lost as f64, 0.0, 1.0));
     }
     for &(size, seconds) in sizes {
-        let terms = ivypitch_membership::Terms::default();
+        let config = ivypitch_membership::MembershipConfig::default();
         let calm = members_fleet::Fleet {
             members: size,
             zones: 3,
@@ -42,7 +42,7 @@
             seconds,
             kill_each: 0,
             cut: 0,
-            terms,
+            config,
         };
         let losses = members_fleet::Fleet {
             kill_each: 2000,
--- a/crates/ivypitch-testbed/src/experiments/scale/peers.rs
+++ b/crates/ivypitch-testbed/src/experiments/scale/peers.rs
@@ -8,7 +8,7 @@
     QuotaIndex, StoredObservation,
 };
 use ivypitch_gateway::wire::peers::{self, Frame};
-use ivypitch_membership::Terms;
+use ivypitch_membership::MembershipConfig;
 use ivypitch_ownership::VoterAssignment;
 use ivypitch_types::{Incarnation, MemberId, Nanos, ProcessId, SECOND};
 
@@ -68,7 +68,7 @@
             seconds,
             kill_each: 0,
             cut: 0,
-            terms: Terms::default(),
+            config: MembershipConfig::default(),
         };
         let told = members_fleet::play(fleet, seed);
         let costs = [
--- a/crates/ivypitch-testbed/src/processes/hollow_gateways.rs
+++ b/crates/ivypitch-testbed/src/processes/hollow_gateways.rs
@@ -341,20 +341,23 @@
         .network(&format!("n{place}"))
         .map_err(|faults| told(&format!("{faults:?}")))?;
     let ways = &crowd.ways[place - crowd.first];
-    for (seat, &way) in peering.members.seats.iter_mut().zip(ways) {
-        seat.address = way;
+    for (member, &way) in peering.members.members.iter_mut().zip(ways) {
+        member.address = way;
     }
     let (now, birth) = (clock.now(), clock.now() / 1_000_000);
-    let zones: Vec<u16> = peering.members.seats.iter().map(|seat| seat.zone).collect();
+    let zones = peering.members.zones_by_member();
     let (traffic, at) = (Rc::new(Traffic::default()), place as u16);
     let seed = crowd.seed ^ (place as u64) << 32;
     let (module, to_module) = channel::unbounded();
+    let process = ProcessId {
+        member: MemberId(at),
+        incarnation: Incarnation(birth),
+    };
     let start = peer_links::Start {
-        roster: peering.members,
-        place: at,
+        members: peering.members,
+        process,
         listen: peering.listen,
-        terms: peering.membership,
-        birth,
+        membership: peering.membership,
         seed,
         traffic: traffic.clone(),
     };
@@ -367,10 +370,7 @@
     let sharing = own.coordination.enabled.then(|| {
         let terms = own.coordination.config(zones.len(), &crowd.tenants);
         let shares = Coordinator::new(CoordinatorParams {
-            process: ProcessId {
-                member: MemberId(at),
-                incarnation: Incarnation(birth),
-            },
+            process,
             zones: zones.clone(),
             config: terms,
             last_event: 0,
--- a/crates/ivypitch-testbed/src/virtual_time/members_fleet.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/members_fleet.rs
@@ -3,8 +3,11 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use ivypitch_membership::{Doubt, Members, News, Roster, Seat, Terms};
-use ivypitch_types::Nanos;
+use ivypitch_membership::{
+    MemberAddress, MemberList, Membership, MembershipConfig, MembershipEvent, MembershipParams,
+    OutgoingDatagram, PartitionSuspicion,
+};
+use ivypitch_types::{Incarnation, MemberId, Nanos, ProcessId};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -28,7 +31,7 @@
     pub kill_each: u64,
     /// For so many milliseconds in the middle a zone is cut off; 0: none.
     pub cut: u64,
-    pub terms: Terms,
+    pub config: MembershipConfig,
 }
 
 #[derive(Clone, Debug, Default, serde::Serialize)]
@@ -65,7 +68,7 @@
 struct Sim {
     fleet: Fleet,
     now: Nanos,
-    members: Vec<Option<Members>>,
+    members: Vec<Option<Membership>>,
     births: Vec<u64>,
     /// Datagrams under way and wakes, in the order of their time.
     queue: BinaryHeap<Reverse<(Nanos, u64)>>,
@@ -79,14 +82,14 @@
 }
 
 impl Sim {
-    fn roster(&self) -> Roster {
-        let seat = |i: usize| Seat {
+    fn member_list(&self) -> MemberList {
+        let member = |i: usize| MemberAddress {
             name: format!("n{i}"),
             zone: (i % self.fleet.zones) as u16,
             address: ([127, 0, 0, 1], 1000 + i as u16).into(),
         };
-        Roster {
-            seats: (0..self.fleet.members).map(seat).collect(),
+        MemberList {
+            members: (0..self.fleet.members).map(member).collect(),
             zones: (0..self.fleet.zones).map(|z| format!("z{z}")).collect(),
         }
     }
@@ -94,16 +97,18 @@
     fn start(&mut self, i: usize) {
         self.births[i] += 1;
         let seed = self.rng.random();
-        let members = Members::new(
-            self.roster(),
-            i as u16,
-            self.births[i],
-            1,
-            self.fleet.terms,
+        let membership = Membership::new(MembershipParams {
+            members: self.member_list(),
+            process: ProcessId {
+                member: MemberId(i as u16),
+                incarnation: Incarnation(self.births[i]),
+            },
+            protocol_version: 1,
+            config: self.fleet.config,
             seed,
-            self.now,
-        );
-        self.members[i] = Some(members);
+            now: self.now,
+        });
+        self.members[i] = Some(membership);
         self.wakes[i] = Nanos::MAX;
         self.carry(i);
     }
@@ -116,8 +121,10 @@
 
     fn carry(&mut self, i: usize) {
         let cut = self.fleet.zones;
-        while let Some((to, data)) = self.members[i].as_mut().and_then(Members::next_send) {
-            let to = usize::from(to);
+        while let Some(OutgoingDatagram { to, data }) =
+            self.members[i].as_mut().and_then(Membership::next_datagram)
+        {
+            let to = to.as_usize();
             self.sent += 1;
             self.bytes += data.len() as u64;
             let apart = self.is_cut && i.is_multiple_of(cut) != to.is_multiple_of(cut);
@@ -128,7 +135,7 @@
             let way = (self.rng.random_range(low..high) * MS as f64) as Nanos;
             self.push(self.now + way, to, Some((i, data)));
         }
-        let Some(next) = self.members[i].as_ref().map(Members::next_wake) else {
+        let Some(next) = self.members[i].as_ref().map(Membership::next_timer) else {
             return;
         };
         if next < self.wakes[i] {
@@ -138,7 +145,7 @@
     }
 
     /// Until then; each piece of news goes to `news`.
-    fn run(&mut self, until: Nanos, news: &mut impl FnMut(&Sim, Nanos, usize, News)) {
+    fn run(&mut self, until: Nanos, news: &mut impl FnMut(&Sim, Nanos, usize, MembershipEvent)) {
         while let Some(&Reverse((at, serial))) =
             self.queue.peek().filter(|Reverse((at, _))| *at <= until)
         {
@@ -152,15 +159,15 @@
                 continue;
             };
             match datagram {
-                Some((_, data)) => members.datagram(now, &data),
+                Some((_, data)) => members.on_datagram(now, &data),
                 None if self.wakes[to] == at => {
                     self.wakes[to] = Nanos::MAX;
-                    members.woken(now);
+                    members.on_timer(now);
                 }
                 None => continue,
             }
             self.carry(to);
-            while let Some(what) = self.members[to].as_mut().and_then(Members::next_news) {
+            while let Some(what) = self.members[to].as_mut().and_then(Membership::next_event) {
                 news(self, now, to, what);
             }
         }
@@ -194,7 +201,7 @@
         sim.members
             .iter()
             .flatten()
-            .all(|m| usize::from(m.hearing().all_heard()) == n)
+            .all(|m| usize::from(m.connectivity().reachable_members()) == n)
     };
     let mut settled = Nanos::MAX;
     let mut by_second: BTreeMap<Nanos, u64> = BTreeMap::new();
@@ -242,12 +249,11 @@
             }
         }
         sim.run(until, &mut |sim, now, by, news| match news {
-            News::Down {
-                place,
-                birth,
-                left: false,
-            } => {
-                let key = (usize::from(place), birth);
+            MembershipEvent::MemberDown(ProcessId {
+                member,
+                incarnation: Incarnation(birth),
+            }) => {
+                let key = (member.as_usize(), birth);
                 if let Some((at, heard)) = killed.get_mut(&key) {
                     times.push((now - *at) / MS);
                     *heard += 1;
@@ -255,7 +261,9 @@
                     *falsely.entry(key.0).or_default() += 1;
                 }
             }
-            News::Doubts(Doubt::Smaller | Doubt::Deaf) if sim.is_cut => {
+            MembershipEvent::PartitionSuspicionChanged(
+                PartitionSuspicion::Minority | PartitionSuspicion::Isolated,
+            ) if sim.is_cut => {
                 if by % sim.fleet.zones == 0 {
                     doubts.0 += 1
                 } else {
--- a/crates/ivypitch-testbed/tests/scale.rs
+++ b/crates/ivypitch-testbed/tests/scale.rs
@@ -47,7 +47,7 @@
         seconds: 4,
         kill_each: 0,
         cut: 0,
-        terms: ivypitch_membership::Terms::default(),
+        config: ivypitch_membership::MembershipConfig::default(),
     };
     members_fleet::play(fleet, seed)
 }
