--- a/crates/ivypitch-gateway/src/lifecycle/program.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/program.rs
@@ -206,8 +206,7 @@
             }
             if own.ownership.enabled {
                 let terms = own.ownership.config(longest_timeout);
-                let custody =
-                    ivypitch_ownership::Ownership::new(process.member.0, birth, zones, terms, now);
+                let custody = ivypitch_ownership::Ownership::new(process, zones, terms, now);
                 keeper = Some(OwnershipDriver::new(
                     custody,
                     mailbox,
