--- a/crates/ivypitch-gateway/src/lifecycle/peers.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/peers.rs
@@ -6,7 +6,7 @@
 use async_executor::LocalExecutor;
 use ivypitch_coordination::{Coordinator, CoordinatorParams};
 use ivypitch_ownership::Ownership;
-use ivypitch_types::{Incarnation, MemberId, Nanos, ProcessId};
+use ivypitch_types::{Incarnation, Nanos, ProcessId};
 
 use super::clock::Clock;
 use super::operator_config::LoadedOperatorConfig;
@@ -60,17 +60,15 @@
             .map_err(|errors| file.settings_error(errors))?;
         let now = self.clock.now();
         let process = ProcessId {
-            member: MemberId(network.own_member),
+            member: network.own_member,
             incarnation: Incarnation(self.clock.now() / NANOS_PER_MS),
         };
-        let seats = network.members.seats.iter();
-        let zones: Vec<u16> = seats.map(|seat| seat.zone).collect();
+        let zones = network.members.zones_by_member();
         let start = peer_links::Start {
-            roster: network.members,
-            place: process.member.0,
+            members: network.members,
+            process,
             listen: network.listen,
-            terms: network.membership,
-            birth: process.incarnation.0,
+            membership: network.membership,
             seed: self.seed,
             traffic: self.traffic,
         };
