--- a/crates/ivypitch-gateway/src/actors/coordination.rs
+++ b/crates/ivypitch-gateway/src/actors/coordination.rs
@@ -1,151 +1,218 @@
-//! Between the module's actor and `ivypitch_coordination`: keeps what it asked for until the module's actor does it. Nothing is
-//! decided here.
+//! Driver of `ivypitch_coordination`: passes events to it, sends its messages, and queues what it asks the scheduler's
+//! actor to do. It decides nothing.
 
 use std::collections::VecDeque;
 
 use async_channel::Sender;
 use bytes::Bytes;
-use ivypitch_coordination::{CoordinationOutput, Gossip, Message, Saw, Shares, View};
+use ivypitch_coordination::{
+    AttemptHealth, CoordinationMessage, CoordinationOutput, CoordinationView, Coordinator,
+    GossipMessage, QuotaIndex,
+};
 use ivypitch_scheduler::OutlierStatus;
-use ivypitch_types::{MemberId, Nanos, Outcome};
+use ivypitch_types::{Incarnation, MemberId, Nanos, Outcome, ProcessId};
 
 use super::discovery::ListMessage;
+use super::messages::WatchEventLine;
 use super::peer_links::PeersMessage;
 
-/// The bound on cores; behind it those of the customers' allowances, in their order.
-pub const CORES: usize = 0;
-pub const FIRST_ALLOWANCE: usize = 1;
+/// Quota of the engines' cores.
+const CORES_QUOTA: QuotaIndex = QuotaIndex(0);
+/// Quota of the first tenant's statement rate; those of the others follow in the settings' order.
+const FIRST_TENANT_QUOTA: usize = 1;
 
-/// What the module's actor is asked to do.
+/// What the scheduler's actor is asked to do.
 #[derive(Debug)]
 pub enum Action {
-    SetQuota(usize, f64),
-    SetOutlierStatus(u64, OutlierStatus),
+    /// This gateway may use a fraction of all cores.
+    SetCoreQuota {
+        /// Between 0 and 1.
+        fraction: f64,
+    },
+    /// This gateway may use a fraction of a tenant's statement rate.
+    SetTenantQuota {
+        /// Index of the tenant in the settings.
+        tenant: usize,
+        /// Between 0 and 1.
+        fraction: f64,
+    },
+    /// The gateways agree on an engine's health.
+    SetOutlierStatus {
+        /// Hash of the engine's id.
+        engine_hash: u64,
+        /// What is known of it.
+        status: OutlierStatus,
+    },
 }
 
-struct ActionQueue {
-    pending: VecDeque<Action>,
+struct Output {
+    actions: VecDeque<Action>,
     peers: Sender<PeersMessage>,
-    list: Sender<ListMessage>,
+    discovery: Sender<ListMessage>,
 }
 
-impl CoordinationOutput for ActionQueue {
-    fn send(&mut self, to: MemberId, message: Message) {
+impl CoordinationOutput for Output {
+    fn send(&mut self, to: MemberId, message: CoordinationMessage) {
         let _ = self.peers.try_send(PeersMessage::Say { to: to.0, message });
     }
-    fn send_gossip(&mut self, to: MemberId, gossip: Gossip) {
+
+    fn send_gossip(&mut self, to: MemberId, gossip: GossipMessage) {
         let _ = self
             .peers
             .try_send(PeersMessage::Gossip { to: to.0, gossip });
     }
-    fn on_quota_changed(&mut self, bound: usize, part: f64) {
-        self.pending.push_back(Action::SetQuota(bound, part));
+
+    fn on_quota_changed(&mut self, quota: QuotaIndex, fraction: f64) {
+        self.actions.push_back(match quota {
+            CORES_QUOTA => Action::SetCoreQuota { fraction },
+            _ => Action::SetTenantQuota {
+                tenant: quota.0 - FIRST_TENANT_QUOTA,
+                fraction,
+            },
+        });
     }
-    fn on_outlier_status(&mut self, engine: u64, advice: OutlierStatus) {
-        self.pending
-            .push_back(Action::SetOutlierStatus(engine, advice));
+
+    fn on_outlier_status(&mut self, engine_hash: u64, status: OutlierStatus) {
+        self.actions.push_back(Action::SetOutlierStatus {
+            engine_hash,
+            status,
+        });
     }
-    fn on_endpoint_event(&mut self, _number: u64, line: &[u8]) {
+
+    fn on_endpoint_event(&mut self, _position: u64, line: &[u8]) {
         let _ = self
-            .list
+            .discovery
             .try_send(ListMessage::Event(Bytes::copy_from_slice(line)));
     }
+
     fn log(&mut self, line: &str) {
         log::info!("{line}");
     }
 }
 
+fn process(member: u16, incarnation: u64) -> ProcessId {
+    ProcessId {
+        member: MemberId(member),
+        incarnation: Incarnation(incarnation),
+    }
+}
+
+/// Connects coordination among gateways to this gateway's actors.
 pub struct CoordinationDriver {
-    shares: Shares,
-    actions: ActionQueue,
+    coordinator: Coordinator,
+    output: Output,
 }
 
 impl CoordinationDriver {
+    /// `peers` sends messages to other gateways; `discovery` takes watch events that other gateways relay.
     pub fn new(
-        shares: Shares,
+        coordinator: Coordinator,
         peers: Sender<PeersMessage>,
-        list: Sender<ListMessage>,
+        discovery: Sender<ListMessage>,
     ) -> CoordinationDriver {
         CoordinationDriver {
-            shares,
-            actions: ActionQueue {
-                pending: VecDeque::new(),
+            coordinator,
+            output: Output {
+                actions: VecDeque::new(),
                 peers,
-                list,
+                discovery,
             },
         }
     }
 
+    /// Takes the next action, in the order in which they were asked for.
     pub fn next_action(&mut self) -> Option<Action> {
-        self.actions.pending.pop_front()
+        self.output.actions.pop_front()
     }
 
+    /// Whether an action waits to be taken.
     pub fn has_actions(&self) -> bool {
-        !self.actions.pending.is_empty()
+        !self.output.actions.is_empty()
     }
 
-    pub fn on_member_up(&mut self, now: Nanos, place: u16, birth: u64) {
-        self.shares.member_up(now, place, birth, &mut self.actions);
+    /// A gateway has joined.
+    pub fn on_member_up(&mut self, now: Nanos, member: u16, incarnation: u64) {
+        self.coordinator
+            .on_member_up(now, process(member, incarnation), &mut self.output);
     }
 
-    pub fn on_member_down(&mut self, now: Nanos, place: u16, birth: u64) {
-        self.shares
-            .member_down(now, place, birth, &mut self.actions);
+    /// A gateway has left or failed.
+    pub fn on_member_down(&mut self, now: Nanos, member: u16, incarnation: u64) {
+        self.coordinator
+            .on_member_down(now, process(member, incarnation), &mut self.output);
     }
 
-    pub fn on_message(&mut self, now: Nanos, from: u16, message: Message) {
-        self.shares.heard(now, from, message, &mut self.actions);
+    /// Another gateway sent a message on its link.
+    pub fn on_message(&mut self, now: Nanos, from: u16, message: CoordinationMessage) {
+        self.coordinator
+            .on_message(now, MemberId(from), message, &mut self.output);
     }
 
-    pub fn on_gossip(&mut self, now: Nanos, gossip: Gossip) {
-        self.shares.gossip(now, gossip, &mut self.actions);
+    /// Another gateway sent a datagram.
+    pub fn on_gossip(&mut self, now: Nanos, gossip: GossipMessage) {
+        self.coordinator.on_gossip(now, gossip, &mut self.output);
     }
 
+    /// The endpoint list has changed: these engines, by the hashes of their ids, are ready.
     pub fn on_endpoints_updated(&mut self, ready: &[u64]) {
-        self.shares.listed(ready);
+        self.coordinator.set_ready_engines(ready);
     }
 
-    /// A customer's statement came; of its whole allowance a second.
+    /// A statement of this tenant arrived; the tenant's quota is so many statements a second in the whole fleet.
     pub fn on_statement_arrived(&mut self, tenant: usize, quota_per_second: f64) {
-        let bound = FIRST_ALLOWANCE + tenant;
-        let units = f64::from(self.shares.units(bound));
+        let quota = QuotaIndex(FIRST_TENANT_QUOTA + tenant);
+        let units = f64::from(self.coordinator.total_units(quota));
         if quota_per_second > 0.0 {
-            self.shares.wanted(bound, units / quota_per_second);
+            self.coordinator
+                .record_demand(quota, units / quota_per_second);
         }
     }
 
-    /// The teams' queues hold and want so many of all cores.
-    pub fn set_core_demand(&mut self, now: Nanos, cores: f64, all: f64) {
-        let units = f64::from(self.shares.units(CORES));
-        self.shares
-            .needs(now, CORES, units * (cores / all.max(1.0)).min(1.0));
-    }
-
-    /// `is_first`: of its statement.
-    pub fn on_attempt_ended(&mut self, now: Nanos, engine: u64, outcome: Outcome, is_first: bool) {
-        if let Some(saw) = Saw::of(outcome, is_first) {
-            self.shares.saw(now, engine, saw);
+    /// The teams' statements that run or wait here would use so many of all the cores.
+    pub fn set_core_demand(&mut self, now: Nanos, cores: f64, all_cores: f64) {
+        let units = f64::from(self.coordinator.total_units(CORES_QUOTA));
+        let fraction = (cores / all_cores.max(1.0)).min(1.0);
+        self.coordinator
+            .set_demand_level(now, CORES_QUOTA, units * fraction);
+    }
+
+    /// An attempt at an engine has ended; `is_first_attempt` of its statement.
+    pub fn on_attempt_ended(
+        &mut self,
+        now: Nanos,
+        engine_hash: u64,
+        outcome: Outcome,
+        is_first_attempt: bool,
+    ) {
+        if let Some(health) = AttemptHealth::from_outcome(outcome, is_first_attempt) {
+            self.coordinator.on_attempt_ended(now, engine_hash, health);
         }
     }
 
-    pub fn on_journal_read(&mut self, now: Nanos, event: Option<(u64, Bytes)>) {
+    /// The watch on the endpoint list delivered a line, with an event where it was a new one.
+    pub fn on_watch_line_read(&mut self, now: Nanos, event: Option<WatchEventLine>) {
         match event {
-            Some((number, line)) => self.shares.event_taken(now, number, &line),
-            None => self.shares.journal_heard(now),
+            Some(event) => self
+                .coordinator
+                .on_endpoint_event(now, event.position, &event.line),
+            None => self.coordinator.on_event_source_heard(now),
         }
     }
 
+    /// When [`Self::on_timer`] is to be called next.
     pub fn next_timer(&self) -> Nanos {
-        self.shares.next_wake()
+        self.coordinator.next_timer()
     }
 
+    /// To be called at [`Self::next_timer`]; does nothing before.
     pub fn on_timer(&mut self, now: Nanos) {
-        if self.shares.next_wake() <= now {
-            self.shares.woken(now, &mut self.actions);
+        if self.coordinator.next_timer() <= now {
+            self.coordinator.on_timer(now, &mut self.output);
         }
     }
 
-    pub fn view(&self, now: Nanos) -> View {
-        self.shares.view(now)
+    /// This gateway's view of the fleet.
+    pub fn view(&self, now: Nanos) -> CoordinationView {
+        self.coordinator.view(now)
     }
 }
--- a/crates/ivypitch-gateway/src/actors/ownership.rs
+++ b/crates/ivypitch-gateway/src/actors/ownership.rs
@@ -6,10 +6,10 @@
 use async_channel::Sender;
 use bytes::Bytes;
 use ivypitch_ownership::{
-    ArrivalDecision, FinalAnswer, GrantDecision, GrantDenial, Message, Output, Ownership,
+    Arrival, ArrivalDecision, FinalAnswer, GrantDecision, GrantDenial, Message, Output, Ownership,
     StatementId, StatementSpec,
 };
-use ivypitch_types::{EngineIndex, Nanos};
+use ivypitch_types::{EngineIndex, Incarnation, MemberId, Nanos, ProcessId};
 use serde_bytes::ByteBuf;
 
 use super::attempt::Attempt;
@@ -39,8 +39,10 @@
 }
 
 impl Output for ActionQueue {
-    fn send(&mut self, to: u16, message: Message) {
-        let _ = self.peers.try_send(PeersMessage::Tell { to, message });
+    fn send(&mut self, to: MemberId, message: Message) {
+        let _ = self
+            .peers
+            .try_send(PeersMessage::Tell { to: to.0, message });
     }
     fn on_attempt_granted(&mut self, id: StatementId, number: u32) {
         self.pending.push_back(Action::Go(id, number));
@@ -60,7 +62,7 @@
     ) {
         self.pending.push_back(Action::Adopt {
             id,
-            text: facts.text.clone(),
+            text: facts.request.clone(),
             left,
             engine,
         });
@@ -147,9 +149,13 @@
         work: Nanos,
         token: u64,
     ) -> ArrivalDecision {
-        let asks = work >= self.asks_from;
-        self.ownership
-            .arrive(now, id, facts, asks, token, &mut self.actions)
+        let arrival = Arrival {
+            id,
+            spec: facts,
+            worth_lookup: work >= self.asks_from,
+            waiter: token,
+        };
+        self.ownership.on_arrival(now, arrival, &mut self.actions)
     }
 
     pub fn request_attempt_grant(
@@ -160,7 +166,7 @@
         engine: u64,
     ) -> GrantDecision {
         self.ownership
-            .grant(now, id, number, engine, &mut self.actions)
+            .request_attempt(now, id, number, engine, &mut self.actions)
     }
 
     pub fn on_attempt_ended(&mut self, now: Nanos, id: StatementId, number: u32, never_ran: bool) {
@@ -177,15 +183,15 @@
                     .collect(),
             ),
             Answer::Rejected { retry_after } => FinalAnswer::Rejected {
-                come_back_ms: (retry_after / 1_000_000) as u32,
+                retry_after_ms: (retry_after / 1_000_000) as u32,
             },
             _ => FinalAnswer::Aborted,
         };
-        self.ownership.answered(now, id, word, &mut self.actions)
+        self.ownership.on_answered(now, id, word, &mut self.actions)
     }
 
     pub fn on_engine_unknown(&mut self, now: Nanos, id: StatementId) {
-        self.ownership.engine_unknown(now, id, &mut self.actions);
+        self.ownership.on_engine_unknown(now, id, &mut self.actions);
     }
 
     pub fn outlives_client(&self, id: StatementId) -> bool {
@@ -200,7 +206,7 @@
             .find(|(_, w)| w.connection == connection)
             .map(|(&token, _)| token)?;
         let waiting = self.waiting.remove(&token)?;
-        self.ownership.leave(waiting.id, token);
+        self.ownership.on_client_gone(waiting.id, token);
         Some(waiting)
     }
 
@@ -214,7 +220,7 @@
         let mut over = Vec::new();
         for token in late {
             if let Some(waiting) = self.waiting.remove(&token) {
-                self.ownership.leave(waiting.id, token);
+                self.ownership.on_client_gone(waiting.id, token);
                 over.push(waiting);
             }
         }
@@ -224,18 +230,24 @@
     pub fn on_peer_event(&mut self, now: Nanos, peer: &Peer) {
         match peer {
             Peer::Heard { from, message, .. } => self.on_message(now, *from, (**message).clone()),
-            Peer::Up { place, birth } => self.ownership.member_up(now, *place, *birth),
+            Peer::Up { place, birth } => self.ownership.on_member_up(now, process(*place, *birth)),
             Peer::Down { place, birth } => {
                 self.ownership
-                    .member_down(now, *place, *birth, &mut self.actions)
+                    .on_member_down(now, process(*place, *birth), &mut self.actions)
+            }
+            Peer::Suspected { place, is: true } => {
+                self.ownership.on_member_suspected(MemberId(*place));
+            }
+            Peer::Suspected { place, is: false } => {
+                self.ownership.on_suspicion_cleared(MemberId(*place));
             }
-            Peer::Suspected { place, is } => self.ownership.member_suspected(*place, *is),
             Peer::Shared { .. } | Peer::Gossip(..) => {}
         }
     }
 
     pub fn on_message(&mut self, now: Nanos, from: u16, message: Message) {
-        self.ownership.heard(now, from, message, &mut self.actions);
+        self.ownership
+            .on_message(now, MemberId(from), message, &mut self.actions);
     }
 
     pub fn next_timer(&self) -> Nanos {
@@ -245,17 +257,17 @@
             .map(|w| w.deadline)
             .min()
             .unwrap_or(Nanos::MAX);
-        self.ownership.next_wake().min(late)
+        self.ownership.next_timer().min(late)
     }
 
     pub fn on_timer(&mut self, now: Nanos) {
-        if self.ownership.next_wake() <= now {
-            self.ownership.woken(now, &mut self.actions);
+        if self.ownership.next_timer() <= now {
+            self.ownership.on_timer(now, &mut self.actions);
         }
     }
 
     pub fn hand_off(&mut self, now: Nanos) -> Vec<StatementId> {
-        self.ownership.hand_over(now, &mut self.actions)
+        self.ownership.hand_off(now, &mut self.actions)
     }
 
     pub fn leave_fleet(&self) {
@@ -264,22 +276,29 @@
 
     /// One line as the program ends.
     pub fn log_totals(&self) {
-        let t = self.ownership.totals();
+        let t = self.ownership.counters();
         log::info!(
             "custody: {} orphaned, {} claimed, {} watched, {} kept, {} given to clients that came back, {} in doubt, \
              {} without a majority, {} elsewhere",
             t.orphaned,
-            t.claimed,
-            t.watched,
-            t.kept,
+            t.taken_over,
+            t.polled,
+            t.cached,
             t.delivered,
-            t.in_doubt,
-            t.no_majority,
-            t.elsewhere
+            t.unknown,
+            t.no_quorum,
+            t.owned_elsewhere
         );
     }
 }
 
+fn process(place: u16, birth: u64) -> ProcessId {
+    ProcessId {
+        member: MemberId(place),
+        incarnation: Incarnation(birth),
+    }
+}
+
 /// A word of custody as a client's answer.
 pub fn answer_of(word: FinalAnswer) -> Answer {
     match word {
@@ -293,8 +312,8 @@
             Answer::Completed(rows)
         }
         FinalAnswer::CompletedWithoutRows => Answer::EndedBefore,
-        FinalAnswer::Rejected { come_back_ms } => Answer::Rejected {
-            retry_after: u64::from(come_back_ms) * 1_000_000,
+        FinalAnswer::Rejected { retry_after_ms } => Answer::Rejected {
+            retry_after: u64::from(retry_after_ms) * 1_000_000,
         },
         FinalAnswer::Aborted => Answer::Aborted,
         FinalAnswer::IdReused => Answer::IdTaken,
--- a/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
@@ -20,11 +20,13 @@
 
 use ivypitch_ownership::{ArrivalDecision, GrantDecision, GrantDenial, StatementId, StatementSpec};
 
-use crate::actors::attempt::{Attempt, Gate};
+use crate::actors::attempt::{Attempt, SendGate};
 use crate::actors::coordination::{self, CoordinationDriver};
-use crate::actors::engine::{self, EngineMessage, Link};
+use crate::actors::engine::{self, EngineMessage};
+use crate::actors::engine_client::{EngineClient, EngineClientParams};
 use crate::actors::messages::{
-    Answer, AttemptEnd, AttemptKey, AttemptMessage, ClientHandle, QueueRow, SchedulerMessage,
+    Answer, AttemptEnd, AttemptKey, AttemptMessage, ClientHandle, ClientStatement, QueueRow,
+    SchedulerMessage,
 };
 use crate::actors::ownership::{self, OwnershipDriver, Ready, Waiting};
 use crate::actors::peer_links::Peer;
@@ -126,14 +128,14 @@
     traffic: Rc<Traffic>,
     module: Sender<SchedulerMessage>,
     executor: Rc<LocalExecutor<'static>>,
-    gate: Gate,
+    gate: SendGate,
 }
 
 /// The row of `SHOW FLEET`.
 #[derive(serde::Serialize)]
 struct ShownFleet<'a> {
     #[serde(flatten)]
-    view: ivypitch_coordination::View,
+    view: ivypitch_coordination::CoordinationView,
     traffic: &'a Traffic,
 }
 
@@ -233,8 +235,8 @@
                 traffic,
                 module,
                 executor,
-                gate: Gate {
-                    gateway: gateway.clone(),
+                gate: SendGate {
+                    scheduler: gateway.clone(),
                     clock,
                 },
             },
@@ -334,16 +336,20 @@
             .and_then(CoordinationDriver::next_action)
         {
             match act {
-                coordination::Action::SetQuota(coordination::CORES, part) => {
+                coordination::Action::SetCoreQuota { fraction: part } => {
                     world.cores_part = part;
                     if let Some(queues) = queues {
                         queues.set_capacity(world.now, world.cores.iter().sum::<f64>() * part);
                     }
                 }
-                coordination::Action::SetQuota(bound, part) => gateway
-                    .borrow_mut()
-                    .set_quota_share(bound - coordination::FIRST_ALLOWANCE, part),
-                coordination::Action::SetOutlierStatus(engine, advice) => {
+                coordination::Action::SetTenantQuota {
+                    tenant,
+                    fraction: part,
+                } => gateway.borrow_mut().set_quota_share(tenant, part),
+                coordination::Action::SetOutlierStatus {
+                    engine_hash: engine,
+                    status: advice,
+                } => {
                     if let Some(ix) = world.numbers.iter().position(|&number| number == engine) {
                         gateway
                             .borrow_mut()
@@ -481,15 +487,15 @@
             keeper.ready.remove(&id);
         }
         let key = AttemptKey {
-            stmt,
+            statement: stmt,
             serial,
             number,
             engine,
         };
         let end = AttemptEnd {
             outcome: Outcome::NeverDispatched,
-            true_cost: None,
-            report: Vec::new(),
+            measured_cost: None,
+            load_report: Vec::new(),
             rows: None,
         };
         self.ended(key, end);
@@ -626,8 +632,8 @@
             workload: workload as u16,
             tenant: tenant as u16,
             idempotent: world.idempotent.get(workload).copied().unwrap_or(false),
-            left_ms: left_ms as u32,
-            text: fields.write(left_ms.max(1)),
+            remaining_ms: left_ms as u32,
+            request: fields.write(left_ms.max(1)),
         };
         let work = fields.work_ms.map_or(0, |ms| (ms * MS as f64) as Nanos);
         let token = keeper.next_waiter_token();
@@ -680,7 +686,7 @@
             let key = open.out.as_ref().map(|out| {
                 let _ = out.mailbox.try_send(AttemptMessage::Detach);
                 AttemptKey {
-                    stmt,
+                    statement: stmt,
                     serial: open.serial,
                     number: out.number,
                     engine: out.engine,
@@ -704,8 +710,8 @@
                 Some(key) => {
                     let end = AttemptEnd {
                         outcome: Outcome::NeverDispatched,
-                        true_cost: None,
-                        report: Vec::new(),
+                        measured_cost: None,
+                        load_report: Vec::new(),
                         rows: None,
                     };
                     self.ended(key, end);
@@ -804,12 +810,15 @@
         match mail {
             SchedulerMessage::StatementArrived {
                 connection,
-                fields,
-                workload,
-                tenant,
-                at,
+                statement,
+                arrived_at: at,
                 client,
             } => {
+                let ClientStatement {
+                    fields,
+                    workload,
+                    tenant,
+                } = statement;
                 let deadline = (at + fields.timeout_ms * MS).min(world.answer_by);
                 if let Some(sharing) = &mut world.sharing {
                     let allowance = world.allowances.get(tenant).copied().unwrap_or(0.0);
@@ -865,12 +874,12 @@
                     }
                 }
             }
-            SchedulerMessage::JournalRead { event } => {
+            SchedulerMessage::WatchLineRead { event } => {
                 if let Some(sharing) = &mut world.sharing {
-                    sharing.on_journal_read(now, event);
+                    sharing.on_watch_line_read(now, event);
                 }
             }
-            SchedulerMessage::ShowFleet { client } => {
+            SchedulerMessage::ShowFleet { reply: client } => {
                 let traffic = &*world.traffic;
                 let view = world.sharing.as_ref().map(|sharing| ShownFleet {
                     view: sharing.view(now),
@@ -887,16 +896,19 @@
                     self.expire(stmt);
                 }
             }
-            SchedulerMessage::AttemptProgressed { key, note } => {
+            SchedulerMessage::AttemptProgressed {
+                key,
+                progress: note,
+            } => {
                 if world.out(key).is_some() {
                     gateway
                         .borrow_mut()
-                        .on_progress(now, key.stmt, key.number, note, world);
+                        .on_progress(now, key.statement, key.number, note, world);
                 }
             }
             SchedulerMessage::AttemptEnded { key, end } => self.ended(key, end),
             SchedulerMessage::EndpointsUpdated { update } => self.listed(update, None),
-            SchedulerMessage::Drain { by } => {
+            SchedulerMessage::Shutdown { answer_by: by } => {
                 world.answer_by = by;
                 gateway.borrow_mut().begin_shutdown(by);
                 if world.keeper.is_some() {
@@ -914,7 +926,10 @@
                     queues.reload(now, *budgets);
                 }
             }
-            SchedulerMessage::ShowQueue { req, client } => {
+            SchedulerMessage::ShowQueue {
+                statement_id: req,
+                reply: client,
+            } => {
                 let _ = client.try_send(self.shown(req));
             }
         }
@@ -934,7 +949,7 @@
         let shown = |stmts: &mut StatementTable, stmt: StatementIndex| {
             let open = stmts.get(stmt)?;
             Some(QueueRow {
-                req: String::from_utf8_lossy(&open.fields.statement_id).into_owned(),
+                statement_id: String::from_utf8_lossy(&open.fields.statement_id).into_owned(),
                 team: open.tenant,
                 workload: open.workload,
                 queued: queues.row(now, stmt),
@@ -1003,7 +1018,7 @@
         };
         let _ = out.mailbox.try_send(AttemptMessage::Cancel);
         let key = AttemptKey {
-            stmt,
+            statement: stmt,
             serial,
             number,
             engine: out.engine,
@@ -1022,8 +1037,8 @@
         } else {
             let end = AttemptEnd {
                 outcome: Outcome::TimedOut,
-                true_cost: None,
-                report: Vec::new(),
+                measured_cost: None,
+                load_report: Vec::new(),
                 rows: None,
             };
             self.ended(key, end);
@@ -1040,7 +1055,7 @@
             return;
         };
         let due = Due::AttemptTimesOut {
-            stmt: key.stmt.0,
+            stmt: key.statement.0,
             serial: key.serial,
             number: key.number,
         };
@@ -1052,25 +1067,25 @@
             sharing.on_attempt_ended(world.now, number, end.outcome, key.number == 0);
         }
         if let Some(rows) = end.rows {
-            world.answer(key.stmt, Answer::Completed(rows));
+            world.answer(key.statement, Answer::Completed(rows));
         }
         let took = world.now.saturating_sub(out.sent_at);
         if world.has_queues
-            && let Some(open) = world.stmts.get(key.stmt)
+            && let Some(open) = world.stmts.get(key.statement)
         {
             let threads = world.threads.get(open.workload).copied().unwrap_or(1.0);
             if !end.outcome.never_ran() {
                 let on_engine = (took as f64 * threads) as Nanos;
                 let work = end
-                    .true_cost
-                    .map_or(on_engine, |(ms, _)| (ms * MS as f64) as Nanos);
+                    .measured_cost
+                    .map_or(on_engine, |cost| (cost.work_ms * MS as f64) as Nanos);
                 open.real = Some(open.real.unwrap_or(0) + work);
             }
             open.took = (end.outcome == Outcome::Completed).then_some(took);
         }
         let closed = world
             .stmts
-            .get(key.stmt)
+            .get(key.statement)
             .is_none_or(|open| open.client.is_none());
         let ended = AttemptEnded {
             attempt: key.number,
@@ -1078,12 +1093,12 @@
             outcome: end.outcome,
             took,
             closed,
-            true_cost: end.true_cost,
-            report: &end.report,
+            true_cost: end.measured_cost.map(|cost| (cost.work_ms, cost.peak_mb)),
+            report: &end.load_report,
         };
         gateway
             .borrow_mut()
-            .on_attempt_ended(world.now, key.stmt, &ended, world);
+            .on_attempt_ended(world.now, key.statement, &ended, world);
     }
 
     fn listed(&mut self, update: EndpointUpdate, kind: Option<EndpointUpdateKind>) {
@@ -1160,7 +1175,7 @@
 
 impl World {
     fn out(&mut self, key: AttemptKey) -> Option<&mut Option<InFlightAttempt>> {
-        let open = self.stmts.get_same(key.stmt, key.serial)?;
+        let open = self.stmts.get_same(key.statement, key.serial)?;
         open.out
             .as_ref()
             .is_some_and(|out| out.number == key.number)
@@ -1247,7 +1262,7 @@
     fn tell_custody(&mut self, key: AttemptKey, never_ran: bool) {
         let id = self
             .stmts
-            .get(key.stmt)
+            .get(key.statement)
             .map(|open| open.fields.statement_id_number());
         if let (Some(keeper), Some(id)) = (&mut self.keeper, id) {
             keeper.ready.remove(&id);
@@ -1271,8 +1286,8 @@
     fn unsent(&mut self, key: AttemptKey) {
         let end = AttemptEnd {
             outcome: Outcome::NotSent,
-            true_cost: None,
-            report: Vec::new(),
+            measured_cost: None,
+            load_report: Vec::new(),
             rows: None,
         };
         let _ = self
@@ -1357,18 +1372,18 @@
             self.gateways as usize,
             self.limits.idle_close,
         );
-        let link = Link::new(
+        let client = EngineClient::new(EngineClientParams {
             address,
             connect_timeout,
-            lines,
-            self.clock,
-            self.permits.clone(),
-            self.connects.clone(),
-            self.traffic.clone(),
-        );
+            pool: lines,
+            clock: self.clock,
+            permits: self.permits.clone(),
+            connects: self.connects.clone(),
+            traffic: self.traffic.clone(),
+        });
         let (mailbox, letters) = async_channel::unbounded();
         self.executor
-            .spawn(engine::run(link, letters, self.executor.clone()))
+            .spawn(engine::run(client, letters, self.executor.clone()))
             .detach();
         self.mailboxes[ix.0] = Some(EngineActor { address, mailbox });
     }
@@ -1394,7 +1409,7 @@
             .and_then(|c| c.presence.clone());
         let timeout = timeout.min(open.deadline.saturating_sub(now)).max(1);
         let key = AttemptKey {
-            stmt,
+            statement: stmt,
             serial: open.serial,
             number: open.attempts,
             engine,
@@ -1429,13 +1444,13 @@
         Some(Attempt {
             key,
             start,
-            is_watched,
+            is_already_started: is_watched,
             report_fields: self.report_fields.clone(),
             mailbox: letters,
-            priority: Cell::new(None),
-            module: self.module.clone(),
+            unsent_priority: Cell::new(None),
+            scheduler: self.module.clone(),
             gate: self.gate.clone(),
-            until: times_out_at,
+            times_out_at,
             client,
         })
     }
--- a/crates/ivypitch-gateway/tests/recorded_peer_messages.rs
+++ b/crates/ivypitch-gateway/tests/recorded_peer_messages.rs
@@ -2,11 +2,12 @@
 //! front, the datagrams of what is shared, with their mark, and the versions that both ends state.
 
 use bytes::BytesMut;
-use ivypitch_coordination::{Gossip, Process};
+use ivypitch_coordination::{CoordinationMessage, GossipMessage};
 use ivypitch_gateway::wire::peers::{
     Frame, LARGEST_FRAME, Malformed, next, read_gossip, write, write_gossip,
 };
 use ivypitch_ownership::{Epoch, Message};
+use ivypitch_types::{Incarnation, MemberId, ProcessId};
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
@@ -23,8 +24,10 @@
 fn every_frame_keeps_its_recorded_bytes() {
     let epoch = Epoch {
         count: 7,
-        place: 300,
-        birth: 1_700_000_000_123,
+        process: ProcessId {
+            member: MemberId(300),
+            incarnation: Incarnation(1_700_000_000_123),
+        },
     };
     let recorded = [
         (
@@ -45,7 +48,7 @@
             "120000000203e6aa919aa3a40407ac02fbd095ffbc31",
         ),
         (
-            Frame::Shares(ivypitch_coordination::Message::Tail(1 << 33)),
+            Frame::Coordination(CoordinationMessage::FetchEvents(1 << 33)),
             "0700000003018080808020",
         ),
     ];
@@ -60,14 +63,14 @@
 
 #[test]
 fn a_datagram_keeps_its_recorded_mark_and_bytes() {
-    let from = Process {
-        place: 300,
-        birth: 1_700_000_000_123,
+    let from = ProcessId {
+        member: MemberId(300),
+        incarnation: Incarnation(1_700_000_000_123),
     };
-    let gossip = Gossip::Digest {
-        said_ms: 987_654_321,
+    let gossip = GossipMessage::Digest {
+        sent_at_ms: 987_654_321,
         from,
-        parts: vec![7, u32::MAX],
+        buckets: vec![7, u32::MAX],
     };
     let recorded = "ffffffff01b1d1f9d603ac02fbd095ffbc310207ffffffff0f";
     assert_eq!(hex(&write_gossip(&gossip)), recorded, "{gossip:?}");
@@ -79,7 +82,7 @@
     assert_eq!(
         (
             ivypitch_ownership::VERSION,
-            ivypitch_coordination::VERSION,
+            ivypitch_coordination::PROTOCOL_VERSION,
             LARGEST_FRAME
         ),
         (1, 1, 131_072)
--- a/crates/ivypitch-testbed/src/processes/hollow_gateways.rs
+++ b/crates/ivypitch-testbed/src/processes/hollow_gateways.rs
@@ -15,8 +15,8 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use ivypitch_config::own::{self, Own};
-use ivypitch_coordination::{Process, Shares};
+use ivypitch_config::operator::{self, OperatorConfig};
+use ivypitch_coordination::{Coordinator, CoordinatorParams};
 use ivypitch_discovery::Feed;
 use ivypitch_gateway::actors::coordination::CoordinationDriver;
 use ivypitch_gateway::actors::discovery::List;
@@ -29,7 +29,7 @@
 use ivypitch_gateway::wire::discovery::EndpointUpdate;
 use ivypitch_gateway::wire::peers::{Frame, next, write};
 use ivypitch_ownership::Ownership;
-use ivypitch_types::Nanos;
+use ivypitch_types::{Incarnation, MemberId, Nanos, ProcessId};
 use serde::{Deserialize, Serialize};
 use smol::channel::{self, Receiver, Sender};
 use smol::future::FutureExt;
@@ -189,7 +189,7 @@
                         keeper.on_message(now, from, message);
                     }
                 }
-                Some(Mail::Handed(from, Frame::Shares(message))) => {
+                Some(Mail::Handed(from, Frame::Coordination(message))) => {
                     if let Some(sharing) = &mut self.sharing {
                         sharing.on_message(now, from, message);
                     }
@@ -209,16 +209,16 @@
     fn take(&mut self, now: Nanos, mail: SchedulerMessage) {
         match mail {
             SchedulerMessage::PeerEvent(peer) => self.peer(now, peer),
-            SchedulerMessage::JournalRead { event } => {
-                if let Some((number, _)) = &event {
+            SchedulerMessage::WatchLineRead { event } => {
+                if let Some(event) = &event {
                     self.shared
-                        .count(self.place, |counts| counts.events = *number);
+                        .count(self.place, |counts| counts.events = event.position);
                     if self.shared.tells_events {
-                        println!("{} event {} {number}", stamp(), self.place);
+                        println!("{} event {} {}", stamp(), self.place, event.position);
                     }
                 }
                 if let Some(sharing) = &mut self.sharing {
-                    sharing.on_journal_read(now, event);
+                    sharing.on_watch_line_read(now, event);
                 }
             }
             SchedulerMessage::EndpointsUpdated { update } => self.listed(update),
@@ -316,7 +316,7 @@
                 shared.hand(from, to, &Frame::Body(message));
             }
             PeersMessage::Say { to, message } if to >= shared.first => {
-                shared.hand(from, to, &Frame::Shares(message));
+                shared.hand(from, to, &Frame::Coordination(message));
             }
             other => drop(peers.try_send(other)),
         }
@@ -325,7 +325,7 @@
 
 fn start(
     crowd: &Crowd,
-    own: &Own,
+    own: &OperatorConfig,
     place: usize,
     handed: Handed,
     shared: &Arc<Shared>,
@@ -338,22 +338,22 @@
         .as_ref()
         .ok_or_else(|| told("no peers in the own file"))?;
     let mut peering = own
-        .peering(&format!("n{place}"))
+        .network(&format!("n{place}"))
         .map_err(|faults| told(&format!("{faults:?}")))?;
     let ways = &crowd.ways[place - crowd.first];
-    for (seat, &way) in peering.roster.seats.iter_mut().zip(ways) {
+    for (seat, &way) in peering.members.seats.iter_mut().zip(ways) {
         seat.address = way;
     }
     let (now, birth) = (clock.now(), clock.now() / 1_000_000);
-    let zones: Vec<u16> = peering.roster.seats.iter().map(|seat| seat.zone).collect();
+    let zones: Vec<u16> = peering.members.seats.iter().map(|seat| seat.zone).collect();
     let (traffic, at) = (Rc::new(Traffic::default()), place as u16);
     let seed = crowd.seed ^ (place as u64) << 32;
     let (module, to_module) = channel::unbounded();
     let start = peer_links::Start {
-        roster: peering.roster,
+        roster: peering.members,
         place: at,
         listen: peering.listen,
-        terms: peering.terms,
+        terms: peering.membership,
         birth,
         seed,
         traffic: traffic.clone(),
@@ -364,22 +364,29 @@
         .spawn(sort(said, mailbox, at, shared.clone()))
         .detach();
     let (list, list_mail) = channel::unbounded();
-    let sharing = own.shares.enabled.then(|| {
-        let terms = own.shares.terms(zones.len(), &crowd.tenants);
-        let shares = Shares::new(
-            Process { place: at, birth },
-            zones.clone(),
-            terms,
-            0,
+    let sharing = own.coordination.enabled.then(|| {
+        let terms = own.coordination.config(zones.len(), &crowd.tenants);
+        let shares = Coordinator::new(CoordinatorParams {
+            process: ProcessId {
+                member: MemberId(at),
+                incarnation: Incarnation(birth),
+            },
+            zones: zones.clone(),
+            config: terms,
+            last_event: 0,
             seed,
             now,
-        );
+        });
         CoordinationDriver::new(shares, say.clone(), list.clone())
     });
-    let keeper = own.custody.enabled.then(|| {
-        let terms = own.custody.terms(crowd.longest_ms * 1_000_000);
-        let custody = Ownership::new(at, birth, zones.clone(), terms, now);
-        OwnershipDriver::new(custody, say.clone(), own.custody.asks_from())
+    let keeper = own.ownership.enabled.then(|| {
+        let terms = own.ownership.config(crowd.longest_ms * 1_000_000);
+        let this = ProcessId {
+            member: MemberId(at),
+            incarnation: Incarnation(birth),
+        };
+        let custody = Ownership::new(this, zones.clone(), terms, now);
+        OwnershipDriver::new(custody, say.clone(), own.ownership.min_lookup_work())
     });
     let follower = List {
         feed: RefCell::new(Feed::new(0, seed)),
@@ -487,7 +494,8 @@
             } else {
                 START_APART
             };
-            let own = own::read(crowd.own.as_bytes()).map_err(|faults| format!("{faults:?}"))?;
+            let own =
+                operator::read(crowd.own.as_bytes()).map_err(|faults| format!("{faults:?}"))?;
             for (place, handed) in theirs {
                 start(crowd, &own, place, handed, shared, clock, &executor)?;
                 Timer::after(apart).await;
