--- a/crates/ivypitch-config/src/lib.rs
+++ b/crates/ivypitch-config/src/lib.rs
@@ -277,7 +277,7 @@
         progress_interval: extra.progress_pace_ns,
         honors_memory_grants: extra.memory_heeded,
         honors_priorities: extra.ranks_heeded,
-        max_memory_grant: extra.most_grant,
+        max_memory_grant_fraction: extra.most_grant,
         reports_true_cost: extra.tells_cost,
         must_request_endpoints: options.registry_mode == "on_request",
         endpoint_request_deadline: contract.must_ask_in_ns,
@@ -292,7 +292,7 @@
         } else {
             may.max_attempts
         },
-        drain_period: contract.drain_grace_ns,
+        drain_grace: contract.drain_grace_ns,
         answer_grace: contract.grace_to_answer_ns,
         slow_start_initial_fraction: contract.cold_from,
         slow_start_duration: contract.warm_up_ns,
--- a/crates/ivypitch-scheduler/src/deployment.rs
+++ b/crates/ivypitch-scheduler/src/deployment.rs
@@ -160,13 +160,13 @@
     pub honors_memory_grants: bool,
     /// Engines honor the priority of [`Output::set_resources`](crate::Output::set_resources).
     pub honors_priorities: bool,
-    /// Largest memory grant.
-    pub max_memory_grant: f64,
+    /// Largest memory grant, as a part of an engine's memory.
+    pub max_memory_grant_fraction: f64,
     /// Results tell the true work and memory of an attempt.
     pub reports_true_cost: bool,
     /// Endpoints must be watched by request; else the host delivers them unasked.
     pub must_request_endpoints: bool,
-    /// Time within which endpoints must be requested.
+    /// Where endpoints must be requested: a gateway that has not done so for this long counts as notified.
     pub endpoint_request_deadline: Nanos,
     /// Load reports may be requested.
     pub can_request_load_reports: bool,
@@ -182,18 +182,17 @@
     pub allows_hedged_requests: bool,
     /// Attempts per statement, the first included.
     pub max_attempts: u32,
-    /// Time between an engine's begin of draining and its end.
-    pub drain_period: Nanos,
-    /// Time beyond the statement timeout in which an answer still counts.
+    /// Time after the notification within which sends to a draining or gone engine must cease.
+    pub drain_grace: Nanos,
+    /// Time past the client's deadline in which a final answer still counts.
     pub answer_grace: Nanos,
     /// Part of its capacity that an engine has as it starts.
     pub slow_start_initial_fraction: f64,
     /// Time after which a started engine has its full capacity.
     pub slow_start_duration: Nanos,
-    /// Work within [`overload_window`](Self::overload_window), as a multiple of an engine's capacity, that
-    /// overloads it.
+    /// An engine is overloaded by this multiple of its current capacity ...
     pub overload_factor: f64,
-    /// Window over which work adds up to an overload.
+    /// ... sent to it for this long.
     pub overload_window: Nanos,
     /// Limit on retries by contract; `None`: none.
     pub retry_budget: Option<RetryBudget>,
--- a/crates/ivypitch-testbed/src/virtual_time/fleet.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/fleet.rs
@@ -276,7 +276,7 @@
         honors_retry_after: true,
         max_retry_after: 2 * SECOND,
         max_attempts: 4,
-        drain_period: SECOND / 4,
+        drain_grace: SECOND / 4,
         answer_grace: 5_000_000,
         slow_start_initial_fraction: plan.model.cold_from,
         slow_start_duration: plan.model.warm_up,
