--- a/crates/ivypitch-simulator-adapter/src/codec.rs
+++ b/crates/ivypitch-simulator-adapter/src/codec.rs
@@ -1,156 +1,186 @@
-//! Frames and records of the simulator's wire: little-endian, no padding. Reading names the record and the
-//! offset where it fails and never allocates more than has arrived.
+//! Frames and fields of the simulator's wire: little-endian, without padding.
+//!
+//! Decoding names the record and the offset where it fails, and never allocates more than has arrived.
 
-use std::fmt;
-use std::io::{self, Read};
+use crate::error::{DecodeError, DecodeProblem, InputError};
+use std::io::Read;
 
-/// Frames are refused above this; the largest batches run to megabytes.
-pub const LARGEST_FRAME: usize = 256 << 20;
-pub const BATCH_HEADER: usize = 20;
-pub const REPLY_HEADER: usize = 12;
-pub const LIST_ROW: usize = 25;
+/// Larger frames are rejected; the largest batches run to megabytes.
+pub const MAX_FRAME_BYTES: usize = 256 << 20;
+/// Size of a batch's header.
+pub const BATCH_HEADER_BYTES: usize = 20;
+/// Size of a reply's header.
+pub const REPLY_HEADER_BYTES: usize = 12;
 
-/// What is wrong with the input: one plain line.
-#[derive(Debug, PartialEq)]
-pub struct Malformed {
-    pub record: &'static str,
-    pub offset: usize,
-    pub what: String,
-}
-
-impl fmt::Display for Malformed {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} at byte {}: {}", self.record, self.offset, self.what)
-    }
-}
+const BATCH_HEADER: &str = "batch header";
 
 /// An engine's address and port, as they came.
 pub type EngineId = [u8; 6];
 
+/// A batch of events.
 #[derive(Debug, PartialEq)]
 pub struct Batch {
+    /// Number of records in the body.
     pub records: u32,
+    /// Time of the events in nanoseconds.
     pub clock: u64,
-    pub number: u32,
+    /// Number of the batch, to be repeated in the reply.
+    pub sequence_number: u32,
     /// The records, without the header.
     pub body: Vec<u8>,
 }
 
-/// The next batch; `None` at a clean end of the input.
-pub fn read_batch(input: &mut impl Read) -> io::Result<Result<Option<Batch>, Malformed>> {
-    let malformed = |offset, what: String| {
-        Ok(Err(Malformed {
-            record: "batch header",
-            offset,
-            what,
-        }))
-    };
-    let mut header = Vec::with_capacity(BATCH_HEADER);
-    input
-        .by_ref()
-        .take(BATCH_HEADER as u64)
-        .read_to_end(&mut header)?;
+/// Reads the next batch; `None` at a clean end of the input.
+///
+/// # Errors
+///
+/// The input cannot be read, ends inside a frame, or a frame's length is out of range.
+pub fn read_batch(input: &mut impl Read) -> Result<Option<Batch>, InputError> {
+    let header = read_at_most(input, BATCH_HEADER_BYTES)?;
     if header.is_empty() {
-        return Ok(Ok(None));
-    }
-    if header.len() < BATCH_HEADER {
-        return malformed(header.len(), "the input ends inside the header".into());
-    }
-    let mut fields = Cursor {
-        bytes: &header,
-        at: 0,
-        base: 0,
-        record: "batch header",
-    };
-    let (length, records, clock, number) =
-        match (fields.u32(), fields.u32(), fields.u64(), fields.u32()) {
-            (Ok(length), Ok(records), Ok(clock), Ok(number)) => {
-                (length as usize, records, clock, number)
-            }
-            _ => return malformed(0, "unreadable".into()),
-        };
-    if !(BATCH_HEADER..=LARGEST_FRAME).contains(&length) {
-        return malformed(0, format!("a length of {length} bytes is out of range"));
-    }
-    let mut body = Vec::new();
-    input
-        .by_ref()
-        .take((length - BATCH_HEADER) as u64)
-        .read_to_end(&mut body)?;
-    if body.len() < length - BATCH_HEADER {
-        let what = format!("the input ends inside a frame of {length} bytes");
-        return malformed(BATCH_HEADER + body.len(), what);
-    }
-    Ok(Ok(Some(Batch {
+        return Ok(None);
+    }
+    if header.len() < BATCH_HEADER_BYTES {
+        return Err(header_error(header.len(), DecodeProblem::HeaderTruncated).into());
+    }
+    let mut fields = Cursor::new(&header, 0, BATCH_HEADER);
+    let length = fields.u32()? as usize;
+    let records = fields.u32()?;
+    let clock = fields.u64()?;
+    let sequence_number = fields.u32()?;
+    if !(BATCH_HEADER_BYTES..=MAX_FRAME_BYTES).contains(&length) {
+        return Err(header_error(0, DecodeProblem::FrameLengthOutOfRange(length)).into());
+    }
+    let body = read_at_most(input, length - BATCH_HEADER_BYTES)?;
+    let read = BATCH_HEADER_BYTES + body.len();
+    if read < length {
+        return Err(header_error(read, DecodeProblem::FrameTruncated(length)).into());
+    }
+    Ok(Some(Batch {
         records,
         clock,
-        number,
+        sequence_number,
         body,
-    })))
+    }))
+}
+
+fn read_at_most(input: &mut impl Read, bytes: usize) -> Result<Vec<u8>, InputError> {
+    let mut read = Vec::new();
+    input.by_ref().take(bytes as u64).read_to_end(&mut read)?;
+    Ok(read)
 }
 
-/// Reads fields in turn; offsets in its errors count from the start of the frame.
+fn header_error(offset: usize, problem: DecodeProblem) -> DecodeError {
+    DecodeError {
+        record: BATCH_HEADER,
+        offset,
+        problem,
+    }
+}
+
+/// Decodes fields in turn.
 pub struct Cursor<'a> {
-    pub bytes: &'a [u8],
-    pub at: usize,
-    pub base: usize,
-    pub record: &'static str,
+    bytes: &'a [u8],
+    position: usize,
+    /// Offset of the bytes in the frame.
+    base: usize,
+    record: &'static str,
 }
 
 impl<'a> Cursor<'a> {
-    pub fn malformed(&self, what: impl Into<String>) -> Malformed {
-        Malformed {
+    /// A cursor over bytes at the offset `base` of a frame. Errors name `record`.
+    pub fn new(bytes: &'a [u8], base: usize, record: &'static str) -> Self {
+        Cursor {
+            bytes,
+            position: 0,
+            base,
+            record,
+        }
+    }
+
+    /// Sets the record that errors name from now on.
+    pub fn set_record(&mut self, record: &'static str) {
+        self.record = record;
+    }
+
+    /// Number of bytes that are left.
+    pub fn remaining(&self) -> usize {
+        self.bytes.len() - self.position
+    }
+
+    /// An error at the current position.
+    pub fn error(&self, problem: DecodeProblem) -> DecodeError {
+        self.error_before(0, problem)
+    }
+
+    /// An error so many bytes before the current position.
+    pub fn error_before(&self, bytes: usize, problem: DecodeProblem) -> DecodeError {
+        DecodeError {
             record: self.record,
-            offset: self.base + self.at,
-            what: what.into(),
+            offset: self.base + self.position - bytes,
+            problem,
         }
     }
 
-    pub fn take(&mut self, n: usize) -> Result<&'a [u8], Malformed> {
-        let left = self.bytes.len() - self.at;
-        if n > left {
-            return Err(self.malformed(format!("{n} bytes wanted, {left} left in the frame")));
+    /// The next `count` bytes.
+    pub fn take(&mut self, count: usize) -> Result<&'a [u8], DecodeError> {
+        let left = self.remaining();
+        if count > left {
+            let wanted = count;
+            return Err(self.error(DecodeProblem::RecordTruncated { wanted, left }));
         }
-        let taken = &self.bytes[self.at..self.at + n];
-        self.at += n;
+        let taken = &self.bytes[self.position..self.position + count];
+        self.position += count;
         Ok(taken)
     }
 
-    fn array<const N: usize>(&mut self) -> Result<[u8; N], Malformed> {
+    fn array<const N: usize>(&mut self) -> Result<[u8; N], DecodeError> {
         let mut array = [0; N];
         array.copy_from_slice(self.take(N)?);
         Ok(array)
     }
 
-    pub fn u8(&mut self) -> Result<u8, Malformed> {
+    /// The next byte.
+    pub fn u8(&mut self) -> Result<u8, DecodeError> {
         Ok(self.array::<1>()?[0])
     }
-    pub fn u16(&mut self) -> Result<u16, Malformed> {
+
+    /// The next two bytes.
+    pub fn u16(&mut self) -> Result<u16, DecodeError> {
         Ok(u16::from_le_bytes(self.array()?))
     }
-    pub fn u32(&mut self) -> Result<u32, Malformed> {
+
+    /// The next four bytes.
+    pub fn u32(&mut self) -> Result<u32, DecodeError> {
         Ok(u32::from_le_bytes(self.array()?))
     }
-    pub fn u64(&mut self) -> Result<u64, Malformed> {
+
+    /// The next eight bytes.
+    pub fn u64(&mut self) -> Result<u64, DecodeError> {
         Ok(u64::from_le_bytes(self.array()?))
     }
-    pub fn f32(&mut self) -> Result<f32, Malformed> {
+
+    /// The next four bytes as a number with a fraction.
+    pub fn f32(&mut self) -> Result<f32, DecodeError> {
         Ok(f32::from_le_bytes(self.array()?))
     }
-    pub fn engine(&mut self) -> Result<EngineId, Malformed> {
+
+    /// An engine's id.
+    pub fn engine(&mut self) -> Result<EngineId, DecodeError> {
         self.array()
     }
-    /// A count of u8 and as many values.
-    pub fn report(&mut self, into: &mut Vec<f32>) -> Result<(), Malformed> {
-        into.clear();
+
+    /// A load report: a count of one byte and as many values, which replace those of `report`.
+    pub fn load_report(&mut self, report: &mut Vec<f32>) -> Result<(), DecodeError> {
+        report.clear();
         for _ in 0..self.u8()? {
-            into.push(self.f32()?);
+            report.push(self.f32()?);
         }
         Ok(())
     }
 }
 
-/// A reply in the making.
+/// A reply that is being written.
 #[derive(Default)]
 pub struct Reply {
     bytes: Vec<u8>,
@@ -158,34 +188,38 @@
 }
 
 impl Reply {
+    /// Begins a new reply.
     pub fn start(&mut self) {
         self.bytes.clear();
-        self.bytes.resize(REPLY_HEADER, 0);
+        self.bytes.resize(REPLY_HEADER_BYTES, 0);
         self.records = 0;
     }
 
-    pub fn record(&mut self, code: u8, gateway: u32) -> &mut Self {
+    /// Begins a record of an instance; its fields follow.
+    pub fn record(&mut self, code: u8, instance: u32) -> &mut Self {
         self.records += 1;
         self.bytes.push(code);
-        self.put(&gateway.to_le_bytes())
+        self.put(&instance.to_le_bytes())
     }
 
+    /// Adds a field.
     pub fn put(&mut self, bytes: &[u8]) -> &mut Self {
         self.bytes.extend_from_slice(bytes);
         self
     }
 
-    /// A count of u16 and the bytes; what is over the count's range is cut off.
+    /// Adds a count of two bytes and the bytes; what is beyond the count's range is cut off.
     pub fn put_counted(&mut self, bytes: &[u8]) -> &mut Self {
         let bytes = &bytes[..bytes.len().min(u16::MAX as usize)];
         self.put(&(bytes.len() as u16).to_le_bytes()).put(bytes)
     }
 
-    pub fn finish(&mut self, number: u32) -> &[u8] {
+    /// Completes the reply to the batch of that number.
+    pub fn finish(&mut self, sequence_number: u32) -> &[u8] {
         let length = self.bytes.len() as u32;
         self.bytes[0..4].copy_from_slice(&length.to_le_bytes());
         self.bytes[4..8].copy_from_slice(&self.records.to_le_bytes());
-        self.bytes[8..12].copy_from_slice(&number.to_le_bytes());
+        self.bytes[8..12].copy_from_slice(&sequence_number.to_le_bytes());
         &self.bytes
     }
 }
--- a/crates/ivypitch-simulator-adapter/tests/wire.rs
+++ b/crates/ivypitch-simulator-adapter/tests/wire.rs
@@ -158,5 +158,5 @@
     reply.record(110, 5).put_counted(b"two servers known");
     let wanted = "24000000 01000000 0c000000 6e 05000000 1100 74776f2073657276657273206b6e6f776e";
     assert_eq!(reply.finish(12), hex(wanted));
-    assert_eq!(read_batch(&mut &b""[..]).unwrap(), Ok(None));
+    assert_eq!(read_batch(&mut &b""[..]).unwrap(), None);
 }
