--- a/crates/ivypitch-gateway/src/actors/ownership.rs
+++ b/crates/ivypitch-gateway/src/actors/ownership.rs
@@ -1,5 +1,6 @@
-//! Between the module's actor and `ivypitch_ownership`: keeps what it asked for until the module's actor does it, the
-//! executions that wait for leave, and the clients that wait for another gateway's word. Nothing is decided here.
+//! Driver of `ivypitch_ownership`: passes events to it, sends its messages, and queues what it asks the scheduler's
+//! actor to do. It holds the attempts that wait for a grant and the clients that wait for another gateway's answer, and
+//! decides nothing.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,280 +10,386 @@
     ArrivalDecision, FinalAnswer, GrantDecision, GrantDenial, Message, Output, Ownership,
     StatementId, StatementSpec,
 };
-use ivypitch_types::{EngineIndex, Nanos};
+use ivypitch_types::{MILLISECOND, Nanos};
 use serde_bytes::ByteBuf;
 
 use super::attempt::Attempt;
-use super::messages::{Answer, ClientHandle};
+use super::messages::{Answer, ClientHandle, ClientStatement};
 use super::peer_links::{Peer, PeersMessage};
 use crate::state::rows::Rows;
-use crate::wire::fields::Fields;
 
-/// What custody asks the module's actor to do.
+/// What the scheduler's actor is asked to do.
 #[derive(Debug)]
 pub enum Action {
-    Go(StatementId, u32),
-    Denied(StatementId, u32, GrantDenial),
-    Proceed(StatementId),
-    Adopt {
+    /// A quorum granted the attempt: it may start.
+    StartAttempt {
+        /// The statement.
         id: StatementId,
-        text: Vec<u8>,
-        left: Nanos,
-        engine: Option<u64>,
+        /// Number of the attempt.
+        attempt: u32,
+    },
+    /// The attempt must not start.
+    DenyAttempt {
+        /// The statement.
+        id: StatementId,
+        /// Number of the attempt.
+        attempt: u32,
+        /// Why.
+        denial: GrantDenial,
+    },
+    /// No other gateway knows the statement: it goes on as a new one.
+    Proceed {
+        /// The statement.
+        id: StatementId,
+    },
+    /// This gateway acts for another's statement from now on.
+    TakeOver(Takeover),
+    /// A client that waits here gets its answer.
+    Answer {
+        /// The client, by the token that it waits under.
+        waiter: u64,
+        /// Its answer.
+        answer: FinalAnswer,
     },
-    Answer(u64, FinalAnswer),
 }
 
-struct ActionQueue {
-    pending: VecDeque<Action>,
+/// A statement that another gateway has acted for until now.
+#[derive(Debug)]
+pub struct Takeover {
+    /// The statement.
+    pub id: StatementId,
+    /// The statement and its fields, as its client sent them.
+    pub text: Vec<u8>,
+    /// What is left of its timeout.
+    pub remaining: Nanos,
+    /// Hash of the id of the engine where an attempt may be running: that one is polled and nothing is started.
+    /// `None` starts the statement.
+    pub engine_hash: Option<u64>,
+}
+
+struct OwnershipOutput {
+    actions: VecDeque<Action>,
     peers: Sender<PeersMessage>,
 }
 
-impl Output for ActionQueue {
+impl Output for OwnershipOutput {
     fn send(&mut self, to: u16, message: Message) {
         let _ = self.peers.try_send(PeersMessage::Tell { to, message });
     }
-    fn on_attempt_granted(&mut self, id: StatementId, number: u32) {
-        self.pending.push_back(Action::Go(id, number));
+
+    fn on_attempt_granted(&mut self, id: StatementId, attempt: u32) {
+        self.actions.push_back(Action::StartAttempt { id, attempt });
     }
-    fn on_attempt_denied(&mut self, id: StatementId, number: u32, why: GrantDenial) {
-        self.pending.push_back(Action::Denied(id, number, why));
+
+    fn on_attempt_denied(&mut self, id: StatementId, attempt: u32, denial: GrantDenial) {
+        self.actions.push_back(Action::DenyAttempt {
+            id,
+            attempt,
+            denial,
+        });
     }
+
     fn proceed(&mut self, id: StatementId) {
-        self.pending.push_back(Action::Proceed(id));
+        self.actions.push_back(Action::Proceed { id });
     }
+
     fn take_over(
         &mut self,
         id: StatementId,
-        facts: &StatementSpec,
-        left: Nanos,
+        spec: &StatementSpec,
+        remaining: Nanos,
         engine: Option<u64>,
     ) {
-        self.pending.push_back(Action::Adopt {
+        self.actions.push_back(Action::TakeOver(Takeover {
             id,
-            text: facts.text.clone(),
-            left,
-            engine,
-        });
+            text: spec.text.clone(),
+            remaining,
+            engine_hash: engine,
+        }));
     }
-    fn answer(&mut self, waiter: u64, word: &FinalAnswer) {
-        self.pending.push_back(Action::Answer(waiter, word.clone()));
+
+    fn answer(&mut self, waiter: u64, answer: &FinalAnswer) {
+        self.actions.push_back(Action::Answer {
+            waiter,
+            answer: answer.clone(),
+        });
     }
+
     fn log(&mut self, line: &str) {
         log::info!("{line}");
     }
 }
 
-/// A client whose statement is not with the module.
-pub struct Waiting {
+/// A client whose statement the scheduler does not have.
+pub struct WaitingClient {
+    /// Its statement.
     pub id: StatementId,
+    /// Its connection.
     pub connection: u32,
+    /// When its statement's timeout ends.
     pub deadline: Nanos,
+    /// Where its answer goes.
     pub client: ClientHandle,
-    /// What it takes to go on, where it has not gone on yet.
-    pub going: Option<(Fields, usize, usize)>,
-}
-
-/// An execution that is ready and has no leave yet.
-pub struct Ready {
-    pub number: u32,
-    pub engine: EngineIndex,
-    pub attempt: Attempt,
+    /// The statement, while it may still proceed here.
+    pub pending_statement: Option<ClientStatement>,
 }
 
+/// Connects ownership of statements to this gateway's actors.
 pub struct OwnershipDriver {
     ownership: Ownership,
-    actions: ActionQueue,
-    /// Emptied by the answer, the client's going or the deadline.
-    pub waiting: BTreeMap<u64, Waiting>,
-    /// Emptied by leave or its denial, within the grant's wait.
-    pub ready: BTreeMap<StatementId, Ready>,
+    output: OwnershipOutput,
+    /// By token. A client leaves with its answer, as it disconnects, or at its deadline.
+    waiting_clients: BTreeMap<u64, WaitingClient>,
+    /// An attempt leaves as it is granted, denied or over.
+    pending_attempts: BTreeMap<StatementId, Attempt>,
     last_token: u64,
-    asks_from: Nanos,
+    min_lookup_work: Nanos,
 }
 
 impl OwnershipDriver {
+    /// `peers` sends messages to other gateways. A statement with at least `min_lookup_work` is looked up at the other
+    /// gateways before it starts.
     pub fn new(
         ownership: Ownership,
         peers: Sender<PeersMessage>,
-        asks_from: Nanos,
+        min_lookup_work: Nanos,
     ) -> OwnershipDriver {
         OwnershipDriver {
             ownership,
-            actions: ActionQueue {
-                pending: VecDeque::new(),
+            output: OwnershipOutput {
+                actions: VecDeque::new(),
                 peers,
             },
-            waiting: BTreeMap::new(),
-            ready: BTreeMap::new(),
+            waiting_clients: BTreeMap::new(),
+            pending_attempts: BTreeMap::new(),
             last_token: 0,
-            asks_from,
+            min_lookup_work,
         }
     }
 
-    pub fn next_waiter_token(&mut self) -> u64 {
-        self.last_token += 1;
-        self.last_token
-    }
-
+    /// Takes the next action, in the order in which they were asked for.
     pub fn next_action(&mut self) -> Option<Action> {
-        self.actions.pending.pop_front()
+        self.output.actions.pop_front()
     }
 
+    /// Whether an action waits to be taken.
     pub fn has_actions(&self) -> bool {
-        !self.actions.pending.is_empty()
+        !self.output.actions.is_empty()
     }
 
-    pub fn defer_denial(&mut self, id: StatementId, number: u32, why: GrantDenial) {
-        self.actions
-            .pending
-            .push_back(Action::Denied(id, number, why));
+    /// Queues a denial behind the actions that wait already.
+    pub fn defer_denial(&mut self, id: StatementId, attempt: u32, denial: GrantDenial) {
+        self.output.actions.push_back(Action::DenyAttempt {
+            id,
+            attempt,
+            denial,
+        });
     }
 
+    /// A token under which a client may wait.
+    pub fn new_token(&mut self) -> u64 {
+        self.last_token += 1;
+        self.last_token
+    }
+
+    /// A client sent a statement of this much estimated work; `token` stands for the client.
     pub fn on_statement_arrived(
         &mut self,
         now: Nanos,
         id: StatementId,
-        facts: StatementSpec,
-        work: Nanos,
+        spec: StatementSpec,
+        estimated_work: Nanos,
         token: u64,
     ) -> ArrivalDecision {
-        let asks = work >= self.asks_from;
+        let worth_lookup = estimated_work >= self.min_lookup_work;
         self.ownership
-            .arrive(now, id, facts, asks, token, &mut self.actions)
+            .arrive(now, id, spec, worth_lookup, token, &mut self.output)
     }
 
+    /// Asks whether an attempt may start at the engine with this hash.
     pub fn request_attempt_grant(
         &mut self,
         now: Nanos,
         id: StatementId,
-        number: u32,
-        engine: u64,
+        attempt: u32,
+        engine_hash: u64,
     ) -> GrantDecision {
         self.ownership
-            .grant(now, id, number, engine, &mut self.actions)
+            .grant(now, id, attempt, engine_hash, &mut self.output)
+    }
+
+    /// Keeps an attempt until it is granted or denied.
+    pub fn await_grant(&mut self, id: StatementId, attempt: Attempt) {
+        self.pending_attempts.insert(id, attempt);
+    }
+
+    /// Takes the statement's attempt, which does not wait for a grant any more; `None` if it is not this one.
+    pub fn take_pending_attempt(&mut self, id: StatementId, attempt: u32) -> Option<Attempt> {
+        self.pending_attempts
+            .remove(&id)
+            .filter(|pending| pending.key.number == attempt)
+    }
+
+    /// Drops the statement's attempt if one waits for a grant.
+    pub fn drop_pending_attempt(&mut self, id: StatementId) {
+        self.pending_attempts.remove(&id);
     }
 
-    pub fn on_attempt_ended(&mut self, now: Nanos, id: StatementId, number: u32, never_ran: bool) {
-        self.ownership.on_attempt_ended(now, id, number, never_ran);
+    /// An attempt is over; `never_ran` if that is proven.
+    pub fn on_attempt_ended(&mut self, now: Nanos, id: StatementId, attempt: u32, never_ran: bool) {
+        self.pending_attempts.remove(&id);
+        self.ownership.on_attempt_ended(now, id, attempt, never_ran);
     }
 
-    /// `Some`: the client of this token hears later.
+    /// The statement has its answer. `Some`: its client is answered later, under this token.
     pub fn on_answered(&mut self, now: Nanos, id: StatementId, answer: &Answer) -> Option<u64> {
-        let word = match answer {
-            Answer::Completed(rows) => FinalAnswer::Rows(
-                rows.clone()
-                    .into_pages()
-                    .map(|page| ByteBuf::from(page.to_vec()))
-                    .collect(),
-            ),
-            Answer::Rejected { retry_after } => FinalAnswer::Rejected {
-                come_back_ms: (retry_after / 1_000_000) as u32,
-            },
-            _ => FinalAnswer::Aborted,
-        };
-        self.ownership.answered(now, id, word, &mut self.actions)
+        self.ownership
+            .answered(now, id, final_answer(answer), &mut self.output)
     }
 
+    /// This gateway does not know the engine of a statement that it was to take over.
     pub fn on_engine_unknown(&mut self, now: Nanos, id: StatementId) {
-        self.ownership.engine_unknown(now, id, &mut self.actions);
+        self.ownership.engine_unknown(now, id, &mut self.output);
     }
 
+    /// Whether the statement goes on though its client has disconnected.
     pub fn outlives_client(&self, id: StatementId) -> bool {
         self.ownership.outlives_client(id)
     }
 
-    /// The client of this connection has gone, if it waits here; its statement, if it was to go on.
-    pub fn on_client_disconnected(&mut self, connection: u32) -> Option<Waiting> {
-        let token = self
-            .waiting
+    /// Keeps a client until its answer comes.
+    pub fn add_waiting_client(&mut self, token: u64, waiting: WaitingClient) {
+        self.waiting_clients.insert(token, waiting);
+    }
+
+    /// Takes a client to answer it.
+    pub fn take_waiting_client(&mut self, token: u64) -> Option<WaitingClient> {
+        self.waiting_clients.remove(&token)
+    }
+
+    /// Takes the first client whose statement may still proceed here.
+    pub fn take_client_to_proceed(&mut self, id: StatementId) -> Option<WaitingClient> {
+        let (&token, _) = self
+            .waiting_clients
             .iter()
-            .find(|(_, w)| w.connection == connection)
-            .map(|(&token, _)| token)?;
-        let waiting = self.waiting.remove(&token)?;
-        self.ownership.leave(waiting.id, token);
-        Some(waiting)
+            .find(|(_, waiting)| waiting.id == id && waiting.pending_statement.is_some())?;
+        self.waiting_clients.remove(&token)
     }
 
-    pub fn remove_expired_waiters(&mut self, now: Nanos) -> Vec<Waiting> {
-        let late: Vec<u64> = self
-            .waiting
+    /// The client of this connection has disconnected. Returns it if it waited here.
+    pub fn on_client_disconnected(&mut self, connection: u32) -> Option<WaitingClient> {
+        let (&token, _) = self
+            .waiting_clients
             .iter()
-            .filter(|(_, w)| w.deadline <= now)
+            .find(|(_, waiting)| waiting.connection == connection)?;
+        self.remove_waiting_client(token)
+    }
+
+    /// Removes the clients whose deadline has passed.
+    pub fn remove_expired_clients(&mut self, now: Nanos) -> Vec<WaitingClient> {
+        let expired: Vec<u64> = self
+            .waiting_clients
+            .iter()
+            .filter(|(_, waiting)| waiting.deadline <= now)
             .map(|(&token, _)| token)
             .collect();
-        let mut over = Vec::new();
-        for token in late {
-            if let Some(waiting) = self.waiting.remove(&token) {
-                self.ownership.leave(waiting.id, token);
-                over.push(waiting);
-            }
+        let mut removed = Vec::new();
+        for token in expired {
+            removed.extend(self.remove_waiting_client(token));
         }
-        over
+        removed
+    }
+
+    fn remove_waiting_client(&mut self, token: u64) -> Option<WaitingClient> {
+        let waiting = self.waiting_clients.remove(&token)?;
+        self.ownership.leave(waiting.id, token);
+        Some(waiting)
     }
 
+    /// Another gateway sent a message, or its membership has changed.
     pub fn on_peer_event(&mut self, now: Nanos, peer: &Peer) {
         match peer {
             Peer::Heard { from, message, .. } => self.on_message(now, *from, (**message).clone()),
             Peer::Up { place, birth } => self.ownership.member_up(now, *place, *birth),
             Peer::Down { place, birth } => {
                 self.ownership
-                    .member_down(now, *place, *birth, &mut self.actions)
+                    .member_down(now, *place, *birth, &mut self.output);
             }
             Peer::Suspected { place, is } => self.ownership.member_suspected(*place, *is),
             Peer::Shared { .. } | Peer::Gossip(..) => {}
         }
     }
 
+    /// Another gateway sent a message.
     pub fn on_message(&mut self, now: Nanos, from: u16, message: Message) {
-        self.ownership.heard(now, from, message, &mut self.actions);
+        self.ownership.heard(now, from, message, &mut self.output);
     }
 
+    /// When [`Self::on_timer`] is to be called next; `Nanos::MAX` for never.
     pub fn next_timer(&self) -> Nanos {
-        let late = self
-            .waiting
+        let next_deadline = self
+            .waiting_clients
             .values()
-            .map(|w| w.deadline)
+            .map(|waiting| waiting.deadline)
             .min()
             .unwrap_or(Nanos::MAX);
-        self.ownership.next_wake().min(late)
+        self.ownership.next_wake().min(next_deadline)
     }
 
+    /// To be called at [`Self::next_timer`]; does nothing before.
     pub fn on_timer(&mut self, now: Nanos) {
         if self.ownership.next_wake() <= now {
-            self.ownership.woken(now, &mut self.actions);
+            self.ownership.woken(now, &mut self.output);
         }
     }
 
+    /// The gateway shuts down soon. Returns the statements that other gateways are to go on with.
     pub fn hand_off(&mut self, now: Nanos) -> Vec<StatementId> {
-        self.ownership.hand_over(now, &mut self.actions)
+        self.ownership.hand_over(now, &mut self.output)
     }
 
-    pub fn leave_fleet(&self) {
-        let _ = self.actions.peers.try_send(PeersMessage::GrantDecision);
-    }
-
-    /// One line as the program ends.
+    /// Logs what ownership has done since the process started.
     pub fn log_totals(&self) {
-        let t = self.ownership.totals();
+        let totals = self.ownership.totals();
         log::info!(
-            "custody: {} orphaned, {} claimed, {} watched, {} kept, {} given to clients that came back, {} in doubt, \
-             {} without a majority, {} elsewhere",
-            t.orphaned,
-            t.claimed,
-            t.watched,
-            t.kept,
-            t.delivered,
-            t.in_doubt,
-            t.no_majority,
-            t.elsewhere
+            orphaned = totals.orphaned, taken_over = totals.claimed, polled = totals.watched,
+            cached = totals.kept, delivered = totals.delivered, in_doubt = totals.in_doubt,
+            no_quorum = totals.no_majority, owned_elsewhere = totals.elsewhere;
+            "ownership: {} orphaned, {} taken over, {} polled, {} results cached, {} delivered to clients that \
+             returned, {} in doubt, {} without a quorum, {} owned elsewhere",
+            totals.orphaned,
+            totals.claimed,
+            totals.watched,
+            totals.kept,
+            totals.delivered,
+            totals.in_doubt,
+            totals.no_majority,
+            totals.elsewhere
         );
     }
 }
 
-/// A word of custody as a client's answer.
-pub fn answer_of(word: FinalAnswer) -> Answer {
-    match word {
+/// An answer as other gateways are told it.
+fn final_answer(answer: &Answer) -> FinalAnswer {
+    match answer {
+        Answer::Completed(rows) => FinalAnswer::Rows(
+            rows.clone()
+                .into_pages()
+                .map(|page| ByteBuf::from(page.to_vec()))
+                .collect(),
+        ),
+        Answer::Rejected { retry_after } => FinalAnswer::Rejected {
+            come_back_ms: (retry_after / MILLISECOND) as u32,
+        },
+        Answer::Aborted | Answer::EndedBefore | Answer::IdTaken | Answer::Killed => {
+            FinalAnswer::Aborted
+        }
+    }
+}
+
+/// Another gateway's answer as a client gets it.
+pub fn client_answer(answer: FinalAnswer) -> Answer {
+    match answer {
         FinalAnswer::Rows(pages) => {
             let mut rows = Rows::default();
             for page in pages {
@@ -294,7 +401,7 @@
         }
         FinalAnswer::CompletedWithoutRows => Answer::EndedBefore,
         FinalAnswer::Rejected { come_back_ms } => Answer::Rejected {
-            retry_after: u64::from(come_back_ms) * 1_000_000,
+            retry_after: u64::from(come_back_ms) * MILLISECOND,
         },
         FinalAnswer::Aborted => Answer::Aborted,
         FinalAnswer::IdReused => Answer::IdTaken,
--- a/crates/ivypitch-gateway/src/actors/queueing.rs
+++ b/crates/ivypitch-gateway/src/actors/queueing.rs
@@ -1,36 +1,54 @@
-//! Between the sessions and the module: where the own file sets up teams, statements wait here until theirs lets
-//! them go on. All that is decided is `ivypitch_queueing`'; this keeps what it asked for until the module's actor does
-//! it.
+//! Driver of `ivypitch_queueing`: passes events to it and queues what it asks the scheduler's actor to do. It decides
+//! nothing.
+//!
+//! Where the operators' file sets up teams, a statement waits here until its team's queue releases it to the scheduler.
 
 use std::collections::VecDeque;
 
 use ivypitch_queueing::{Budgets, Claim, Output, Queued, Teams};
 use ivypitch_types::{Nanos, StatementIndex};
 
-/// So many rows a client is shown at most.
-pub const MAX_QUEUE_ROWS: usize = 200;
+/// `SHOW QUEUE` answers at most so many rows.
+const MAX_QUEUE_ROWS: usize = 200;
 
-/// What the teams' queues ask for.
+/// What the scheduler's actor is asked to do.
 #[derive(Clone, Copy, Debug)]
 pub enum Action {
-    /// Its team asks for no more than its share, or for more.
-    Release(StatementIndex, bool),
-    Reject(StatementIndex, Nanos),
+    /// The statement goes on to the scheduler.
+    Release {
+        /// The statement.
+        statement: StatementIndex,
+        /// Whether its team uses no more than its share.
+        is_within_share: bool,
+    },
+    /// The statement is rejected.
+    Reject {
+        /// The statement.
+        statement: StatementIndex,
+        /// How long its client should wait before it sends the statement again; 0 says nothing.
+        retry_after: Nanos,
+    },
 }
 
-/// Emptied by the module's actor after each call.
-struct ActionQueue {
-    pending: VecDeque<Action>,
+struct QueueingOutput {
+    actions: VecDeque<Action>,
+    /// Names of the teams.
     tenants: Vec<String>,
 }
 
-impl Output for ActionQueue {
-    fn release(&mut self, stmt: StatementIndex, within: bool) {
-        self.pending.push_back(Action::Release(stmt, within));
+impl Output for QueueingOutput {
+    fn release(&mut self, statement: StatementIndex, is_within_share: bool) {
+        self.actions.push_back(Action::Release {
+            statement,
+            is_within_share,
+        });
     }
 
-    fn reject(&mut self, stmt: StatementIndex, retry_after: Nanos) {
-        self.pending.push_back(Action::Reject(stmt, retry_after));
+    fn reject(&mut self, statement: StatementIndex, retry_after: Nanos) {
+        self.actions.push_back(Action::Reject {
+            statement,
+            retry_after,
+        });
     }
 
     fn mode(&mut self, team: Option<usize>, line: &str) {
@@ -41,86 +59,99 @@
     }
 }
 
+/// Connects the teams' queues to the scheduler's actor.
 pub struct QueueingDriver {
     teams: Teams,
-    actions: ActionQueue,
+    output: QueueingOutput,
 }
 
 impl QueueingDriver {
+    /// Queues with these budgets, one for each of the settings' tenants.
     pub fn new(budgets: Budgets, tenants: Vec<String>, seed: u64, now: Nanos) -> QueueingDriver {
         QueueingDriver {
             teams: Teams::new(budgets, seed, now),
-            actions: ActionQueue {
-                pending: VecDeque::new(),
+            output: QueueingOutput {
+                actions: VecDeque::new(),
                 tenants,
             },
         }
     }
 
-    /// Threads that are out and that wait: the cores that would be used now.
+    /// Cores that the teams' statements would use now: threads of those that run and of those that wait.
     pub fn cores_wanted(&self) -> f64 {
         self.teams.threads_out() + self.teams.threads_queued()
     }
 
-    /// The next thing asked for.
+    /// Takes the next action, in the order in which they were asked for.
     pub fn next_action(&mut self) -> Option<Action> {
-        self.actions.pending.pop_front()
+        self.output.actions.pop_front()
     }
 
-    pub fn on_statement_queued(&mut self, now: Nanos, stmt: StatementIndex, claim: Claim) {
-        self.teams.arrive(now, stmt, claim, &mut self.actions);
+    /// A statement arrived.
+    pub fn on_statement_queued(&mut self, now: Nanos, statement: StatementIndex, claim: Claim) {
+        self.teams.arrive(now, statement, claim, &mut self.output);
     }
 
-    /// False: it is not waiting here.
-    pub fn remove(&mut self, now: Nanos, stmt: StatementIndex) -> bool {
-        self.teams.leave(now, stmt, &mut self.actions)
+    /// Takes a statement off its queue. False if it does not wait in one.
+    pub fn remove(&mut self, now: Nanos, statement: StatementIndex) -> bool {
+        self.teams.leave(now, statement, &mut self.output)
     }
 
+    /// A statement that was released has ended: the work of its attempts, and how long its successful one took.
     pub fn on_statement_ended(
         &mut self,
         now: Nanos,
-        stmt: StatementIndex,
-        real: Option<Nanos>,
-        took: Option<Nanos>,
+        statement: StatementIndex,
+        work: Option<Nanos>,
+        run_time: Option<Nanos>,
     ) {
-        self.teams.over(now, stmt, real, took, &mut self.actions);
+        self.teams
+            .over(now, statement, work, run_time, &mut self.output);
     }
 
+    /// The cores that this gateway's statements may use have changed.
     pub fn set_capacity(&mut self, now: Nanos, cores: f64) {
-        self.teams.capacity(now, cores, &mut self.actions);
+        self.teams.capacity(now, cores, &mut self.output);
     }
 
+    /// The operators' file sets new budgets.
     pub fn reload(&mut self, now: Nanos, budgets: Budgets) {
-        self.teams.reload(now, budgets, &mut self.actions);
+        self.teams.reload(now, budgets, &mut self.output);
     }
 
-    pub fn on_shutdown(&mut self, now: Nanos, by: Nanos) {
-        self.teams.ending(now, by, &mut self.actions);
+    /// The gateway shuts down; every statement is to be answered by then.
+    pub fn on_shutdown(&mut self, now: Nanos, answer_by: Nanos) {
+        self.teams.ending(now, answer_by, &mut self.output);
     }
 
+    /// When [`Self::on_timer`] is to be called next; `None` for never.
+    pub fn next_timer(&self) -> Option<Nanos> {
+        self.teams.next_wake()
+    }
+
+    /// To be called at [`Self::next_timer`]; does nothing before.
     pub fn on_timer(&mut self, now: Nanos) {
         if self.next_timer().is_some_and(|at| at <= now) {
-            self.teams.woken(now, &mut self.actions);
+            self.teams.woken(now, &mut self.output);
         }
     }
 
-    pub fn next_timer(&self) -> Option<Nanos> {
-        self.teams.next_wake()
-    }
-
-    pub fn is_queued(&self, stmt: StatementIndex) -> bool {
-        self.teams.is_queued(stmt)
+    /// Whether a statement waits in a queue.
+    pub fn is_queued(&self, statement: StatementIndex) -> bool {
+        self.teams.is_queued(statement)
     }
 
+    /// The statements that wait, up to a bound.
     pub fn rows(&self, now: Nanos) -> Vec<Queued> {
         self.teams.queued_rows(now, MAX_QUEUE_ROWS)
     }
 
-    pub fn row(&self, now: Nanos, stmt: StatementIndex) -> Option<Queued> {
-        self.teams.queued_row(now, stmt)
+    /// The place of one statement that waits.
+    pub fn row(&self, now: Nanos, statement: StatementIndex) -> Option<Queued> {
+        self.teams.queued_row(now, statement)
     }
 
-    /// One line, as the program ends, of how good the words about waits were.
+    /// Logs how good the estimates of waiting times were that clients got with rejections.
     pub fn log_totals(&self) {
         let record = self.teams.record();
         let median = record.errors_percent.value_at_quantile(0.5);
--- /dev/null
+++ b/crates/ivypitch-gateway/src/actors/scheduler/ownership.rs
@@ -0,0 +1,319 @@
+//! Statements that other gateways may know: looked up as they arrive, granted before each attempt, taken over when their
+//! gateway is lost, handed off when this one shuts down.
+
+use bytes::Bytes;
+use ivypitch_ownership::{ArrivalDecision, GrantDenial, StatementId, StatementSpec};
+use ivypitch_types::{EngineIndex, MILLISECOND, Nanos, Outcome, StatementIndex};
+
+use super::statements::{arrival, estimated_work};
+use super::{Context, SchedulerActor};
+use crate::actors::messages::{
+    Answer, AttemptEnd, AttemptKey, AttemptMessage, ClientHandle, ClientStatement,
+};
+use crate::actors::ownership::{Action, OwnershipDriver, Takeover, WaitingClient, client_answer};
+use crate::state::statements::{NewStatement, OpenStatement};
+use crate::wire::fields;
+
+/// Connection number of statements that have no client here.
+const NO_CONNECTION: u32 = 0;
+
+impl SchedulerActor {
+    /// Calls ownership if it is time, and aborts the statements of clients that have waited until their deadline.
+    pub(super) fn on_ownership_timer(&mut self) {
+        let context = &mut self.context;
+        let Some(ownership) = &mut context.ownership else {
+            return;
+        };
+        ownership.on_timer(context.now);
+        for expired in ownership.remove_expired_clients(context.now) {
+            expired.client.send(Answer::Aborted);
+        }
+    }
+
+    /// Does what ownership asks for, until nothing is left.
+    pub(super) fn apply_ownership_actions(&mut self) {
+        while let Some(action) = self
+            .context
+            .ownership
+            .as_mut()
+            .and_then(OwnershipDriver::next_action)
+        {
+            match action {
+                Action::StartAttempt { id, attempt } => self.start_granted_attempt(id, attempt),
+                Action::DenyAttempt {
+                    id,
+                    attempt,
+                    denial,
+                } => self.deny_attempt(id, attempt, denial),
+                Action::Proceed { id } => self.proceed(id),
+                Action::TakeOver(takeover) => self.take_over(takeover),
+                Action::Answer { waiter, answer } => {
+                    if let Some(waiting) = self.take_waiter(waiter) {
+                        waiting.client.send(client_answer(answer));
+                    }
+                }
+            }
+        }
+    }
+
+    fn take_waiter(&mut self, token: u64) -> Option<WaitingClient> {
+        self.context.ownership.as_mut()?.take_waiting_client(token)
+    }
+
+    /// Dispatches an attempt. What has changed since it was asked for is checked again as its first byte leaves.
+    fn start_granted_attempt(&mut self, id: StatementId, attempt: u32) {
+        let context = &mut self.context;
+        let Some(ownership) = &mut context.ownership else {
+            return;
+        };
+        let Some(attempt) = ownership.take_pending_attempt(id, attempt) else {
+            return;
+        };
+        if context.statements.is_in_flight(attempt.key) {
+            context.dispatch(attempt);
+        }
+    }
+
+    /// Ends an attempt that must not start. Its client waits for the owner's answer if there is one.
+    fn deny_attempt(&mut self, id: StatementId, attempt: u32, denial: GrantDenial) {
+        let context = &mut self.context;
+        let Some(statement) = context.statements.find_by_id(id) else {
+            return;
+        };
+        let Some(open) = context.statements.get(statement) else {
+            return;
+        };
+        let key = AttemptKey {
+            statement,
+            serial: open.serial,
+            number: attempt,
+            engine: open
+                .attempt
+                .as_ref()
+                .map_or(EngineIndex(usize::MAX), |in_flight| in_flight.engine),
+        };
+        match denial {
+            GrantDenial::NoQuorum { clean: true } => {}
+            GrantDenial::NoQuorum { clean: false } => context.answer(statement, Answer::Aborted),
+            GrantDenial::OwnedElsewhere => context.move_client_to_ownership(statement),
+        }
+        if let Some(ownership) = &mut context.ownership {
+            ownership.drop_pending_attempt(id);
+        }
+        self.on_attempt_ended(key, AttemptEnd::without_answer(Outcome::NeverDispatched));
+    }
+
+    /// No other gateway knows the statement of a client that waits here: it is opened.
+    fn proceed(&mut self, id: StatementId) {
+        let Some(ownership) = &mut self.context.ownership else {
+            return;
+        };
+        let Some(waiting) = ownership.take_client_to_proceed(id) else {
+            return;
+        };
+        if let Some(statement) = waiting.pending_statement {
+            self.open_statement(NewStatement {
+                connection: waiting.connection,
+                statement,
+                deadline: waiting.deadline,
+                client: waiting.client,
+            });
+        }
+    }
+
+    /// Goes on with another gateway's statement.
+    fn take_over(&mut self, takeover: Takeover) {
+        let context = &mut self.context;
+        let now = context.now;
+        let Some(ownership) = &mut context.ownership else {
+            return;
+        };
+        let engine = match takeover.engine_hash {
+            None => None,
+            Some(engine_hash) => {
+                let listed = context
+                    .engines
+                    .find_by_hash(engine_hash)
+                    .filter(|&engine| context.engines.mailbox(engine).is_some());
+                if listed.is_none() {
+                    ownership.on_engine_unknown(now, takeover.id);
+                    return;
+                }
+                listed
+            }
+        };
+        let id = takeover.id;
+        let Some(statement) = context.parse_takeover(takeover.text) else {
+            log::warn!(statement:% = format_args!("{id:016x}"); "ownership: statement {id:016x} can't be parsed again");
+            context.abort_takeover(id);
+            return;
+        };
+        let deadline = (now + takeover.remaining).min(context.answer_by);
+        let arrival = arrival(&statement, statement.tenant, deadline.saturating_sub(now));
+        let opened = context.statements.open(NewStatement {
+            connection: NO_CONNECTION,
+            statement,
+            deadline,
+            client: absent_client(),
+        });
+        let Ok(statement) = opened else {
+            // An attempt of it is still in flight here under the same id.
+            log::warn!(statement:% = format_args!("{id:016x}"); "ownership: statement {id:016x} is still open here");
+            context.abort_takeover(id);
+            return;
+        };
+        context.set_deadline_timer(statement);
+        let mut scheduler = self.scheduler.borrow_mut();
+        match engine {
+            None => scheduler.on_statement_arrived(now, statement, arrival, context),
+            Some(engine) => {
+                scheduler.adopt_statement(now, statement, arrival, engine, context);
+                context.poll_running_attempt(statement, engine);
+            }
+        }
+    }
+
+    /// Asks ownership whether another gateway knows a client's statement before it is opened.
+    pub(super) fn look_up_statement(&mut self, new: NewStatement) {
+        let context = &mut self.context;
+        let Some(ownership) = &mut context.ownership else {
+            return;
+        };
+        let id = new.statement.fields.statement_id_number();
+        let is_idempotent = context
+            .workloads
+            .get(new.statement.workload)
+            .is_some_and(|workload| workload.is_idempotent);
+        let spec = statement_spec(&new, context.now, is_idempotent);
+        let work = estimated_work(&new.statement);
+        let token = ownership.new_token();
+        match ownership.on_statement_arrived(context.now, id, spec, work, token) {
+            ArrivalDecision::Proceed => {
+                self.open_statement(new);
+                self.context.set_client_token(id, token);
+            }
+            ArrivalDecision::Answer(answer) => new.client.send(client_answer(answer)),
+            ArrivalDecision::Wait => ownership.add_waiting_client(
+                token,
+                WaitingClient {
+                    id,
+                    connection: new.connection,
+                    deadline: new.deadline,
+                    client: new.client,
+                    pending_statement: Some(new.statement),
+                },
+            ),
+        }
+    }
+
+    /// Hands the statements that can't end before the shutdown off to other gateways.
+    pub(super) fn hand_off(&mut self) {
+        let Some(ownership) = &mut self.context.ownership else {
+            return;
+        };
+        ownership.log_totals();
+        for id in ownership.hand_off(self.context.now) {
+            if let Some(statement) = self.context.statements.find_by_id(id) {
+                self.hand_off_statement(statement);
+            }
+        }
+    }
+
+    fn hand_off_statement(&mut self, statement: StatementIndex) {
+        let Some(open) = self.context.statements.get(statement) else {
+            return;
+        };
+        let in_flight = detach_attempt(statement, open);
+        self.context.move_client_to_ownership(statement);
+        match in_flight {
+            Some(key) => {
+                self.on_attempt_ended(key, AttemptEnd::without_answer(Outcome::NeverDispatched));
+            }
+            None => self.expire_statement(statement),
+        }
+    }
+}
+
+/// Ends a statement's attempt here without cancelling it at its engine.
+fn detach_attempt(statement: StatementIndex, open: &OpenStatement) -> Option<AttemptKey> {
+    let in_flight = open.attempt.as_ref()?;
+    let _ = in_flight.mailbox.try_send(AttemptMessage::Detach);
+    Some(AttemptKey {
+        statement,
+        serial: open.serial,
+        number: in_flight.number,
+        engine: in_flight.engine,
+    })
+}
+
+fn statement_spec(new: &NewStatement, now: Nanos, is_idempotent: bool) -> StatementSpec {
+    let fields = &new.statement.fields;
+    let remaining_ms = new.deadline.saturating_sub(now) / MILLISECOND;
+    StatementSpec {
+        digest: fields.digest(),
+        workload: new.statement.workload as u16,
+        tenant: new.statement.tenant as u16,
+        idempotent: is_idempotent,
+        left_ms: remaining_ms as u32,
+        text: fields.write(remaining_ms.max(1)),
+    }
+}
+
+/// Stands for the client of a statement that was taken over: ownership knows the clients that wait for it.
+fn absent_client() -> ClientHandle {
+    let (answer, _) = async_channel::bounded(1);
+    ClientHandle {
+        answer,
+        presence: None,
+    }
+}
+
+impl Context {
+    /// Parses the text that another gateway got from its client.
+    fn parse_takeover(&self, text: Vec<u8>) -> Option<ClientStatement> {
+        let fields = fields::parse(&Bytes::from(text)).ok()?;
+        let index = |names: &[String], name: &[u8]| {
+            names
+                .iter()
+                .position(|known| known.as_bytes() == name)
+                .unwrap_or(0)
+        };
+        let workload = index(&self.names.workloads, &fields.workload);
+        let tenant = fields
+            .tenant
+            .as_ref()
+            .map_or(0, |tenant| index(&self.names.tenants, tenant));
+        Some(ClientStatement {
+            fields,
+            workload,
+            tenant,
+        })
+    }
+
+    fn abort_takeover(&mut self, id: StatementId) {
+        if let Some(ownership) = &mut self.ownership {
+            let _ = ownership.on_answered(self.now, id, &Answer::Aborted);
+        }
+    }
+
+    /// Lets a statement's client wait for the answer of the gateway that owns the statement.
+    fn move_client_to_ownership(&mut self, statement: StatementIndex) {
+        let Some(open) = self.statements.get(statement) else {
+            return;
+        };
+        let token = open.client_token;
+        if let Some(waiting) = self.take_waiting_client(statement)
+            && let Some(ownership) = &mut self.ownership
+        {
+            ownership.add_waiting_client(token, waiting);
+        }
+    }
+
+    fn set_client_token(&mut self, id: StatementId, token: u64) {
+        if let Some(statement) = self.statements.find_by_id(id)
+            && let Some(open) = self.statements.get_mut(statement)
+        {
+            open.client_token = token;
+        }
+    }
+}
--- /dev/null
+++ b/crates/ivypitch-gateway/src/actors/scheduler/queueing.rs
@@ -0,0 +1,79 @@
+//! The teams' queues, through which statements reach the scheduler where the operators' file sets up teams.
+
+use ivypitch_types::{Nanos, StatementIndex};
+
+use super::statements::arrival;
+use super::{EndedStatement, SchedulerActor};
+use crate::actors::messages::Answer;
+use crate::actors::queueing::{Action, QueueingDriver};
+
+/// Stands for no tenant: the scheduler then applies no tenant's quota.
+const NO_TENANT: usize = usize::MAX;
+
+impl SchedulerActor {
+    /// Tells the queues which statements have ended and does what they ask for, until nothing is left.
+    pub(super) fn apply_queueing_actions(&mut self) {
+        if self.queueing.is_none() {
+            return;
+        }
+        loop {
+            if let Some(ended) = self.take_ended_statement() {
+                self.report_ended_statement(ended);
+                continue;
+            }
+            let action = self.queueing.as_mut().and_then(QueueingDriver::next_action);
+            match action {
+                Some(Action::Release {
+                    statement,
+                    is_within_share,
+                }) => self.release_statement(statement, is_within_share),
+                Some(Action::Reject {
+                    statement,
+                    retry_after,
+                }) => self.reject_queued_statement(statement, retry_after),
+                None => return,
+            }
+        }
+    }
+
+    fn take_ended_statement(&mut self) -> Option<EndedStatement> {
+        self.context.ended_statements.as_mut()?.pop()
+    }
+
+    fn report_ended_statement(&mut self, ended: EndedStatement) {
+        if let Some(queueing) = &mut self.queueing {
+            queueing.on_statement_ended(
+                self.context.now,
+                ended.statement,
+                ended.work,
+                ended.run_time,
+            );
+        }
+    }
+
+    /// Passes a statement on to the scheduler. A team within its share of the queues has no quota of its own to exceed:
+    /// the share of the operators' file stands in for it.
+    fn release_statement(&mut self, statement: StatementIndex, is_within_share: bool) {
+        let context = &mut self.context;
+        let now = context.now;
+        let Some(open) = context.statements.get(statement) else {
+            return;
+        };
+        let time_left = open.deadline.min(context.answer_by).saturating_sub(now);
+        let tenant = if is_within_share {
+            NO_TENANT
+        } else {
+            open.statement.tenant
+        };
+        let arrival = arrival(&open.statement, tenant, time_left);
+        self.scheduler
+            .borrow_mut()
+            .on_statement_arrived(now, statement, arrival, context);
+    }
+
+    fn reject_queued_statement(&mut self, statement: StatementIndex, retry_after: Nanos) {
+        self.context
+            .answer(statement, Answer::Rejected { retry_after });
+        self.context.close_statement(statement);
+    }
+}
--- /dev/null
+++ b/crates/ivypitch-gateway/src/actors/scheduler/statements.rs
@@ -0,0 +1,373 @@
+//! Statements from their arrival to their answer, and the ends of their attempts.
+
+use ivypitch_config::{estimated_mb, table_group};
+use ivypitch_queueing::Claim;
+use ivypitch_scheduler::{Arrival, AttemptEnded};
+use ivypitch_types::{MILLISECOND, Nanos, Outcome, StatementIndex};
+
+use super::output::attempt_timeout;
+use super::timers::TimerEvent;
+use super::{Context, SchedulerActor};
+use crate::actors::messages::{
+    Answer, AttemptEnd, AttemptKey, AttemptMessage, ClientStatement, QueueRow,
+};
+use crate::actors::ownership::WaitingClient;
+use crate::state::statements::{NewStatement, OpenStatement};
+
+impl SchedulerActor {
+    /// A client sent a statement.
+    pub(super) fn on_statement_arrived(&mut self, new: NewStatement) {
+        let context = &mut self.context;
+        if let Some(coordination) = &mut context.coordination {
+            let tenant = new.statement.tenant;
+            let quota = context
+                .quotas
+                .tenants_per_second
+                .get(tenant)
+                .copied()
+                .unwrap_or(0.0);
+            coordination.on_statement_arrived(tenant, quota);
+        }
+        if context.ownership.is_some() {
+            self.look_up_statement(new);
+        } else {
+            self.open_statement(new);
+        }
+    }
+
+    /// Opens a client's statement. Its team's queue takes it, or without queues the scheduler.
+    pub(super) fn open_statement(&mut self, new: NewStatement) {
+        let context = &mut self.context;
+        let now = context.now;
+        let id = new.statement.fields.statement_id_number();
+        let arrival = arrival(
+            &new.statement,
+            new.statement.tenant,
+            new.deadline.saturating_sub(now),
+        );
+        let claim = Claim {
+            team: new.statement.tenant,
+            workload: new.statement.workload,
+            told_work: arrival.estimated_work,
+            bytes: new.statement.fields.statement.len(),
+            deadline: new.deadline,
+        };
+        let statement = match context.statements.open(new) {
+            Ok(statement) => statement,
+            Err(client) => {
+                if let Some(ownership) = &mut context.ownership {
+                    let _ = ownership.on_answered(now, id, &Answer::IdTaken);
+                }
+                client.send(Answer::IdTaken);
+                return;
+            }
+        };
+        context.set_deadline_timer(statement);
+        if let Some(queueing) = &mut self.queueing {
+            queueing.on_statement_queued(now, statement, claim);
+        } else {
+            self.scheduler
+                .borrow_mut()
+                .on_statement_arrived(now, statement, arrival, context);
+        }
+    }
+
+    /// The client of this connection does not wait any more.
+    pub(super) fn on_client_disconnected(&mut self, connection: u32) {
+        let context = &mut self.context;
+        if let Some(ownership) = &mut context.ownership
+            && ownership.on_client_disconnected(connection).is_some()
+        {
+            return;
+        }
+        let Some(statement) = context.statements.find_by_connection(connection) else {
+            return;
+        };
+        let id = context
+            .statements
+            .get(statement)
+            .map_or(0, OpenStatement::id);
+        if let Some(ownership) = &mut context.ownership {
+            if ownership.outlives_client(id) {
+                // The answer is cached until the client returns, here or at another gateway.
+                return;
+            }
+            let _ = ownership.on_answered(context.now, id, &Answer::Killed);
+        }
+        context.statements.take_client(statement);
+        self.expire_statement(statement);
+    }
+
+    /// A client asked to end the statement of this connection.
+    pub(super) fn on_kill_query(&mut self, connection: u32) {
+        let Some(statement) = self.context.statements.find_by_connection(connection) else {
+            return;
+        };
+        self.context.answer(statement, Answer::Killed);
+        self.expire_statement(statement);
+    }
+
+    /// The timeout of a statement has ended. If the scheduler has not answered it by now, it is answered here.
+    pub(super) fn on_statement_deadline(&mut self, statement: StatementIndex, serial: u64) {
+        let is_unanswered = self
+            .context
+            .statements
+            .get_by_serial(statement, serial)
+            .is_some_and(OpenStatement::is_unanswered);
+        if !is_unanswered {
+            return;
+        }
+        let is_queued = self
+            .queueing
+            .as_ref()
+            .is_some_and(|queueing| queueing.is_queued(statement));
+        let answer = if is_queued {
+            Answer::Rejected { retry_after: 0 }
+        } else {
+            Answer::Aborted
+        };
+        self.context.answer(statement, answer);
+        self.expire_statement(statement);
+    }
+
+    /// The client of a statement has its answer or does not wait any more. A queued statement is closed; any other is
+    /// left to the scheduler.
+    pub(super) fn expire_statement(&mut self, statement: StatementIndex) {
+        let context = &mut self.context;
+        let was_queued = self
+            .queueing
+            .as_mut()
+            .is_some_and(|queueing| queueing.remove(context.now, statement));
+        if was_queued {
+            context.statements.take_client(statement);
+            context.close_statement(statement);
+        } else {
+            self.scheduler
+                .borrow_mut()
+                .on_statement_expired(context.now, statement, context);
+        }
+    }
+
+    /// The timeout of an attempt has ended: it is cancelled. For the scheduler it ends with the statement's deadline,
+    /// however silent the engine is: the time in between is too short for another attempt, and none may run beside it.
+    pub(super) fn on_attempt_timeout(
+        &mut self,
+        statement: StatementIndex,
+        serial: u64,
+        attempt: u32,
+    ) {
+        let context = &mut self.context;
+        let Some(open) = context
+            .statements
+            .get_mut(statement)
+            .filter(|open| open.serial == serial)
+        else {
+            return;
+        };
+        let Some(in_flight) = open
+            .attempt
+            .as_mut()
+            .filter(|in_flight| in_flight.number == attempt)
+        else {
+            return;
+        };
+        let _ = in_flight.mailbox.try_send(AttemptMessage::Cancel);
+        let key = AttemptKey {
+            statement,
+            serial,
+            number: attempt,
+            engine: in_flight.engine,
+        };
+        if open.deadline > context.now {
+            in_flight.has_timed_out = true;
+            in_flight.times_out_at = open.deadline;
+            context.timers.set(open.deadline, attempt_timeout(key));
+        } else {
+            self.on_attempt_ended(key, AttemptEnd::without_answer(Outcome::TimedOut));
+        }
+    }
+
+    /// An attempt has ended. Does nothing if the scheduler knows of that already.
+    pub(super) fn on_attempt_ended(&mut self, key: AttemptKey, mut end: AttemptEnd) {
+        let context = &mut self.context;
+        let Some(attempt) = context.statements.take_attempt(key, end.outcome) else {
+            return;
+        };
+        context
+            .timers
+            .cancel(attempt.times_out_at, attempt_timeout(key));
+        context.report_attempt_end(key, end.outcome);
+        let run_time = context.now.saturating_sub(attempt.sent_at);
+        if let Some(rows) = end.rows.take() {
+            context.answer(key.statement, Answer::Completed(rows));
+        }
+        context.record_work(key.statement, &end, run_time);
+        let ended = AttemptEnded {
+            attempt: key.number,
+            engine: key.engine,
+            outcome: end.outcome,
+            took: run_time,
+            closed: context.is_answered(key.statement),
+            true_cost: end.measured_cost.map(|cost| (cost.work_ms, cost.peak_mb)),
+            report: &end.load_report,
+        };
+        self.scheduler
+            .borrow_mut()
+            .on_attempt_ended(context.now, key.statement, &ended, context);
+    }
+
+    /// The rows that `SHOW QUEUE` answers.
+    pub(super) fn queue_rows(&self, statement_id: Option<u64>) -> Vec<QueueRow> {
+        let Some(queueing) = &self.queueing else {
+            return Vec::new();
+        };
+        let (statements, now) = (&self.context.statements, self.context.now);
+        let row = |statement: StatementIndex| {
+            let open = statements.get(statement)?;
+            Some(QueueRow {
+                statement_id: String::from_utf8_lossy(&open.statement.fields.statement_id)
+                    .into_owned(),
+                team: open.statement.tenant,
+                workload: open.statement.workload,
+                queued: queueing.row(now, statement),
+            })
+        };
+        match statement_id {
+            Some(id) => statements
+                .find_by_id(id)
+                .and_then(row)
+                .into_iter()
+                .collect(),
+            None => queueing
+                .rows(now)
+                .iter()
+                .filter_map(|queued| row(queued.stmt))
+                .collect(),
+        }
+    }
+}
+
+/// A statement as the scheduler is given it.
+pub(super) fn arrival(statement: &ClientStatement, tenant: usize, time_left: Nanos) -> Arrival {
+    let fields = &statement.fields;
+    Arrival {
+        workload: statement.workload,
+        key: fields.ordering_key_number(),
+        table_group: table_group(fields.table_group as f32),
+        time_left,
+        is_repeat: fields.is_repeat,
+        tenant,
+        estimated_mb: fields.memory_mb.map_or(0.0, estimated_mb),
+        estimated_work: estimated_work(statement),
+    }
+}
+
+/// The work of a statement over all its threads, as its client estimates it; 0 without an estimate.
+pub(super) fn estimated_work(statement: &ClientStatement) -> Nanos {
+    statement.fields.work_ms.map_or(0, nanos_from_ms)
+}
+
+fn nanos_from_ms(ms: f64) -> Nanos {
+    (ms * MILLISECOND as f64) as Nanos
+}
+
+impl Context {
+    /// Sets the timer for a statement that the scheduler has not answered in time.
+    pub(super) fn set_deadline_timer(&mut self, statement: StatementIndex) {
+        if let Some((at, event)) = self.deadline_timer(statement) {
+            self.timers.set(at, event);
+        }
+    }
+
+    fn deadline_timer(&self, statement: StatementIndex) -> Option<(Nanos, TimerEvent)> {
+        let open = self.statements.get(statement)?;
+        let event = TimerEvent::StatementDeadline {
+            statement,
+            serial: open.serial,
+        };
+        Some((open.deadline + self.answer_grace, event))
+    }
+
+    /// Closes a statement that nobody refers to any more; its index is free again.
+    pub(super) fn close_statement(&mut self, statement: StatementIndex) {
+        if let Some((at, event)) = self.deadline_timer(statement) {
+            self.timers.cancel(at, event);
+            self.statements.close(statement);
+        }
+    }
+
+    fn is_answered(&self, statement: StatementIndex) -> bool {
+        self.statements
+            .get(statement)
+            .is_none_or(|open| !open.is_unanswered())
+    }
+
+    /// Answers a statement's client, unless it has been answered. Where ownership has to confirm the answer first, the
+    /// client waits for that.
+    pub(super) fn answer(&mut self, statement: StatementIndex, answer: Answer) {
+        let Some(waiting) = self.take_waiting_client(statement) else {
+            return;
+        };
+        if let Some(ownership) = &mut self.ownership
+            && let Some(token) = ownership.on_answered(self.now, waiting.id, &answer)
+        {
+            ownership.add_waiting_client(token, waiting);
+            return;
+        }
+        waiting.client.send(answer);
+    }
+
+    /// Takes a statement's client, unless it has been answered.
+    pub(super) fn take_waiting_client(
+        &mut self,
+        statement: StatementIndex,
+    ) -> Option<WaitingClient> {
+        let open = self.statements.get(statement)?;
+        let (id, connection, deadline) = (open.id(), open.connection, open.deadline);
+        let client = self.statements.take_client(statement)?;
+        Some(WaitingClient {
+            id,
+            connection,
+            deadline,
+            client,
+            pending_statement: None,
+        })
+    }
+
+    /// Tells ownership and coordination of an attempt's end.
+    fn report_attempt_end(&mut self, key: AttemptKey, outcome: Outcome) {
+        if let (Some(ownership), Some(open)) =
+            (&mut self.ownership, self.statements.get(key.statement))
+        {
+            ownership.on_attempt_ended(self.now, open.id(), key.number, outcome.never_ran());
+        }
+        if let (Some(coordination), Some(engine_hash)) =
+            (&mut self.coordination, self.engines.id_hash(key.engine))
+        {
+            let is_first_attempt = key.number == 0;
+            coordination.on_attempt_ended(self.now, engine_hash, outcome, is_first_attempt);
+        }
+    }
+
+    /// Enters the work of an attempt with its statement, for the teams' queues.
+    fn record_work(&mut self, statement: StatementIndex, end: &AttemptEnd, run_time: Nanos) {
+        if self.ended_statements.is_none() {
+            return;
+        }
+        let Some(open) = self.statements.get_mut(statement) else {
+            return;
+        };
+        if !end.outcome.never_ran() {
+            let threads = self
+                .workloads
+                .get(open.statement.workload)
+                .map_or(1.0, |workload| workload.threads);
+            let work = end.measured_cost.map_or_else(
+                || (run_time as f64 * threads) as Nanos,
+                |cost| nanos_from_ms(cost.work_ms),
+            );
+            open.work = Some(open.work.unwrap_or(0) + work);
+        }
+        open.run_time = (end.outcome == Outcome::Completed).then_some(run_time);
+    }
+}
--- a/crates/ivypitch-gateway/src/lifecycle/program.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/program.rs
@@ -214,21 +214,19 @@
         }
         let connects = Rc::new(ConnectionCounters::default());
         let parts = scheduler::SchedulerParts {
+            deployment: given,
             budgets,
-            keeper,
-            sharing,
+            ownership: keeper,
+            coordination: sharing,
             permits,
             connects: connects.clone(),
             traffic,
-        };
-        let actor = scheduler::SchedulerActor::new(
-            given,
-            parts,
             seed,
             clock,
-            module.clone(),
-            executor.clone(),
-        );
+            mailbox: module.clone(),
+            executor: executor.clone(),
+        };
+        let actor = scheduler::SchedulerActor::new(parts);
         executor.spawn(actor.run(mailbox, known)).detach();
         executor.spawn(follower.run(journal, list_mail)).detach();
         let program = Program {
--- a/crates/ivypitch-gateway/src/state/statements.rs
+++ b/crates/ivypitch-gateway/src/state/statements.rs
@@ -1,133 +1,193 @@
-//! The open statements: from their arrival until the module forgets them.
+//! The open statements: from their arrival until the scheduler forgets them.
 
 use std::collections::HashMap;
 
 use async_channel::Sender;
-use ivypitch_types::{EngineIndex, Nanos, StatementIndex};
+use ivypitch_types::{EngineIndex, Nanos, Outcome, StatementIndex};
 
-use crate::actors::messages::{AttemptMessage, ClientHandle};
-use crate::wire::fields::Fields;
+use crate::actors::messages::{AttemptKey, AttemptMessage, ClientHandle, ClientStatement};
 
-/// One execution that is out.
+/// The attempt of a statement that is in flight.
 pub struct InFlightAttempt {
+    /// Number of the attempt, from 0 on for each statement.
     pub number: u32,
+    /// The engine that it is made at.
     pub engine: EngineIndex,
+    /// When it was handed to its engine's actor.
     pub sent_at: Nanos,
+    /// When its timer fires.
     pub times_out_at: Nanos,
-    /// Its time is over and it is being given up.
-    pub timed_out: bool,
+    /// Its timeout has passed and it is being cancelled.
+    pub has_timed_out: bool,
+    /// Messages to the attempt.
     pub mailbox: Sender<AttemptMessage>,
 }
 
+/// A statement that the scheduler or its team's queue has.
 pub struct OpenStatement {
-    /// Distinguishes the statements that held one index in turn.
+    /// Tells apart the statements that have had the same index.
     pub serial: u64,
+    /// The connection of its client; 0 for one that was taken over from another gateway.
     pub connection: u32,
-    pub fields: Fields,
-    pub workload: usize,
-    pub tenant: usize,
+    /// What the client sent.
+    pub statement: ClientStatement,
+    /// When its timeout ends.
     pub deadline: Nanos,
-    /// Taken by the answer.
+    /// Where the answer goes, until it has gone there.
     pub client: Option<ClientHandle>,
-    pub attempts: u32,
-    /// What custody calls its client by.
-    pub token: u64,
-    pub out: Option<InFlightAttempt>,
-    pub grant_mb: f64,
+    /// The token under which ownership knows its client.
+    pub client_token: u64,
+    /// How many attempts have been made.
+    pub attempt_count: u32,
+    /// The attempt in flight.
+    pub attempt: Option<InFlightAttempt>,
+    /// Memory that its attempts may use, in MB; 0 leaves it to the engine.
+    pub memory_grant_mb: f64,
+    /// Its priority at the engine.
     pub priority: u8,
-    /// Work of its executions so far that may have run: as their answers tell it, else threads times time.
-    pub real: Option<Nanos>,
-    /// The time of its good execution.
-    pub took: Option<Nanos>,
+    /// Work of its attempts that may have run, as engines measured it or else threads times duration.
+    pub work: Option<Nanos>,
+    /// How long its successful attempt took.
+    pub run_time: Option<Nanos>,
 }
 
-/// A place is emptied as the module forgets its statement, and then used again.
+impl OpenStatement {
+    /// The client's id of the statement.
+    pub fn id(&self) -> u64 {
+        self.statement.fields.statement_id_number()
+    }
+
+    /// Whether its client has not been answered yet.
+    pub fn is_unanswered(&self) -> bool {
+        self.client.is_some()
+    }
+}
+
+/// A statement to be opened.
+pub struct NewStatement {
+    /// The connection of its client; 0 without one.
+    pub connection: u32,
+    /// What the client sent.
+    pub statement: ClientStatement,
+    /// When its timeout ends.
+    pub deadline: Nanos,
+    /// Where the answer goes.
+    pub client: ClientHandle,
+}
+
+/// All open statements, by index, by id and by the connection that waits for the answer.
 #[derive(Default)]
 pub struct StatementTable {
-    places: Vec<Option<OpenStatement>>,
+    /// An entry is emptied as its statement is closed, and then used again.
+    entries: Vec<Option<OpenStatement>>,
     free: Vec<usize>,
     by_connection: HashMap<u32, StatementIndex>,
-    /// The ids of the statements in `places`.
-    reqs: HashMap<u64, StatementIndex>,
-    serial: u64,
+    by_id: HashMap<u64, StatementIndex>,
+    last_serial: u64,
 }
 
 impl StatementTable {
-    /// `None`, and the client back, where a statement is open, or out, under the same id: at the engines the id
-    /// names the query.
-    pub fn open(
-        &mut self,
-        connection: u32,
-        fields: Fields,
-        (workload, tenant): (usize, usize),
-        deadline: Nanos,
-        client: ClientHandle,
-    ) -> Result<StatementIndex, ClientHandle> {
-        let req = fields.statement_id_number();
-        if self.reqs.contains_key(&req) {
-            return Err(client);
+    /// Opens a statement. Engines name queries by the statement's id: where another open statement has the same one,
+    /// the client is given back.
+    pub fn open(&mut self, new: NewStatement) -> Result<StatementIndex, ClientHandle> {
+        let id = new.statement.fields.statement_id_number();
+        if self.by_id.contains_key(&id) {
+            return Err(new.client);
         }
-        let ix = self.free.pop().unwrap_or_else(|| {
-            self.places.push(None);
-            self.places.len() - 1
-        });
-        self.reqs.insert(req, StatementIndex(ix));
-        self.serial += 1;
-        self.places[ix] = Some(OpenStatement {
-            serial: self.serial,
-            connection,
-            fields,
-            workload,
-            tenant,
-            deadline,
-            client: Some(client),
-            attempts: 0,
-            token: 0,
-            out: None,
-            grant_mb: 0.0,
+        let index = self.free_index();
+        self.last_serial += 1;
+        self.entries[index.0] = Some(OpenStatement {
+            serial: self.last_serial,
+            connection: new.connection,
+            statement: new.statement,
+            deadline: new.deadline,
+            client: Some(new.client),
+            client_token: 0,
+            attempt_count: 0,
+            attempt: None,
+            memory_grant_mb: 0.0,
             priority: 1,
-            real: None,
-            took: None,
+            work: None,
+            run_time: None,
         });
-        self.by_connection.insert(connection, StatementIndex(ix));
-        Ok(StatementIndex(ix))
+        self.by_id.insert(id, index);
+        self.by_connection.insert(new.connection, index);
+        Ok(index)
+    }
+
+    fn free_index(&mut self) -> StatementIndex {
+        if let Some(index) = self.free.pop() {
+            return StatementIndex(index);
+        }
+        self.entries.push(None);
+        StatementIndex(self.entries.len() - 1)
+    }
+
+    /// The statement at an index.
+    pub fn get(&self, index: StatementIndex) -> Option<&OpenStatement> {
+        self.entries.get(index.0)?.as_ref()
+    }
+
+    /// The statement at an index.
+    pub fn get_mut(&mut self, index: StatementIndex) -> Option<&mut OpenStatement> {
+        self.entries.get_mut(index.0)?.as_mut()
     }
 
-    pub fn get(&mut self, ix: StatementIndex) -> Option<&mut OpenStatement> {
-        self.places.get_mut(ix.0)?.as_mut()
+    /// The statement at an index, unless another has taken the index since.
+    pub fn get_by_serial(&self, index: StatementIndex, serial: u64) -> Option<&OpenStatement> {
+        self.get(index).filter(|open| open.serial == serial)
     }
 
-    /// As [`StatementTable::get`], unless another has taken the index since.
-    pub fn get_same(&mut self, ix: StatementIndex, serial: u64) -> Option<&mut OpenStatement> {
-        self.get(ix).filter(|open| open.serial == serial)
+    /// Whether this attempt is in flight.
+    pub fn is_in_flight(&self, key: AttemptKey) -> bool {
+        self.attempt_in_flight(key).is_some()
     }
 
-    pub fn of_req(&self, req: u64) -> Option<StatementIndex> {
-        self.reqs.get(&req).copied()
+    /// Takes an attempt that has ended off its statement; `None` if it was not in flight any more, or is to stay.
+    ///
+    /// An attempt that timed out and has been cancelled stays: its statement takes no other until its deadline.
+    pub fn take_attempt(&mut self, key: AttemptKey, outcome: Outcome) -> Option<InFlightAttempt> {
+        self.attempt_in_flight(key)?;
+        let slot = &mut self.get_mut(key.statement)?.attempt;
+        let is_withdrawn = matches!(outcome, Outcome::Cancelled | Outcome::NotSent);
+        slot.take_if(|attempt| !(is_withdrawn && attempt.has_timed_out))
     }
 
-    /// The statement of a connection that still waits for its answer.
-    pub fn of_connection(&mut self, connection: u32) -> Option<StatementIndex> {
-        let ix = *self.by_connection.get(&connection)?;
-        self.get(ix)
-            .filter(|open| open.client.is_some())
-            .map(|_| ix)
+    fn attempt_in_flight(&self, key: AttemptKey) -> Option<&InFlightAttempt> {
+        let open = self.get_by_serial(key.statement, key.serial)?;
+        open.attempt
+            .as_ref()
+            .filter(|attempt| attempt.number == key.number)
     }
 
-    /// Takes the place where the answer goes; only the first call gets it.
-    pub fn answer(&mut self, ix: StatementIndex) -> Option<ClientHandle> {
-        let open = self.get(ix)?;
+    /// The statement with a client's id.
+    pub fn find_by_id(&self, id: u64) -> Option<StatementIndex> {
+        self.by_id.get(&id).copied()
+    }
+
+    /// The statement whose answer the client of a connection waits for.
+    pub fn find_by_connection(&self, connection: u32) -> Option<StatementIndex> {
+        let index = *self.by_connection.get(&connection)?;
+        let open = self.get(index)?;
+        open.is_unanswered().then_some(index)
+    }
+
+    /// Takes the handle for the statement's one answer; `None` if that was taken before.
+    pub fn take_client(&mut self, index: StatementIndex) -> Option<ClientHandle> {
+        let open = self.get_mut(index)?;
         let client = open.client.take()?;
         let connection = open.connection;
         self.by_connection.remove(&connection);
         Some(client)
     }
 
-    pub fn close(&mut self, ix: StatementIndex) {
-        self.answer(ix);
-        if let Some(open) = self.places.get_mut(ix.0).and_then(Option::take) {
-            self.reqs.remove(&open.fields.statement_id_number());
-            self.free.push(ix.0);
-        }
+    /// Forgets a statement; its index is free again.
+    pub fn close(&mut self, index: StatementIndex) {
+        self.take_client(index);
+        let Some(closed) = self.entries.get_mut(index.0).and_then(Option::take) else {
+            return;
+        };
+        self.by_id.remove(&closed.id());
+        self.free.push(index.0);
     }
 }
--- a/crates/ivypitch-testbed/src/processes/hollow_gateways.rs
+++ b/crates/ivypitch-testbed/src/processes/hollow_gateways.rs
@@ -295,9 +295,9 @@
             return;
         };
         while let Some(act) = keeper.next_action() {
-            if let Action::Adopt { id, .. } = act {
+            if let Action::TakeOver(takeover) = act {
                 self.shared.count(self.place, |counts| counts.adopted += 1);
-                let _ = keeper.on_answered(now, id, &Answer::Aborted);
+                let _ = keeper.on_answered(now, takeover.id, &Answer::Aborted);
             }
         }
     }
