--- a/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
@@ -388,7 +388,7 @@
         0 => DEFAULT_CONNECT_TIMEOUT,
         stated => Duration::from_nanos(stated),
     };
-    let gateways = deployment.gateways.max(1) as usize;
+    let gateways = deployment.gateways.max(1);
     let spawner = EngineSpawner {
         connect_timeout,
         pool: PoolParams::new(gateways, limits.idle_close),
