--- a/crates/ivypitch-config/src/operator/peers.rs
+++ b/crates/ivypitch-config/src/operator/peers.rs
@@ -3,7 +3,10 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-use ivypitch_coordination::shares::{MOST_ENGINES, MOST_EVENT_BYTES, MOST_EVENTS, UNITS_EACH};
+use ivypitch_coordination::{
+    CoordinationConfig, MAX_OBSERVED_ENGINES, MAX_RETAINED_EVENT_BYTES, MAX_RETAINED_EVENTS,
+    QuotaLeaseConfig, SharedQuotaConfig, UNITS_PER_MEMBER,
+};
 use ivypitch_membership::{Roster, Seat};
 use ivypitch_ownership::{NoQuorumPolicy, OwnershipConfig};
 use ivypitch_types::{Nanos, SECOND};
@@ -210,18 +213,18 @@
 impl OwnershipSettings {
     /// The configuration of ownership, in a deployment whose longest statement timeout is this.
     pub fn config(&self, max_statement_timeout: Nanos) -> OwnershipConfig {
-        let policy = match self.without_quorum.as_str() {
+        let no_quorum = match self.without_quorum.as_str() {
             "single" => NoQuorumPolicy::ProceedAlone,
             _ => NoQuorumPolicy::Reject,
         };
         OwnershipConfig {
-            witnesses: self.voters,
-            policy,
-            longest: max_statement_timeout,
-            remembered: nanos_from_millis(self.retention_ms),
+            voters_per_statement: self.voters,
+            no_quorum,
+            max_statement_timeout,
+            retention: nanos_from_millis(self.retention_ms),
             result_cache_bytes_per_tenant: (self.result_cache_mb_per_tenant * BYTES_PER_MB)
                 as usize,
-            most_entries: self.max_voted_statements,
+            max_entries: self.max_voted_statements,
             ..OwnershipConfig::default()
         }
     }
@@ -235,30 +238,30 @@
 impl CoordinationSettings {
     /// The configuration of coordination among `gateways`: one quota of the cores that queues of teams divide, then one
     /// of each tenant's statements a second.
-    pub fn config(&self, gateways: usize, tenants: &[String]) -> ivypitch_coordination::Terms {
-        let lease = ivypitch_coordination::escrow::Terms {
-            units: UNITS_EACH * gateways as u32,
+    pub fn config(&self, gateways: usize, tenants: &[String]) -> CoordinationConfig {
+        let leases = QuotaLeaseConfig {
+            total_units: UNITS_PER_MEMBER * gateways as u32,
             members: gateways as u16,
-            floor: self.reserved_fraction,
-            window: 0,
-            span: nanos_from_millis(self.lease_ms),
-            drift: self.max_clock_drift,
+            reserved_fraction: self.reserved_fraction,
+            spend_window: 0,
+            lease_duration: nanos_from_millis(self.lease_ms),
+            max_clock_drift: self.max_clock_drift,
         };
-        let quota = |name: String, counts_over: Nanos| ivypitch_coordination::BoundTerms {
+        let quota = |name: String, demand_window: Nanos| SharedQuotaConfig {
             name,
-            terms: lease,
-            counts_over,
+            leases,
+            demand_window,
         };
         let mut quotas = vec![quota("cores".to_owned(), 0)];
         for tenant in tenants {
             quotas.push(quota(format!("allowance {tenant}"), SECOND));
         }
-        ivypitch_coordination::Terms {
-            bounds: quotas,
-            bytes_a_second: self.gossip_kb_per_second * BYTES_PER_KB,
-            most_engines: MOST_ENGINES,
-            most_events: MOST_EVENTS,
-            most_event_bytes: MOST_EVENT_BYTES,
+        CoordinationConfig {
+            quotas,
+            gossip_bytes_per_second: self.gossip_kb_per_second * BYTES_PER_KB,
+            max_engines: MAX_OBSERVED_ENGINES,
+            max_events: MAX_RETAINED_EVENTS,
+            max_event_bytes: MAX_RETAINED_EVENT_BYTES,
         }
     }
 }
--- a/crates/ivypitch-config/src/operator/teams.rs
+++ b/crates/ivypitch-config/src/operator/teams.rs
@@ -129,8 +129,8 @@
             let settings = self.by_name.get(tenant).unwrap_or(&self.other);
             settings.budget(&names.workloads)
         });
-        let max_retry_after = if deployment.come_back_heeded {
-            deployment.longest_come_back
+        let max_retry_after = if deployment.honors_retry_after {
+            deployment.max_retry_after
         } else {
             0
         };
@@ -207,7 +207,7 @@
             priority_weight: workload.priority_weight,
             latency_objective: objective,
             threads: workload.threads,
-            is_load: workload.is_load,
+            is_load: workload.is_bulk_load,
             usual_work: configured(|settings| settings.usual_work_ms).unwrap_or(objective / 3),
             slack: configured(|settings| settings.slack_ms).unwrap_or(default_slack),
             longest_wait: configured(|settings| settings.max_wait_ms).unwrap_or(default_wait),
--- a/crates/ivypitch-gateway/src/actors/coordination.rs
+++ b/crates/ivypitch-gateway/src/actors/coordination.rs
@@ -5,16 +5,19 @@
 
 use async_channel::Sender;
 use bytes::Bytes;
-use ivypitch_coordination::{CoordinationOutput, Gossip, Message, Saw, Shares, View};
+use ivypitch_coordination::{
+    AttemptHealth, CoordinationMessage, CoordinationOutput, CoordinationView, Coordinator,
+    GossipMessage, QuotaIndex,
+};
 use ivypitch_scheduler::OutlierStatus;
-use ivypitch_types::{MemberId, Nanos, Outcome};
+use ivypitch_types::{Incarnation, MemberId, Nanos, Outcome, ProcessId};
 
 use super::discovery::ListMessage;
 use super::messages::WatchEventLine;
 use super::peer_links::PeersMessage;
 
 /// Quota of the engines' cores.
-const CORES_QUOTA: usize = 0;
+const CORES_QUOTA: QuotaIndex = QuotaIndex(0);
 /// Quota of the first tenant's statement rate; those of the others follow in the settings' order.
 const FIRST_TENANT_QUOTA: usize = 1;
 
@@ -49,21 +52,21 @@
 }
 
 impl CoordinationOutput for Output {
-    fn send(&mut self, to: MemberId, message: Message) {
+    fn send(&mut self, to: MemberId, message: CoordinationMessage) {
         let _ = self.peers.try_send(PeersMessage::Say { to: to.0, message });
     }
 
-    fn send_gossip(&mut self, to: MemberId, gossip: Gossip) {
+    fn send_gossip(&mut self, to: MemberId, gossip: GossipMessage) {
         let _ = self
             .peers
             .try_send(PeersMessage::Gossip { to: to.0, gossip });
     }
 
-    fn on_quota_changed(&mut self, quota: usize, fraction: f64) {
+    fn on_quota_changed(&mut self, quota: QuotaIndex, fraction: f64) {
         self.actions.push_back(match quota {
             CORES_QUOTA => Action::SetCoreQuota { fraction },
             _ => Action::SetTenantQuota {
-                tenant: quota - FIRST_TENANT_QUOTA,
+                tenant: quota.0 - FIRST_TENANT_QUOTA,
                 fraction,
             },
         });
@@ -87,16 +90,23 @@
     }
 }
 
+fn process(member: u16, incarnation: u64) -> ProcessId {
+    ProcessId {
+        member: MemberId(member),
+        incarnation: Incarnation(incarnation),
+    }
+}
+
 /// Connects coordination among gateways to this gateway's actors.
 pub struct CoordinationDriver {
-    coordinator: Shares,
+    coordinator: Coordinator,
     output: Output,
 }
 
 impl CoordinationDriver {
     /// `peers` sends messages to other gateways; `discovery` takes watch events that other gateways relay.
     pub fn new(
-        coordinator: Shares,
+        coordinator: Coordinator,
         peers: Sender<PeersMessage>,
         discovery: Sender<ListMessage>,
     ) -> CoordinationDriver {
@@ -123,44 +133,47 @@
     /// A gateway has joined.
     pub fn on_member_up(&mut self, now: Nanos, member: u16, incarnation: u64) {
         self.coordinator
-            .member_up(now, member, incarnation, &mut self.output);
+            .on_member_up(now, process(member, incarnation), &mut self.output);
     }
 
     /// A gateway has left or failed.
     pub fn on_member_down(&mut self, now: Nanos, member: u16, incarnation: u64) {
         self.coordinator
-            .member_down(now, member, incarnation, &mut self.output);
+            .on_member_down(now, process(member, incarnation), &mut self.output);
     }
 
     /// Another gateway sent a message on its link.
-    pub fn on_message(&mut self, now: Nanos, from: u16, message: Message) {
-        self.coordinator.heard(now, from, message, &mut self.output);
+    pub fn on_message(&mut self, now: Nanos, from: u16, message: CoordinationMessage) {
+        self.coordinator
+            .on_message(now, MemberId(from), message, &mut self.output);
     }
 
     /// Another gateway sent a datagram.
-    pub fn on_gossip(&mut self, now: Nanos, gossip: Gossip) {
-        self.coordinator.gossip(now, gossip, &mut self.output);
+    pub fn on_gossip(&mut self, now: Nanos, gossip: GossipMessage) {
+        self.coordinator.on_gossip(now, gossip, &mut self.output);
     }
 
     /// The endpoint list has changed: these engines, by the hashes of their ids, are ready.
     pub fn on_endpoints_updated(&mut self, ready: &[u64]) {
-        self.coordinator.listed(ready);
+        self.coordinator.set_ready_engines(ready);
     }
 
     /// A statement of this tenant arrived; the tenant's quota is so many statements a second in the whole fleet.
     pub fn on_statement_arrived(&mut self, tenant: usize, quota_per_second: f64) {
-        let quota = FIRST_TENANT_QUOTA + tenant;
-        let units = f64::from(self.coordinator.units(quota));
+        let quota = QuotaIndex(FIRST_TENANT_QUOTA + tenant);
+        let units = f64::from(self.coordinator.total_units(quota));
         if quota_per_second > 0.0 {
-            self.coordinator.wanted(quota, units / quota_per_second);
+            self.coordinator
+                .record_demand(quota, units / quota_per_second);
         }
     }
 
     /// The teams' statements that run or wait here would use so many of all the cores.
     pub fn set_core_demand(&mut self, now: Nanos, cores: f64, all_cores: f64) {
-        let units = f64::from(self.coordinator.units(CORES_QUOTA));
+        let units = f64::from(self.coordinator.total_units(CORES_QUOTA));
         let fraction = (cores / all_cores.max(1.0)).min(1.0);
-        self.coordinator.needs(now, CORES_QUOTA, units * fraction);
+        self.coordinator
+            .set_demand_level(now, CORES_QUOTA, units * fraction);
     }
 
     /// An attempt at an engine has ended; `is_first_attempt` of its statement.
@@ -171,8 +184,8 @@
         outcome: Outcome,
         is_first_attempt: bool,
     ) {
-        if let Some(observation) = Saw::of(outcome, is_first_attempt) {
-            self.coordinator.saw(now, engine_hash, observation);
+        if let Some(health) = AttemptHealth::from_outcome(outcome, is_first_attempt) {
+            self.coordinator.on_attempt_ended(now, engine_hash, health);
         }
     }
 
@@ -181,25 +194,25 @@
         match event {
             Some(event) => self
                 .coordinator
-                .event_taken(now, event.position, &event.line),
-            None => self.coordinator.journal_heard(now),
+                .on_endpoint_event(now, event.position, &event.line),
+            None => self.coordinator.on_event_source_heard(now),
         }
     }
 
     /// When [`Self::on_timer`] is to be called next.
     pub fn next_timer(&self) -> Nanos {
-        self.coordinator.next_wake()
+        self.coordinator.next_timer()
     }
 
     /// To be called at [`Self::next_timer`]; does nothing before.
     pub fn on_timer(&mut self, now: Nanos) {
-        if self.coordinator.next_wake() <= now {
-            self.coordinator.woken(now, &mut self.output);
+        if self.coordinator.next_timer() <= now {
+            self.coordinator.on_timer(now, &mut self.output);
         }
     }
 
     /// This gateway's view of the fleet.
-    pub fn view(&self, now: Nanos) -> View {
+    pub fn view(&self, now: Nanos) -> CoordinationView {
         self.coordinator.view(now)
     }
 }
--- a/crates/ivypitch-gateway/src/actors/ownership.rs
+++ b/crates/ivypitch-gateway/src/actors/ownership.rs
@@ -7,10 +7,10 @@
 use async_channel::Sender;
 use bytes::Bytes;
 use ivypitch_ownership::{
-    ArrivalDecision, FinalAnswer, GrantDecision, GrantDenial, Message, Output, Ownership,
+    Arrival, ArrivalDecision, FinalAnswer, GrantDecision, GrantDenial, Message, Output, Ownership,
     StatementId, StatementSpec,
 };
-use ivypitch_types::{MILLISECOND, Nanos};
+use ivypitch_types::{Incarnation, MILLISECOND, MemberId, Nanos, ProcessId};
 use serde_bytes::ByteBuf;
 
 use super::attempt::Attempt;
@@ -73,8 +73,10 @@
 }
 
 impl Output for OwnershipOutput {
-    fn send(&mut self, to: u16, message: Message) {
-        let _ = self.peers.try_send(PeersMessage::Tell { to, message });
+    fn send(&mut self, to: MemberId, message: Message) {
+        let _ = self
+            .peers
+            .try_send(PeersMessage::Tell { to: to.0, message });
     }
 
     fn on_attempt_granted(&mut self, id: StatementId, attempt: u32) {
@@ -102,7 +104,7 @@
     ) {
         self.actions.push_back(Action::TakeOver(Takeover {
             id,
-            text: spec.text.clone(),
+            text: spec.request.clone(),
             remaining,
             engine_hash: engine,
         }));
@@ -201,9 +203,13 @@
         estimated_work: Nanos,
         token: u64,
     ) -> ArrivalDecision {
-        let worth_lookup = estimated_work >= self.min_lookup_work;
-        self.ownership
-            .arrive(now, id, spec, worth_lookup, token, &mut self.output)
+        let arrival = Arrival {
+            id,
+            spec,
+            worth_lookup: estimated_work >= self.min_lookup_work,
+            waiter: token,
+        };
+        self.ownership.on_arrival(now, arrival, &mut self.output)
     }
 
     /// Asks whether an attempt may start at the engine with this hash.
@@ -215,7 +221,7 @@
         engine_hash: u64,
     ) -> GrantDecision {
         self.ownership
-            .grant(now, id, attempt, engine_hash, &mut self.output)
+            .request_attempt(now, id, attempt, engine_hash, &mut self.output)
     }
 
     /// Keeps an attempt until it is granted or denied.
@@ -244,12 +250,12 @@
     /// The statement has its answer. `Some`: its client is answered later, under this token.
     pub fn on_answered(&mut self, now: Nanos, id: StatementId, answer: &Answer) -> Option<u64> {
         self.ownership
-            .answered(now, id, final_answer(answer), &mut self.output)
+            .on_answered(now, id, final_answer(answer), &mut self.output)
     }
 
     /// This gateway does not know the engine of a statement that it was to take over.
     pub fn on_engine_unknown(&mut self, now: Nanos, id: StatementId) {
-        self.ownership.engine_unknown(now, id, &mut self.output);
+        self.ownership.on_engine_unknown(now, id, &mut self.output);
     }
 
     /// Whether the statement goes on though its client has disconnected.
@@ -302,7 +308,7 @@
 
     fn remove_waiting_client(&mut self, token: u64) -> Option<WaitingClient> {
         let waiting = self.waiting_clients.remove(&token)?;
-        self.ownership.leave(waiting.id, token);
+        self.ownership.on_client_gone(waiting.id, token);
         Some(waiting)
     }
 
@@ -310,19 +316,27 @@
     pub fn on_peer_event(&mut self, now: Nanos, peer: &Peer) {
         match peer {
             Peer::Heard { from, message, .. } => self.on_message(now, *from, (**message).clone()),
-            Peer::Up { place, birth } => self.ownership.member_up(now, *place, *birth),
+            Peer::Up { place, birth } => {
+                self.ownership.on_member_up(now, process(*place, *birth));
+            }
             Peer::Down { place, birth } => {
                 self.ownership
-                    .member_down(now, *place, *birth, &mut self.output);
+                    .on_member_down(now, process(*place, *birth), &mut self.output);
+            }
+            Peer::Suspected { place, is: true } => {
+                self.ownership.on_member_suspected(MemberId(*place));
+            }
+            Peer::Suspected { place, is: false } => {
+                self.ownership.on_suspicion_cleared(MemberId(*place));
             }
-            Peer::Suspected { place, is } => self.ownership.member_suspected(*place, *is),
             Peer::Shared { .. } | Peer::Gossip(..) => {}
         }
     }
 
     /// Another gateway sent a message.
     pub fn on_message(&mut self, now: Nanos, from: u16, message: Message) {
-        self.ownership.heard(now, from, message, &mut self.output);
+        self.ownership
+            .on_message(now, MemberId(from), message, &mut self.output);
     }
 
     /// When [`Self::on_timer`] is to be called next; `Nanos::MAX` for never.
@@ -333,42 +347,49 @@
             .map(|waiting| waiting.deadline)
             .min()
             .unwrap_or(Nanos::MAX);
-        self.ownership.next_wake().min(next_deadline)
+        self.ownership.next_timer().min(next_deadline)
     }
 
     /// To be called at [`Self::next_timer`]; does nothing before.
     pub fn on_timer(&mut self, now: Nanos) {
-        if self.ownership.next_wake() <= now {
-            self.ownership.woken(now, &mut self.output);
+        if self.ownership.next_timer() <= now {
+            self.ownership.on_timer(now, &mut self.output);
         }
     }
 
     /// The gateway shuts down soon. Returns the statements that other gateways are to go on with.
     pub fn hand_off(&mut self, now: Nanos) -> Vec<StatementId> {
-        self.ownership.hand_over(now, &mut self.output)
+        self.ownership.hand_off(now, &mut self.output)
     }
 
     /// Logs what ownership has done since the process started.
     pub fn log_totals(&self) {
-        let totals = self.ownership.totals();
+        let counters = self.ownership.counters();
         log::info!(
-            orphaned = totals.orphaned, taken_over = totals.claimed, polled = totals.watched,
-            cached = totals.kept, delivered = totals.delivered, in_doubt = totals.in_doubt,
-            no_quorum = totals.no_majority, owned_elsewhere = totals.elsewhere;
+            orphaned = counters.orphaned, taken_over = counters.taken_over, polled = counters.polled,
+            cached = counters.cached, delivered = counters.delivered, unknown = counters.unknown,
+            no_quorum = counters.no_quorum, owned_elsewhere = counters.owned_elsewhere;
             "ownership: {} orphaned, {} taken over, {} polled, {} results cached, {} delivered to clients that \
-             returned, {} in doubt, {} without a quorum, {} owned elsewhere",
-            totals.orphaned,
-            totals.claimed,
-            totals.watched,
-            totals.kept,
-            totals.delivered,
-            totals.in_doubt,
-            totals.no_majority,
-            totals.elsewhere
+             returned, {} with unknown outcome, {} without a quorum, {} owned elsewhere",
+            counters.orphaned,
+            counters.taken_over,
+            counters.polled,
+            counters.cached,
+            counters.delivered,
+            counters.unknown,
+            counters.no_quorum,
+            counters.owned_elsewhere
         );
     }
 }
 
+fn process(member: u16, incarnation: u64) -> ProcessId {
+    ProcessId {
+        member: MemberId(member),
+        incarnation: Incarnation(incarnation),
+    }
+}
+
 /// An answer as other gateways are told it.
 fn final_answer(answer: &Answer) -> FinalAnswer {
     match answer {
@@ -379,7 +400,7 @@
                 .collect(),
         ),
         Answer::Rejected { retry_after } => FinalAnswer::Rejected {
-            come_back_ms: (retry_after / MILLISECOND) as u32,
+            retry_after_ms: (retry_after / MILLISECOND) as u32,
         },
         Answer::Aborted | Answer::EndedBefore | Answer::IdTaken | Answer::Killed => {
             FinalAnswer::Aborted
@@ -400,8 +421,8 @@
             Answer::Completed(rows)
         }
         FinalAnswer::CompletedWithoutRows => Answer::EndedBefore,
-        FinalAnswer::Rejected { come_back_ms } => Answer::Rejected {
-            retry_after: u64::from(come_back_ms) * MILLISECOND,
+        FinalAnswer::Rejected { retry_after_ms } => Answer::Rejected {
+            retry_after: u64::from(retry_after_ms) * MILLISECOND,
         },
         FinalAnswer::Aborted => Answer::Aborted,
         FinalAnswer::IdReused => Answer::IdTaken,
--- a/crates/ivypitch-gateway/src/actors/scheduler/coordination.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/coordination.rs
@@ -1,5 +1,7 @@
 //! What gateways share among each other: quotas, the health of engines, and the view that `SHOW FLEET` answers.
 
+use ivypitch_coordination::CoordinationView;
+
 use super::SchedulerActor;
 use crate::actors::coordination::{Action, CoordinationDriver};
 use crate::actors::peer_links::Peer;
@@ -9,7 +11,7 @@
 #[derive(serde::Serialize)]
 struct FleetView<'a> {
     #[serde(flatten)]
-    view: ivypitch_coordination::View,
+    view: CoordinationView,
     traffic: &'a Traffic,
 }
 
--- a/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
@@ -412,7 +412,7 @@
         .iter()
         .map(|workload| WorkloadParams {
             threads: workload.threads.max(1.0),
-            is_idempotent: workload.effect == Idempotency::Idempotent,
+            is_idempotent: workload.idempotency == Idempotency::Idempotent,
         })
         .collect()
 }
--- a/crates/ivypitch-gateway/src/actors/scheduler/ownership.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/ownership.rs
@@ -254,8 +254,8 @@
         workload: new.statement.workload as u16,
         tenant: new.statement.tenant as u16,
         idempotent: is_idempotent,
-        left_ms: remaining_ms as u32,
-        text: fields.write(remaining_ms.max(1)),
+        remaining_ms: remaining_ms as u32,
+        request: fields.write(remaining_ms.max(1)),
     }
 }
 
--- a/crates/ivypitch-gateway/src/lifecycle/program.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/program.rs
@@ -18,9 +18,10 @@
 use ivypitch_config::DeploymentConfig;
 use ivypitch_config::operator::OperatorConfig;
 use ivypitch_config::schema::SettingsError;
+use ivypitch_coordination::{Coordinator, CoordinatorParams};
 use ivypitch_discovery::Feed;
 use ivypitch_queueing::Budgets;
-use ivypitch_types::Nanos;
+use ivypitch_types::{Incarnation, MemberId, Nanos, ProcessId};
 
 use super::clock::Clock;
 use super::configuration::{self, Configuration};
@@ -187,24 +188,31 @@
             let mailbox = peer_links::Peers::start(start, clock, module.clone(), executor.clone())?;
             if own.coordination.enabled {
                 let terms = own.coordination.config(zones.len(), &given.names.tenants);
-                let me = ivypitch_coordination::Process { place, birth };
-                let shares = ivypitch_coordination::Shares::new(
-                    me,
-                    zones.clone(),
-                    terms,
-                    known.position,
+                let process = ProcessId {
+                    member: MemberId(place),
+                    incarnation: Incarnation(birth),
+                };
+                let coordinator = Coordinator::new(CoordinatorParams {
+                    process,
+                    zones: zones.clone(),
+                    config: terms,
+                    last_event: known.position,
                     seed,
                     now,
-                );
+                });
                 sharing = Some(CoordinationDriver::new(
-                    shares,
+                    coordinator,
                     mailbox.clone(),
                     list.clone(),
                 ));
             }
             if own.ownership.enabled {
                 let terms = own.ownership.config(longest_timeout);
-                let custody = ivypitch_ownership::Ownership::new(place, birth, zones, terms, now);
+                let this = ProcessId {
+                    member: MemberId(place),
+                    incarnation: Incarnation(birth),
+                };
+                let custody = ivypitch_ownership::Ownership::new(this, zones, terms, now);
                 keeper = Some(OwnershipDriver::new(
                     custody,
                     mailbox,
--- a/crates/ivypitch-testbed/src/processes/hollow_gateways.rs
+++ b/crates/ivypitch-testbed/src/processes/hollow_gateways.rs
@@ -16,7 +16,7 @@
 
 use bytes::BytesMut;
 use ivypitch_config::operator::{self, OperatorConfig};
-use ivypitch_coordination::{Process, Shares};
+use ivypitch_coordination::{Coordinator, CoordinatorParams};
 use ivypitch_discovery::Feed;
 use ivypitch_gateway::actors::coordination::CoordinationDriver;
 use ivypitch_gateway::actors::discovery::List;
@@ -29,7 +29,7 @@
 use ivypitch_gateway::wire::discovery::EndpointUpdate;
 use ivypitch_gateway::wire::peers::{Frame, next, write};
 use ivypitch_ownership::Ownership;
-use ivypitch_types::Nanos;
+use ivypitch_types::{Incarnation, MemberId, Nanos, ProcessId};
 use serde::{Deserialize, Serialize};
 use smol::channel::{self, Receiver, Sender};
 use smol::future::FutureExt;
@@ -189,7 +189,7 @@
                         keeper.on_message(now, from, message);
                     }
                 }
-                Some(Mail::Handed(from, Frame::Shares(message))) => {
+                Some(Mail::Handed(from, Frame::Coordination(message))) => {
                     if let Some(sharing) = &mut self.sharing {
                         sharing.on_message(now, from, message);
                     }
@@ -316,7 +316,7 @@
                 shared.hand(from, to, &Frame::Body(message));
             }
             PeersMessage::Say { to, message } if to >= shared.first => {
-                shared.hand(from, to, &Frame::Shares(message));
+                shared.hand(from, to, &Frame::Coordination(message));
             }
             other => drop(peers.try_send(other)),
         }
@@ -366,19 +366,26 @@
     let (list, list_mail) = channel::unbounded();
     let sharing = own.coordination.enabled.then(|| {
         let terms = own.coordination.config(zones.len(), &crowd.tenants);
-        let shares = Shares::new(
-            Process { place: at, birth },
-            zones.clone(),
-            terms,
-            0,
+        let shares = Coordinator::new(CoordinatorParams {
+            process: ProcessId {
+                member: MemberId(at),
+                incarnation: Incarnation(birth),
+            },
+            zones: zones.clone(),
+            config: terms,
+            last_event: 0,
             seed,
             now,
-        );
+        });
         CoordinationDriver::new(shares, say.clone(), list.clone())
     });
     let keeper = own.ownership.enabled.then(|| {
         let terms = own.ownership.config(crowd.longest_ms * 1_000_000);
-        let custody = Ownership::new(at, birth, zones.clone(), terms, now);
+        let this = ProcessId {
+            member: MemberId(at),
+            incarnation: Incarnation(birth),
+        };
+        let custody = Ownership::new(this, zones.clone(), terms, now);
         OwnershipDriver::new(custody, say.clone(), own.ownership.min_lookup_work())
     });
     let follower = List {
