--- /dev/null
+++ b/crates/ivypitch-gateway/src/actors/scheduler/context.rs
@@ -0,0 +1,171 @@
+//! Everything that the scheduler acts on.
+
+use std::cell::RefCell;
+use std::rc::Rc;
+use std::time::Duration;
+
+use async_channel::Sender;
+use ivypitch_config::Names;
+use ivypitch_connection_pool::PoolParams;
+use ivypitch_scheduler::{Deployment, Idempotency, Scheduler};
+use ivypitch_types::{Nanos, StatementIndex};
+
+use super::SchedulerParts;
+use super::endpoints::{EngineSpawner, EngineTable};
+use super::timers::Timers;
+use crate::actors::attempt::SendGate;
+use crate::actors::coordination::CoordinationDriver;
+use crate::actors::messages::SchedulerMessage;
+use crate::actors::ownership::OwnershipDriver;
+use crate::lifecycle::clock::Clock;
+use crate::state::statements::StatementTable;
+
+/// Used where the settings state none.
+const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+
+/// The scheduler's [`Output`](ivypitch_scheduler::Output): what it asks for happens here.
+pub(super) struct Context {
+    pub(super) clock: Clock,
+    /// Time of the event that is being handled.
+    pub(super) now: Nanos,
+    pub(super) statements: StatementTable,
+    pub(super) timers: Timers,
+    pub(super) engines: EngineTable,
+    pub(super) attempts: AttemptParams,
+    pub(super) names: Names,
+    /// By the workloads' index in the settings.
+    pub(super) workloads: Vec<WorkloadParams>,
+    pub(super) quotas: FleetQuotas,
+    /// How long after its deadline the scheduler may answer a statement.
+    pub(super) answer_grace: Nanos,
+    /// While the gateway shuts down, everything has to be answered by then.
+    pub(super) answer_by: Nanos,
+    pub(super) ownership: Option<OwnershipDriver>,
+    pub(super) coordination: Option<CoordinationDriver>,
+    /// Statements that the scheduler has forgotten and the teams' queues have not been told of; `None` without queues.
+    pub(super) ended_statements: Option<Vec<EndedStatement>>,
+}
+
+/// What attempts have in common.
+pub(super) struct AttemptParams {
+    pub(super) report_fields: Rc<Vec<String>>,
+    pub(super) scheduler: Sender<SchedulerMessage>,
+    pub(super) gate: SendGate,
+}
+
+/// A workload's settings.
+pub(super) struct WorkloadParams {
+    /// Threads of a statement, at least 1.
+    pub(super) threads: f64,
+    pub(super) is_idempotent: bool,
+}
+
+/// Quotas that gateways share.
+pub(super) struct FleetQuotas {
+    /// The part of all cores that this gateway may use: an even one, or what coordination gave it.
+    pub(super) cores_fraction: f64,
+    /// Statements per second of each tenant in the whole fleet.
+    pub(super) tenants_per_second: Vec<f64>,
+}
+
+/// A statement that the scheduler has forgotten.
+pub(super) struct EndedStatement {
+    pub(super) statement: StatementIndex,
+    /// Work of its attempts that may have run.
+    pub(super) work: Option<Nanos>,
+    /// How long its successful attempt took.
+    pub(super) run_time: Option<Nanos>,
+}
+
+impl Context {
+    /// Without engines and statements. The gate of its attempts asks `scheduler`.
+    pub(super) fn new(
+        parts: SchedulerParts,
+        scheduler: &Rc<RefCell<Scheduler>>,
+        now: Nanos,
+    ) -> Context {
+        let deployment = &parts.deployment.facts;
+        Context {
+            clock: parts.clock,
+            now,
+            statements: StatementTable::default(),
+            timers: Timers::default(),
+            engines: engine_table(&parts),
+            attempts: attempt_params(&parts, scheduler),
+            workloads: workload_params(deployment),
+            quotas: fleet_quotas(deployment),
+            answer_grace: deployment.answer_grace,
+            answer_by: Nanos::MAX,
+            names: parts.deployment.names,
+            ownership: parts.ownership,
+            coordination: parts.coordination,
+            ended_statements: None,
+        }
+    }
+
+    /// Whether ownership or coordination asks for something.
+    pub(super) fn has_actions(&self) -> bool {
+        let ownership = self.ownership.as_ref();
+        let coordination = self.coordination.as_ref();
+        ownership.is_some_and(OwnershipDriver::has_actions)
+            || coordination.is_some_and(CoordinationDriver::has_actions)
+    }
+}
+
+fn attempt_params(parts: &SchedulerParts, scheduler: &Rc<RefCell<Scheduler>>) -> AttemptParams {
+    AttemptParams {
+        report_fields: Rc::new(parts.deployment.names.report_fields.clone()),
+        scheduler: parts.mailbox.clone(),
+        gate: SendGate {
+            scheduler: scheduler.clone(),
+            clock: parts.clock,
+        },
+    }
+}
+
+fn engine_table(parts: &SchedulerParts) -> EngineTable {
+    let deployment = &parts.deployment.facts;
+    let limits = &parts.deployment.limits;
+    let connect_timeout = match limits.connect_timeout {
+        0 => DEFAULT_CONNECT_TIMEOUT,
+        stated => Duration::from_nanos(stated),
+    };
+    let gateways = deployment.gateways.max(1);
+    let spawner = EngineSpawner {
+        connect_timeout,
+        pool: PoolParams::new(gateways, limits.idle_close),
+        clock: parts.clock,
+        permits: parts.permits.clone(),
+        connects: parts.connects.clone(),
+        traffic: parts.traffic.clone(),
+        executor: parts.executor.clone(),
+    };
+    let cores_by_kind = deployment
+        .kinds
+        .iter()
+        .map(|kind| kind.cores.max(1.0))
+        .collect();
+    EngineTable::new(parts.deployment.names.clone(), cores_by_kind, spawner)
+}
+
+fn workload_params(deployment: &Deployment) -> Vec<WorkloadParams> {
+    deployment
+        .workloads
+        .iter()
+        .map(|workload| WorkloadParams {
+            threads: workload.threads.max(1.0),
+            is_idempotent: workload.idempotency == Idempotency::Idempotent,
+        })
+        .collect()
+}
+
+fn fleet_quotas(deployment: &Deployment) -> FleetQuotas {
+    FleetQuotas {
+        cores_fraction: 1.0 / deployment.gateways.max(1) as f64,
+        tenants_per_second: deployment
+            .tenants
+            .iter()
+            .map(|tenant| tenant.quota_per_second)
+            .collect(),
+    }
+}
--- a/crates/ivypitch-gateway/src/actors/scheduler/coordination.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/coordination.rs
@@ -4,6 +4,7 @@
 
 use super::SchedulerActor;
 use crate::actors::coordination::{Action, CoordinationDriver};
+use crate::actors::messages::WatchEventLine;
 use crate::actors::peer_links::Peer;
 use crate::state::traffic::Traffic;
 
@@ -39,6 +40,14 @@
         }
     }
 
+    /// The watch on the endpoint list delivered a line.
+    pub(super) fn on_watch_line_read(&mut self, event: Option<WatchEventLine>) {
+        let context = &mut self.context;
+        if let Some(coordination) = &mut context.coordination {
+            coordination.on_watch_line_read(context.now, event);
+        }
+    }
+
     /// Calls coordination if it is time, with the cores that the teams' statements would use now.
     pub(super) fn on_coordination_timer(&mut self) {
         let context = &mut self.context;
--- a/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
@@ -5,6 +5,7 @@
 //! where the operators' file sets up teams; the scheduler. Each is told of one event, and then
 //! [`SchedulerActor::apply_actions`] does what all of them ask for until nothing is left.
 
+mod context;
 mod coordination;
 mod endpoints;
 mod output;
@@ -15,21 +16,18 @@
 
 use std::cell::RefCell;
 use std::rc::Rc;
-use std::time::Duration;
 
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use futures_lite::FutureExt;
-use ivypitch_config::{DeploymentConfig, Names};
-use ivypitch_connection_pool::PoolParams;
+use ivypitch_config::DeploymentConfig;
 use ivypitch_queueing::Budgets;
-use ivypitch_scheduler::{Deployment, EndpointUpdateKind, Idempotency, Scheduler};
-use ivypitch_types::{MILLISECOND, Nanos, StatementIndex};
+use ivypitch_scheduler::{EndpointUpdateKind, Scheduler};
+use ivypitch_types::{MILLISECOND, Nanos};
 
-use self::endpoints::{EngineSpawner, EngineTable};
-use self::timers::{TimerEvent, Timers};
-use crate::actors::attempt::SendGate;
+use self::context::Context;
+use self::timers::TimerEvent;
 use crate::actors::coordination::CoordinationDriver;
 use crate::actors::messages::SchedulerMessage;
 use crate::actors::ownership::OwnershipDriver;
@@ -37,12 +35,10 @@
 use crate::lifecycle::clock::Clock;
 use crate::state::connections::ConnectionCounters;
 use crate::state::permits::ConnectionPermits;
-use crate::state::statements::{NewStatement, StatementTable};
+use crate::state::statements::NewStatement;
 use crate::state::traffic::Traffic;
 use crate::wire::discovery::Snapshot;
 
-/// Used where the settings state none.
-const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// So long before the shutdown ends other gateways take over: time for a takeover, a poll at the engine and its answer.
 const HAND_OFF_BEFORE_END: Nanos = 400 * MILLISECOND;
 /// How many messages are taken before the timers are looked at again.
@@ -83,104 +79,28 @@
     traffic: Rc<Traffic>,
 }
 
-/// Everything that the scheduler acts on.
-struct Context {
-    clock: Clock,
-    /// Time of the event that is being handled.
-    now: Nanos,
-    statements: StatementTable,
-    timers: Timers,
-    engines: EngineTable,
-    attempts: AttemptParams,
-    names: Names,
-    /// By the workloads' index in the settings.
-    workloads: Vec<WorkloadParams>,
-    quotas: FleetQuotas,
-    /// How long after its deadline the scheduler may answer a statement.
-    answer_grace: Nanos,
-    /// While the gateway shuts down, everything has to be answered by then.
-    answer_by: Nanos,
-    ownership: Option<OwnershipDriver>,
-    coordination: Option<CoordinationDriver>,
-    /// Statements that the scheduler has forgotten and the teams' queues have not been told of; `None` without queues.
-    ended_statements: Option<Vec<EndedStatement>>,
-}
-
-/// What attempts have in common.
-struct AttemptParams {
-    report_fields: Rc<Vec<String>>,
-    scheduler: Sender<SchedulerMessage>,
-    gate: SendGate,
-}
-
-/// A workload's settings.
-struct WorkloadParams {
-    /// Threads of a statement, at least 1.
-    threads: f64,
-    is_idempotent: bool,
-}
-
-/// Quotas that gateways share.
-struct FleetQuotas {
-    /// The part of all cores that this gateway may use: an even one, or what coordination gave it.
-    cores_fraction: f64,
-    /// Statements per second of each tenant in the whole fleet.
-    tenants_per_second: Vec<f64>,
-}
-
-/// A statement that the scheduler has forgotten.
-struct EndedStatement {
-    statement: StatementIndex,
-    /// Work of its attempts that may have run.
-    work: Option<Nanos>,
-    /// How long its successful attempt took.
-    run_time: Option<Nanos>,
-}
-
 impl SchedulerActor {
     /// An actor without engines and statements.
-    pub fn new(parts: SchedulerParts) -> SchedulerActor {
+    pub fn new(mut parts: SchedulerParts) -> SchedulerActor {
         let now = parts.clock.now();
-        let deployment = &parts.deployment.facts;
-        let names = &parts.deployment.names;
         let scheduler = Rc::new(RefCell::new(Scheduler::new(
-            deployment.clone(),
+            parts.deployment.facts.clone(),
             parts.seed,
             now,
         )));
-        let attempts = AttemptParams {
-            report_fields: Rc::new(names.report_fields.clone()),
-            scheduler: parts.mailbox.clone(),
-            gate: SendGate {
-                scheduler: scheduler.clone(),
-                clock: parts.clock,
-            },
-        };
-        let ended_statements = parts.budgets.is_some().then(Vec::new);
-        let context = Context {
-            clock: parts.clock,
-            now,
-            statements: StatementTable::default(),
-            timers: Timers::default(),
-            engines: engine_table(&parts),
-            attempts,
-            names: names.clone(),
-            workloads: workload_params(deployment),
-            quotas: fleet_quotas(deployment),
-            answer_grace: deployment.answer_grace,
-            answer_by: Nanos::MAX,
-            ownership: parts.ownership,
-            coordination: parts.coordination,
-            ended_statements,
-        };
-        let tenants = names.tenants.clone();
+        let tenants = parts.deployment.names.tenants.clone();
+        let queueing = parts
+            .budgets
+            .take()
+            .map(|budgets| QueueingDriver::new(budgets, tenants, parts.seed, now));
+        let traffic = parts.traffic.clone();
+        let mut context = Context::new(parts, &scheduler, now);
+        context.ended_statements = queueing.is_some().then(Vec::new);
         SchedulerActor {
-            queueing: parts
-                .budgets
-                .map(|budgets| QueueingDriver::new(budgets, tenants, parts.seed, now)),
+            queueing,
             scheduler,
             context,
-            traffic: parts.traffic,
+            traffic,
         }
     }
 
@@ -287,7 +207,6 @@
 
     fn on_message(&mut self, message: SchedulerMessage) {
         self.context.now = self.context.clock.now();
-        let now = self.context.now;
         match message {
             SchedulerMessage::StatementArrived {
                 connection,
@@ -308,31 +227,14 @@
             }
             SchedulerMessage::KillQuery { connection } => self.on_kill_query(connection),
             SchedulerMessage::AttemptProgressed { key, progress } => {
-                let context = &mut self.context;
-                if context.statements.is_in_flight(key) {
-                    self.scheduler.borrow_mut().on_progress(
-                        now,
-                        key.statement,
-                        key.number,
-                        progress,
-                        context,
-                    );
-                }
+                self.on_attempt_progressed(key, progress);
             }
             SchedulerMessage::AttemptEnded { key, end } => self.on_attempt_ended(key, end),
             SchedulerMessage::EndpointsUpdated { update } => self.on_endpoints_updated(&update),
-            SchedulerMessage::WatchLineRead { event } => {
-                if let Some(coordination) = &mut self.context.coordination {
-                    coordination.on_watch_line_read(now, event);
-                }
-            }
+            SchedulerMessage::WatchLineRead { event } => self.on_watch_line_read(event),
             SchedulerMessage::PeerEvent(peer) => self.on_peer_event(peer),
             SchedulerMessage::Shutdown { answer_by } => self.on_shutdown(answer_by),
-            SchedulerMessage::ReloadBudgets { budgets } => {
-                if let Some(queueing) = &mut self.queueing {
-                    queueing.reload(now, *budgets);
-                }
-            }
+            SchedulerMessage::ReloadBudgets { budgets } => self.reload_budgets(*budgets),
             SchedulerMessage::ShowFleet { reply } => {
                 let _ = reply.try_send(self.fleet_view());
             }
@@ -371,59 +273,3 @@
         }
     }
 }
-
-impl Context {
-    fn has_actions(&self) -> bool {
-        let ownership = self.ownership.as_ref();
-        let coordination = self.coordination.as_ref();
-        ownership.is_some_and(OwnershipDriver::has_actions)
-            || coordination.is_some_and(CoordinationDriver::has_actions)
-    }
-}
-
-fn engine_table(parts: &SchedulerParts) -> EngineTable {
-    let deployment = &parts.deployment.facts;
-    let limits = &parts.deployment.limits;
-    let connect_timeout = match limits.connect_timeout {
-        0 => DEFAULT_CONNECT_TIMEOUT,
-        stated => Duration::from_nanos(stated),
-    };
-    let gateways = deployment.gateways.max(1);
-    let spawner = EngineSpawner {
-        connect_timeout,
-        pool: PoolParams::new(gateways, limits.idle_close),
-        clock: parts.clock,
-        permits: parts.permits.clone(),
-        connects: parts.connects.clone(),
-        traffic: parts.traffic.clone(),
-        executor: parts.executor.clone(),
-    };
-    let cores_by_kind = deployment
-        .kinds
-        .iter()
-        .map(|kind| kind.cores.max(1.0))
-        .collect();
-    EngineTable::new(parts.deployment.names.clone(), cores_by_kind, spawner)
-}
-
-fn workload_params(deployment: &Deployment) -> Vec<WorkloadParams> {
-    deployment
-        .workloads
-        .iter()
-        .map(|workload| WorkloadParams {
-            threads: workload.threads.max(1.0),
-            is_idempotent: workload.idempotency == Idempotency::Idempotent,
-        })
-        .collect()
-}
-
-fn fleet_quotas(deployment: &Deployment) -> FleetQuotas {
-    FleetQuotas {
-        cores_fraction: 1.0 / deployment.gateways.max(1) as f64,
-        tenants_per_second: deployment
-            .tenants
-            .iter()
-            .map(|tenant| tenant.quota_per_second)
-            .collect(),
-    }
-}
--- a/crates/ivypitch-gateway/src/actors/scheduler/output.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/output.rs
@@ -6,8 +6,8 @@
 use ivypitch_scheduler::Output;
 use ivypitch_types::{EngineIndex, MILLISECOND, Nanos, Outcome, StatementIndex};
 
+use super::context::{Context, EndedStatement};
 use super::timers::TimerEvent;
-use super::{Context, EndedStatement};
 use crate::actors::attempt::Attempt;
 use crate::actors::engine::EngineMessage;
 use crate::actors::messages::{Answer, AttemptEnd, AttemptKey, AttemptMessage, SchedulerMessage};
--- a/crates/ivypitch-gateway/src/actors/scheduler/ownership.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/ownership.rs
@@ -5,8 +5,9 @@
 use ivypitch_ownership::{ArrivalDecision, GrantDenial, StatementId, StatementSpec};
 use ivypitch_types::{EngineIndex, MILLISECOND, Nanos, Outcome, StatementIndex};
 
+use super::SchedulerActor;
+use super::context::Context;
 use super::statements::{arrival, estimated_work};
-use super::{Context, SchedulerActor};
 use crate::actors::messages::{
     Answer, AttemptEnd, AttemptKey, AttemptMessage, ClientHandle, ClientStatement,
 };
--- a/crates/ivypitch-gateway/src/actors/scheduler/queueing.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/queueing.rs
@@ -1,9 +1,11 @@
 //! The teams' queues, through which statements reach the scheduler where the operators' file sets up teams.
 
+use ivypitch_queueing::Budgets;
 use ivypitch_types::{Nanos, StatementIndex};
 
+use super::SchedulerActor;
+use super::context::EndedStatement;
 use super::statements::arrival;
-use super::{EndedStatement, SchedulerActor};
 use crate::actors::messages::Answer;
 use crate::actors::queueing::{Action, QueueingDriver};
 
@@ -11,6 +13,13 @@
 const NO_TENANT: usize = usize::MAX;
 
 impl SchedulerActor {
+    /// The operators' file sets new budgets.
+    pub(super) fn reload_budgets(&mut self, budgets: Budgets) {
+        if let Some(queueing) = &mut self.queueing {
+            queueing.reload(self.context.now, budgets);
+        }
+    }
+
     /// Tells the queues which statements have ended and does what they ask for, until nothing is left.
     pub(super) fn apply_queueing_actions(&mut self) {
         if self.queueing.is_none() {
--- a/crates/ivypitch-gateway/src/actors/scheduler/statements.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/statements.rs
@@ -2,12 +2,13 @@
 
 use ivypitch_config::{estimated_mb, table_group};
 use ivypitch_queueing::Claim;
-use ivypitch_scheduler::{Arrival, AttemptEnded};
+use ivypitch_scheduler::{Arrival, AttemptEnded, AttemptProgress};
 use ivypitch_types::{MILLISECOND, Nanos, Outcome, StatementIndex};
 
+use super::SchedulerActor;
+use super::context::Context;
 use super::output::attempt_timeout;
 use super::timers::TimerEvent;
-use super::{Context, SchedulerActor};
 use crate::actors::messages::{
     Answer, AttemptEnd, AttemptKey, AttemptMessage, ClientStatement, QueueRow,
 };
@@ -187,6 +188,20 @@
         }
     }
 
+    /// An engine reported how far an attempt has come.
+    pub(super) fn on_attempt_progressed(&mut self, key: AttemptKey, progress: AttemptProgress) {
+        let context = &mut self.context;
+        if context.statements.is_in_flight(key) {
+            self.scheduler.borrow_mut().on_progress(
+                context.now,
+                key.statement,
+                key.number,
+                progress,
+                context,
+            );
+        }
+    }
+
     /// An attempt has ended. Does nothing if the scheduler knows of that already.
     pub(super) fn on_attempt_ended(&mut self, key: AttemptKey, mut end: AttemptEnd) {
         let context = &mut self.context;
