--- a/crates/ivypitch-gateway/src/lifecycle/startup.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/startup.rs
@@ -176,22 +176,19 @@
         budgets: Option<Budgets>,
         peers: PeerDrivers,
     ) -> SchedulerActor {
-        let parts = SchedulerParts {
+        SchedulerActor::new(SchedulerParts {
+            deployment,
             budgets,
-            keeper: peers.ownership,
-            sharing: peers.coordination,
+            ownership: peers.ownership,
+            coordination: peers.coordination,
             permits: ConnectionPermits::new(self.bounds.engine_connections),
             connects: self.connections.clone(),
             traffic: self.traffic.clone(),
-        };
-        SchedulerActor::new(
-            deployment,
-            parts,
-            self.seed,
-            self.clock,
-            self.scheduler.clone(),
-            self.executor.clone(),
-        )
+            seed: self.seed,
+            clock: self.clock,
+            mailbox: self.scheduler.clone(),
+            executor: self.executor.clone(),
+        })
     }
 }
 
