--- a/crates/ivypitch-cli/src/main.rs
+++ b/crates/ivypitch-cli/src/main.rs
@@ -1,4 +1,6 @@
-//! The command `ivypitch`.
+//! The command `ivypitch`: a gateway, checks of settings, views of the fleet and the testbed.
+
+#![warn(missing_docs)]
 
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/crates/ivypitch-cli/tests/fleet_view.rs
+++ b/crates/ivypitch-cli/tests/fleet_view.rs
@@ -1,6 +1,6 @@
 //! What `ivypitch fleet` reads and tells.
 
-use ivypitch_cli::fleet::{column, differences};
+use ivypitch_cli::fleet::{GatewayView, differences, first_column};
 use serde_json::Value;
 
 fn a_view(place: u64, journal: u64, out: bool, held: u64) -> Value {
@@ -11,7 +11,7 @@
 #[test]
 fn what_differs_is_named() {
     let (a, b) = (a_view(0, 4, true, 120), a_view(1, 2, false, 80));
-    let lines = differences(&[("a".into(), &a), ("b".into(), &b)]);
+    let lines = differences(&[GatewayView::new("a", a), GatewayView::new("b", b)]);
     assert_eq!(
         lines,
         [
@@ -24,8 +24,8 @@
 
 #[test]
 fn columns_of_all_lengths_are_read() {
-    assert_eq!(column(b"\x03abcd"), Some(&b"abc"[..]));
+    assert_eq!(first_column(b"\x03abcd"), Some(&b"abc"[..]));
     let long = [&[0xfc, 0x2c, 0x01][..], &[b'x'; 300]].concat();
-    assert_eq!(column(&long).map(<[u8]>::len), Some(300));
-    assert_eq!(column(&[0xfd, 9, 0]), None);
+    assert_eq!(first_column(&long).map(<[u8]>::len), Some(300));
+    assert_eq!(first_column(&[0xfd, 9, 0]), None);
 }
