--- /dev/null
+++ b/crates/ivypitch-gateway/src/actors/attempt/polling.rs
@@ -0,0 +1,192 @@
+//! Polling an attempt that has started, until the engine reports its end.
+
+use std::time::Duration;
+
+use async_io::Timer;
+use futures_lite::FutureExt;
+use ivypitch_scheduler::AttemptProgress;
+use ivypitch_types::Outcome;
+
+use super::{AttemptRun, RETRY_PAUSE};
+use crate::actors::engine_client::{POLL_TIMEOUT, RESPONSE_TIMEOUT};
+use crate::actors::engine_connection::{CallError, EngineConnection};
+use crate::actors::messages::{AttemptEnd, AttemptMessage, SchedulerMessage};
+use crate::state::connections::ConnectPurpose;
+use crate::wire::http::{self, Response, status};
+
+/// The page that stands for a statement's progress, and its first once it has completed.
+const PROGRESS_PAGE: usize = 0;
+
+/// What came first while an attempt waited for a response.
+pub(super) enum PollOutcome {
+    Response(Response),
+    Error(CallError),
+    Message(AttemptMessage),
+}
+
+impl AttemptRun<'_> {
+    /// On a connection that served another statement before, an end counts once the engine has repeated it; `None`:
+    /// it has not, and the attempt is polled for.
+    pub(super) async fn confirm_end(
+        &mut self,
+        response: Option<Response>,
+    ) -> Result<Option<Response>, AttemptEnd> {
+        let connection = self.connection.as_ref();
+        let is_used = connection.is_some_and(EngineConnection::is_used);
+        let Some(end) = response
+            .as_ref()
+            .filter(|response| is_used && response.status != status::RUNNING)
+        else {
+            return Ok(response);
+        };
+        match self.poll(PROGRESS_PAGE, RESPONSE_TIMEOUT).await {
+            PollOutcome::Response(again) if is_same_end(end, &again) => Ok(response),
+            PollOutcome::Message(AttemptMessage::Cancel) => Err(self.cancel().await),
+            PollOutcome::Message(AttemptMessage::Detach) => {
+                Err(AttemptEnd::without_answer(Outcome::Cancelled))
+            }
+            _ => {
+                self.connection = None;
+                Ok(None)
+            }
+        }
+    }
+
+    /// Polls, from the response to the start on, until the engine reports the end.
+    pub(super) async fn poll_until_end(&mut self, mut response: Option<Response>) -> AttemptEnd {
+        let mut failures = 0;
+        loop {
+            if let Some(response) = &response
+                && let Some(end) = self.on_response(response).await
+            {
+                return end;
+            }
+            // An attempt that another gateway started has no response to begin with.
+            let is_already_started = self.attempt.is_already_started;
+            let is_first_poll = is_already_started && response.is_none() && failures == 0;
+            let is_running = response.is_some_and(|response| response.status == status::RUNNING);
+            failures = if is_first_poll || is_running {
+                0
+            } else {
+                failures + 1
+            };
+            if failures > 1 {
+                Timer::after(RETRY_PAUSE).await;
+            }
+            self.send_priority().await;
+            response = match self.poll_progress(failures).await {
+                Ok(response) => response,
+                Err(end) => return end,
+            };
+        }
+    }
+
+    /// One poll, with more patience after failures; `None`: no complete response came.
+    async fn poll_progress(&mut self, failures: u32) -> Result<Option<Response>, AttemptEnd> {
+        let timeout = POLL_TIMEOUT * (1 + failures);
+        match self.poll(PROGRESS_PAGE, timeout).await {
+            PollOutcome::Response(response) => Ok(Some(response)),
+            PollOutcome::Error(CallError::ConnectionRefused) => {
+                Err(AttemptEnd::without_answer(Outcome::Reset))
+            }
+            PollOutcome::Error(_) => Ok(None),
+            PollOutcome::Message(AttemptMessage::Cancel) => Err(self.cancel().await),
+            PollOutcome::Message(AttemptMessage::Detach) => {
+                Err(AttemptEnd::without_answer(Outcome::Cancelled))
+            }
+            PollOutcome::Message(AttemptMessage::Priority(priority)) => {
+                self.attempt.unsent_priority.set(Some(priority));
+                // The poll was broken off by this gateway: no failure.
+                Ok(Some(Response {
+                    status: status::RUNNING,
+                    ..Response::default()
+                }))
+            }
+        }
+    }
+
+    /// Handles the response to a start or a poll; `Some`: the attempt has ended. A response that is neither progress
+    /// nor an end counts as one that did not come complete, and its connection is closed.
+    async fn on_response(&mut self, response: &Response) -> Option<AttemptEnd> {
+        match response.status {
+            status::RUNNING => {
+                self.report_progress(response);
+                None
+            }
+            status::FAILED | status::UNAVAILABLE | status::TIMED_OUT => {
+                Some(self.end(response, None))
+            }
+            _ => {
+                let completed = self.fetch_result(response).await;
+                if completed.is_none() {
+                    self.connection = None;
+                }
+                completed
+            }
+        }
+    }
+
+    fn report_progress(&self, response: &Response) {
+        let Some((name, figure)) = &response.note else {
+            return;
+        };
+        let progress = match (name.as_str(), *figure) {
+            ("done", fraction) => AttemptProgress::FractionDone(fraction),
+            ("spills", mb) => AttemptProgress::SpilledMb(mb),
+            ("waits", 1.0) => AttemptProgress::WaitingForMemory,
+            ("waits", _) => AttemptProgress::WaitingForBulkLoad,
+            _ => return,
+        };
+        let _ = self
+            .attempt
+            .scheduler
+            .try_send(SchedulerMessage::AttemptProgressed {
+                key: self.attempt.key,
+                progress,
+            });
+    }
+
+    /// Tells the engine a new priority, if there is one; what it responds is of no account.
+    async fn send_priority(&self) {
+        let Some(priority) = self.attempt.unsent_priority.take() else {
+            return;
+        };
+        let statement_id = &self.attempt.start.statement_id;
+        let request = http::write_priority(statement_id, priority, &self.engine.host());
+        let mut own_connection = None;
+        let held = &mut own_connection;
+        let purpose = ConnectPurpose::Priority;
+        let call = self.engine.call(held, &request, RESPONSE_TIMEOUT, purpose);
+        let _ = call.await;
+    }
+
+    /// Asks for the attempt's progress or end, or for a further page.
+    pub(super) async fn poll(&mut self, page: usize, timeout: Duration) -> PollOutcome {
+        let attempt = self.attempt;
+        let request = http::write_get(&attempt.start.statement_id, page, &self.engine.host());
+        let held = &mut self.connection;
+        let call = self
+            .engine
+            .call(held, &request, timeout, ConnectPurpose::Poll);
+        let responded = async {
+            match call.await {
+                Ok(response) => PollOutcome::Response(response),
+                Err(error) => PollOutcome::Error(error),
+            }
+        };
+        let message = async { PollOutcome::Message(attempt.next_message().await) };
+        responded.or(message).await
+    }
+}
+
+/// The engine reports the same end again. What never ran there, or failed, it does not know when asked.
+fn is_same_end(end: &Response, again: &Response) -> bool {
+    match end.status {
+        status::COMPLETED => {
+            again.status == status::COMPLETED
+                && end.page_count == again.page_count
+                && end.body == again.body
+        }
+        _ => again.status == end.status || again.status == status::FAILED,
+    }
+}
