--- a/crates/ivypitch-gateway/src/lib.rs
+++ b/crates/ivypitch-gateway/src/lib.rs
@@ -1,4 +1,12 @@
-//! The ivypitch query gateway on real sockets; every decision is the module's (`ivypitch_scheduler::scheduler`).
+//! The ivypitch query gateway on real sockets.
+//!
+//! Clients connect with the MySQL protocol and engines are called over HTTP. Every decision, which statement runs where and
+//! when, is made by crates without sockets, clocks or threads; this one drives them:
+//!
+//! - [`lifecycle`]: configuration, startup, reload and graceful shutdown of the process;
+//! - [`actors`]: tasks on one thread that own sockets and the deciding crates, and talk by messages;
+//! - [`wire`]: the protocols, on buffers;
+//! - [`state`]: what actors share or keep, none of it deciding.
 
 pub mod actors;
 pub mod lifecycle;
--- a/crates/ivypitch-gateway/src/lifecycle/peers.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/peers.rs
@@ -4,6 +4,7 @@
 
 use async_channel::Sender;
 use async_executor::LocalExecutor;
+use ivypitch_config::operator::{CoordinationSettings, OwnershipSettings};
 use ivypitch_coordination::{Coordinator, CoordinatorParams};
 use ivypitch_ownership::Ownership;
 use ivypitch_types::{Incarnation, Nanos, ProcessId};
@@ -15,7 +16,7 @@
 use crate::actors::discovery::ListMessage;
 use crate::actors::messages::SchedulerMessage;
 use crate::actors::ownership::OwnershipDriver;
-use crate::actors::peer_links;
+use crate::actors::peer_links::{self, PeersMessage};
 use crate::state::traffic::Traffic;
 
 const NANOS_PER_MS: Nanos = 1_000_000;
@@ -70,29 +71,50 @@
             listen: network.listen,
             membership: network.membership,
             seed: self.seed,
-            traffic: self.traffic,
+            traffic: self.traffic.clone(),
         };
-        let links = peer_links::Peers::start(start, self.clock, self.scheduler, self.executor)
+        let scheduler = self.scheduler.clone();
+        let links = peer_links::Peers::start(start, self.clock, scheduler, self.executor.clone())
             .map_err(|error| StartupError::Peers(error.to_string()))?;
-        let mut drivers = PeerDrivers::default();
-        if peers.coordination.enabled {
-            let coordinator = Coordinator::new(CoordinatorParams {
-                process,
-                zones: zones.clone(),
-                config: peers.coordination.config(zones.len(), self.tenants),
-                last_event: self.position,
-                seed: self.seed,
-                now,
-            });
-            let driver = CoordinationDriver::new(coordinator, links.clone(), self.discovery);
-            drivers.coordination = Some(driver);
-        }
-        if peers.ownership.enabled {
-            let config = peers.ownership.config(self.max_statement_timeout);
-            let ownership = Ownership::new(process, zones, config, now);
-            let min_lookup_work = peers.ownership.min_lookup_work();
-            drivers.ownership = Some(OwnershipDriver::new(ownership, links, min_lookup_work));
-        }
-        Ok(drivers)
+        let fleet = Fleet {
+            process,
+            zones,
+            links,
+            now,
+        };
+        let coordination = peers.coordination.enabled;
+        let ownership = peers.ownership.enabled;
+        Ok(PeerDrivers {
+            coordination: coordination.then(|| self.coordination(&peers.coordination, &fleet)),
+            ownership: ownership.then(|| self.ownership(&peers.ownership, &fleet)),
+        })
+    }
+
+    fn coordination(&self, settings: &CoordinationSettings, fleet: &Fleet) -> CoordinationDriver {
+        let coordinator = Coordinator::new(CoordinatorParams {
+            process: fleet.process,
+            zones: fleet.zones.clone(),
+            config: settings.config(fleet.zones.len(), self.tenants),
+            last_event: self.position,
+            seed: self.seed,
+            now: fleet.now,
+        });
+        CoordinationDriver::new(coordinator, fleet.links.clone(), self.discovery.clone())
     }
+
+    fn ownership(&self, settings: &OwnershipSettings, fleet: &Fleet) -> OwnershipDriver {
+        let config = settings.config(self.max_statement_timeout);
+        let ownership = Ownership::new(fleet.process, fleet.zones.clone(), config, fleet.now);
+        let min_lookup_work = settings.min_lookup_work();
+        OwnershipDriver::new(ownership, fleet.links.clone(), min_lookup_work)
+    }
+}
+
+/// The fleet as this process joins it.
+struct Fleet {
+    process: ProcessId,
+    /// By member id.
+    zones: Vec<u16>,
+    links: Sender<PeersMessage>,
+    now: Nanos,
 }
--- a/crates/ivypitch-gateway/src/lifecycle/startup.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/startup.rs
@@ -140,6 +140,9 @@
 /// What the parts of a gateway have in common while they are created.
 struct Assembly {
     seed: u64,
+    /// Of the endpoint list to begin with.
+    position: u64,
+    max_statement_timeout: Nanos,
     bounds: Bounds,
     clock: Clock,
     executor: Rc<LocalExecutor<'static>>,
@@ -159,9 +162,9 @@
         sessions
     }
 
-    fn watch(&self, position: u64, has_coordination: bool) -> List {
+    fn watch(&self, has_coordination: bool) -> List {
         List {
-            feed: RefCell::new(Feed::new(position, self.seed)),
+            feed: RefCell::new(Feed::new(self.position, self.seed)),
             clock: self.clock,
             longest_line: self.bounds.discovery_line_bytes,
             module: self.scheduler.clone(),
@@ -170,6 +173,27 @@
         }
     }
 
+    fn peers(
+        &self,
+        name: &str,
+        tenants: &[String],
+        operator: Option<&LoadedOperatorConfig>,
+    ) -> Result<PeerDrivers, StartupError> {
+        let start = PeersStart {
+            name,
+            seed: self.seed,
+            position: self.position,
+            tenants,
+            max_statement_timeout: self.max_statement_timeout,
+            clock: self.clock,
+            scheduler: self.scheduler.clone(),
+            discovery: self.discovery.clone(),
+            executor: self.executor.clone(),
+            traffic: self.traffic.clone(),
+        };
+        start.start(operator)
+    }
+
     fn scheduler_actor(
         &self,
         deployment: DeploymentConfig,
@@ -207,12 +231,13 @@
     let snapshot = configuration.snapshot;
     let mut deployment = configuration.deployment;
     limit_open_statements(&mut deployment, bounds.clients);
-    let max_statement_timeout = max_statement_timeout(&deployment);
     let features = OperatorFeatures::new(operator.as_ref(), &deployment, bounds.clients)?;
     let (scheduler, scheduler_mailbox) = async_channel::unbounded();
     let (discovery, discovery_mailbox) = async_channel::unbounded();
     let assembly = Assembly {
         seed: configuration.seed,
+        position: snapshot.position,
+        max_statement_timeout: max_statement_timeout(&deployment),
         bounds,
         clock,
         executor: Rc::new(LocalExecutor::new()),
@@ -222,20 +247,9 @@
         connections: Rc::new(ConnectionCounters::default()),
     };
     let sessions = assembly.sessions(&deployment, &features);
-    let watch = assembly.watch(snapshot.position, features.has_coordination);
-    let peers = PeersStart {
-        name: &configuration.name,
-        seed: assembly.seed,
-        position: snapshot.position,
-        tenants: &deployment.names.tenants,
-        max_statement_timeout,
-        clock,
-        scheduler: assembly.scheduler.clone(),
-        discovery: assembly.discovery.clone(),
-        executor: assembly.executor.clone(),
-        traffic: assembly.traffic.clone(),
-    }
-    .start(operator.as_ref())?;
+    let watch = assembly.watch(features.has_coordination);
+    let tenants = &deployment.names.tenants;
+    let peers = assembly.peers(&configuration.name, tenants, operator.as_ref())?;
     let actor = assembly.scheduler_actor(deployment, features.budgets, peers);
     let executor = assembly.executor;
     executor
@@ -256,7 +270,7 @@
         signals,
         configuration_path: configuration.path,
         discovery_address: configuration.discovery,
-        max_statement_timeout,
+        max_statement_timeout: assembly.max_statement_timeout,
         team_budgets: features.team_budgets,
         reload: None,
     })
