--- a/crates/ivypitch-cli/src/fleet/client.rs
+++ b/crates/ivypitch-cli/src/fleet/client.rs
@@ -8,7 +8,7 @@
 use ivypitch_gateway::wire::mysql::{ProtocolError, next_packet};
 use serde_json::Value;
 
-/// A gateway that says nothing for so long counts as silent.
+/// A gateway that sends nothing for so long counts as silent.
 const TIMEOUT: Duration = Duration::from_secs(3);
 const MAX_PACKET_BYTES: usize = 4 << 20;
 const READ_BYTES: usize = 8192;
--- a/crates/ivypitch-gateway/src/actors/attempt/mod.rs
+++ b/crates/ivypitch-gateway/src/actors/attempt/mod.rs
@@ -29,7 +29,7 @@
 pub struct Attempt {
     /// Names it in messages.
     pub key: AttemptKey,
-    /// What the start tells the engine.
+    /// The request to the engine.
     pub start: Start,
     /// Another gateway has started it: it is only polled for.
     pub is_already_started: bool,
@@ -37,7 +37,7 @@
     pub report_fields: Rc<Vec<String>>,
     /// Messages to this attempt; once closed, the attempt is cancelled.
     pub mailbox: Receiver<AttemptMessage>,
-    /// A priority that the engine has not been told yet.
+    /// A priority that has not been sent to the engine yet.
     pub unsent_priority: Cell<Option<u8>>,
     /// The scheduler's mailbox.
     pub scheduler: Sender<SchedulerMessage>,
--- a/crates/ivypitch-gateway/src/actors/attempt/polling.rs
+++ b/crates/ivypitch-gateway/src/actors/attempt/polling.rs
@@ -146,7 +146,7 @@
             });
     }
 
-    /// Tells the engine a new priority, if there is one; what it responds is of no account.
+    /// Sends the engine a new priority, if there is one, and ignores its response.
     async fn send_priority(&self) {
         let Some(priority) = self.attempt.unsent_priority.take() else {
             return;
--- a/crates/ivypitch-gateway/src/actors/session/closing.rs
+++ b/crates/ivypitch-gateway/src/actors/session/closing.rs
@@ -16,7 +16,7 @@
 const MAX_LINGER_BYTES: usize = 256 << 10;
 
 impl Session {
-    /// There is no room for it: the client is told and the connection closed.
+    /// There is no room for it: the client gets an error and the connection is closed.
     pub(super) async fn refuse(mut self) {
         self.close(SessionEnd::Error(TOO_MANY_CONNECTIONS)).await;
     }
--- a/crates/ivypitch-gateway/src/lifecycle/accept.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/accept.rs
@@ -19,7 +19,7 @@
 const BACKLOG: i32 = 1024;
 /// So many are accepted before what came with them is read.
 const ACCEPTS_BEFORE_YIELD: usize = 16;
-/// A gateway that was told to end has ended after 3.7 s: its address is waited for longer than that.
+/// A gateway ends within 3.7 s of SIGTERM: its address is waited for longer than that.
 const ADDRESS_IN_USE_TIMEOUT: Duration = Duration::from_secs(8);
 const ADDRESS_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 /// After an accept that failed.
--- a/crates/ivypitch-gateway/src/lifecycle/bounds.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/bounds.rs
@@ -3,7 +3,7 @@
 /// Beside peers: the listener, the discovery service, signals, the log and sessions that close to make room.
 const RESERVED_DESCRIPTORS: usize = 48;
 const MB: usize = 1 << 20;
-/// A result at its largest, as it is kept: eight pages in read buffers of 8 KB, and what is being written.
+/// The memory of a result at its largest: eight pages in read buffers of 8 KB, and what is being written.
 const RESULT_BYTES: usize = 96 << 10;
 /// What is read on a connection to an engine: a head, a body and what comes with them.
 const RESPONSE_BYTES: usize = 22 << 10;
@@ -16,7 +16,7 @@
     /// Statements of so many sessions are open at once: clients hold a third of the descriptors at most, and
     /// their results a quarter of the memory.
     pub clients: usize,
-    /// So many more sessions may be there, to be told that there are too many or to be closed.
+    /// So many more sessions may be there, to be rejected with an error or to be closed.
     pub surplus_sessions: usize,
     /// Connections to all engines.
     pub engine_connections: usize,
--- a/crates/ivypitch-gateway/src/lifecycle/configuration.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/configuration.rs
@@ -45,7 +45,7 @@
     memory_mb: usize,
 }
 
-/// What the gateway is told at its start.
+/// What a gateway starts with.
 pub struct Configuration {
     /// Where it came from, to be read again there.
     pub path: PathBuf,
--- a/crates/ivypitch-gateway/src/lifecycle/shutdown.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/shutdown.rs
@@ -33,13 +33,13 @@
             Timer::after(DRAIN_PERIOD).await;
         })
         .await;
-        // From here on commands are rejected; whoever comes is told so, and every session closes in order.
+        // From here on commands are rejected; whoever connects gets an error, and every session closes in order.
         self.enter(Phase::Finishing);
         self.sessions.end_all();
         let give_up_at = self.clock.instant(kill_at);
         self.wait_until_closed(give_up_at).await;
         accepting.cancel().await;
-        // What the system has accepted by now is told too.
+        // What the system has accepted by now gets that error, too.
         while accept_pending(&self.listener, &self.sessions, &self.executor) > 0
             && Instant::now() < give_up_at
         {
--- a/crates/ivypitch-gateway/src/wire/http.rs
+++ b/crates/ivypitch-gateway/src/wire/http.rs
@@ -58,7 +58,7 @@
     pub(super) const LOAD_REPORT: &str = "Srv-Load";
 }
 
-/// What a start tells the engine.
+/// The request that starts a statement at an engine.
 #[derive(Clone, Debug)]
 pub struct Start {
     /// 16 hex digits.
