--- a/crates/ivypitch-membership/src/lib.rs
+++ b/crates/ivypitch-membership/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Failure detection is SWIM as the library `foca` implements it; [`Membership`] turns its notices into the events that
 //! decisions need. There is no I/O and no clock: the driver brings datagrams and the time, and carries away what is to be
-//! sent. `docs/custody.md` states the guarantees.
+//! sent. `docs/ownership.md` states the guarantees.
 
 #![warn(missing_docs)]
 
