--- a/crates/ivypitch-cli/tests/serving.rs
+++ b/crates/ivypitch-cli/tests/serving.rs
@@ -314,12 +314,12 @@
         Some(&journal),
         1024,
     );
+    gateway.log.wait("loss", |l| {
+        l.contains("endpoint watch") && l.contains("lost at 2")
+    });
     gateway
         .log
-        .wait("loss", |l| l.contains("journal") && l.contains("lost at 2"));
-    gateway
-        .log
-        .wait("recovery", |l| l.contains("followed again from 3"));
+        .wait("recovery", |l| l.contains("resumed from 3"));
     assert_eq!(
         journal.tails.all()[..4],
         ["tail 1\n", "tail 2\n", "tail 2\n", "tail 2\n"]
--- a/crates/ivypitch-gateway/src/actors/coordination.rs
+++ b/crates/ivypitch-gateway/src/actors/coordination.rs
@@ -12,7 +12,7 @@
 use ivypitch_scheduler::OutlierStatus;
 use ivypitch_types::{Incarnation, MemberId, Nanos, Outcome, ProcessId};
 
-use super::discovery::ListMessage;
+use super::discovery::DiscoveryMessage;
 use super::messages::WatchEventLine;
 use super::peer_links::PeersMessage;
 
@@ -48,7 +48,7 @@
 struct Output {
     actions: VecDeque<Action>,
     peers: Sender<PeersMessage>,
-    discovery: Sender<ListMessage>,
+    discovery: Sender<DiscoveryMessage>,
 }
 
 impl CoordinationOutput for Output {
@@ -82,7 +82,7 @@
     fn on_endpoint_event(&mut self, _position: u64, line: &[u8]) {
         let _ = self
             .discovery
-            .try_send(ListMessage::Event(Bytes::copy_from_slice(line)));
+            .try_send(DiscoveryMessage::RelayedEvent(Bytes::copy_from_slice(line)));
     }
 
     fn log(&mut self, line: &str) {
@@ -108,7 +108,7 @@
     pub fn new(
         coordinator: Coordinator,
         peers: Sender<PeersMessage>,
-        discovery: Sender<ListMessage>,
+        discovery: Sender<DiscoveryMessage>,
     ) -> CoordinationDriver {
         CoordinationDriver {
             coordinator,
--- a/crates/ivypitch-gateway/src/lifecycle/program.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/program.rs
@@ -1,6 +1,5 @@
 //! The program from start to exit.
 
-use std::cell::RefCell;
 use std::fmt;
 use std::future::Future;
 use std::io::ErrorKind;
@@ -19,7 +18,7 @@
 use ivypitch_config::operator::OperatorConfig;
 use ivypitch_config::schema::SettingsError;
 use ivypitch_coordination::{Coordinator, CoordinatorParams};
-use ivypitch_discovery::Feed;
+use ivypitch_discovery::EndpointWatch;
 use ivypitch_queueing::Budgets;
 use ivypitch_types::{Incarnation, Nanos, ProcessId};
 
@@ -27,7 +26,7 @@
 use super::configuration::{self, Configuration};
 use super::own::OwnFile;
 use crate::actors::coordination::CoordinationDriver;
-use crate::actors::discovery::{List, ListMessage};
+use crate::actors::discovery::{DiscoveryActor, DiscoveryMessage, DiscoveryParams};
 use crate::actors::messages::SchedulerMessage;
 use crate::actors::ownership::OwnershipDriver;
 use crate::actors::peer_links;
@@ -81,7 +80,7 @@
     connects: Rc<ConnectionCounters>,
     listener: Rc<Async<TcpListener>>,
     module: Sender<SchedulerMessage>,
-    list: Sender<ListMessage>,
+    list: Sender<DiscoveryMessage>,
     signals: Signals,
     configuration: PathBuf,
     journal: Option<SocketAddr>,
@@ -157,14 +156,14 @@
         });
         sessions.show_fleet(sharing_on);
         let traffic = Rc::new(Traffic::default());
-        let follower = List {
-            feed: RefCell::new(Feed::new(known.position, seed)),
+        let follower = DiscoveryActor::new(DiscoveryParams {
+            watch: EndpointWatch::new(known.position, seed),
             clock,
-            longest_line: bounds.journal_line,
-            module: module.clone(),
-            shares: sharing_on,
+            max_line_bytes: bounds.journal_line,
+            scheduler: module.clone(),
+            reports_lines: sharing_on,
             traffic: traffic.clone(),
-        };
+        });
         let (list, list_mail) = async_channel::unbounded();
         let permits = ConnectionPermits::new(bounds.engines);
         let talk = own
@@ -361,7 +360,7 @@
                 log::info!("reload while {}: journal at {journal}", self.phase);
                 if self.journal != Some(journal) {
                     self.journal = Some(journal);
-                    let _ = self.list.try_send(ListMessage::Address(journal));
+                    let _ = self.list.try_send(DiscoveryMessage::SetAddress(journal));
                 }
             }
             Err(why) => log::error!("reload while {}: nothing changed: {why}", self.phase),
--- a/crates/ivypitch-testbed/src/processes/hollow_gateways.rs
+++ b/crates/ivypitch-testbed/src/processes/hollow_gateways.rs
@@ -4,7 +4,6 @@
 //! is written and read by the real codec and handed over in the process: a link of each pair would be the square of
 //! their number. Their datagrams all go through sockets.
 
-use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, BufRead};
 use std::net::SocketAddr;
@@ -17,9 +16,9 @@
 use bytes::BytesMut;
 use ivypitch_config::operator::{self, OperatorConfig};
 use ivypitch_coordination::{Coordinator, CoordinatorParams};
-use ivypitch_discovery::Feed;
+use ivypitch_discovery::EndpointWatch;
 use ivypitch_gateway::actors::coordination::CoordinationDriver;
-use ivypitch_gateway::actors::discovery::List;
+use ivypitch_gateway::actors::discovery::{DiscoveryActor, DiscoveryParams};
 use ivypitch_gateway::actors::messages::{Answer, SchedulerMessage};
 use ivypitch_gateway::actors::ownership::{Action, OwnershipDriver};
 use ivypitch_gateway::actors::peer_links::{self, Peer, PeersMessage};
@@ -384,14 +383,14 @@
         let custody = Ownership::new(process, zones.clone(), terms, now);
         OwnershipDriver::new(custody, say.clone(), own.ownership.min_lookup_work())
     });
-    let follower = List {
-        feed: RefCell::new(Feed::new(0, seed)),
+    let follower = DiscoveryActor::new(DiscoveryParams {
+        watch: EndpointWatch::new(0, seed),
         clock,
-        longest_line: JOURNAL_LINE,
-        module,
-        shares: true,
+        max_line_bytes: JOURNAL_LINE,
+        scheduler: module,
+        reports_lines: true,
         traffic,
-    };
+    });
     executor
         .spawn(follower.run(Some(crowd.journal), list_mail))
         .detach();
--- a/crates/ivypitch-testbed/src/virtual_time/feed_fleet.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/feed_fleet.rs
@@ -1,21 +1,21 @@
-//! The journal's changes on their way to a whole fleet: each gateway's real feed over connections with loss and
+//! The journal's changes on their way to a whole fleet: each gateway's real watch over connections with loss and
 //! restarts, with a region cut off or a zone lost, from servers that share the connections evenly. Counted: from the
 //! journal's event until each gateway that can be reached acts by it.
 //!
 //! Taken as given: a lost segment comes again after 0.2 s, twice that after a second loss, and so on, and holds up what
-//! is behind it; a connection over which nothing came for 2 s is given up (`actors/list.rs`); the module takes
+//! is behind it; a connection over which nothing came for 2 s is given up (`actors/discovery.rs`); the module takes
 //! [`Fleet::act`] for each change, one after the other; who restarts is told a whole list first, and all changes behind it.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use ivypitch_discovery::{Feed, Told, Verdict};
+use ivypitch_discovery::{EndpointWatch, WatchDecision, WatchLine};
 use ivypitch_types::{Nanos, SECOND};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
 const MS: Nanos = 1_000_000;
-/// As in `actors/list.rs`.
+/// As in `actors/discovery.rs`.
 const SILENT: Nanos = 2 * SECOND;
 const CONNECT: Nanos = 500 * MS;
 const COMES_AGAIN: Nanos = 200 * MS;
@@ -87,7 +87,7 @@
     Line {
         to: usize,
         connection: u64,
-        told: Told,
+        line: WatchLine,
     },
     Silent {
         at: usize,
@@ -113,7 +113,7 @@
 }
 
 struct Node {
-    feed: Feed,
+    watch: EndpointWatch,
     /// Counts connections and processes; what is of an older one is passed over.
     connection: u64,
     process: u64,
@@ -146,9 +146,9 @@
 }
 
 pub fn play(fleet: Fleet, seed: u64) -> Reached {
-    let feed = |g: usize| Feed::new(0, seed ^ (g as u64) << 20);
+    let watch = |g: usize| EndpointWatch::new(0, seed ^ (g as u64) << 20);
     let node = |g: usize| Node {
-        feed: feed(g),
+        watch: watch(g),
         connection: 0,
         process: 0,
         anew: false,
@@ -215,7 +215,7 @@
     sim.reached.behind = sim
         .nodes
         .iter()
-        .filter(|node| node.feed.last() < last)
+        .filter(|node| node.watch.last_position() < last)
         .count() as u64;
     sim.reached.changes = last;
     sim.reached.busiest_server_s = sim.sent.values().copied().max().unwrap_or(0);
@@ -245,7 +245,7 @@
         (far * MS) + self.rng.random_range(MS / 5..3 * MS)
     }
 
-    fn send(&mut self, to: usize, told: Told, bytes: u64) {
+    fn send(&mut self, to: usize, line: WatchLine, bytes: u64) {
         let server = to % self.fleet.servers;
         let takes = (bytes as f64 / self.fleet.bytes_a_second * SECOND as f64) as Nanos;
         let leaves = self.free[server].max(self.now) + takes;
@@ -267,7 +267,7 @@
             What::Line {
                 to,
                 connection,
-                told,
+                line,
             },
         );
     }
@@ -278,25 +278,26 @@
         self.reached.connects += 1;
         let now = self.now;
         let node = &mut self.nodes[g];
-        node.feed.connected();
+        node.watch.on_subscribed();
         node.connected = true;
         (node.silent_at, node.last_arrival) = (now + SILENT, now);
-        let (from, connection, silent_at) = (node.feed.last(), node.connection, node.silent_at);
+        let (from, connection, silent_at) =
+            (node.watch.last_position(), node.connection, node.silent_at);
         self.at(silent_at, What::Silent { at: g, connection });
         if self.nodes[g].anew {
-            self.send(g, Told::Last(0), self.fleet.whole_list);
+            self.send(g, WatchLine::LastPosition(0), self.fleet.whole_list);
         }
         for number in from + 1..=self.changes.len() as u64 {
             let bytes = self.changes[number as usize - 1].1;
-            self.send(g, Told::Event(number), bytes);
+            self.send(g, WatchLine::Event(number), bytes);
         }
     }
 
-    /// The connection is over; the feed says when the next one is tried.
+    /// The connection is over; the watch says when the next one is tried.
     fn lost(&mut self, g: usize) {
         let node = &mut self.nodes[g];
         (node.connected, node.connection) = (false, node.connection + 1);
-        let (wait, process) = (node.feed.ask_again(), node.process);
+        let (wait, process) = (node.watch.next_backoff(), node.process);
         self.at(self.now + wait, What::Connect { at: g, process });
     }
 
@@ -306,13 +307,16 @@
             What::Change(rows) => {
                 let bytes = self.fleet.change * rows;
                 self.changes.push((now, bytes));
-                self.tell_all(Told::Event(self.changes.len() as u64), bytes);
+                self.tell_all(WatchLine::Event(self.changes.len() as u64), bytes);
             }
-            What::Last => self.tell_all(Told::Last(self.changes.len() as u64), LAST_BYTES),
+            What::Last => self.tell_all(
+                WatchLine::LastPosition(self.changes.len() as u64),
+                LAST_BYTES,
+            ),
             What::Line {
                 to,
                 connection,
-                told,
+                line,
             } => {
                 let apart = self.is_apart(to);
                 let node = &mut self.nodes[to];
@@ -323,16 +327,19 @@
                 if std::mem::take(&mut node.anew) {
                     node.busy = node.busy.max(now) + self.fleet.act_whole;
                 }
-                match (node.feed.take(now, told), told) {
-                    (Verdict::Take | Verdict::TakeOver, Told::Event(number)) => {
+                match (node.watch.on_line(now, line), line) {
+                    (
+                        WatchDecision::Accept | WatchDecision::AcceptOverGap,
+                        WatchLine::Event(number),
+                    ) => {
                         node.busy = node.busy.max(now) + self.fleet.act;
                         let made = self.changes[number as usize - 1].0;
                         let took = node.busy - made.max(node.since);
                         self.reached.times.push((took / MS) as u32);
                     }
-                    (Verdict::AskAgain, _) => self.lost(to),
+                    (WatchDecision::Resubscribe, _) => self.lost(to),
                     _ => {
-                        if let Some(until) = node.feed.ahead_until() {
+                        if let Some(until) = node.watch.missing_events_deadline() {
                             self.at(until, What::Ahead { at: to, connection });
                         }
                     }
@@ -352,9 +359,12 @@
             }
             What::Ahead { at, connection } => {
                 let node = &mut self.nodes[at];
-                let is_late = node.feed.ahead_until().is_some_and(|until| until <= now);
+                let is_late = node
+                    .watch
+                    .missing_events_deadline()
+                    .is_some_and(|until| until <= now);
                 if node.up && node.connection == connection && is_late {
-                    node.feed.never_came();
+                    node.watch.on_events_missing();
                     self.lost(at);
                 }
             }
@@ -366,7 +376,7 @@
                     return;
                 }
                 if self.is_apart(at) {
-                    let again = now + CONNECT + self.nodes[at].feed.ask_again();
+                    let again = now + CONNECT + self.nodes[at].watch.next_backoff();
                     self.at(again, What::Connect { at, process });
                 } else {
                     self.connected(at);
@@ -383,7 +393,8 @@
             What::Up { at } => {
                 let seed = self.rng.random();
                 let node = &mut self.nodes[at];
-                (node.up, node.feed, node.since, node.busy) = (true, Feed::new(0, seed), now, now);
+                (node.up, node.watch, node.since, node.busy) =
+                    (true, EndpointWatch::new(0, seed), now, now);
                 node.anew = true;
                 let process = node.process;
                 self.at(now, What::Connect { at, process });
@@ -417,10 +428,10 @@
         }
     }
 
-    fn tell_all(&mut self, told: Told, bytes: u64) {
+    fn tell_all(&mut self, line: WatchLine, bytes: u64) {
         for g in 0..self.nodes.len() {
             if self.nodes[g].up && self.nodes[g].connected {
-                self.send(g, told, bytes);
+                self.send(g, line, bytes);
             }
         }
     }
