--- a/crates/ivypitch-gateway/src/actors/discovery.rs
+++ b/crates/ivypitch-gateway/src/actors/discovery.rs
@@ -50,7 +50,7 @@
     #[error("line too long")]
     LineTooLong,
     #[error("line not understood: {0}")]
-    MalformedLine(String),
+    MalformedLine(#[from] discovery::LineError),
     #[error("event {position} after {last_position}")]
     Gap { position: u64, last_position: u64 },
 }
