--- a/crates/ivypitch-gateway/src/lifecycle/gateway.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/gateway.rs
@@ -17,7 +17,7 @@
 use super::accept::accept;
 use super::clock::Clock;
 use super::reload::TeamBudgets;
-use crate::actors::discovery::ListMessage;
+use crate::actors::discovery::DiscoveryMessage;
 use crate::actors::messages::SchedulerMessage;
 use crate::actors::session::Sessions;
 use crate::state::connections::ConnectionCounters;
@@ -31,7 +31,7 @@
     pub(super) connections: Rc<ConnectionCounters>,
     pub(super) listener: Rc<Async<TcpListener>>,
     pub(super) scheduler: Sender<SchedulerMessage>,
-    pub(super) discovery: Sender<ListMessage>,
+    pub(super) discovery: Sender<DiscoveryMessage>,
     pub(super) signals: Signals,
     /// Read again on SIGHUP.
     pub(super) configuration_path: PathBuf,
