--- a/crates/ivypitch-simulator-adapter/src/error.rs
+++ b/crates/ivypitch-simulator-adapter/src/error.rs
@@ -1,5 +1,6 @@
 //! What can be wrong with the simulator's input.
 
+use ivypitch_config::DeploymentError;
 use std::io;
 use thiserror::Error;
 
@@ -15,7 +16,7 @@
 }
 
 /// A place in a frame whose bytes cannot be decoded.
-#[derive(Debug, PartialEq, Eq, Error)]
+#[derive(Debug, Error)]
 #[error("{record} at byte {offset}: {problem}")]
 pub struct DecodeError {
     /// The record that was being decoded.
@@ -27,7 +28,7 @@
 }
 
 /// What is wrong with the bytes.
-#[derive(Debug, PartialEq, Eq, Error)]
+#[derive(Debug, Error)]
 pub enum DecodeProblem {
     /// The input ends inside a batch header.
     #[error("the input ends inside the header")]
@@ -72,5 +73,5 @@
     UnknownTopic(u8),
     /// An instance's settings cannot be used.
     #[error("settings: {0}")]
-    Settings(String),
+    Settings(#[source] DeploymentError),
 }
