--- a/crates/ivypitch-testbed/src/experiments/scale/module.rs
+++ b/crates/ivypitch-testbed/src/experiments/scale/module.rs
@@ -1,8 +1,12 @@
 //! The module before more and more engines: what a statement, a change of one row and a whole list cost it.
 
 use ivypitch_gateway::wire::discovery;
-use ivypitch_scheduler::*;
-use ivypitch_types::*;
+use ivypitch_scheduler::{
+    Arrival, AttemptEnded, DeduplicationScope, Deployment, EndpointUpdateKind, EngineEndpoint,
+    EngineKind, EngineState, Idempotency, LoadReporting, Output, ReportField, RetryBudget, Tenant,
+    Workload,
+};
+use ivypitch_types::{EngineIndex, Nanos, Outcome, SECOND, StatementIndex};
 
 use super::slope::Measure;
 use crate::stand_ins::{event, row_at};
--- a/crates/ivypitch-testbed/src/virtual_time/fleet.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/fleet.rs
@@ -8,8 +8,12 @@
 use hdrhistogram::Histogram;
 use ivypitch_queueing::{Budgets, Claim, Teams};
 use ivypitch_scheduler::Scheduler;
-use ivypitch_scheduler::*;
-use ivypitch_types::*;
+use ivypitch_scheduler::{
+    Arrival, AttemptEnded, DeduplicationScope, Deployment, EndpointUpdateKind, EngineEndpoint,
+    EngineKind, EngineState, Idempotency, LoadReporting, Output, ReportField, RetryBudget, Tenant,
+    Workload,
+};
+use ivypitch_types::{EngineIndex, Nanos, Outcome, SECOND, StatementIndex};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
