--- a/crates/ivypitch-gateway/src/actors/coordination.rs
+++ b/crates/ivypitch-gateway/src/actors/coordination.rs
@@ -104,7 +104,7 @@
 }
 
 impl CoordinationDriver {
-    /// `peers` sends messages to other gateways; `discovery` takes watch events that other gateways relay.
+    /// Creates a driver. `peers` sends messages to other gateways; `discovery` takes watch events that other gateways relay.
     pub fn new(
         coordinator: Coordinator,
         peers: Sender<PeersMessage>,
--- a/crates/ivypitch-gateway/src/actors/ownership.rs
+++ b/crates/ivypitch-gateway/src/actors/ownership.rs
@@ -149,7 +149,7 @@
 }
 
 impl OwnershipDriver {
-    /// `peers` sends messages to other gateways. A statement with at least `min_lookup_work` is looked up at the other
+    /// Creates a driver. `peers` sends messages to other gateways. A statement with at least `min_lookup_work` is looked up at the other
     /// gateways before it starts.
     pub fn new(
         ownership: Ownership,
--- a/crates/ivypitch-gateway/src/actors/queueing.rs
+++ b/crates/ivypitch-gateway/src/actors/queueing.rs
@@ -66,7 +66,7 @@
 }
 
 impl QueueingDriver {
-    /// Queues with these budgets, one for each of the settings' tenants.
+    /// Creates the queues with these budgets. `tenants` are the names of the settings' tenants, for log lines.
     pub fn new(budgets: Budgets, tenants: Vec<String>, seed: u64, now: Nanos) -> QueueingDriver {
         QueueingDriver {
             teams: Teams::new(budgets, seed, now),
--- a/crates/ivypitch-gateway/src/actors/scheduler/context.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/context.rs
@@ -1,4 +1,4 @@
-//! Everything that the scheduler acts on.
+//! Everything that the scheduler acts on: statements, engines, timers, and what attempts need.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -78,7 +78,7 @@
 }
 
 impl Context {
-    /// Without engines and statements. The gate of its attempts asks `scheduler`.
+    /// Creates a context without engines and statements. Attempts ask `scheduler` before their first byte leaves.
     pub(super) fn new(
         parts: SchedulerParts,
         scheduler: &Rc<RefCell<Scheduler>>,
@@ -136,7 +136,7 @@
         pool: PoolParams::new(gateways, limits.idle_close),
         clock: parts.clock,
         permits: parts.permits.clone(),
-        connects: parts.connects.clone(),
+        connection_counters: parts.connection_counters.clone(),
         traffic: parts.traffic.clone(),
         executor: parts.executor.clone(),
     };
--- a/crates/ivypitch-gateway/src/actors/scheduler/endpoints.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/endpoints.rs
@@ -32,7 +32,7 @@
     pub(super) pool: PoolParams,
     pub(super) clock: Clock,
     pub(super) permits: Rc<ConnectionPermits>,
-    pub(super) connects: Rc<ConnectionCounters>,
+    pub(super) connection_counters: Rc<ConnectionCounters>,
     pub(super) traffic: Rc<Traffic>,
     pub(super) executor: Rc<LocalExecutor<'static>>,
 }
@@ -45,7 +45,7 @@
             pool: self.pool,
             clock: self.clock,
             permits: self.permits.clone(),
-            connects: self.connects.clone(),
+            connects: self.connection_counters.clone(),
             traffic: self.traffic.clone(),
         });
         let (mailbox, messages) = async_channel::unbounded();
@@ -138,7 +138,7 @@
         });
     }
 
-    /// Takes one endpoint of the list in and starts, moves or ends its actor. `None` if its address is malformed.
+    /// Enters one endpoint and starts, moves or ends its engine's actor. `None` if its address is malformed.
     fn update_endpoint(&mut self, endpoint: &Endpoint) -> Option<EngineEndpoint> {
         let engine = self.ids.index_of(&endpoint.id);
         if self.entries.len() <= engine.0 {
@@ -174,6 +174,7 @@
         })
     }
 
+    /// Starts the actor of an engine, or tells it of a new address.
     fn connect(&mut self, engine: EngineIndex, id: &str, address: SocketAddr) {
         let slot = &mut self.entries[engine.0].handle;
         match slot {
@@ -263,7 +264,7 @@
         self.apply_endpoints(update, kind);
     }
 
-    /// Takes an update in: engines' actors first, then scheduler, queues and coordination.
+    /// Applies an update to the engines' actors first, then to the scheduler, the queues and coordination.
     pub(super) fn apply_endpoints(&mut self, update: &EndpointUpdate, kind: EndpointUpdateKind) {
         let context = &mut self.context;
         let listed: Vec<EngineEndpoint> = update
--- a/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! A statement meets what decides on it in this order: ownership, where gateways talk to each other; its team's queue,
 //! where the operators' file sets up teams; the scheduler. Each is told of one event, and then
-//! [`SchedulerActor::apply_actions`] does what all of them ask for until nothing is left.
+//! `SchedulerActor::apply_actions` does what all of them ask for until nothing is left.
 
 mod context;
 mod coordination;
@@ -57,10 +57,10 @@
     /// Bounds the connections to all engines together.
     pub permits: Rc<ConnectionPermits>,
     /// Counts connections to engines.
-    pub connects: Rc<ConnectionCounters>,
+    pub connection_counters: Rc<ConnectionCounters>,
     /// Counts bytes.
     pub traffic: Rc<Traffic>,
-    /// Of all random numbers of the scheduler and of the queues.
+    /// Seed of the random numbers that the scheduler and the queues draw.
     pub seed: u64,
     /// The gateway's clock.
     pub clock: Clock,
@@ -80,7 +80,7 @@
 }
 
 impl SchedulerActor {
-    /// An actor without engines and statements.
+    /// Creates an actor that knows no engines and no statements yet.
     pub fn new(mut parts: SchedulerParts) -> SchedulerActor {
         let now = parts.clock.now();
         let scheduler = Rc::new(RefCell::new(Scheduler::new(
@@ -123,6 +123,7 @@
         }
     }
 
+    /// Starts the scheduler with the engines of the snapshot.
     fn start(&mut self, snapshot: &Snapshot) {
         let context = &mut self.context;
         self.scheduler.borrow_mut().start(context.now, context);
@@ -153,6 +154,7 @@
         message.or(timer).await
     }
 
+    /// When the next timer of the scheduler or of a driver is due.
     fn next_timer(&self) -> Option<Nanos> {
         let context = &self.context;
         let queueing = self.queueing.as_ref().and_then(QueueingDriver::next_timer);
@@ -171,6 +173,7 @@
             .min()
     }
 
+    /// Fires the timers that are due and calls the drivers whose time has come.
     fn on_timers(&mut self) {
         self.context.now = self.context.clock.now();
         while let Some(event) = self.context.timers.pop_due(self.context.now) {
@@ -205,6 +208,7 @@
         self.apply_actions();
     }
 
+    /// Handles one message and does what follows from it.
     fn on_message(&mut self, message: SchedulerMessage) {
         self.context.now = self.context.clock.now();
         match message {
--- a/crates/ivypitch-gateway/src/lifecycle/startup.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/startup.rs
@@ -182,7 +182,7 @@
             ownership: peers.ownership,
             coordination: peers.coordination,
             permits: ConnectionPermits::new(self.bounds.engine_connections),
-            connects: self.connections.clone(),
+            connection_counters: self.connections.clone(),
             traffic: self.traffic.clone(),
             seed: self.seed,
             clock: self.clock,
