--- a/crates/ivypitch-gateway/src/lifecycle/reload.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/reload.rs
@@ -11,7 +11,7 @@
 use super::configuration::{self, ConfigurationError};
 use super::gateway::Gateway;
 use super::operator_config::{OperatorConfigError, OperatorConfigFile};
-use crate::actors::discovery::ListMessage;
+use crate::actors::discovery::DiscoveryMessage;
 use crate::actors::messages::SchedulerMessage;
 use crate::actors::session::Sessions;
 
@@ -95,7 +95,9 @@
                 );
                 if self.discovery_address != Some(address) {
                     self.discovery_address = Some(address);
-                    let _ = self.discovery.try_send(ListMessage::Address(address));
+                    let _ = self
+                        .discovery
+                        .try_send(DiscoveryMessage::SetAddress(address));
                 }
             }
             Err(error) => {
