--- a/crates/ivypitch-gateway/src/lifecycle/peers.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/peers.rs
@@ -13,7 +13,7 @@
 use super::operator_config::LoadedOperatorConfig;
 use super::startup::StartupError;
 use crate::actors::coordination::CoordinationDriver;
-use crate::actors::discovery::ListMessage;
+use crate::actors::discovery::DiscoveryMessage;
 use crate::actors::messages::SchedulerMessage;
 use crate::actors::ownership::OwnershipDriver;
 use crate::actors::peer_links::{self, PeersMessage};
@@ -39,7 +39,7 @@
     pub(super) max_statement_timeout: Nanos,
     pub(super) clock: Clock,
     pub(super) scheduler: Sender<SchedulerMessage>,
-    pub(super) discovery: Sender<ListMessage>,
+    pub(super) discovery: Sender<DiscoveryMessage>,
     pub(super) executor: Rc<LocalExecutor<'static>>,
     pub(super) traffic: Rc<Traffic>,
 }
--- a/crates/ivypitch-gateway/src/lifecycle/startup.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/startup.rs
@@ -1,6 +1,5 @@
 //! From configuration to a gateway that can serve: the listener, the actors and how they reach each other.
 
-use std::cell::RefCell;
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
@@ -10,7 +9,7 @@
 use async_io::Async;
 use async_signal::{Signal, Signals};
 use ivypitch_config::DeploymentConfig;
-use ivypitch_discovery::Feed;
+use ivypitch_discovery::EndpointWatch;
 use ivypitch_queueing::Budgets;
 use ivypitch_types::Nanos;
 
@@ -23,7 +22,7 @@
 use super::operator_config::{LoadedOperatorConfig, OperatorConfigError};
 use super::peers::{PeerDrivers, PeersStart};
 use super::reload::TeamBudgets;
-use crate::actors::discovery::{List, ListMessage};
+use crate::actors::discovery::{DiscoveryActor, DiscoveryMessage, DiscoveryParams};
 use crate::actors::messages::SchedulerMessage;
 use crate::actors::scheduler::{SchedulerActor, SchedulerParts};
 use crate::actors::session::Sessions;
@@ -147,7 +146,7 @@
     clock: Clock,
     executor: Rc<LocalExecutor<'static>>,
     scheduler: Sender<SchedulerMessage>,
-    discovery: Sender<ListMessage>,
+    discovery: Sender<DiscoveryMessage>,
     traffic: Rc<Traffic>,
     connections: Rc<ConnectionCounters>,
 }
@@ -162,15 +161,15 @@
         sessions
     }
 
-    fn watch(&self, has_coordination: bool) -> List {
-        List {
-            feed: RefCell::new(Feed::new(self.position, self.seed)),
+    fn watch(&self, has_coordination: bool) -> DiscoveryActor {
+        DiscoveryActor::new(DiscoveryParams {
+            watch: EndpointWatch::new(self.position, self.seed),
             clock: self.clock,
-            longest_line: self.bounds.discovery_line_bytes,
-            module: self.scheduler.clone(),
-            shares: has_coordination,
+            max_line_bytes: self.bounds.discovery_line_bytes,
+            scheduler: self.scheduler.clone(),
+            reports_lines: has_coordination,
             traffic: self.traffic.clone(),
-        }
+        })
     }
 
     fn peers(
@@ -200,22 +199,19 @@
         budgets: Option<Budgets>,
         peers: PeerDrivers,
     ) -> SchedulerActor {
-        let parts = SchedulerParts {
+        SchedulerActor::new(SchedulerParts {
+            deployment,
             budgets,
-            keeper: peers.ownership,
-            sharing: peers.coordination,
+            ownership: peers.ownership,
+            coordination: peers.coordination,
             permits: ConnectionPermits::new(self.bounds.engine_connections),
             connects: self.connections.clone(),
             traffic: self.traffic.clone(),
-        };
-        SchedulerActor::new(
-            deployment,
-            parts,
-            self.seed,
-            self.clock,
-            self.scheduler.clone(),
-            self.executor.clone(),
-        )
+            seed: self.seed,
+            clock: self.clock,
+            mailbox: self.scheduler.clone(),
+            executor: self.executor.clone(),
+        })
     }
 }
 
