--- a/crates/ivypitch-gateway/src/lifecycle/configuration.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/configuration.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use ivypitch_config::DeploymentConfig;
+use ivypitch_config::{DeploymentConfig, DeploymentError};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
@@ -110,7 +110,7 @@
     },
     /// The platform's settings can't be used.
     #[error("settings: {0}")]
-    Settings(String),
+    Settings(#[from] DeploymentError),
 }
 
 /// Parses a configuration's text; its `path` is left empty.
@@ -126,8 +126,7 @@
         stated_or(file.limits.sockets, DEFAULT_SOCKETS),
         stated_or(file.limits.memory_mb, DEFAULT_MEMORY_MB),
     );
-    let deployment = ivypitch_config::read(file.settings.get().as_bytes())
-        .map_err(|error| ContentError::Settings(error.to_string()))?;
+    let deployment = ivypitch_config::read(file.settings.get().as_bytes())?;
     Ok(Configuration {
         path: PathBuf::new(),
         name: file.name,
