--- a/crates/ivypitch-ownership/src/attempt_grant.rs
+++ b/crates/ivypitch-ownership/src/attempt_grant.rs
@@ -12,7 +12,16 @@
 use crate::statement::{PendingGrant, Statement, StatementState};
 use crate::vote_log::VoteRefusal;
 
-/// A voter's answer.
+/// A voter's answer to a [`Message::GrantRequest`].
+pub(crate) struct GrantVote {
+    pub(crate) voter: MemberId,
+    /// What was asked for.
+    pub(crate) grant: AttemptGrant,
+    /// What the voter knows that forbids it.
+    pub(crate) conflict: Option<StatementRecord>,
+}
+
+/// One vote, as it counts.
 enum Vote {
     Granted,
     /// With what it knows that forbids the attempt, if it said so.
@@ -135,28 +144,26 @@
     }
 
     /// A voter has answered.
-    pub(crate) fn on_grant_reply(
+    pub(crate) fn on_grant_vote(
         &mut self,
         now: Nanos,
-        from: MemberId,
         id: StatementId,
-        grant: AttemptGrant,
-        conflict: Option<StatementRecord>,
+        vote: GrantVote,
         out: &mut dyn Output,
     ) {
         let is_awaited = self
             .statements
             .get(id)
             .and_then(|statement| statement.pending_grant.as_ref())
-            .is_some_and(|pending| pending.grant == grant);
+            .is_some_and(|pending| pending.grant == vote.grant);
         if !is_awaited {
             return;
         }
-        let vote = match conflict {
+        let counted = match vote.conflict {
             None => Vote::Granted,
             Some(record) => Vote::Refused(Some(record)),
         };
-        self.count_vote(id, from, vote);
+        self.count_vote(id, vote.voter, counted);
         self.on_votes_changed(now, id, out);
     }
 
--- a/crates/ivypitch-ownership/src/handoff.rs
+++ b/crates/ivypitch-ownership/src/handoff.rs
@@ -68,7 +68,7 @@
         let Some(spec) = record.spec else {
             return;
         };
-        if self.statements.is_owned_or_claimed(id) {
+        if self.statements.is_owned_or_being_taken_over(id) {
             return;
         }
         let mut statement = self.new_statement(now, spec, StatementState::LookingUp);
--- a/crates/ivypitch-ownership/src/lookup.rs
+++ b/crates/ivypitch-ownership/src/lookup.rs
@@ -35,7 +35,7 @@
             return;
         };
         statement.lookup.asked = member;
-        statement.lookup.request_id = request_id;
+        statement.lookup.request_id = Some(request_id);
         // What the owner reports overrides a rejection here.
         statement.takeover.rejection = None;
         let digest = statement.spec.digest;
@@ -62,7 +62,7 @@
             return;
         };
         statement.lookup.asked = voter;
-        statement.lookup.request_id = request_id;
+        statement.lookup.request_id = Some(request_id);
         let digest = statement.spec.digest;
         self.statements
             .set_timer(id, now + self.config.lookup_timeout);
@@ -145,7 +145,7 @@
         let Some(statement) = self.statements.get_mut(id) else {
             return;
         };
-        if statement.lookup.request_id != request_id {
+        if statement.lookup.request_id != Some(request_id) {
             return;
         }
         let is_looking_up = statement.state() == StatementState::LookingUp;
@@ -202,7 +202,7 @@
         }
         let candidates = self.lookup_candidates(id);
         if let Some(statement) = self.statements.get_mut(id)
-            && statement.lookup.request_id == 0
+            && statement.lookup.request_id.is_none()
         {
             // It arrived while this process joined.
             statement.lookup.candidates = candidates;
--- a/crates/ivypitch-ownership/src/ownership.rs
+++ b/crates/ivypitch-ownership/src/ownership.rs
@@ -4,6 +4,7 @@
 
 use ivypitch_types::{MILLISECOND, MemberId, Nanos, ProcessId, SECOND};
 
+use crate::attempt_grant::GrantVote;
 use crate::config::OwnershipConfig;
 use crate::lookup_answer::LookupRequest;
 use crate::members::Members;
@@ -108,7 +109,14 @@
                 id,
                 grant,
                 conflict,
-            } => self.on_grant_reply(now, from, id, grant, conflict, out),
+            } => {
+                let vote = GrantVote {
+                    voter: from,
+                    grant,
+                    conflict,
+                };
+                self.on_grant_vote(now, id, vote, out);
+            }
             Message::TakeoverRequest { id, epoch } => {
                 self.on_takeover_request(now, from, id, epoch, out);
             }
--- a/crates/ivypitch-ownership/src/statement.rs
+++ b/crates/ivypitch-ownership/src/statement.rs
@@ -99,8 +99,8 @@
     pub(crate) candidates: Vec<MemberId>,
     /// Who was asked last, or acts for the statement.
     pub(crate) asked: MemberId,
-    /// Of the last request; zero before the first.
-    pub(crate) request_id: u64,
+    /// Of the last request, if there was one.
+    pub(crate) request_id: Option<u64>,
 }
 
 /// Collecting votes to act for the statement.
@@ -137,8 +137,8 @@
     pub(crate) tries: u32,
     /// Voters have been notified of it.
     pub(crate) is_known_to_voters: bool,
-    /// When its timer fires; zero if none is set.
-    pub(crate) timer: Nanos,
+    /// When its timer fires, if one is set.
+    pub(crate) timer: Option<Nanos>,
     /// When no client can ask for it any more.
     pub(crate) expires_at: Nanos,
 }
@@ -164,12 +164,12 @@
             lookup: LookupProgress {
                 candidates: Vec::new(),
                 asked: epoch.process.member,
-                request_id: 0,
+                request_id: None,
             },
             takeover: TakeoverProgress::default(),
             tries: 0,
             is_known_to_voters: false,
-            timer: 0,
+            timer: None,
             expires_at,
         }
     }
--- a/crates/ivypitch-ownership/src/statement_table.rs
+++ b/crates/ivypitch-ownership/src/statement_table.rs
@@ -43,7 +43,7 @@
     }
 
     /// Whether this gateway acts for the statement, or asks to.
-    pub(crate) fn is_owned_or_claimed(&self, id: StatementId) -> bool {
+    pub(crate) fn is_owned_or_being_taken_over(&self, id: StatementId) -> bool {
         self.get(id).is_some_and(|statement| {
             statement.is_owner() || statement.state() == StatementState::TakingOver
         })
@@ -53,7 +53,7 @@
     pub(crate) fn insert(&mut self, id: StatementId, statement: Statement) {
         let expires_at = statement.expires_at;
         if let Some(replaced) = self.statements.insert(id, statement) {
-            self.timers.remove(&(replaced.timer, id));
+            self.cancel_timer(id, replaced.timer);
             self.results.remove(id);
         }
         self.set_timer(id, expires_at);
@@ -61,7 +61,7 @@
 
     pub(crate) fn forget(&mut self, id: StatementId) {
         if let Some(statement) = self.statements.remove(&id) {
-            self.timers.remove(&(statement.timer, id));
+            self.cancel_timer(id, statement.timer);
             self.results.remove(id);
         }
     }
@@ -71,11 +71,17 @@
         let Some(statement) = self.statements.get_mut(&id) else {
             return;
         };
-        self.timers.remove(&(statement.timer, id));
-        statement.timer = at;
+        let replaced = statement.timer.replace(at);
+        self.cancel_timer(id, replaced);
         self.timers.insert((at, id));
     }
 
+    fn cancel_timer(&mut self, id: StatementId, timer: Option<Nanos>) {
+        if let Some(at) = timer {
+            self.timers.remove(&(at, id));
+        }
+    }
+
     pub(crate) fn next_timer(&self) -> Nanos {
         self.timers.first().map_or(Nanos::MAX, |&(at, _)| at)
     }
@@ -85,7 +91,7 @@
         let &(at, id) = self.timers.first().filter(|(at, _)| *at <= now)?;
         self.timers.remove(&(at, id));
         if let Some(statement) = self.statements.get_mut(&id) {
-            statement.timer = 0;
+            statement.timer = None;
         }
         Some(id)
     }
--- a/crates/ivypitch-ownership/src/takeover.rs
+++ b/crates/ivypitch-ownership/src/takeover.rs
@@ -55,7 +55,7 @@
             return None;
         }
         let spec = record.spec?;
-        if self.statements.is_owned_or_claimed(id) {
+        if self.statements.is_owned_or_being_taken_over(id) {
             return None;
         }
         let rank = self.rank_among_connected(id);
