--- a/crates/ivypitch-testbed/src/experiments/custody.rs
+++ b/crates/ivypitch-testbed/src/experiments/custody.rs
@@ -1,26 +1,26 @@
-//! Custody over fault plans, in virtual time.
+//! Ownership of statements over fault plans, in virtual time.
 
 use super::side_by_side;
 use crate::report::{Bound, Report};
-use crate::virtual_time::custody_fleet;
+use crate::virtual_time::ownership_fleet;
 
 /// Fault plans by the seed and those that follow it; the first that breaks a promise is printed, cut down.
 pub fn play(quick: bool, seed: u64) -> Report {
     let mut report = Report::new("custody", seed);
     let plans = if quick { 60 } else { 5000 };
-    let nine = custody_fleet::Fleet::default();
+    let nine = ownership_fleet::Fleet::default();
     // The plan that the bound on what is carried is meant for: eight gateways, one lost each 3 s.
-    let eight = custody_fleet::Fleet {
+    let eight = ownership_fleet::Fleet {
         gateways: 8,
         engines: 6,
-        fault_gap: 3000,
+        fault_gap_ms: 3000,
         ..nine.clone()
     };
-    let large = custody_fleet::Fleet {
+    let large = ownership_fleet::Fleet {
         gateways: 300,
         engines: 20,
-        span: 5_000,
-        gap: 8,
+        duration_ms: 5_000,
+        statement_gap_ms: 8,
         ..nine.clone()
     };
     let runs = [
@@ -37,19 +37,23 @@
         };
         let place = format!(
             "virtual time, {} gateways, {} engines, {plans} plans, a fault each {} ms, {what}",
-            fleet.gateways, fleet.engines, fleet.fault_gap
+            fleet.gateways, fleet.engines, fleet.fault_gap_ms
         );
         let play = |seed: u64| {
-            custody_fleet::play(fleet, &custody_fleet::draw(fleet, seed, losses_only), seed)
+            ownership_fleet::play(
+                fleet,
+                &ownership_fleet::draw(fleet, seed, losses_only),
+                seed,
+            )
         };
         let all = side_by_side(plans, seed, play);
         if let Some(first) = all.iter().position(|verdict| !verdict.holds()) {
             let seed = seed + first as u64;
-            let plan = custody_fleet::draw(fleet, seed, losses_only);
-            let least = plan.cut_down(40, |plan| !custody_fleet::play(fleet, plan, seed).holds());
+            let plan = ownership_fleet::draw(fleet, seed, losses_only);
+            let least = plan.cut_down(40, |plan| !ownership_fleet::play(fleet, plan, seed).holds());
             println!("seed {seed} breaks a promise; the least plan that does:\n{least}");
         }
-        let sum = |of: fn(&custody_fleet::Verdict) -> u64| all.iter().map(of).sum::<u64>() as f64;
+        let sum = |of: fn(&ownership_fleet::Verdict) -> u64| all.iter().map(of).sum::<u64>() as f64;
         let mut bound = |what: &str, is, least, most| {
             report
                 .bounds
@@ -57,20 +61,25 @@
         };
         bound("plans played", all.len() as f64, plans as f64, plans as f64);
         bound("loads", sum(|v| v.loads), 1.0, f64::MAX);
-        bound("loads started twice", sum(|v| v.doubled), 0.0, 0.0);
+        bound("loads started twice", sum(|v| v.dispatched_twice), 0.0, 0.0);
         bound(
             "loads refused that ran",
-            sum(|v| v.refused_and_ran),
+            sum(|v| v.rejected_but_ran),
+            0.0,
+            0.0,
+        );
+        bound(
+            "clients with two ends",
+            sum(|v| v.contradicting_answers),
             0.0,
             0.0,
         );
-        bound("clients with two ends", sum(|v| v.two_ends), 0.0, 0.0);
         bound("clients without a word", sum(|v| v.unanswered), 0.0, 0.0);
-        let caught = sum(|v| v.caught);
+        let caught = sum(|v| v.in_flight_at_loss);
         bound("running at a loss and come back for", caught, 0.0, f64::MAX);
         bound(
             "of these completed without running again",
-            sum(|v| v.carried) / caught.max(1.0),
+            sum(|v| v.completed_after_loss) / caught.max(1.0),
             least,
             f64::MAX,
         );
--- a/crates/ivypitch-testbed/src/experiments/custody_cost.rs
+++ b/crates/ivypitch-testbed/src/experiments/custody_cost.rs
@@ -12,8 +12,8 @@
 use crate::processes::clients::{self, Ask, Manners, Story};
 use crate::processes::{Engines, Fleet, Setup};
 use crate::report::{Bound, Report};
-use crate::virtual_time::custody_fleet;
 use crate::virtual_time::faults::Plan;
+use crate::virtual_time::ownership_fleet;
 
 const LONGEST_MS: u64 = 3000;
 const REMEMBERED_MS: u64 = 500;
@@ -195,12 +195,12 @@
         );
     }
     for gateways in if quick { vec![3, 30] } else { vec![3, 30, 300] } {
-        let fleet = custody_fleet::Fleet {
+        let fleet = ownership_fleet::Fleet {
             gateways,
-            measure: true,
-            ..custody_fleet::Fleet::default()
+            counts_bytes: true,
+            ..ownership_fleet::Fleet::default()
         };
-        let verdict = custody_fleet::play(&fleet, &Plan::default(), seed);
+        let verdict = ownership_fleet::play(&fleet, &Plan::default(), seed);
         let place = format!("virtual time, {gateways} gateways, no faults");
         let all = verdict.statements.max(1) as f64;
         let mut bound = |what: &str, is: f64, least: f64, most: f64| {
@@ -228,7 +228,7 @@
         );
         bound(
             "most statements held as a witness",
-            verdict.most_entries as f64,
+            verdict.max_vote_log_entries as f64,
             0.0,
             f64::MAX,
         );
--- a/crates/ivypitch-testbed/src/experiments/scale/peers.rs
+++ b/crates/ivypitch-testbed/src/experiments/scale/peers.rs
@@ -14,7 +14,7 @@
 
 use super::slope::Measure;
 use crate::virtual_time::faults::Plan;
-use crate::virtual_time::{cost, custody_fleet, members_fleet, shares_fleet};
+use crate::virtual_time::{cost, members_fleet, ownership_fleet, shares_fleet};
 
 const MS: Nanos = 1_000_000;
 pub const GATEWAYS: [usize; 5] = [30, 100, 300, 1000, 3800];
@@ -147,17 +147,17 @@
         .filter(|&&n| n <= if quick { 300 } else { 1000 })
     {
         // Each gateway has the same traffic, whatever the size.
-        let fleet = custody_fleet::Fleet {
+        let fleet = ownership_fleet::Fleet {
             gateways,
             zones: 7,
             engines: 20,
-            span: if quick { 1000 } else { 4000 },
-            gap: 1,
-            fault_gap: 1_000_000,
-            measure: true,
-            ..custody_fleet::Fleet::default()
+            duration_ms: if quick { 1000 } else { 4000 },
+            statement_gap_ms: 1,
+            fault_gap_ms: 1_000_000,
+            counts_bytes: true,
+            ..ownership_fleet::Fleet::default()
         };
-        let verdict = custody_fleet::play(&fleet, &Plan::default(), seed);
+        let verdict = ownership_fleet::play(&fleet, &Plan::default(), seed);
         let statements = verdict.statements.max(1) as f64;
         messages.push((gateways as f64, verdict.messages as f64 / statements));
         bytes.push((gateways as f64, verdict.bytes as f64 / statements));
--- a/crates/ivypitch-testbed/src/virtual_time/mod.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/mod.rs
@@ -2,11 +2,11 @@
 //! traffic, all by a seed. Knows no process, no socket and no experiment.
 
 pub mod cost;
-pub mod custody_fleet;
 pub mod engine;
 pub mod faults;
 pub mod feed_fleet;
 pub mod fleet;
 pub mod members_fleet;
+pub mod ownership_fleet;
 pub mod shares_fleet;
 pub mod traffic;
--- /dev/null
+++ b/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/faults.rs
@@ -0,0 +1,217 @@
+//! Faults of the plan as they begin and end.
+
+use std::collections::BTreeSet;
+
+use ivypitch_ownership::{Ownership, StatementId};
+use ivypitch_types::MILLISECOND;
+use rand::Rng;
+
+use super::action::Actions;
+use super::membership::{LOSS_NOTICED, PARTITION_END_NOTICED, RETURN_NOTICED};
+use super::simulation::{Event, Simulation};
+use crate::virtual_time::faults::What;
+
+/// A gateway that shuts down ends after this time.
+const SHUTDOWN_MS: u64 = 300;
+
+impl Simulation<'_> {
+    pub(super) fn on_fault_begins(&mut self, index: usize) {
+        let fault = self.plan.faults[index];
+        self.trace(|| format!("fault {fault}"));
+        match fault.what {
+            What::Kill { gateway, back } => {
+                if self.is_up(gateway) {
+                    self.crash(gateway);
+                    self.schedule_after(back * MILLISECOND, Event::Restart { gateway });
+                }
+            }
+            What::End { gateway, back } => {
+                if self.is_up(gateway) && !self.gateways[gateway].is_stopped {
+                    self.shut_down(gateway);
+                    self.schedule_after(SHUTDOWN_MS * MILLISECOND, Event::FaultEnds(index));
+                    let restart_after = (SHUTDOWN_MS + back) * MILLISECOND;
+                    self.schedule_after(restart_after, Event::Restart { gateway });
+                }
+            }
+            What::Stop { gateway, span } => {
+                if self.is_up(gateway) && !self.gateways[gateway].is_stopped {
+                    self.gateways[gateway].is_stopped = true;
+                    self.schedule_after(span * MILLISECOND, Event::FaultEnds(index));
+                    self.schedule_view_updates(&BTreeSet::from([gateway]), LOSS_NOTICED);
+                    self.lose_patience(gateway);
+                }
+            }
+            What::CutZone { .. } | What::CutOff { .. } => {
+                for link in self.partitioned_links(fault.what) {
+                    *self.partitions.entry(link).or_default() += 1;
+                }
+                let all = (0..self.fleet.gateways).collect();
+                self.schedule_view_updates(&all, LOSS_NOTICED);
+                self.schedule_fault_end(index);
+            }
+            What::Mute { from, to, .. } => {
+                *self.broken_links.entry((from, to)).or_default() += 1;
+                self.schedule_fault_end(index);
+            }
+            What::Late { from, to, by, .. } => {
+                self.delays.insert((from, to), by * MILLISECOND);
+                self.schedule_fault_end(index);
+            }
+            What::Reset { from, to } => self.drop_messages_between(from, to),
+            What::EngineDies { engine } => self.engines[engine].queries.clear(),
+            What::EngineDrains { engine, .. } => {
+                self.engines[engine].is_draining = true;
+                self.schedule_fault_end(index);
+            }
+        }
+    }
+
+    pub(super) fn on_fault_ends(&mut self, index: usize) {
+        let fault = self.plan.faults[index];
+        match fault.what {
+            What::Stop { gateway, .. } => self.resume(gateway),
+            What::End { gateway, .. } => {
+                if self.is_up(gateway) && self.gateways[gateway].is_shutting_down {
+                    self.crash(gateway);
+                }
+            }
+            What::CutZone { .. } | What::CutOff { .. } => {
+                for link in self.partitioned_links(fault.what) {
+                    *self.partitions.entry(link).or_default() -= 1;
+                }
+                let all = (0..self.fleet.gateways).collect();
+                self.schedule_view_updates(&all, PARTITION_END_NOTICED);
+            }
+            What::Mute { from, to, .. } => {
+                *self.broken_links.entry((from, to)).or_default() -= 1;
+            }
+            What::Late { from, to, .. } => {
+                self.delays.remove(&(from, to));
+            }
+            What::EngineDrains { engine, .. } => self.engines[engine].is_draining = false,
+            What::Kill { .. } | What::Reset { .. } | What::EngineDies { .. } => {}
+        }
+    }
+
+    pub(super) fn on_restart(&mut self, gateway: usize) {
+        if self.is_up(gateway) {
+            return;
+        }
+        let started = self.start_gateway(gateway);
+        let incarnation = started.incarnation;
+        self.gateways[gateway] = started;
+        self.schedule_view_updates(&BTreeSet::from([gateway]), RETURN_NOTICED);
+        let timer = Event::Timer {
+            gateway,
+            incarnation,
+        };
+        self.schedule_after(1, timer);
+    }
+
+    fn schedule_fault_end(&mut self, index: usize) {
+        let span_ms = self.plan.faults[index].span().unwrap_or(0);
+        self.schedule_after(span_ms * MILLISECOND, Event::FaultEnds(index));
+    }
+
+    /// The gateway hands off what it acts for.
+    fn shut_down(&mut self, gateway: usize) {
+        self.gateways[gateway].is_shutting_down = true;
+        let now = self.now;
+        let mut actions = Actions::default();
+        let handed_off = match self.gateways[gateway].ownership.as_mut() {
+            Some(ownership) => ownership.hand_off(now, &mut actions),
+            None => Vec::new(),
+        };
+        for id in handed_off {
+            self.gateways[gateway].local.remove(&id);
+        }
+        self.apply_actions(gateway, actions);
+    }
+
+    /// Clients of a stopped gateway go elsewhere after a while.
+    fn lose_patience(&mut self, gateway: usize) {
+        for client in self.clients_at(gateway) {
+            let delay = self.random_delay(600, 1800);
+            let gives_up = Event::ClientGivesUp {
+                statement: client.statement,
+                token: client.token,
+            };
+            self.schedule_after(delay, gives_up);
+        }
+    }
+
+    fn resume(&mut self, gateway: usize) {
+        if !self.gateways[gateway].is_stopped {
+            return;
+        }
+        self.trace(|| format!("gateway {gateway} resumes"));
+        self.gateways[gateway].is_stopped = false;
+        let held_events = std::mem::take(&mut self.gateways[gateway].held_events);
+        for event in held_events {
+            let delay = self.rng.random_range(0..MILLISECOND);
+            self.schedule_after(delay, event);
+        }
+        self.schedule_view_updates(&BTreeSet::from([gateway]), RETURN_NOTICED);
+    }
+
+    fn crash(&mut self, gateway: usize) {
+        let crashed = &mut self.gateways[gateway];
+        let counters = crashed.ownership.as_ref().map(Ownership::counters);
+        self.counters.extend(counters);
+        let dispatched: Vec<StatementId> = crashed
+            .local
+            .iter()
+            .filter(|(_, local)| local.is_dispatched)
+            .map(|(&id, _)| id)
+            .collect();
+        crashed.ownership = None;
+        crashed.incarnation = 0;
+        crashed.local.clear();
+        crashed.is_stopped = false;
+        crashed.held_events.clear();
+        crashed.is_shutting_down = false;
+        for id in dispatched {
+            self.note_loss(id);
+        }
+        self.schedule_view_updates(&BTreeSet::from([gateway]), LOSS_NOTICED);
+        for client in self.clients_at(gateway) {
+            self.return_later(client.statement);
+        }
+    }
+
+    fn note_loss(&mut self, id: StatementId) {
+        let statement = &mut self.statements[self.by_id[&id]];
+        let is_running = self
+            .engines
+            .iter()
+            .any(|engine| engine.queries.contains_key(&id));
+        if is_running && !statement.is_over {
+            statement.starts_at_loss = Some(statement.starts);
+            self.lost_at.insert(id, self.now);
+        }
+    }
+
+    fn partitioned_links(&self, what: What) -> Vec<(usize, usize)> {
+        let zones = self.fleet.zones;
+        let is_apart = |a: usize, b: usize| match what {
+            What::CutZone { zone, .. } => (a % zones == zone) != (b % zones == zone),
+            What::CutOff { gateway, .. } => (a == gateway) != (b == gateway),
+            _ => false,
+        };
+        let all = 0..self.fleet.gateways;
+        all.clone()
+            .flat_map(|a| all.clone().map(move |b| (a, b)))
+            .filter(|&(a, b)| is_apart(a, b))
+            .collect()
+    }
+
+    /// What is on its way is lost.
+    fn drop_messages_between(&mut self, one: usize, other: usize) {
+        self.events.retain(|_, event| match event {
+            Event::Delivery { from, to, .. } => {
+                (*from, *to) != (one, other) && (*from, *to) != (other, one)
+            }
+            _ => true,
+        });
+    }
+}
--- a/crates/ivypitch-testbed/tests/scale.rs
+++ b/crates/ivypitch-testbed/tests/scale.rs
@@ -8,7 +8,7 @@
 use ivypitch_testbed::experiments::scale::slope::{Slope, at, passes_at};
 use ivypitch_testbed::virtual_time::faults::Plan;
 use ivypitch_testbed::virtual_time::feed_fleet::{self, Reached};
-use ivypitch_testbed::virtual_time::{custody_fleet, members_fleet};
+use ivypitch_testbed::virtual_time::{members_fleet, ownership_fleet};
 use ivypitch_types::{MemberId, SECOND};
 
 #[test]
@@ -72,15 +72,15 @@
 #[test]
 fn a_statements_custody_says_the_same_however_many_gateways_there_are() {
     let each = |gateways| {
-        let fleet = custody_fleet::Fleet {
+        let fleet = ownership_fleet::Fleet {
             gateways,
             zones: 7,
-            span: 400,
-            gap: 1,
-            measure: true,
-            ..custody_fleet::Fleet::default()
+            duration_ms: 400,
+            statement_gap_ms: 1,
+            counts_bytes: true,
+            ..ownership_fleet::Fleet::default()
         };
-        let verdict = custody_fleet::play(&fleet, &Plan::default(), 1);
+        let verdict = ownership_fleet::play(&fleet, &Plan::default(), 1);
         let statements = verdict.statements as f64;
         (
             verdict.messages as f64 / statements,
