--- a/crates/ivypitch-cli/tests/takeover.rs
+++ b/crates/ivypitch-cli/tests/takeover.rs
@@ -680,13 +680,16 @@
             members: (0..3).map(member).collect(),
             zones,
         };
-        let frame = ivypitch_gateway::wire::peers::Frame::Hello {
+        let frame = ivypitch_gateway::wire::peer_frames::Frame::Hello {
             version,
-            roster: members.fingerprint(),
-            place: 1,
-            birth: 7,
+            list_fingerprint: members.fingerprint(),
+            member: MemberId(1),
+            incarnation: Incarnation(7),
         };
-        (members, ivypitch_gateway::wire::peers::write(&frame))
+        (
+            members,
+            ivypitch_gateway::wire::peer_frames::encode_frame(&frame),
+        )
     };
     let (members, old) = hello(VERSION - 1);
     for _ in 0..3 {
@@ -697,7 +700,7 @@
         let _ = link.read_to_end(&mut nothing);
         assert!(nothing.is_empty());
     }
-    let refused = |l: &String| l.contains("link from place 1 refused: version");
+    let refused = |l: &String| l.contains("link from member 1 rejected: version");
     let log = &s.fleet.seats[0].log;
     log.wait("refusal", refused);
     // A datagram of such a member.
@@ -721,7 +724,7 @@
             }
         }
     }
-    let unspoken = |l: &String| l.contains("member at place 1 not spoken to: version");
+    let unspoken = |l: &String| l.contains("member 1 is incompatible and ignored: version");
     log.wait("stranger", unspoken);
     let all = log.all();
     assert_eq!(
--- a/crates/ivypitch-gateway/src/actors/coordination.rs
+++ b/crates/ivypitch-gateway/src/actors/coordination.rs
@@ -10,11 +10,11 @@
     GossipMessage, QuotaIndex,
 };
 use ivypitch_scheduler::OutlierStatus;
-use ivypitch_types::{Incarnation, MemberId, Nanos, Outcome, ProcessId};
+use ivypitch_types::{MemberId, Nanos, Outcome, ProcessId};
 
 use super::discovery::DiscoveryMessage;
 use super::messages::WatchEventLine;
-use super::peer_links::PeersMessage;
+use super::peer_links::PeerLinksMessage;
 
 /// Quota of the engines' cores.
 const CORES_QUOTA: QuotaIndex = QuotaIndex(0);
@@ -47,19 +47,21 @@
 
 struct Output {
     actions: VecDeque<Action>,
-    peers: Sender<PeersMessage>,
+    peers: Sender<PeerLinksMessage>,
     discovery: Sender<DiscoveryMessage>,
 }
 
 impl CoordinationOutput for Output {
     fn send(&mut self, to: MemberId, message: CoordinationMessage) {
-        let _ = self.peers.try_send(PeersMessage::Say { to: to.0, message });
+        let _ = self
+            .peers
+            .try_send(PeerLinksMessage::SendCoordination { to, message });
     }
 
     fn send_gossip(&mut self, to: MemberId, gossip: GossipMessage) {
         let _ = self
             .peers
-            .try_send(PeersMessage::Gossip { to: to.0, gossip });
+            .try_send(PeerLinksMessage::SendGossip { to, gossip });
     }
 
     fn on_quota_changed(&mut self, quota: QuotaIndex, fraction: f64) {
@@ -90,13 +92,6 @@
     }
 }
 
-fn process(member: u16, incarnation: u64) -> ProcessId {
-    ProcessId {
-        member: MemberId(member),
-        incarnation: Incarnation(incarnation),
-    }
-}
-
 /// Connects coordination among gateways to this gateway's actors.
 pub struct CoordinationDriver {
     coordinator: Coordinator,
@@ -107,7 +102,7 @@
     /// `peers` sends messages to other gateways; `discovery` takes watch events that other gateways relay.
     pub fn new(
         coordinator: Coordinator,
-        peers: Sender<PeersMessage>,
+        peers: Sender<PeerLinksMessage>,
         discovery: Sender<DiscoveryMessage>,
     ) -> CoordinationDriver {
         CoordinationDriver {
@@ -131,21 +126,21 @@
     }
 
     /// A gateway has joined.
-    pub fn on_member_up(&mut self, now: Nanos, member: u16, incarnation: u64) {
+    pub fn on_member_up(&mut self, now: Nanos, process: ProcessId) {
         self.coordinator
-            .on_member_up(now, process(member, incarnation), &mut self.output);
+            .on_member_up(now, process, &mut self.output);
     }
 
     /// A gateway has left or failed.
-    pub fn on_member_down(&mut self, now: Nanos, member: u16, incarnation: u64) {
+    pub fn on_member_down(&mut self, now: Nanos, process: ProcessId) {
         self.coordinator
-            .on_member_down(now, process(member, incarnation), &mut self.output);
+            .on_member_down(now, process, &mut self.output);
     }
 
     /// Another gateway sent a message on its link.
-    pub fn on_message(&mut self, now: Nanos, from: u16, message: CoordinationMessage) {
+    pub fn on_message(&mut self, now: Nanos, from: MemberId, message: CoordinationMessage) {
         self.coordinator
-            .on_message(now, MemberId(from), message, &mut self.output);
+            .on_message(now, from, message, &mut self.output);
     }
 
     /// Another gateway sent a datagram.
--- a/crates/ivypitch-gateway/src/actors/messages.rs
+++ b/crates/ivypitch-gateway/src/actors/messages.rs
@@ -12,7 +12,7 @@
 use ivypitch_scheduler::AttemptProgress;
 use ivypitch_types::{EngineIndex, Nanos, Outcome, StatementIndex};
 
-use super::peer_links::Peer;
+use super::peer_links::PeerEvent;
 use crate::state::rows::Rows;
 use crate::wire::discovery::EndpointUpdate;
 use crate::wire::fields::Fields;
@@ -133,7 +133,7 @@
         reply: Sender<String>,
     },
     /// The membership or a message of the other gateways changed something.
-    PeerEvent(Peer),
+    PeerEvent(PeerEvent),
     /// The operators' file sets new budgets for the teams.
     ReloadBudgets {
         /// All of the new budgets.
--- a/crates/ivypitch-gateway/src/actors/ownership.rs
+++ b/crates/ivypitch-gateway/src/actors/ownership.rs
@@ -10,12 +10,12 @@
     Arrival, ArrivalDecision, FinalAnswer, GrantDecision, GrantDenial, Message, Output, Ownership,
     StatementId, StatementSpec,
 };
-use ivypitch_types::{Incarnation, MILLISECOND, MemberId, Nanos, ProcessId};
+use ivypitch_types::{MILLISECOND, MemberId, Nanos};
 use serde_bytes::ByteBuf;
 
 use super::attempt::Attempt;
 use super::messages::{Answer, ClientHandle, ClientStatement};
-use super::peer_links::{Peer, PeersMessage};
+use super::peer_links::{PeerEvent, PeerLinksMessage};
 use crate::state::rows::Rows;
 
 /// What the scheduler's actor is asked to do.
@@ -69,14 +69,14 @@
 
 struct OwnershipOutput {
     actions: VecDeque<Action>,
-    peers: Sender<PeersMessage>,
+    peers: Sender<PeerLinksMessage>,
 }
 
 impl Output for OwnershipOutput {
     fn send(&mut self, to: MemberId, message: Message) {
         let _ = self
             .peers
-            .try_send(PeersMessage::Tell { to: to.0, message });
+            .try_send(PeerLinksMessage::SendOwnership { to, message });
     }
 
     fn on_attempt_granted(&mut self, id: StatementId, attempt: u32) {
@@ -153,7 +153,7 @@
     /// gateways before it starts.
     pub fn new(
         ownership: Ownership,
-        peers: Sender<PeersMessage>,
+        peers: Sender<PeerLinksMessage>,
         min_lookup_work: Nanos,
     ) -> OwnershipDriver {
         OwnershipDriver {
@@ -313,30 +313,28 @@
     }
 
     /// Another gateway sent a message, or its membership has changed.
-    pub fn on_peer_event(&mut self, now: Nanos, peer: &Peer) {
-        match peer {
-            Peer::Heard { from, message, .. } => self.on_message(now, *from, (**message).clone()),
-            Peer::Up { place, birth } => {
-                self.ownership.on_member_up(now, process(*place, *birth));
+    pub fn on_peer_event(&mut self, now: Nanos, event: &PeerEvent) {
+        match event {
+            PeerEvent::Ownership { from, message, .. } => {
+                self.on_message(now, *from, (**message).clone());
             }
-            Peer::Down { place, birth } => {
-                self.ownership
-                    .on_member_down(now, process(*place, *birth), &mut self.output);
-            }
-            Peer::Suspected { place, is: true } => {
-                self.ownership.on_member_suspected(MemberId(*place));
+            PeerEvent::MemberUp(process) => {
+                self.ownership.on_member_up(now, *process);
             }
-            Peer::Suspected { place, is: false } => {
-                self.ownership.on_suspicion_cleared(MemberId(*place));
+            PeerEvent::MemberDown(process) => {
+                self.ownership
+                    .on_member_down(now, *process, &mut self.output);
             }
-            Peer::Shared { .. } | Peer::Gossip(..) => {}
+            PeerEvent::MemberSuspected(member) => self.ownership.on_member_suspected(*member),
+            PeerEvent::SuspicionCleared(member) => self.ownership.on_suspicion_cleared(*member),
+            PeerEvent::Coordination { .. } | PeerEvent::Gossip { .. } => {}
         }
     }
 
     /// Another gateway sent a message.
-    pub fn on_message(&mut self, now: Nanos, from: u16, message: Message) {
+    pub fn on_message(&mut self, now: Nanos, from: MemberId, message: Message) {
         self.ownership
-            .on_message(now, MemberId(from), message, &mut self.output);
+            .on_message(now, from, message, &mut self.output);
     }
 
     /// When [`Self::on_timer`] is to be called next; `Nanos::MAX` for never.
@@ -383,13 +381,6 @@
     }
 }
 
-fn process(member: u16, incarnation: u64) -> ProcessId {
-    ProcessId {
-        member: MemberId(member),
-        incarnation: Incarnation(incarnation),
-    }
-}
-
 /// An answer as other gateways are told it.
 fn final_answer(answer: &Answer) -> FinalAnswer {
     match answer {
--- /dev/null
+++ b/crates/ivypitch-gateway/src/actors/peer_links/connection.rs
@@ -0,0 +1,273 @@
+//! One link: its connection, the first frames and the frames of both directions.
+
+use std::cell::Cell;
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use async_channel::{Receiver, Sender};
+use async_io::{Async, Timer};
+use bytes::{Bytes, BytesMut};
+use futures_lite::{AsyncWriteExt, FutureExt};
+use ivypitch_types::MemberId;
+
+use super::context::Context;
+use super::links::{LinkSerial, Outbox};
+use super::messages::{AcceptedLink, PeerEvent, PeerLinksMessage, Receipt};
+use crate::actors::socket::read_some;
+use crate::wire::peer_frames::{Frame, decode_frame, encode_frame};
+
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
+/// A link on which nothing arrives for so long is dead.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(1);
+/// A frame that cannot be written in this time ends the link.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Messages of one link that are not handled yet; then nothing more is read from it.
+const MAX_UNHANDLED_MESSAGES: usize = 64;
+/// Links that others may have opened to here at once, above the number of members.
+const MAX_EXTRA_ACCEPTED_LINKS: usize = 32;
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
+
+/// Whether the other side's first frame was checked.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Handshake {
+    Expected,
+    Done,
+}
+
+/// Serves the links that others open, until the program ends.
+pub(super) async fn accept_all(listener: Async<TcpListener>, context: Rc<Context>) {
+    let max_links = context.members.len() + MAX_EXTRA_ACCEPTED_LINKS;
+    let open_links = Rc::new(Cell::new(0));
+    loop {
+        let Ok((stream, _)) = listener.accept().await else {
+            Timer::after(ACCEPT_RETRY_INTERVAL).await;
+            continue;
+        };
+        if open_links.get() >= max_links {
+            continue;
+        }
+        open_links.set(open_links.get() + 1);
+        let task = serve_accepted(context.clone(), stream, open_links.clone());
+        context.executor.spawn(task).detach();
+    }
+}
+
+async fn serve_accepted(
+    context: Rc<Context>,
+    stream: Async<TcpStream>,
+    open_links: Rc<Cell<usize>>,
+) {
+    serve_if_compatible(&context, stream).await;
+    open_links.set(open_links.get() - 1);
+}
+
+async fn serve_if_compatible(context: &Rc<Context>, stream: Async<TcpStream>) {
+    let _ = stream.get_ref().set_nodelay(true);
+    let mut input = BytesMut::new();
+    let Some(member) = read_hello(context, &stream, &mut input).await else {
+        return;
+    };
+    let (outbox, queue) = Outbox::new(context.next_serial());
+    let link = Link::new(context.clone(), member, stream, &outbox, queue);
+    let accepted = AcceptedLink { member, outbox };
+    let message = PeerLinksMessage::LinkAccepted(accepted);
+    let _ = context.mailbox.try_send(message);
+    link.run(input, Handshake::Done).await;
+}
+
+/// Opens a link and serves it until it ends.
+pub(super) async fn dial(
+    context: Rc<Context>,
+    member: MemberId,
+    address: SocketAddr,
+    outbox: Outbox,
+    queue: Receiver<Bytes>,
+) {
+    let connect = async { Async::<TcpStream>::connect(address).await.ok() };
+    let timeout = async {
+        Timer::after(CONNECT_TIMEOUT).await;
+        None
+    };
+    let Some(stream) = connect.or(timeout).await else {
+        notify_closed(&context, member, outbox.serial);
+        return;
+    };
+    let _ = stream.get_ref().set_nodelay(true);
+    let link = Link::new(context, member, stream, &outbox, queue);
+    // The outbox in the table of links keeps the link open.
+    drop(outbox);
+    link.run(BytesMut::new(), Handshake::Expected).await;
+}
+
+/// Who opened the link; `None`: nobody that is compatible, or it took too long.
+async fn read_hello(
+    context: &Context,
+    stream: &Async<TcpStream>,
+    input: &mut BytesMut,
+) -> Option<MemberId> {
+    let timeout = async {
+        Timer::after(HELLO_TIMEOUT).await;
+        None
+    };
+    let first = read_frame(context, stream, input).or(timeout).await?;
+    context.check_hello(&first)
+}
+
+async fn read_frame(
+    context: &Context,
+    stream: &Async<TcpStream>,
+    input: &mut BytesMut,
+) -> Option<Frame> {
+    loop {
+        match decode_frame(input) {
+            Ok(Some(frame)) => return Some(frame),
+            Ok(None) => {}
+            Err(_) => return None,
+        }
+        match read_some(stream, input).await.ok()? {
+            0 => return None,
+            bytes => context.traffic.links.record_received(bytes),
+        }
+    }
+}
+
+fn notify_closed(context: &Context, member: MemberId, serial: LinkSerial) {
+    let closed = PeerLinksMessage::LinkClosed { member, serial };
+    let _ = context.mailbox.try_send(closed);
+}
+
+/// What is written next.
+enum Outgoing {
+    Queued(Bytes),
+    Heartbeat,
+}
+
+struct Link {
+    context: Rc<Context>,
+    member: MemberId,
+    stream: Async<TcpStream>,
+    serial: LinkSerial,
+    queue: Receiver<Bytes>,
+    queued_bytes: Rc<Cell<usize>>,
+}
+
+impl Link {
+    fn new(
+        context: Rc<Context>,
+        member: MemberId,
+        stream: Async<TcpStream>,
+        outbox: &Outbox,
+        queue: Receiver<Bytes>,
+    ) -> Link {
+        Link {
+            context,
+            member,
+            stream,
+            serial: outbox.serial,
+            queue,
+            queued_bytes: outbox.queued_bytes.clone(),
+        }
+    }
+
+    /// Both directions, until one of them breaks or falls silent.
+    async fn run(self, mut input: BytesMut, handshake: Handshake) {
+        let reading = self.read_frames(&mut input, handshake);
+        self.write_frames().or(reading).await;
+        notify_closed(&self.context, self.member, self.serial);
+    }
+
+    async fn write_frames(&self) {
+        let mut next = self.context.hello();
+        loop {
+            if !self.write(&next).await {
+                return;
+            }
+            self.context.traffic.links.record_sent(next.len());
+            next = match self.next_outgoing().await {
+                Some(Outgoing::Queued(frame)) => {
+                    let queued_bytes = self.queued_bytes.get().saturating_sub(frame.len());
+                    self.queued_bytes.set(queued_bytes);
+                    frame
+                }
+                Some(Outgoing::Heartbeat) => encode_frame(&Frame::Heartbeat),
+                None => return,
+            };
+        }
+    }
+
+    async fn write(&self, frame: &[u8]) -> bool {
+        let write = async { (&self.stream).write_all(frame).await.is_ok() };
+        let timeout = async {
+            Timer::after(WRITE_TIMEOUT).await;
+            false
+        };
+        write.or(timeout).await
+    }
+
+    /// `None`: nobody can send on this link any more.
+    async fn next_outgoing(&self) -> Option<Outgoing> {
+        let queued = async { self.queue.recv().await.ok().map(Outgoing::Queued) };
+        let heartbeat = async {
+            Timer::after(HEARTBEAT_INTERVAL).await;
+            Some(Outgoing::Heartbeat)
+        };
+        queued.or(heartbeat).await
+    }
+
+    async fn read_frames(&self, input: &mut BytesMut, mut handshake: Handshake) {
+        let (unhandled, receipts) = async_channel::bounded(MAX_UNHANDLED_MESSAGES);
+        let mut silent_at = Instant::now() + SILENCE_TIMEOUT;
+        while let Some(frame) = self.read_until(input, silent_at).await {
+            if handshake == Handshake::Expected
+                && self.context.check_hello(&frame) != Some(self.member)
+            {
+                return;
+            }
+            handshake = Handshake::Done;
+            if !self.deliver(frame, &unhandled, &receipts).await {
+                return;
+            }
+            silent_at = Instant::now() + SILENCE_TIMEOUT;
+        }
+    }
+
+    async fn read_until(&self, input: &mut BytesMut, silent_at: Instant) -> Option<Frame> {
+        let silent = async {
+            Timer::at(silent_at).await;
+            None
+        };
+        read_frame(&self.context, &self.stream, input)
+            .or(silent)
+            .await
+    }
+
+    /// Hands a message to the scheduler once enough of those before it are handled. False: the link is to end.
+    async fn deliver(&self, frame: Frame, unhandled: &Sender<()>, receipts: &Receiver<()>) -> bool {
+        if let Frame::Hello { .. } | Frame::Heartbeat = frame {
+            return true;
+        }
+        if unhandled.send(()).await.is_err() {
+            return false;
+        }
+        let from = self.member;
+        let receipt = Receipt(receipts.clone());
+        let event = match frame {
+            Frame::Ownership(message) => PeerEvent::Ownership {
+                from,
+                message: Box::new(message),
+                receipt,
+            },
+            Frame::Coordination(message) => PeerEvent::Coordination {
+                from,
+                message: Box::new(message),
+                receipt,
+            },
+            Frame::Hello { .. } | Frame::Heartbeat => return true,
+        };
+        self.context.notify_scheduler(event);
+        true
+    }
+}
--- /dev/null
+++ b/crates/ivypitch-gateway/src/actors/peer_links/datagrams.rs
@@ -0,0 +1,171 @@
+//! The datagram socket: the membership protocol and gossip.
+
+use std::cell::Cell;
+use std::io;
+use std::net::UdpSocket;
+use std::rc::Rc;
+
+use async_io::Async;
+use ivypitch_coordination::GossipMessage;
+use ivypitch_membership::{Membership, MembershipEvent, PartitionSuspicion};
+use ivypitch_types::{MemberId, Nanos, ProcessId};
+
+use super::PROTOCOL_VERSION;
+use super::context::Context;
+use super::messages::{GossipReceipt, PeerEvent};
+use crate::wire::peer_frames::{PeerDatagram, decode_datagram, encode_gossip};
+
+/// Longer datagrams are cut off and then not understood.
+pub(super) const MAX_DATAGRAM_BYTES: usize = 2048;
+/// Gossip datagrams that are not handled yet; then more are dropped.
+const MAX_UNHANDLED_GOSSIP: usize = 256;
+
+pub(super) struct Datagrams {
+    context: Rc<Context>,
+    socket: Async<UdpSocket>,
+    membership: Membership,
+    /// By member: what the scheduler knows of suspicions.
+    suspected: Vec<bool>,
+    unhandled_gossip: Rc<Cell<usize>>,
+}
+
+impl Datagrams {
+    pub(super) fn new(
+        context: Rc<Context>,
+        socket: Async<UdpSocket>,
+        membership: Membership,
+    ) -> Datagrams {
+        Datagrams {
+            suspected: vec![false; context.members.len()],
+            context,
+            socket,
+            membership,
+            unhandled_gossip: Rc::default(),
+        }
+    }
+
+    /// The number of bytes of the next datagram; 0 if it cannot be received.
+    pub(super) async fn receive(&self, buffer: &mut [u8]) -> usize {
+        let received: io::Result<_> = self.socket.recv_from(buffer).await;
+        received.map_or(0, |(bytes, _)| bytes)
+    }
+
+    pub(super) fn on_datagram(&mut self, now: Nanos, datagram: &[u8]) {
+        self.context
+            .traffic
+            .datagrams
+            .record_received(datagram.len());
+        match decode_datagram(datagram) {
+            PeerDatagram::Membership(datagram) => self.membership.on_datagram(now, datagram),
+            PeerDatagram::Gossip(gossip) if self.unhandled_gossip.get() < MAX_UNHANDLED_GOSSIP => {
+                let receipt = GossipReceipt::new(&self.unhandled_gossip);
+                self.context
+                    .notify_scheduler(PeerEvent::Gossip { gossip, receipt });
+            }
+            // Unreadable, or more than the scheduler handles: dropped, as a network would.
+            PeerDatagram::Gossip(_) | PeerDatagram::MalformedGossip => {}
+        }
+    }
+
+    pub(super) fn send_gossip(&self, to: MemberId, gossip: &GossipMessage) {
+        self.send(to, &encode_gossip(gossip));
+    }
+
+    pub(super) fn next_timer(&self) -> Nanos {
+        self.membership.next_timer()
+    }
+
+    pub(super) fn on_timer(&mut self, now: Nanos) {
+        if self.membership.next_timer() <= now {
+            self.membership.on_timer(now);
+        }
+    }
+
+    /// Sends what the membership protocol wants sent.
+    pub(super) fn flush(&mut self) {
+        while let Some(datagram) = self.membership.next_datagram() {
+            self.send(datagram.to, &datagram.data);
+        }
+    }
+
+    /// Logs the next membership event and notifies the scheduler. `None`: there are no more.
+    pub(super) fn take_event(&mut self) -> Option<MembershipEvent> {
+        let event = self.membership.next_event()?;
+        match event {
+            MembershipEvent::MemberUp(process) => {
+                let member = self.context.name(process.member);
+                log::info!(member; "member {member} is up");
+                self.context.notify_scheduler(PeerEvent::MemberUp(process));
+            }
+            MembershipEvent::MemberDown(process) => self.on_member_down(process),
+            MembershipEvent::PartitionSuspicionChanged(suspicion) => {
+                self.log_partition_suspicion(suspicion);
+            }
+            MembershipEvent::IncompatibleMember {
+                member,
+                protocol_version,
+                list_fingerprint,
+            } => self.log_incompatible(member, protocol_version, list_fingerprint),
+        }
+        Some(event)
+    }
+
+    /// Notifies the scheduler of members that are suspected, or no longer are.
+    pub(super) fn report_suspicions(&mut self) {
+        for (i, was_suspected) in self.suspected.iter_mut().enumerate() {
+            let member = MemberId(i as u16);
+            let is_suspected = self.membership.status(member).state.is_suspected();
+            if is_suspected == *was_suspected {
+                continue;
+            }
+            *was_suspected = is_suspected;
+            self.context.notify_scheduler(if is_suspected {
+                PeerEvent::MemberSuspected(member)
+            } else {
+                PeerEvent::SuspicionCleared(member)
+            });
+        }
+    }
+
+    fn on_member_down(&self, process: ProcessId) {
+        let member = self.context.name(process.member);
+        let reachable = self.membership.connectivity().reachable_members();
+        let members = self.context.members.len();
+        log::warn!(
+            member, reachable, members;
+            "member {member} is lost, {reachable} of {members} reachable"
+        );
+        self.context
+            .notify_scheduler(PeerEvent::MemberDown(process));
+    }
+
+    fn log_partition_suspicion(&self, suspicion: PartitionSuspicion) {
+        let reachable = self.membership.connectivity().reachable_members();
+        let members = self.context.members.len();
+        log::warn!(
+            suspicion:%, reachable, members;
+            "partition suspicion is {suspicion}, {reachable} of {members} members reachable"
+        );
+    }
+
+    fn log_incompatible(&self, member: MemberId, version: u16, fingerprint: u32) {
+        let id = member.0;
+        let own_fingerprint = self.context.members.fingerprint();
+        log::warn!(
+            member = self.context.name(member), version, list = format!("{fingerprint:08x}").as_str();
+            "member {id} is incompatible and ignored: version {version}, list {fingerprint:08x}; here \
+             {PROTOCOL_VERSION}, {own_fingerprint:08x}"
+        );
+    }
+
+    /// A full socket drops it, as a network would.
+    fn send(&self, to: MemberId, data: &[u8]) {
+        let Some(member) = self.context.members.get(to) else {
+            return;
+        };
+        let sent = self.socket.get_ref().send_to(data, member.address);
+        if sent.is_ok() {
+            self.context.traffic.datagrams.record_sent(data.len());
+        }
+    }
+}
--- a/crates/ivypitch-gateway/src/actors/scheduler/coordination.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/coordination.rs
@@ -5,7 +5,7 @@
 use super::SchedulerActor;
 use crate::actors::coordination::{Action, CoordinationDriver};
 use crate::actors::messages::WatchEventLine;
-use crate::actors::peer_links::Peer;
+use crate::actors::peer_links::PeerEvent;
 use crate::state::traffic::Traffic;
 
 /// The JSON that `SHOW FLEET` answers.
@@ -18,25 +18,30 @@
 
 impl SchedulerActor {
     /// Another gateway sent a message, or its membership has changed.
-    pub(super) fn on_peer_event(&mut self, peer: Peer) {
+    pub(super) fn on_peer_event(&mut self, event: PeerEvent) {
         let context = &mut self.context;
         let now = context.now;
         if let Some(ownership) = &mut context.ownership {
-            ownership.on_peer_event(now, &peer);
+            ownership.on_peer_event(now, &event);
         }
         let Some(coordination) = &mut context.coordination else {
             return;
         };
-        match peer {
-            Peer::Up { place, birth } => coordination.on_member_up(now, place, birth),
-            Peer::Down { place, birth } => coordination.on_member_down(now, place, birth),
-            Peer::Shared {
+        match event {
+            PeerEvent::MemberUp(process) => coordination.on_member_up(now, process),
+            PeerEvent::MemberDown(process) => coordination.on_member_down(now, process),
+            PeerEvent::Coordination {
                 from,
                 message,
-                _receipt,
+                receipt: _receipt,
             } => coordination.on_message(now, from, *message),
-            Peer::Gossip(gossip, _taken) => coordination.on_gossip(now, *gossip),
-            Peer::Heard { .. } | Peer::Suspected { .. } => {}
+            PeerEvent::Gossip {
+                gossip,
+                receipt: _receipt,
+            } => coordination.on_gossip(now, *gossip),
+            PeerEvent::Ownership { .. }
+            | PeerEvent::MemberSuspected(_)
+            | PeerEvent::SuspicionCleared(_) => {}
         }
     }
 
--- a/crates/ivypitch-gateway/src/lifecycle/peers.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/peers.rs
@@ -16,7 +16,7 @@
 use crate::actors::discovery::DiscoveryMessage;
 use crate::actors::messages::SchedulerMessage;
 use crate::actors::ownership::OwnershipDriver;
-use crate::actors::peer_links::{self, PeersMessage};
+use crate::actors::peer_links::{PeerLinks, PeerLinksMessage, PeerLinksParams};
 use crate::state::traffic::Traffic;
 
 const NANOS_PER_MS: Nanos = 1_000_000;
@@ -65,17 +65,19 @@
             incarnation: Incarnation(self.clock.now() / NANOS_PER_MS),
         };
         let zones = network.members.zones_by_member();
-        let start = peer_links::Start {
+        let params = PeerLinksParams {
             members: network.members,
             process,
             listen: network.listen,
             membership: network.membership,
             seed: self.seed,
             traffic: self.traffic.clone(),
+            clock: self.clock,
+            scheduler: self.scheduler.clone(),
+            executor: self.executor.clone(),
         };
-        let scheduler = self.scheduler.clone();
-        let links = peer_links::Peers::start(start, self.clock, scheduler, self.executor.clone())
-            .map_err(|error| StartupError::Peers(error.to_string()))?;
+        let links =
+            PeerLinks::start(params).map_err(|error| StartupError::Peers(error.to_string()))?;
         let fleet = Fleet {
             process,
             zones,
@@ -115,6 +117,6 @@
     process: ProcessId,
     /// By member id.
     zones: Vec<u16>,
-    links: Sender<PeersMessage>,
+    links: Sender<PeerLinksMessage>,
     now: Nanos,
 }
--- a/crates/ivypitch-gateway/src/wire/mod.rs
+++ b/crates/ivypitch-gateway/src/wire/mod.rs
@@ -7,5 +7,5 @@
 pub mod gateway_statements;
 pub mod http;
 pub mod mysql;
-pub mod peers;
+pub mod peer_frames;
 pub mod table_group;
--- a/crates/ivypitch-gateway/tests/recorded_peer_messages.rs
+++ b/crates/ivypitch-gateway/tests/recorded_peer_messages.rs
@@ -3,8 +3,9 @@
 
 use bytes::BytesMut;
 use ivypitch_coordination::{CoordinationMessage, GossipMessage};
-use ivypitch_gateway::wire::peers::{
-    Frame, LARGEST_FRAME, Malformed, next, read_gossip, write, write_gossip,
+use ivypitch_gateway::wire::peer_frames::{
+    Frame, FrameError, MAX_FRAME_BYTES, PeerDatagram, decode_datagram, decode_frame, encode_frame,
+    encode_gossip,
 };
 use ivypitch_ownership::{Epoch, Message};
 use ivypitch_types::{Incarnation, MemberId, ProcessId};
@@ -33,15 +34,15 @@
         (
             Frame::Hello {
                 version: 1,
-                roster: 0xfeed_beef,
-                place: 300,
-                birth: 1_700_000_000_123,
+                list_fingerprint: 0xfeed_beef,
+                member: MemberId(300),
+                incarnation: Incarnation(1_700_000_000_123),
             },
             "0f0000000001effdb6f70fac02fbd095ffbc31",
         ),
-        (Frame::Beat, "0100000001"),
+        (Frame::Heartbeat, "0100000001"),
         (
-            Frame::Body(Message::TakeoverRequest {
+            Frame::Ownership(Message::TakeoverRequest {
                 id: 0x1122_3344_5566,
                 epoch,
             }),
@@ -53,9 +54,9 @@
         ),
     ];
     for (frame, recorded) in recorded {
-        assert_eq!(hex(&write(&frame)), recorded, "{frame:?}");
+        assert_eq!(hex(&encode_frame(&frame)), recorded, "{frame:?}");
         let mut input = BytesMut::from(&bytes(recorded)[..]);
-        let read = next(&mut input).unwrap().unwrap();
+        let read = decode_frame(&mut input).unwrap().unwrap();
         assert_eq!(format!("{read:?}"), format!("{frame:?}"));
         assert!(input.is_empty());
     }
@@ -73,8 +74,11 @@
         buckets: vec![7, u32::MAX],
     };
     let recorded = "ffffffff01b1d1f9d603ac02fbd095ffbc310207ffffffff0f";
-    assert_eq!(hex(&write_gossip(&gossip)), recorded, "{gossip:?}");
-    assert_eq!(read_gossip(&bytes(recorded)), Some(Some(gossip)));
+    assert_eq!(hex(&encode_gossip(&gossip)), recorded, "{gossip:?}");
+    assert_eq!(
+        decode_datagram(&bytes(recorded)),
+        PeerDatagram::Gossip(Box::new(gossip))
+    );
 }
 
 #[test]
@@ -83,13 +87,13 @@
         (
             ivypitch_ownership::VERSION,
             ivypitch_coordination::PROTOCOL_VERSION,
-            LARGEST_FRAME
+            MAX_FRAME_BYTES
         ),
         (1, 1, 131_072)
     );
     let mut longer = BytesMut::from(&bytes("01000200")[..]);
     assert_eq!(
-        next(&mut longer).unwrap_err(),
-        Malformed("frame of no usable length")
+        decode_frame(&mut longer).unwrap_err(),
+        FrameError::Length(131_073)
     );
 }
--- a/crates/ivypitch-membership/src/partition_suspicion.rs
+++ b/crates/ivypitch-membership/src/partition_suspicion.rs
@@ -2,6 +2,7 @@
 //! at once, can say nothing about them: it suspects itself.
 
 use std::collections::VecDeque;
+use std::fmt;
 
 use ivypitch_types::{Nanos, SECOND};
 
@@ -16,6 +17,16 @@
     Minority,
 }
 
+impl fmt::Display for PartitionSuspicion {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            PartitionSuspicion::None => "none",
+            PartitionSuspicion::Isolated => "isolated",
+            PartitionSuspicion::Minority => "minority",
+        })
+    }
+}
+
 /// Losses within this time count as one event.
 const LOSS_WINDOW: Nanos = 3 * SECOND;
 /// So many probe intervals without a datagram: with a probe and its answer in each, chance alone needs 1 in 10^9.
--- a/crates/ivypitch-membership/src/status.rs
+++ b/crates/ivypitch-membership/src/status.rs
@@ -19,6 +19,11 @@
 }
 
 impl MemberState {
+    /// Whether a suspicion waits to be refuted.
+    pub fn is_suspected(self) -> bool {
+        self == MemberState::Suspected
+    }
+
     /// Whether the member counts as there: as long as it may refute a suspicion.
     pub fn is_reachable(self) -> bool {
         matches!(self, MemberState::Reachable | MemberState::Suspected)
--- a/crates/ivypitch-testbed/src/experiments/scale/peers.rs
+++ b/crates/ivypitch-testbed/src/experiments/scale/peers.rs
@@ -7,7 +7,7 @@
     GossipMessage, HealthObservation, MAX_OBSERVED_ENGINES, ObservationTable, OutlierConsensus,
     QuotaIndex, StoredObservation,
 };
-use ivypitch_gateway::wire::peers::{self, Frame};
+use ivypitch_gateway::wire::peer_frames::{Frame, encode_frame, encode_gossip};
 use ivypitch_membership::MembershipConfig;
 use ivypitch_ownership::VoterAssignment;
 use ivypitch_types::{Incarnation, MemberId, Nanos, ProcessId, SECOND};
@@ -108,7 +108,7 @@
 
 /// One link a pair with beats both ways, by the frame as it is written.
 pub fn links() -> Vec<Measure> {
-    let beat = peers::write(&Frame::Beat).len() as f64 + HEADERS;
+    let beat = encode_frame(&Frame::Heartbeat).len() as f64 + HEADERS;
     let by = |each: f64| {
         GATEWAYS
             .iter()
@@ -183,11 +183,11 @@
 
 impl CoordinationOutput for Counted {
     fn send(&mut self, _to: MemberId, message: CoordinationMessage) {
-        self.words_bytes += peers::write(&Frame::Coordination(message)).len() as u64;
+        self.words_bytes += encode_frame(&Frame::Coordination(message)).len() as u64;
     }
     fn send_gossip(&mut self, _to: MemberId, gossip: GossipMessage) {
         self.gossip += 1;
-        self.gossip_bytes += peers::write_gossip(&gossip).len() as u64;
+        self.gossip_bytes += encode_gossip(&gossip).len() as u64;
     }
     fn on_quota_changed(&mut self, _quota: QuotaIndex, _share: f64) {}
     fn on_outlier_status(&mut self, _engine: u64, _advice: ivypitch_scheduler::OutlierStatus) {}
--- a/crates/ivypitch-testbed/src/processes/hollow_gateways.rs
+++ b/crates/ivypitch-testbed/src/processes/hollow_gateways.rs
@@ -21,12 +21,14 @@
 use ivypitch_gateway::actors::discovery::{DiscoveryActor, DiscoveryParams};
 use ivypitch_gateway::actors::messages::{Answer, SchedulerMessage};
 use ivypitch_gateway::actors::ownership::{Action, OwnershipDriver};
-use ivypitch_gateway::actors::peer_links::{self, Peer, PeersMessage};
+use ivypitch_gateway::actors::peer_links::{
+    PeerEvent, PeerLinks, PeerLinksMessage, PeerLinksParams,
+};
 use ivypitch_gateway::lifecycle::clock::Clock;
 use ivypitch_gateway::state::engines::engine_id_hash;
 use ivypitch_gateway::state::traffic::Traffic;
 use ivypitch_gateway::wire::discovery::EndpointUpdate;
-use ivypitch_gateway::wire::peers::{Frame, next, write};
+use ivypitch_gateway::wire::peer_frames::{Frame, decode_frame, encode_frame};
 use ivypitch_ownership::Ownership;
 use ivypitch_types::{Incarnation, MemberId, Nanos, ProcessId};
 use serde::{Deserialize, Serialize};
@@ -116,9 +118,9 @@
 
     /// What is said on a link to another hollow gateway.
     fn hand(&self, from: u16, to: u16, frame: &Frame) {
-        let mut bytes = BytesMut::from(&write(frame)[..]);
+        let mut bytes = BytesMut::from(&encode_frame(frame)[..]);
         let length = bytes.len() as u64;
-        let Ok(Some(frame)) = next(&mut bytes) else {
+        let Ok(Some(frame)) = decode_frame(&mut bytes) else {
             return;
         };
         let is_taken = self
@@ -183,14 +185,14 @@
             let now = self.clock.now();
             match mail {
                 Some(Mail::Module(mail)) => self.take(now, mail),
-                Some(Mail::Handed(from, Frame::Body(message))) => {
+                Some(Mail::Handed(from, Frame::Ownership(message))) => {
                     if let Some(keeper) = &mut self.keeper {
-                        keeper.on_message(now, from, message);
+                        keeper.on_message(now, MemberId(from), message);
                     }
                 }
                 Some(Mail::Handed(from, Frame::Coordination(message))) => {
                     if let Some(sharing) = &mut self.sharing {
-                        sharing.on_message(now, from, message);
+                        sharing.on_message(now, MemberId(from), message);
                     }
                 }
                 Some(Mail::Handed(..)) | None => {}
@@ -226,19 +228,22 @@
         }
     }
 
-    fn peer(&mut self, now: Nanos, peer: Peer) {
+    fn peer(&mut self, now: Nanos, peer: PeerEvent) {
         if let Some(keeper) = &mut self.keeper {
             keeper.on_peer_event(now, &peer);
         }
         match peer {
-            Peer::Up { place, birth } => {
-                self.heard.insert(place, birth);
+            PeerEvent::MemberUp(process) => {
+                let place = process.member.0;
+                self.heard.insert(place, process.incarnation.0);
                 if self.met.insert(place) && self.met.len() + 1 == self.shared.seats {
                     println!("{} joined {}", stamp(), self.place);
                 }
             }
-            Peer::Down { place, birth } if self.heard.get(&place) == Some(&birth) => {
-                self.heard.remove(&place);
+            PeerEvent::MemberDown(process)
+                if self.heard.get(&process.member.0) == Some(&process.incarnation.0) =>
+            {
+                self.heard.remove(&process.member.0);
             }
             _ => {}
         }
@@ -248,15 +253,20 @@
             return;
         };
         match peer {
-            Peer::Up { place, birth } => sharing.on_member_up(now, place, birth),
-            Peer::Down { place, birth } => sharing.on_member_down(now, place, birth),
-            Peer::Shared {
+            PeerEvent::MemberUp(process) => sharing.on_member_up(now, process),
+            PeerEvent::MemberDown(process) => sharing.on_member_down(now, process),
+            PeerEvent::Coordination {
                 from,
                 message,
-                _receipt,
+                receipt: _receipt,
             } => sharing.on_message(now, from, *message),
-            Peer::Gossip(gossip, _taken) => sharing.on_gossip(now, *gossip),
-            Peer::Heard { .. } | Peer::Suspected { .. } => {}
+            PeerEvent::Gossip {
+                gossip,
+                receipt: _receipt,
+            } => sharing.on_gossip(now, *gossip),
+            PeerEvent::Ownership { .. }
+            | PeerEvent::MemberSuspected(_)
+            | PeerEvent::SuspicionCleared(_) => {}
         }
     }
 
@@ -304,18 +314,18 @@
 
 /// Takes what a hollow gateway says: to one of this process at once, else to its real actor of peers.
 async fn sort(
-    said: Receiver<PeersMessage>,
-    peers: Sender<PeersMessage>,
+    said: Receiver<PeerLinksMessage>,
+    peers: Sender<PeerLinksMessage>,
     from: u16,
     shared: Arc<Shared>,
 ) {
     while let Ok(message) = said.recv().await {
         match message {
-            PeersMessage::Tell { to, message } if to >= shared.first => {
-                shared.hand(from, to, &Frame::Body(message));
+            PeerLinksMessage::SendOwnership { to, message } if to.0 >= shared.first => {
+                shared.hand(from, to.0, &Frame::Ownership(message));
             }
-            PeersMessage::Say { to, message } if to >= shared.first => {
-                shared.hand(from, to, &Frame::Coordination(message));
+            PeerLinksMessage::SendCoordination { to, message } if to.0 >= shared.first => {
+                shared.hand(from, to.0, &Frame::Coordination(message));
             }
             other => drop(peers.try_send(other)),
         }
@@ -352,15 +362,18 @@
         member: MemberId(at),
         incarnation: Incarnation(birth),
     };
-    let start = peer_links::Start {
+    let params = PeerLinksParams {
         members: peering.members,
         process,
         listen: peering.listen,
         membership: peering.membership,
         seed,
         traffic: traffic.clone(),
+        clock,
+        scheduler: module.clone(),
+        executor: executor.clone(),
     };
-    let mailbox = peer_links::Peers::start(start, clock, module.clone(), executor.clone())?;
+    let mailbox = PeerLinks::start(params).map_err(|error| error.to_string())?;
     let (say, said) = channel::unbounded();
     executor
         .spawn(sort(said, mailbox, at, shared.clone()))
--- a/crates/ivypitch-testbed/src/virtual_time/custody_fleet.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/custody_fleet.rs
@@ -4,7 +4,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-use ivypitch_gateway::wire::peers;
+use ivypitch_gateway::wire::peer_frames::{Frame, encode_frame};
 use ivypitch_ownership::{
     Arrival, ArrivalDecision, FinalAnswer, GrantDecision, GrantDenial, Message, NoQuorumPolicy,
     Output, Ownership, OwnershipConfig, OwnershipCounters, StatementId, StatementSpec,
@@ -612,7 +612,7 @@
     fn tell(&mut self, from: usize, to: usize, message: Message) {
         self.messages += 1;
         if self.fleet.measure {
-            self.bytes += peers::write(&peers::Frame::Body(message.clone())).len() as u64;
+            self.bytes += encode_frame(&Frame::Ownership(message.clone())).len() as u64;
             let held = self.nodes[from]
                 .custody
                 .as_ref()
--- a/crates/ivypitch-testbed/src/virtual_time/shares_fleet.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/shares_fleet.rs
@@ -8,7 +8,7 @@
     AttemptHealth, CoordinationConfig, CoordinationMessage, CoordinationOutput, Coordinator,
     CoordinatorParams, GossipMessage, QuotaIndex, QuotaLeaseConfig, SharedQuotaConfig,
 };
-use ivypitch_gateway::wire::peers;
+use ivypitch_gateway::wire::peer_frames::{Frame, encode_frame, encode_gossip};
 use ivypitch_scheduler::OutlierStatus;
 use ivypitch_types::{Incarnation, MemberId, Nanos, ProcessId, SECOND};
 use rand::{Rng, SeedableRng};
@@ -564,8 +564,7 @@
     }
 
     fn say(&mut self, from: usize, to: usize, message: CoordinationMessage) {
-        self.verdict.link_bytes +=
-            peers::write(&peers::Frame::Coordination(message.clone())).len() as f64;
+        self.verdict.link_bytes += encode_frame(&Frame::Coordination(message.clone())).len() as f64;
         if self.is_cut(from, to) || !self.nodes[to].up {
             return;
         }
@@ -588,7 +587,7 @@
     }
 
     fn tell(&mut self, from: usize, to: usize, gossip: GossipMessage) {
-        self.verdict.gossip_bytes += peers::write_gossip(&gossip).len() as f64;
+        self.verdict.gossip_bytes += encode_gossip(&gossip).len() as f64;
         if self.is_cut(from, to) || !self.nodes[to].up || self.rng.random_bool(self.fleet.drop) {
             return;
         }
