--- a/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/simulation.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/simulation.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use ivypitch_gateway::wire::peers;
+use ivypitch_gateway::wire::peer_frames::{Frame, encode_frame};
 use ivypitch_ownership::{
     GrantDenial, Message, Output, Ownership, OwnershipConfig, OwnershipCounters, StatementId,
     StatementSpec,
@@ -473,7 +473,7 @@
     }
 
     fn count_bytes(&mut self, from: usize, message: &Message) {
-        let frame = peers::write(&peers::Frame::Body(message.clone()));
+        let frame = encode_frame(&Frame::Ownership(message.clone()));
         self.bytes += frame.len() as u64;
         let entries = self.gateways[from]
             .ownership
