--- a/crates/ivypitch-scheduler/src/safety_rules.rs
+++ b/crates/ivypitch-scheduler/src/safety_rules.rs
@@ -70,6 +70,7 @@
     }
 
     /// Rule 1: one attempt at a time, no more than allowed, none after the client's time.
+    #[inline(always)]
     fn rule_1_one_attempt_in_time(&self, proposed: &ProposedAttempt) -> bool {
         let statement = proposed.statement;
         let is_only_attempt = statement.attempt.is_some() == proposed.is_leaving;
@@ -79,6 +80,7 @@
     }
 
     /// Rule 2: an attempt has no second effect, because none is possible or because the engine drops repeats.
+    #[inline(always)]
     fn rule_2_no_second_effect(&self, proposed: &ProposedAttempt) -> bool {
         let Some(first) = proposed.statement.possible_run else {
             return true;
@@ -114,11 +116,17 @@
     }
 
     /// Rule 4: an engine that warms up gets no more than its limit of work and calls.
+    #[inline(always)]
     fn rule_4_slow_start(&self, proposed: &ProposedAttempt) -> bool {
-        self.is_within_slow_start_limit(proposed)
+        let slow_start_duration = self.deployment.slow_start_duration;
+        !proposed
+            .engine
+            .is_warming_up(proposed.now, slow_start_duration)
+            || self.is_within_slow_start_limit(proposed)
     }
 
     /// Rule 5: the statements of a key run one at a time and in order, and not while the key settles.
+    #[inline(always)]
     fn rule_5_key_order(&self, proposed: &ProposedAttempt) -> bool {
         let key = proposed.statement.key;
         if key == 0 {
@@ -132,6 +140,7 @@
     }
 
     /// Rule 7: retries stay within the contract's budget.
+    #[inline(always)]
     fn rule_7_retry_budget(&self, proposed: &ProposedAttempt) -> bool {
         let is_limited = proposed.earlier_attempts() > 0 && self.deployment.retry_budget.is_some();
         // An attempt that is about to leave was counted when it was sent.
@@ -147,6 +156,7 @@
 }
 
 /// Rule 1: one final answer, and nothing after it.
+#[inline(always)]
 fn rule_1_has_no_final_answer(statement: &Statement) -> bool {
     !matches!(
         statement.state,
@@ -155,6 +165,7 @@
 }
 
 /// Rule 2: a rejection claims that a retry by the client has no second effect.
+#[inline(always)]
 fn rule_2_rejection_claims_no_effect(statement: &Statement, workload: &Workload) -> bool {
     let has_not_run = statement.attempt.is_none() && statement.possible_run.is_none();
     match workload.idempotency {
@@ -167,11 +178,13 @@
 }
 
 /// Rule 3: an engine that drains or is gone gets nothing new.
+#[inline(always)]
 fn rule_3_engine_takes_statements(proposed: &ProposedAttempt) -> bool {
     proposed.engine.is_ready()
 }
 
 /// Rule 6: placement constraints hold, also when all allowed engines are down or overloaded.
+#[inline(always)]
 fn rule_6_placement(proposed: &ProposedAttempt) -> bool {
     proposed.workload.allows(&proposed.engine.endpoint)
 }
--- a/crates/ivypitch-scheduler/src/slow_start.rs
+++ b/crates/ivypitch-scheduler/src/slow_start.rs
@@ -12,7 +12,7 @@
 
 impl Engine {
     /// Whether it started so lately that its limit applies.
-    fn is_warming_up(&self, now: Nanos, slow_start_duration: Nanos) -> bool {
+    pub(crate) fn is_warming_up(&self, now: Nanos, slow_start_duration: Nanos) -> bool {
         let started_at = self.endpoint.started_at;
         started_at > 0 && now < started_at.saturating_add(slow_start_duration)
     }
@@ -41,9 +41,6 @@
     /// are the same at every gateway, so the parts add up to the limit without a message among them.
     pub(crate) fn is_within_slow_start_limit(&self, proposed: &ProposedAttempt) -> bool {
         let (now, engine) = (proposed.now, proposed.engine);
-        if !engine.is_warming_up(now, self.deployment.slow_start_duration) {
-            return true;
-        }
         let limit_secs = self.slow_start_limit_secs(now, engine);
         let gateways = self.deployment.gateways as f64;
         let calls = (limit_secs / self.arrival_mix.mean_work_secs)
