--- /dev/null
+++ b/crates/ivypitch-gateway/src/lifecycle/peers.rs
@@ -0,0 +1,120 @@
+//! Starts what gateways do together: links among them, ownership of statements and coordination.
+
+use std::rc::Rc;
+
+use async_channel::Sender;
+use async_executor::LocalExecutor;
+use ivypitch_config::operator::{CoordinationSettings, OwnershipSettings};
+use ivypitch_coordination::{Coordinator, CoordinatorParams};
+use ivypitch_ownership::Ownership;
+use ivypitch_types::{Incarnation, Nanos, ProcessId};
+
+use super::clock::Clock;
+use super::operator_config::LoadedOperatorConfig;
+use super::startup::StartupError;
+use crate::actors::coordination::CoordinationDriver;
+use crate::actors::discovery::DiscoveryMessage;
+use crate::actors::messages::SchedulerMessage;
+use crate::actors::ownership::OwnershipDriver;
+use crate::actors::peer_links::{self, PeersMessage};
+use crate::state::traffic::Traffic;
+
+const NANOS_PER_MS: Nanos = 1_000_000;
+
+/// What the scheduler's actor drives; none of it without other gateways.
+#[derive(Default)]
+pub(super) struct PeerDrivers {
+    pub(super) ownership: Option<OwnershipDriver>,
+    pub(super) coordination: Option<CoordinationDriver>,
+}
+
+/// What they are started with.
+pub(super) struct PeersStart<'a> {
+    /// This gateway's name in the fleet.
+    pub(super) name: &'a str,
+    pub(super) seed: u64,
+    /// The position of the endpoint list to begin with.
+    pub(super) position: u64,
+    pub(super) tenants: &'a [String],
+    pub(super) max_statement_timeout: Nanos,
+    pub(super) clock: Clock,
+    pub(super) scheduler: Sender<SchedulerMessage>,
+    pub(super) discovery: Sender<DiscoveryMessage>,
+    pub(super) executor: Rc<LocalExecutor<'static>>,
+    pub(super) traffic: Rc<Traffic>,
+}
+
+impl PeersStart<'_> {
+    /// Binds the sockets for other gateways and sets up what the operators' settings turn on.
+    pub(super) fn start(
+        self,
+        operator: Option<&LoadedOperatorConfig>,
+    ) -> Result<PeerDrivers, StartupError> {
+        let Some(LoadedOperatorConfig { file, config }) = operator else {
+            return Ok(PeerDrivers::default());
+        };
+        let Some(peers) = config.peers.as_ref().filter(|peers| peers.enabled) else {
+            return Ok(PeerDrivers::default());
+        };
+        let network = peers
+            .network(self.name)
+            .map_err(|errors| file.settings_error(errors))?;
+        let now = self.clock.now();
+        let process = ProcessId {
+            member: network.own_member,
+            incarnation: Incarnation(self.clock.now() / NANOS_PER_MS),
+        };
+        let zones = network.members.zones_by_member();
+        let start = peer_links::Start {
+            members: network.members,
+            process,
+            listen: network.listen,
+            membership: network.membership,
+            seed: self.seed,
+            traffic: self.traffic.clone(),
+        };
+        let scheduler = self.scheduler.clone();
+        let links = peer_links::Peers::start(start, self.clock, scheduler, self.executor.clone())
+            .map_err(|error| StartupError::Peers(error.to_string()))?;
+        let fleet = Fleet {
+            process,
+            zones,
+            links,
+            now,
+        };
+        let coordination = peers.coordination.enabled;
+        let ownership = peers.ownership.enabled;
+        Ok(PeerDrivers {
+            coordination: coordination.then(|| self.coordination(&peers.coordination, &fleet)),
+            ownership: ownership.then(|| self.ownership(&peers.ownership, &fleet)),
+        })
+    }
+
+    fn coordination(&self, settings: &CoordinationSettings, fleet: &Fleet) -> CoordinationDriver {
+        let coordinator = Coordinator::new(CoordinatorParams {
+            process: fleet.process,
+            zones: fleet.zones.clone(),
+            config: settings.config(fleet.zones.len(), self.tenants),
+            last_event: self.position,
+            seed: self.seed,
+            now: fleet.now,
+        });
+        CoordinationDriver::new(coordinator, fleet.links.clone(), self.discovery.clone())
+    }
+
+    fn ownership(&self, settings: &OwnershipSettings, fleet: &Fleet) -> OwnershipDriver {
+        let config = settings.config(self.max_statement_timeout);
+        let ownership = Ownership::new(fleet.process, fleet.zones.clone(), config, fleet.now);
+        let min_lookup_work = settings.min_lookup_work();
+        OwnershipDriver::new(ownership, fleet.links.clone(), min_lookup_work)
+    }
+}
+
+/// The fleet as this process joins it.
+struct Fleet {
+    process: ProcessId,
+    /// By member id.
+    zones: Vec<u16>,
+    links: Sender<PeersMessage>,
+    now: Nanos,
+}
--- a/crates/ivypitch-testbed/src/processes/hollow_gateways.rs
+++ b/crates/ivypitch-testbed/src/processes/hollow_gateways.rs
@@ -4,7 +4,6 @@
 //! is written and read by the real codec and handed over in the process: a link of each pair would be the square of
 //! their number. Their datagrams all go through sockets.
 
-use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, BufRead};
 use std::net::SocketAddr;
@@ -17,9 +16,9 @@
 use bytes::BytesMut;
 use ivypitch_config::operator::{self, OperatorConfig};
 use ivypitch_coordination::{Coordinator, CoordinatorParams};
-use ivypitch_discovery::Feed;
+use ivypitch_discovery::EndpointWatch;
 use ivypitch_gateway::actors::coordination::CoordinationDriver;
-use ivypitch_gateway::actors::discovery::List;
+use ivypitch_gateway::actors::discovery::{DiscoveryActor, DiscoveryParams};
 use ivypitch_gateway::actors::messages::{Answer, SchedulerMessage};
 use ivypitch_gateway::actors::ownership::{Action, OwnershipDriver};
 use ivypitch_gateway::actors::peer_links::{self, Peer, PeersMessage};
@@ -295,9 +294,9 @@
             return;
         };
         while let Some(act) = keeper.next_action() {
-            if let Action::Adopt { id, .. } = act {
+            if let Action::TakeOver(takeover) = act {
                 self.shared.count(self.place, |counts| counts.adopted += 1);
-                let _ = keeper.on_answered(now, id, &Answer::Aborted);
+                let _ = keeper.on_answered(now, takeover.id, &Answer::Aborted);
             }
         }
     }
@@ -341,20 +340,23 @@
         .network(&format!("n{place}"))
         .map_err(|faults| told(&format!("{faults:?}")))?;
     let ways = &crowd.ways[place - crowd.first];
-    for (seat, &way) in peering.members.seats.iter_mut().zip(ways) {
-        seat.address = way;
+    for (member, &way) in peering.members.members.iter_mut().zip(ways) {
+        member.address = way;
     }
     let (now, birth) = (clock.now(), clock.now() / 1_000_000);
-    let zones: Vec<u16> = peering.members.seats.iter().map(|seat| seat.zone).collect();
+    let zones = peering.members.zones_by_member();
     let (traffic, at) = (Rc::new(Traffic::default()), place as u16);
     let seed = crowd.seed ^ (place as u64) << 32;
     let (module, to_module) = channel::unbounded();
+    let process = ProcessId {
+        member: MemberId(at),
+        incarnation: Incarnation(birth),
+    };
     let start = peer_links::Start {
-        roster: peering.members,
-        place: at,
+        members: peering.members,
+        process,
         listen: peering.listen,
-        terms: peering.membership,
-        birth,
+        membership: peering.membership,
         seed,
         traffic: traffic.clone(),
     };
@@ -367,10 +369,7 @@
     let sharing = own.coordination.enabled.then(|| {
         let terms = own.coordination.config(zones.len(), &crowd.tenants);
         let shares = Coordinator::new(CoordinatorParams {
-            process: ProcessId {
-                member: MemberId(at),
-                incarnation: Incarnation(birth),
-            },
+            process,
             zones: zones.clone(),
             config: terms,
             last_event: 0,
@@ -381,21 +380,17 @@
     });
     let keeper = own.ownership.enabled.then(|| {
         let terms = own.ownership.config(crowd.longest_ms * 1_000_000);
-        let this = ProcessId {
-            member: MemberId(at),
-            incarnation: Incarnation(birth),
-        };
-        let custody = Ownership::new(this, zones.clone(), terms, now);
+        let custody = Ownership::new(process, zones.clone(), terms, now);
         OwnershipDriver::new(custody, say.clone(), own.ownership.min_lookup_work())
     });
-    let follower = List {
-        feed: RefCell::new(Feed::new(0, seed)),
+    let follower = DiscoveryActor::new(DiscoveryParams {
+        watch: EndpointWatch::new(0, seed),
         clock,
-        longest_line: JOURNAL_LINE,
-        module,
-        shares: true,
+        max_line_bytes: JOURNAL_LINE,
+        scheduler: module,
+        reports_lines: true,
         traffic,
-    };
+    });
     executor
         .spawn(follower.run(Some(crowd.journal), list_mail))
         .detach();
