--- a/crates/ivypitch-config/src/deployment.rs
+++ b/crates/ivypitch-config/src/deployment.rs
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct DeploymentConfig {
     /// What the scheduler starts with.
-    pub facts: Deployment,
+    pub scheduler: Deployment,
     /// The names that its indices stand for.
     pub names: Names,
     /// Limits on connections.
@@ -70,7 +70,7 @@
             connect_timeout: settings.permissions.connect_timeout_ns,
             idle_close: settings.permissions.idle_timeout_ns,
         },
-        facts: deployment(&settings)?,
+        scheduler: deployment(&settings)?,
     })
 }
 
--- a/crates/ivypitch-config/src/operator/teams.rs
+++ b/crates/ivypitch-config/src/operator/teams.rs
@@ -123,7 +123,7 @@
         max_open_statements: usize,
     ) -> Result<Budgets, Vec<SettingsError>> {
         self.check_names(config)?;
-        let deployment = &config.facts;
+        let deployment = &config.scheduler;
         let names = &config.names;
         let teams = names.tenants.iter().map(|tenant| {
             let settings = self.by_name.get(tenant).unwrap_or(&self.other);
@@ -163,7 +163,7 @@
             check.workloads(&path, settings.workloads.keys());
         }
         check.workloads("teams.other.workloads", self.other.workloads.keys());
-        if config.facts.workloads.is_empty() {
+        if config.scheduler.workloads.is_empty() {
             let error = SettingsError::new("teams", Problem::NoWorkloads);
             check.errors.push(error);
         }
@@ -175,7 +175,7 @@
     }
 
     fn workload_terms(&self, config: &DeploymentConfig) -> Vec<WorkloadTerms> {
-        let workloads = &config.facts.workloads;
+        let workloads = &config.scheduler.workloads;
         let min_priority_weight = workloads
             .iter()
             .map(|workload| workload.priority_weight)
--- a/crates/ivypitch-gateway/src/actors/scheduler/context.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/context.rs
@@ -84,7 +84,7 @@
         scheduler: &Rc<RefCell<Scheduler>>,
         now: Nanos,
     ) -> Context {
-        let deployment = &parts.deployment.facts;
+        let deployment = &parts.deployment.scheduler;
         Context {
             clock: parts.clock,
             now,
@@ -124,7 +124,7 @@
 }
 
 fn engine_table(parts: &SchedulerParts) -> EngineTable {
-    let deployment = &parts.deployment.facts;
+    let deployment = &parts.deployment.scheduler;
     let limits = &parts.deployment.limits;
     let connect_timeout = match limits.connect_timeout {
         0 => DEFAULT_CONNECT_TIMEOUT,
--- a/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
@@ -84,7 +84,7 @@
     pub fn new(mut parts: SchedulerParts) -> SchedulerActor {
         let now = parts.clock.now();
         let scheduler = Rc::new(RefCell::new(Scheduler::new(
-            parts.deployment.facts.clone(),
+            parts.deployment.scheduler.clone(),
             parts.seed,
             now,
         )));
--- a/crates/ivypitch-gateway/src/lifecycle/startup.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/startup.rs
@@ -79,7 +79,7 @@
             .map_err(|source| StartupError::Listen { address, source })?;
         let name = configuration.name.clone();
         let bounds = configuration.bounds;
-        let workloads = configuration.deployment.facts.workloads.len();
+        let workloads = configuration.deployment.scheduler.workloads.len();
         let gateway = assemble(configuration, operator, clock, signals, listener)?;
         log::info!(
             name = name.as_str(), address:% = address, workloads = workloads,
@@ -274,12 +274,12 @@
 
 /// No more statements are open than clients may have.
 fn limit_open_statements(deployment: &mut DeploymentConfig, clients: usize) {
-    let limit = &mut deployment.facts.max_open_statements;
+    let limit = &mut deployment.scheduler.max_open_statements;
     *limit = (*limit).min(clients);
 }
 
 fn max_statement_timeout(deployment: &DeploymentConfig) -> Nanos {
-    let workloads = deployment.facts.workloads.iter();
+    let workloads = deployment.scheduler.workloads.iter();
     workloads
         .map(|workload| workload.statement_timeout)
         .max()
