--- a/crates/ivypitch-config/src/deployment.rs
+++ b/crates/ivypitch-config/src/deployment.rs
@@ -93,8 +93,9 @@
         quota_per_second: tenant.quota_per_second,
     };
     let fields = &settings.load_reports.fields;
-    let (extra, permissions, contract) =
-        (&settings.extra, &settings.permissions, &settings.contract);
+    let extra = &settings.extra;
+    let permissions = &settings.permissions;
+    let contract = &settings.contract;
     Ok(Deployment {
         gateways: settings.gateways,
         member_index: settings.member_index,
--- a/crates/ivypitch-scheduler/src/attempts.rs
+++ b/crates/ivypitch-scheduler/src/attempts.rs
@@ -55,7 +55,8 @@
             last_progress_at: now,
         });
         statement.attempts += 1;
-        let (workload, point) = (statement.workload, statement.point);
+        let workload = statement.workload;
+        let point = statement.point;
         let table_group = statement.table_group;
         self.count_attempt(workload, engine);
         self.charge_engine(now, engine, charged_work_secs);
--- a/crates/ivypitch-scheduler/src/load_reports.rs
+++ b/crates/ivypitch-scheduler/src/load_reports.rs
@@ -4,7 +4,6 @@
 use crate::cost_model::LEARNING_RATE;
 use crate::deployment::ReportField;
 use crate::engine::Engine;
-use crate::outlier_detection::TRIAL_INTERVAL;
 use crate::output::Output;
 use crate::scheduler::Scheduler;
 use crate::statement::Statement;
@@ -14,6 +13,8 @@
 pub(crate) const REPORT_LIFETIME: Nanos = SECOND * 3 / 10;
 /// An engine that does not answer a request for that long is passed over.
 const REQUEST_TIMEOUT: Nanos = SECOND * 3 / 100;
+/// Another report of an engine that has not answered is requested after so long.
+const REQUEST_INTERVAL: Nanos = SECOND;
 /// Reports requested for one statement, apart from those that were not answered.
 const MAX_REQUESTS_PER_STATEMENT: usize = 2;
 /// Pressure lasts this long after its last sign.
@@ -33,7 +34,7 @@
     /// A request for a load report has timed out, and it is too early for the next.
     pub(crate) fn is_unresponsive(&self, now: Nanos) -> bool {
         self.report_requested_at
-            .is_some_and(|at| now >= at + REQUEST_TIMEOUT && now < at + TRIAL_INTERVAL)
+            .is_some_and(|at| now >= at + REQUEST_TIMEOUT && now < at + REQUEST_INTERVAL)
     }
 
     /// Its last report is stale and none has been requested since.
@@ -43,7 +44,7 @@
 
     fn can_request_report(&self, now: Nanos) -> bool {
         self.report_requested_at
-            .is_none_or(|at| now >= at + TRIAL_INTERVAL)
+            .is_none_or(|at| now >= at + REQUEST_INTERVAL)
     }
 
     /// Learns the slowness of a short statement; far above the best is a sign of pressure.
--- a/crates/ivypitch-scheduler/src/outlier_detection.rs
+++ b/crates/ivypitch-scheduler/src/outlier_detection.rs
@@ -14,7 +14,7 @@
 const OUTCOME_LIFETIME: Nanos = SECOND * 10;
 /// It is ejected below this part of successes.
 const MIN_SUCCESS_RATE: f64 = 0.375;
-/// A suspected engine gets a trial, an unresponsive one a request and an overloaded one a send after so long.
+/// A suspected engine gets a trial so long after its last attempt.
 pub(crate) const TRIAL_INTERVAL: Nanos = SECOND;
 /// At most one of so many sends of this gateway is a trial.
 pub(crate) const SENDS_PER_TRIAL: u32 = 16;
--- a/crates/ivypitch-scheduler/src/scheduler.rs
+++ b/crates/ivypitch-scheduler/src/scheduler.rs
@@ -8,7 +8,7 @@
     Arrival, AttemptEnded, AttemptProgress, EndpointUpdateKind, EngineEndpoint, OutlierStatus,
 };
 use crate::key_order::KeyQueues;
-use crate::outlier_detection::{MAX_ERRORS_AGAINST_ENGINES, SENDS_PER_TRIAL, TRIAL_INTERVAL};
+use crate::outlier_detection::{MAX_ERRORS_AGAINST_ENGINES, SENDS_PER_TRIAL};
 use crate::output::Output;
 use crate::placement::RecentSend;
 use crate::retry_budget::RetryBudgetTracker;
@@ -21,6 +21,10 @@
 
 /// While statements are open, lost attempts and deadlines are looked for at this interval.
 const HOUSEKEEPING_INTERVAL: Nanos = SECOND / 100;
+/// A failed request for the endpoint list is repeated after this and up to as much again.
+const WATCH_RETRY_INTERVAL: Nanos = SECOND;
+/// An engine that has rejected an attempt as overloaded gets the next after so long.
+const OVERLOAD_BACKOFF: Nanos = SECOND;
 
 const TIMER_HOUSEKEEPING: u64 = 0;
 const TIMER_WATCH_ENDPOINTS: u64 = 1;
@@ -132,8 +136,8 @@
     /// The request for the endpoint list has failed: it is repeated after a pause that differs among
     /// gateways.
     pub fn on_endpoint_watch_failed(&mut self, _now: Nanos, out: &mut dyn Output) {
-        let jitter = (self.random.next_unit() * TRIAL_INTERVAL as f64) as Nanos;
-        out.set_timer(TIMER_WATCH_ENDPOINTS, TRIAL_INTERVAL + jitter);
+        let jitter = (self.random.next_unit() * WATCH_RETRY_INTERVAL as f64) as Nanos;
+        out.set_timer(TIMER_WATCH_ENDPOINTS, WATCH_RETRY_INTERVAL + jitter);
     }
 
     /// Whether an open statement, an attempt or a recent send refers to the engine, or the endpoint list has
@@ -326,13 +330,14 @@
         let Some(attempt) = statement.attempt.take_if(|a| a.number == ended.attempt) else {
             return;
         };
-        let (workload, table_group) = (statement.workload, statement.table_group);
+        let workload = statement.workload;
+        let table_group = statement.table_group;
         self.uncount_attempt(workload, attempt.engine);
         let is_fault = self.record_end(now, index, &attempt, ended.outcome);
         match ended.outcome {
             Outcome::Completed => self.learn_completion(now, index, &attempt, ended),
             Outcome::Overloaded => {
-                self.engines[attempt.engine.0].overloaded_until = now + TRIAL_INTERVAL;
+                self.engines[attempt.engine.0].overloaded_until = now + OVERLOAD_BACKOFF;
             }
             Outcome::NotSent => self.take_back_send(index, &attempt),
             Outcome::Error
--- a/crates/ivypitch-scheduler/src/slow_start.rs
+++ b/crates/ivypitch-scheduler/src/slow_start.rs
@@ -40,7 +40,8 @@
     /// calls of mean work, which the gateways that the engine ranks lowest share in whole calls. The ranks
     /// are the same at every gateway, so the parts add up to the limit without a message among them.
     pub(crate) fn is_within_slow_start_limit(&self, proposed: &ProposedAttempt) -> bool {
-        let (now, engine) = (proposed.now, proposed.engine);
+        let now = proposed.now;
+        let engine = proposed.engine;
         let limit_secs = self.slow_start_limit_secs(now, engine);
         let gateways = self.deployment.gateways as f64;
         let calls = (limit_secs / self.arrival_mix.mean_work_secs)
--- a/crates/ivypitch-scheduler/src/subset.rs
+++ b/crates/ivypitch-scheduler/src/subset.rs
@@ -153,7 +153,9 @@
         self.listed_engines =
             self.listed_engines + usize::from(is_listed) - usize::from(engine.is_listed);
         engine.is_listed = is_listed;
-        let (endpoint, rank, is_ready) = (engine.endpoint, engine.rank, engine.is_ready());
+        let endpoint = engine.endpoint;
+        let rank = engine.rank;
+        let is_ready = engine.is_ready();
         for (state, workload) in self.workloads.iter_mut().zip(&self.deployment.workloads) {
             if !workload.allows(&endpoint) {
                 continue;
@@ -178,7 +180,8 @@
         let arrivals = self.retry_budget.arrivals_since(now - span.min(now)) as f64;
         let size_by_traffic = arrivals / secs_from_nanos(span) * secs_from_nanos(REPORT_LIFETIME)
             / REPORTS_PER_LIFETIME;
-        let (kinds, gateways) = (&self.deployment.kinds, self.deployment.gateways);
+        let kinds = &self.deployment.kinds;
+        let gateways = self.deployment.gateways;
         for state in &mut self.workloads {
             state.subset.resize(size_by_traffic, kinds, gateways);
         }
