--- a/crates/ivypitch-cli/tests/races.rs
+++ b/crates/ivypitch-cli/tests/races.rs
@@ -6,6 +6,7 @@
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
+use ivypitch_testbed::log_lines::is_event;
 use ivypitch_testbed::stand_ins::*;
 use test_case::test_case;
 
@@ -223,7 +224,9 @@
     let mut client = asked(&gateway, "load", 1, LONG);
     door.dialled();
     journal.tell(&event(2, false, &news));
-    gateway.log.wait("the news", |l| l.contains("is s-2 at"));
+    gateway.log.wait("the news", |l| {
+        is_event(l, "engine added", &[("id", "s-2")])
+    });
     let engine = Engine::on(door.open(), served);
     assert_eq!(
         client.answer(1),
@@ -250,7 +253,9 @@
     let mut client = asked(&gateway, "load", 1, LONG);
     door.dialled();
     journal.tell(&event(2, false, &news));
-    gateway.log.wait("the news", |l| l.contains("is s-2 at"));
+    gateway.log.wait("the news", |l| {
+        is_event(l, "engine added", &[("id", "s-2")])
+    });
     let engine = Engine::on(door.open(), served);
     assert_eq!(client.answer(1), rows());
     engine.ended.wait("end of the dial", |_| true);
@@ -283,7 +288,9 @@
         row_at(door.address, "s-2", "in_service", 0),
     ];
     journal.tell(&event(2, false, &news));
-    gateway.log.wait("the news", |l| l.contains("is s-2 at"));
+    gateway.log.wait("the news", |l| {
+        is_event(l, "engine added", &[("id", "s-2")])
+    });
     listed.push(());
     door.dialled();
     until("the end of the window", || {
@@ -434,9 +441,13 @@
     let client = asked(&gateway, "load", 1, LONG);
     engine.calls.wait("start", |c| c.is("POST"));
     gateway.terminate();
-    gateway
-        .log
-        .wait("last phase", |l| l.contains("draining -> finishing"));
+    gateway.log.wait("last phase", |l| {
+        is_event(
+            l,
+            "lifecycle phase changed",
+            &[("from", "draining"), ("to", "finishing")],
+        )
+    });
     (gateway, client)
 }
 
@@ -471,9 +482,13 @@
     let whole = query(&statement("lookup", 2, LONG));
     client.send(&whole[..40]);
     gateway.terminate();
-    gateway
-        .log
-        .wait("last phase", |l| l.contains("draining -> finishing"));
+    gateway.log.wait("last phase", |l| {
+        is_event(
+            l,
+            "lifecycle phase changed",
+            &[("from", "draining"), ("to", "finishing")],
+        )
+    });
     client.send(&whole[40..]);
     assert_eq!(client.answer(1).code(), 1203);
     assert_eq!(client.answer(1), Answer::Closed);
@@ -491,9 +506,13 @@
         assert_eq!(client.ask(&statement("lookup", req, LONG)), rows());
     }
     gateway.terminate();
-    gateway
-        .log
-        .wait("overlap", |l| l.contains("serving -> draining"));
+    gateway.log.wait("overlap", |l| {
+        is_event(
+            l,
+            "lifecycle phase changed",
+            &[("from", "serving"), ("to", "draining")],
+        )
+    });
     let began = Instant::now();
     gateway.held(|| {
         // All that happens in the rest of the overlap is met together with its end.
@@ -568,9 +587,13 @@
     let mut open = asked(&gateway, "lookup", 1, LONG);
     engine.calls.wait("start", |c| c.is("POST"));
     gateway.terminate();
-    gateway
-        .log
-        .wait("last phase", |l| l.contains("draining -> finishing"));
+    gateway.log.wait("last phase", |l| {
+        is_event(
+            l,
+            "lifecycle phase changed",
+            &[("from", "draining"), ("to", "finishing")],
+        )
+    });
     // The gateway's half is closed; what crosses is read and dropped, and never sent on.
     for client in &mut resting {
         assert_eq!(client.answer(1), Answer::Closed);
@@ -608,9 +631,13 @@
     let mut client = asked(&gateway, "lookup", 1, LONG);
     engine.calls.wait("start", |c| c.is("POST"));
     gateway.terminate();
-    gateway
-        .log
-        .wait("last phase", |l| l.contains("draining -> finishing"));
+    gateway.log.wait("last phase", |l| {
+        is_event(
+            l,
+            "lifecycle phase changed",
+            &[("from", "draining"), ("to", "finishing")],
+        )
+    });
     end.push(());
     assert_eq!(gateway.exit_code(), Some(0));
     let Answer::Rows(rows) = client.answer(1) else {
@@ -630,9 +657,9 @@
     for signal in ["TERM", "HUP", "INT", "TERM"] {
         gateway.signal(signal);
     }
-    gateway
-        .log
-        .wait("reload", |l| l.contains("reload while finishing"));
+    gateway.log.wait("reload", |l| {
+        is_event(l, "configuration reloaded", &[("phase", "finishing")])
+    });
     end.push(());
     assert_eq!(open.answer(1), rows());
     assert_eq!(gateway.exit_code(), Some(0));
@@ -649,11 +676,19 @@
         1024,
     );
     let (mut child, log, _) = spawn(&config);
-    log.wait("its wait", |l| l.contains("in use, tried again"));
+    log.wait("its wait", |l| {
+        l.contains("listen address is in use, retrying")
+    });
     end.push(());
     assert_eq!(open.answer(1), rows());
     assert_eq!(gateway.exit_code(), Some(0));
-    log.wait("its start", |l| l.contains("starting -> serving"));
+    log.wait("its start", |l| {
+        is_event(
+            l,
+            "lifecycle phase changed",
+            &[("from", "starting"), ("to", "serving")],
+        )
+    });
     assert_eq!(
         Client::connect(&gateway).ask(&statement("lookup", 2, LONG)),
         rows()
@@ -669,7 +704,9 @@
     let address = taken.local_addr().unwrap().to_string();
     let config = configuration(&address, &[engine.row("s-1", "in_service")], None, 1024);
     let (mut child, log, _) = spawn(&config);
-    log.wait("its wait", |l| l.contains("in use, tried again"));
+    log.wait("its wait", |l| {
+        l.contains("listen address is in use, retrying")
+    });
     let id = child.id().to_string();
     assert!(
         std::process::Command::new("kill")
@@ -780,20 +817,28 @@
     let gateway = Gateway::configured(
         config.replace("\"journal\":\"\"", &format!("\"journal\":\"{address}\"")),
     );
-    gateway.log.wait("loss", |l| l.contains("lost at 1"));
+    gateway.log.wait("loss", |l| {
+        is_event(l, "endpoint watch lost", &[("position", "1")])
+    });
     let mut idle: Vec<Client> = (0..60).map(|_| Client::connect(&gateway)).collect();
     rustix::net::listen(&held, 16).unwrap();
     let listener = TcpListener::from(held);
     let (mut stream, _) = listener.accept().unwrap();
     let news = [old.row("s-1", "terminating"), new.row("s-2", "in_service")];
     stream.write_all(event(2, false, &news).as_bytes()).unwrap();
-    gateway.log.wait("the news", |l| l.contains("is s-2 at"));
+    gateway.log.wait("the news", |l| {
+        is_event(l, "engine added", &[("id", "s-2")])
+    });
     let mut client = Client::connect(&gateway);
     assert_eq!(client.ask(&statement("lookup", 1, LONG)), rows());
     assert_eq!((old.starts(), new.starts()), (0, 1));
     idle.retain_mut(|client| client.stream.set_nonblocking(true).is_ok());
     assert!(
-        gateway.log.all().iter().all(|l| !l.contains("accept:")),
+        gateway
+            .log
+            .all()
+            .iter()
+            .all(|l| !l.contains("accept failed")),
         "descriptors were never short"
     );
 }
@@ -838,10 +883,16 @@
         Some(&journal),
         1024,
     );
-    gateway
-        .log
-        .wait("loss", |l| l.ends_with("lost at 1: silent"));
-    gateway.log.wait("the news", |l| l.contains("is s-2 at"));
+    gateway.log.wait("loss", |l| {
+        is_event(
+            l,
+            "endpoint watch lost",
+            &[("position", "1"), ("reason", "silent")],
+        )
+    });
+    gateway.log.wait("the news", |l| {
+        is_event(l, "engine added", &[("id", "s-2")])
+    });
     only_the_new_one_serves(&gateway, &old, &new);
 }
 
@@ -857,7 +908,9 @@
         Some(&journal),
         1024,
     );
-    gateway.log.wait("the news", |l| l.contains("is s-3 at"));
+    gateway.log.wait("the news", |l| {
+        is_event(l, "engine added", &[("id", "s-3")])
+    });
     assert_eq!(
         journal.tails.all(),
         vec!["tail 1\n"; 4],
@@ -877,7 +930,9 @@
         Some(&journal),
         1024,
     );
-    gateway.log.wait("the news", |l| l.contains("is s-2 at"));
+    gateway.log.wait("the news", |l| {
+        is_event(l, "engine added", &[("id", "s-2")])
+    });
     assert_eq!(journal.tails.all().len(), 1, "on the same connection");
     let never = Journal::start(&["9\n".into(), "9\n".into(), event(2, false, &news)]);
     let gateway = Gateway::with(
@@ -886,7 +941,9 @@
         Some(&never),
         1024,
     );
-    gateway.log.wait("the news", |l| l.contains("is s-2 at"));
+    gateway.log.wait("the news", |l| {
+        is_event(l, "engine added", &[("id", "s-2")])
+    });
     assert_eq!(
         never.tails.all().len(),
         3,
@@ -929,9 +986,9 @@
         false,
         &[old.row("s-1", "terminated"), new.row("s-2", "in_service")],
     ));
-    gateway
-        .log
-        .wait("the new engine", |l| l.contains("is s-2 at"));
+    gateway.log.wait("the new engine", |l| {
+        is_event(l, "engine added", &[("id", "s-2")])
+    });
     first.tell(&event(
         4,
         false,
@@ -978,9 +1035,9 @@
     second.tails.wait("tail", |t| t.starts_with("tail "));
     // The new service tells all again, and the delta once more behind the whole list.
     second.tell(&[delta.clone(), whole, delta.clone()].concat());
-    gateway
-        .log
-        .wait("the new engine", |l| l.contains("is s-3 at"));
+    gateway.log.wait("the new engine", |l| {
+        is_event(l, "engine added", &[("id", "s-3")])
+    });
     first.tell(&delta);
     first.tell(&event(
         4,
@@ -994,9 +1051,9 @@
     // The next of the new one comes behind all that.
     let next = Engine::served();
     second.tell(&event(4, false, &[next.row("s-4", "terminating")]));
-    gateway
-        .log
-        .wait("the event behind it", |l| l.contains("is s-4 at"));
+    gateway.log.wait("the event behind it", |l| {
+        is_event(l, "engine added", &[("id", "s-4")])
+    });
     for req in 1..=8 {
         assert_eq!(
             Client::connect(&gateway).ask(&statement("load", req, LONG)),
@@ -1035,7 +1092,9 @@
         began.elapsed()
     );
     journal.tell(&event(2, false, &news));
-    gateway.log.wait("the news", |l| l.contains("is s-2 at"));
+    gateway.log.wait("the news", |l| {
+        is_event(l, "engine added", &[("id", "s-2")])
+    });
     let engine = Engine::on(door.open(), served);
     assert_eq!(client.answer(1), rows());
     assert_eq!(client.ask(&statement("lookup", 2, LONG)), rows());
--- a/crates/ivypitch-cli/tests/serving.rs
+++ b/crates/ivypitch-cli/tests/serving.rs
@@ -2,6 +2,7 @@
 
 use std::net::Shutdown;
 
+use ivypitch_testbed::log_lines::is_event;
 use ivypitch_testbed::stand_ins::*;
 use test_case::test_case;
 
@@ -267,15 +268,28 @@
     client.send(&query(&statement("lookup", 1, 20_000)));
     engine.calls.wait("start", |c| c.is("POST"));
     gateway.terminate();
-    gateway
-        .log
-        .wait("overlap", |l| l.contains("serving -> draining"));
+    gateway.log.wait("overlap", |l| {
+        is_event(
+            l,
+            "lifecycle phase changed",
+            &[("from", "serving"), ("to", "draining")],
+        )
+    });
     let mut late = Client::connect(&gateway);
     assert_eq!(late.ask(&statement("load", 2, 20_000)).code(), 1105);
     assert_eq!(client.answer(1).code(), 1203);
     assert_eq!(gateway.exit_code(), Some(0));
     gateway.log.wait("stop", |l| {
-        l.contains("finishing -> stopped: 2 sessions, 0 statements open")
+        is_event(
+            l,
+            "lifecycle phase changed",
+            &[
+                ("from", "finishing"),
+                ("to", "stopped"),
+                ("sessions", "2"),
+                ("statements", "0"),
+            ],
+        )
     });
 }
 
@@ -315,11 +329,11 @@
         1024,
     );
     gateway.log.wait("loss", |l| {
-        l.contains("endpoint watch") && l.contains("lost at 2")
+        is_event(l, "endpoint watch lost", &[("position", "2")])
+    });
+    gateway.log.wait("recovery", |l| {
+        is_event(l, "endpoint watch resumed", &[("position", "3")])
     });
-    gateway
-        .log
-        .wait("recovery", |l| l.contains("resumed from 3"));
     assert_eq!(
         journal.tails.all()[..4],
         ["tail 1\n", "tail 2\n", "tail 2\n", "tail 2\n"]
@@ -523,9 +537,9 @@
     let mut client = Client::connect(&gateway);
     client.send(&query(&statement("lookup", 1, 20_000)));
     assert_eq!(client.answer(1), rows(&[["a", "b", "c"]]));
-    gateway
-        .log
-        .wait("the new engine", |l| l.contains("is s-2 at"));
+    gateway.log.wait("the new engine", |l| {
+        is_event(l, "engine added", &[("id", "s-2")])
+    });
 }
 
 #[test]
@@ -549,13 +563,13 @@
         Some(&journal),
         1024,
     );
-    let last = gateway
-        .log
-        .wait("the last engine", |l| l.contains("is s-1999 at"));
+    let last = gateway.log.wait("the last engine", |l| {
+        is_event(l, "engine added", &[("id", "s-1999")])
+    });
     assert!(
-        ["engine 0 is", "engine 1 is"]
+        ["0", "1"]
             .iter()
-            .any(|index| last.contains(index)),
+            .any(|index| is_event(&last, "engine added", &[("engine", index)])),
         "{last}"
     );
     assert_eq!(
@@ -576,12 +590,15 @@
         Some(&journal),
         1024,
     );
-    gateway
-        .log
-        .wait("the last engine", |l| l.contains("is s-3 at"));
+    gateway.log.wait("the last engine", |l| {
+        is_event(l, "engine added", &[("id", "s-3")])
+    });
     // The stand-in falls silent after its script, and is then asked again; nothing else loses it.
-    let lost = gateway.log.wait("loss", |l| l.contains("lost at"));
-    assert!(lost.ends_with("lost at 3: silent"), "{lost}");
+    let lost = gateway
+        .log
+        .wait("loss", |l| l.contains("endpoint watch lost"));
+    let fields = [("position", "3"), ("reason", "silent")];
+    assert!(is_event(&lost, "endpoint watch lost", &fields), "{lost}");
     journal.tails.wait("the next question", |t| t == "tail 3\n");
 }
 
@@ -620,16 +637,16 @@
     gateway.configure("{ half");
     gateway.signal("HUP");
     gateway.log.wait("a reload that changes nothing", |l| {
-        l.contains("nothing changed")
+        l.contains("configuration not reloaded")
     });
     gateway.configure_journal(&second);
     gateway.signal("HUP");
     second
         .tails
         .wait("tail", |t| t == "tail 2\n" || t == "tail 1\n");
-    gateway
-        .log
-        .wait("the new engine", |l| l.contains("is s-2 at"));
+    gateway.log.wait("the new engine", |l| {
+        is_event(l, "engine added", &[("id", "s-2")])
+    });
     assert_eq!(
         Client::connect(&gateway).ask(&statement("lookup", 1, 5000)),
         rows(&[["a", "b", "c"]])
@@ -637,9 +654,13 @@
     assert_eq!((old.starts(), new.starts()), (0, 1));
     gateway.signal("HUP");
     gateway.terminate();
-    gateway
-        .log
-        .wait("overlap", |l| l.contains("serving -> draining"));
+    gateway.log.wait("overlap", |l| {
+        is_event(
+            l,
+            "lifecycle phase changed",
+            &[("from", "serving"), ("to", "draining")],
+        )
+    });
     gateway.signal("HUP");
     assert_eq!(gateway.exit_code(), Some(0));
 }
--- a/crates/ivypitch-cli/tests/takeover.rs
+++ b/crates/ivypitch-cli/tests/takeover.rs
@@ -6,6 +6,7 @@
 use std::time::Instant;
 
 use ivypitch_ownership::{VERSION, VoterAssignment};
+use ivypitch_testbed::log_lines::is_event;
 use ivypitch_testbed::processes::relay::End;
 use ivypitch_testbed::processes::{Engines, Fleet, Setup};
 use std::thread;
@@ -101,9 +102,9 @@
     }
 
     fn wait_lost(&self, at: usize, lost: usize) {
-        self.fleet.seats[at]
-            .log
-            .wait("loss", |l| l.contains(&format!("member n{lost} is lost")));
+        self.fleet.seats[at].log.wait("loss", |l| {
+            is_event(l, "member is lost", &[("member", &format!("n{lost}"))])
+        });
     }
 }
 
@@ -385,9 +386,9 @@
     // It wakes, and what it had written arrives.
     s.fleet.net.hear(gateway(0), ENGINE);
     s.fleet.go_on(0);
-    s.fleet.seats[1]
-        .log
-        .wait_for("return", 2, |l| l.contains("member n0 is up"));
+    s.fleet.seats[1].log.wait_for("return", 2, |l| {
+        is_event(l, "member is up", &[("member", "n0")])
+    });
     s.held.end(1);
     let answer = first.answer(1);
     assert!(
@@ -430,9 +431,9 @@
     assert_eq!((s.held.starts(1), s.held.starts(2)), (1, 0));
     // Healed: it sends again.
     s.fleet.cut(|a, b| a == 0 || b == 0, false);
-    s.fleet.seats[1]
-        .log
-        .wait_for("return", 2, |l| l.contains("member n0 is up"));
+    s.fleet.seats[1].log.wait_for("return", 2, |l| {
+        is_event(l, "member is up", &[("member", "n0")])
+    });
     ask_until_votes(&s.fleet, 0);
 }
 
@@ -542,9 +543,9 @@
     s.held.end(1);
     s.fleet.cut(|_, b| b == 0, false);
     for g in 1..5 {
-        s.fleet.seats[0]
-            .log
-            .wait_for("member", 2, |l| l.contains(&format!("member n{g} is up")));
+        s.fleet.seats[0].log.wait_for("member", 2, |l| {
+            is_event(l, "member is up", &[("member", &format!("n{g}"))])
+        });
     }
     assert_eq!(s.client(0).ask(&statement("load", 1, LONGEST)), rows(1));
     assert_eq!(s.held.starts(1), 1);
@@ -612,9 +613,9 @@
     client.send(&query(&statement("load", 2, LONGEST)));
     assert_eq!(s.held.wait_start(2), 0);
     s.fleet.signal(0, Signal::TERM);
-    s.fleet.seats[0].log.wait("hand over", |l| {
-        l.contains("custody hands 1 statements over")
-    });
+    s.fleet.seats[0]
+        .log
+        .wait("hand over", |l| l.contains("handed off statements=1"));
     s.held.end(2);
     assert_eq!(s.fleet.end(0), Some(0));
     assert_eq!(s.client(1).ask(&statement("load", 2, LONGEST)), rows(2));
@@ -636,9 +637,9 @@
     let _client = s.running(0, req);
     s.fleet.net.silence(gateway(0), gateway(1));
     s.fleet.signal(0, Signal::TERM);
-    s.fleet.seats[0].log.wait("hand over", |l| {
-        l.contains("custody hands 1 statements over")
-    });
+    s.fleet.seats[0]
+        .log
+        .wait("hand over", |l| l.contains("handed off statements=1"));
     let mut back = s.sent(2, "load", req);
     assert_eq!(s.fleet.end(0), Some(0));
     s.held.wait_ask(req, 0, &[0]);
@@ -654,7 +655,7 @@
     s.fleet.kill(2);
     s.fleet.seats[0]
         .log
-        .wait_for("losses", 2, |l| l.contains("is lost"));
+        .wait_for("losses", 2, |l| l.contains("member is lost"));
     assert_eq!(s.client(0).ask(&statement("load", 3, LONGEST)).code(), 1105);
     assert_eq!(s.held.starts(3), 0);
     // What is harmless goes on.
@@ -700,7 +701,13 @@
         let _ = link.read_to_end(&mut nothing);
         assert!(nothing.is_empty());
     }
-    let refused = |l: &String| l.contains("link from member 1 rejected: version");
+    let refused = |l: &String| {
+        is_event(
+            l,
+            "link from incompatible member is rejected",
+            &[("member", "n1")],
+        )
+    };
     let log = &s.fleet.seats[0].log;
     log.wait("refusal", refused);
     // A datagram of such a member.
@@ -724,7 +731,7 @@
             }
         }
     }
-    let unspoken = |l: &String| l.contains("member 1 is incompatible and ignored: version");
+    let unspoken = |l: &String| is_event(l, "incompatible member is ignored", &[("member", "n1")]);
     log.wait("stranger", unspoken);
     let all = log.all();
     assert_eq!(
@@ -735,7 +742,7 @@
         (1, 1)
     );
     assert!(
-        !all.iter().any(|l| l.contains("is lost")),
+        !all.iter().any(|l| l.contains("member is lost")),
         "the real n1 stays"
     );
 }
--- a/crates/ivypitch-cli/tests/teams.rs
+++ b/crates/ivypitch-cli/tests/teams.rs
@@ -2,6 +2,7 @@
 
 use std::process::{Command, Output};
 
+use ivypitch_testbed::log_lines::is_event;
 use ivypitch_testbed::stand_ins::*;
 use test_case::test_case;
 
@@ -154,12 +155,12 @@
         .parse()
         .unwrap();
     assert!((1..=2000).contains(&after), "{text}");
+    gateway.log.wait("mode", |l| {
+        is_event(l, "team mode Within -> Over", &[("tenant", "acme")])
+    });
     gateway
         .log
-        .wait("mode", |l| l.contains("team acme Within -> Over"));
-    gateway
-        .log
-        .wait("mode", |l| l.contains("teams Direct -> Queueing"));
+        .wait("mode", |l| l.contains("queueing mode Direct -> Queueing"));
 }
 
 #[test]
@@ -185,7 +186,7 @@
     assert_eq!(gateway.exit_code(), Some(0));
     gateway
         .log
-        .wait("record", |l| l.contains("teams waits told"));
+        .wait("record", |l| l.contains("wait estimate totals"));
     assert_eq!(loads_started(&engine), 0);
 }
 
@@ -206,7 +207,7 @@
     gateway.signal("HUP");
     let line = gateway
         .log
-        .wait("fault", |l| l.contains("own settings stay"));
+        .wait("fault", |l| l.contains("operator settings not reloaded"));
     assert!(
         line.contains("teams.by_name.acme.most_queued: -1 is not within 0 to"),
         "{line}"
@@ -221,9 +222,9 @@
         r#""by_name":{"acme":{"most_released_threads":3,"most_queued":9}}"#,
     ));
     gateway.signal("HUP");
-    gateway
-        .log
-        .wait("reload", |l| l.contains("budgets of 1 teams"));
+    gateway.log.wait("reload", |l| {
+        is_event(l, "team budgets reloaded", &[("teams", "1")])
+    });
     let mut more = Client::connect(&gateway);
     more.send(&query(&statement("load", 6, 20_000)));
     waiting(&gateway, 2);
@@ -358,7 +359,9 @@
     let text = "{ teams = { show = true }, log = { format = \"json\" } }";
     let gateway = Gateway::owned_by(&[engine.row("s-1", "in_service")], small, "ncl", text);
     assert!(shown(&gateway, "SHOW QUEUE").is_empty());
-    let line = gateway.log.wait("a line", |l| l.contains("listens on"));
+    let line = gateway
+        .log
+        .wait("a line", |l| l.contains("gateway started"));
     assert!(
         line.starts_with('{') && line.contains("\"level\":\"info\""),
         "{line}"
--- a/crates/ivypitch-gateway/src/actors/discovery.rs
+++ b/crates/ivypitch-gateway/src/actors/discovery.rs
@@ -161,7 +161,7 @@
             WatchDecision::Accept => {}
             WatchDecision::AcceptOverGap => log::warn!(
                 position, last_position;
-                "endpoint watch: events after {last_position} are missing, event {position} is accepted over the gap"
+                "endpoint event accepted over a gap"
             ),
             WatchDecision::Ignore => return Ok(()),
             WatchDecision::Resubscribe => {
@@ -211,7 +211,7 @@
                 let position = self.actor.last_position();
                 log::warn!(
                     address:%, position, reason:% = error;
-                    "endpoint watch on {address} lost at {position}: {error}"
+                    "endpoint watch lost"
                 );
             }
             self.is_healthy = false;
@@ -254,7 +254,7 @@
         if !self.is_healthy {
             let address = self.address;
             let position = self.actor.last_position();
-            log::info!(address:%, position; "endpoint watch on {address} resumed from {position}");
+            log::info!(address:%, position; "endpoint watch resumed");
             self.is_healthy = true;
         }
         Ok(())
--- a/crates/ivypitch-gateway/src/actors/ownership.rs
+++ b/crates/ivypitch-gateway/src/actors/ownership.rs
@@ -367,16 +367,7 @@
             orphaned = counters.orphaned, taken_over = counters.taken_over, polled = counters.polled,
             cached = counters.cached, delivered = counters.delivered, unknown = counters.unknown,
             no_quorum = counters.no_quorum, owned_elsewhere = counters.owned_elsewhere;
-            "ownership: {} orphaned, {} taken over, {} polled, {} results cached, {} delivered to clients that \
-             returned, {} with unknown outcome, {} without a quorum, {} owned elsewhere",
-            counters.orphaned,
-            counters.taken_over,
-            counters.polled,
-            counters.cached,
-            counters.delivered,
-            counters.unknown,
-            counters.no_quorum,
-            counters.owned_elsewhere
+            "ownership totals"
         );
     }
 }
--- a/crates/ivypitch-gateway/src/actors/peer_links/context.rs
+++ b/crates/ivypitch-gateway/src/actors/peer_links/context.rs
@@ -104,11 +104,10 @@
         }
         if is_listed && self.rejected.borrow_mut().insert(member, incarnation) != Some(incarnation)
         {
-            let id = member.0;
             log::warn!(
-                member = self.name(member), version, list = format!("{list_fingerprint:08x}").as_str();
-                "link from member {id} rejected: version {version}, list {list_fingerprint:08x}; here \
-                 {PROTOCOL_VERSION}, {own_fingerprint:08x}"
+                member = self.name(member), version, own_version = PROTOCOL_VERSION,
+                list:% = format_args!("{list_fingerprint:08x}"), own_list:% = format_args!("{own_fingerprint:08x}");
+                "link from incompatible member is rejected"
             );
         }
         None
--- a/crates/ivypitch-gateway/src/actors/peer_links/datagrams.rs
+++ b/crates/ivypitch-gateway/src/actors/peer_links/datagrams.rs
@@ -94,7 +94,7 @@
         match event {
             MembershipEvent::MemberUp(process) => {
                 let member = self.context.name(process.member);
-                log::info!(member; "member {member} is up");
+                log::info!(member; "member is up");
                 self.context.notify_scheduler(PeerEvent::MemberUp(process));
             }
             MembershipEvent::MemberDown(process) => self.on_member_down(process),
@@ -133,7 +133,7 @@
         let members = self.context.members.len();
         log::warn!(
             member, reachable, members;
-            "member {member} is lost, {reachable} of {members} reachable"
+            "member is lost"
         );
         self.context
             .notify_scheduler(PeerEvent::MemberDown(process));
@@ -144,17 +144,16 @@
         let members = self.context.members.len();
         log::warn!(
             suspicion:%, reachable, members;
-            "partition suspicion is {suspicion}, {reachable} of {members} members reachable"
+            "partition suspicion changed"
         );
     }
 
     fn log_incompatible(&self, member: MemberId, version: u16, fingerprint: u32) {
-        let id = member.0;
         let own_fingerprint = self.context.members.fingerprint();
         log::warn!(
-            member = self.context.name(member), version, list = format!("{fingerprint:08x}").as_str();
-            "member {id} is incompatible and ignored: version {version}, list {fingerprint:08x}; here \
-             {PROTOCOL_VERSION}, {own_fingerprint:08x}"
+            member = self.context.name(member), version, own_version = PROTOCOL_VERSION,
+            list:% = format_args!("{fingerprint:08x}"), own_list:% = format_args!("{own_fingerprint:08x}");
+            "incompatible member is ignored"
         );
     }
 
--- a/crates/ivypitch-gateway/src/actors/peer_links/links.rs
+++ b/crates/ivypitch-gateway/src/actors/peer_links/links.rs
@@ -84,7 +84,7 @@
         let serial = outbox.serial;
         if !outbox.send(encode_frame(frame)) && self.full.insert(to, serial) != Some(serial) {
             let member = self.context.name(to);
-            log::warn!(member; "member {member} does not read: messages to it are dropped");
+            log::warn!(member; "member does not read, messages to it are dropped");
         }
     }
 
--- a/crates/ivypitch-gateway/src/actors/peer_links/mod.rs
+++ b/crates/ivypitch-gateway/src/actors/peer_links/mod.rs
@@ -197,6 +197,6 @@
     let members = context.members.len();
     log::info!(
         member, members, address:%;
-        "peer links: this gateway is {member} at {address}, {members} members"
+        "peer links started"
     );
 }
--- a/crates/ivypitch-gateway/src/actors/queueing.rs
+++ b/crates/ivypitch-gateway/src/actors/queueing.rs
@@ -53,8 +53,8 @@
 
     fn mode(&mut self, team: Option<usize>, line: &str) {
         match team.and_then(|team| self.tenants.get(team)) {
-            Some(team) => log::info!(team = team.as_str(); "team {team} {line}"),
-            None => log::info!("teams {line}"),
+            Some(team) => log::info!(tenant = team.as_str(); "team mode {line}"),
+            None => log::info!("queueing mode {line}"),
         }
     }
 }
@@ -157,10 +157,8 @@
         let median = record.errors_percent.value_at_quantile(0.5);
         let longest = record.waits_ms.max();
         log::info!(
-            told = record.told, good = record.good, median_error_percent = median, longest_wait_ms = longest;
-            "teams waits told {}, good {}, median error {median}%, longest wait {longest} ms",
-            record.told,
-            record.good
+            estimates = record.told, good = record.good, median_error_percent = median, longest_wait_ms = longest;
+            "wait estimate totals"
         );
     }
 }
--- a/crates/ivypitch-gateway/src/actors/scheduler/endpoints.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/endpoints.rs
@@ -153,10 +153,7 @@
             let Ok(address) = endpoint.address.parse() else {
                 log::warn!(
                     engine = engine.0, id = endpoint.id.as_str(), address = endpoint.address.as_str();
-                    "engine {} {}: address {:?} is malformed",
-                    engine.0,
-                    endpoint.id,
-                    endpoint.address
+                    "engine endpoint has a malformed address"
                 );
                 return None;
             };
@@ -186,8 +183,7 @@
             None => {
                 log::info!(
                     engine = engine.0, id, address:% = address;
-                    "engine {} is {id} at {address}",
-                    engine.0
+                    "engine added"
                 );
                 *slot = Some(self.spawner.spawn(address));
             }
--- a/crates/ivypitch-gateway/src/actors/scheduler/ownership.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/ownership.rs
@@ -145,7 +145,7 @@
         };
         let id = takeover.id;
         let Some(statement) = context.parse_takeover(takeover.text) else {
-            log::warn!(statement:% = format_args!("{id:016x}"); "ownership: statement {id:016x} can't be parsed again");
+            log::warn!(statement:% = format_args!("{id:016x}"); "statement taken over cannot be parsed");
             context.abort_takeover(id);
             return;
         };
@@ -159,7 +159,7 @@
         });
         let Ok(statement) = opened else {
             // An attempt of it is still in flight here under the same id.
-            log::warn!(statement:% = format_args!("{id:016x}"); "ownership: statement {id:016x} is still open here");
+            log::warn!(statement:% = format_args!("{id:016x}"); "statement taken over is still open here");
             context.abort_takeover(id);
             return;
         };
--- a/crates/ivypitch-gateway/src/lifecycle/accept.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/accept.rs
@@ -43,15 +43,13 @@
             }
             Err(e) if e.kind() == ErrorKind::AddrInUse && Instant::now() < give_up_at => {
                 if !has_warned {
-                    log::warn!(address:% = address; "listen on {address}: in use, tried again");
+                    log::warn!(address:% = address; "listen address is in use, retrying");
                 }
                 has_warned = true;
                 if is_ended_while_waiting(signals) {
                     log::info!(
                         from:% = Phase::Starting, to:% = Phase::Stopped;
-                        "{} -> {}: SIGTERM came first",
-                        Phase::Starting,
-                        Phase::Stopped
+                        "lifecycle phase changed: SIGTERM came before the listener"
                     );
                     return Ok(None);
                 }
@@ -96,7 +94,7 @@
             Err(e) => {
                 // Descriptors or memory are short for a moment, or the client has gone already.
                 if !is_failing {
-                    log::warn!(error:% = e; "accept: {e}");
+                    log::warn!(error:% = e; "accept failed");
                 }
                 is_failing = true;
                 Timer::after(ACCEPT_RETRY_INTERVAL).await;
--- a/crates/ivypitch-gateway/src/lifecycle/gateway.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/gateway.rs
@@ -84,10 +84,7 @@
         log::info!(
             from:% = self.phase, to:% = phase,
             sessions = counts.sessions, statements = counts.open_statements;
-            "{} -> {phase}: {} sessions, {} statements open",
-            self.phase,
-            counts.sessions,
-            counts.open_statements
+            "lifecycle phase changed"
         );
         self.phase = phase;
     }
--- a/crates/ivypitch-gateway/src/lifecycle/logger.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/logger.rs
@@ -16,10 +16,10 @@
 /// How a line is written.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub enum Format {
-    /// Unix time, level and message.
+    /// Unix time, level, event and the event's `key=value` pairs.
     #[default]
     Text,
-    /// `key=value` pairs: time, level, message and the record's own.
+    /// The same as `key=value` pairs throughout.
     Logfmt,
     /// The same as one JSON object.
     Json,
@@ -81,6 +81,20 @@
         let _ = record.key_values().visit(&mut pairs);
         pairs
     }
+
+    /// Each pair as ` key=value`.
+    fn logfmt(&self) -> String {
+        let mut text = String::new();
+        for (key, value) in &self.0 {
+            let key = key.replace(|c: char| !c.is_ascii_alphanumeric() && c != '_', "_");
+            let value = match value.as_str() {
+                Some(value) => logfmt_value(value),
+                None => value.to_string(),
+            };
+            text.push_str(&format!(" {key}={value}"));
+        }
+        text
+    }
 }
 
 impl<'kvs> VisitSource<'kvs> for Pairs {
@@ -97,8 +111,9 @@
 }
 
 fn text(ms: u64, record: &Record) -> String {
-    let (level, message) = (record.level(), record.args());
-    format!("{}.{:03} {level} {message}", ms / 1000, ms % 1000)
+    let (level, event) = (record.level(), record.args());
+    let pairs = Pairs::of(record).logfmt();
+    format!("{}.{:03} {level} {event}{pairs}", ms / 1000, ms % 1000)
 }
 
 fn level_name(record: &Record) -> String {
@@ -118,15 +133,8 @@
     let level = level_name(record);
     let message = logfmt_value(&record.args().to_string());
     let seconds = format!("{}.{:03}", ms / 1000, ms % 1000);
-    let mut line = format!("ts={seconds} level={level} msg={message}");
-    for (key, value) in Pairs::of(record).0 {
-        let key = key.replace(|c: char| !c.is_ascii_alphanumeric() && c != '_', "_");
-        let value = value
-            .as_str()
-            .map_or_else(|| value.to_string(), logfmt_value);
-        line += &format!(" {key}={value}");
-    }
-    line
+    let pairs = Pairs::of(record).logfmt();
+    format!("ts={seconds} level={level} msg={message}{pairs}")
 }
 
 /// The text itself, or in quotes where it would not end at its end.
--- a/crates/ivypitch-gateway/src/lifecycle/reload.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/reload.rs
@@ -46,8 +46,7 @@
             Ok((Some(budgets), config)) if self.has_queues => {
                 log::info!(
                     teams = budgets.teams.len();
-                    "reload: budgets of {} teams",
-                    budgets.teams.len()
+                    "team budgets reloaded"
                 );
                 sessions.set_can_show_queue(config.teams.is_some_and(|teams| teams.show));
                 let _ = scheduler.try_send(SchedulerMessage::ReloadBudgets {
@@ -55,10 +54,10 @@
                 });
             }
             Ok((budgets, _)) if budgets.is_some() != self.has_queues => {
-                log::warn!("reload: queues of teams are turned on and off by a restart only");
+                log::warn!("team queues are turned on and off by a restart only");
             }
             Ok(_) => {}
-            Err(error) => log::error!(error:% = error; "reload: own settings stay: {error}"),
+            Err(error) => log::error!(error:% = error; "operator settings not reloaded"),
         }
     }
 
@@ -90,8 +89,7 @@
             Ok(address) => {
                 log::info!(
                     phase:% = self.phase, address:% = address;
-                    "reload while {}: discovery service at {address}",
-                    self.phase
+                    "configuration reloaded"
                 );
                 if self.discovery_address != Some(address) {
                     self.discovery_address = Some(address);
@@ -103,8 +101,7 @@
             Err(error) => {
                 log::error!(
                     phase:% = self.phase, error:% = error;
-                    "reload while {}: nothing changed: {error}",
-                    self.phase
+                    "configuration not reloaded"
                 );
             }
         }
--- a/crates/ivypitch-gateway/src/lifecycle/shutdown.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/shutdown.rs
@@ -46,7 +46,7 @@
             self.wait_until_closed(give_up_at).await;
         }
         self.enter(Phase::Stopped);
-        log::info!("connections to engines opened: {}", self.connections);
+        self.connections.log_totals();
     }
 
     async fn wait_until_closed(&mut self, give_up_at: Instant) {
--- a/crates/ivypitch-gateway/src/lifecycle/startup.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/startup.rs
@@ -84,10 +84,7 @@
         log::info!(
             name = name.as_str(), address:% = address, workloads = workloads,
             clients = bounds.clients, engine_connections = bounds.engine_connections;
-            "{name} {}: listens on {address}, {workloads} workloads, {} clients, {} engine connections",
-            gateway.phase,
-            bounds.clients,
-            bounds.engine_connections
+            "gateway started"
         );
         Ok(Some(gateway))
     }
--- a/crates/ivypitch-gateway/src/state/connections.rs
+++ b/crates/ivypitch-gateway/src/state/connections.rs
@@ -1,7 +1,6 @@
 //! Counts of the connections to engines since the process started, by purpose and outcome.
 
 use std::cell::Cell;
-use std::fmt;
 
 /// Why a connection to an engine is opened.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -30,6 +29,16 @@
 }
 
 impl ConnectionCounters {
+    /// Logs all counters.
+    pub fn log_totals(&self) {
+        log::info!(
+            starts = self.starts.get(), polls = self.polls.get(), cancels = self.cancels.get(),
+            priorities = self.priorities.get(), refused = self.refused.get(),
+            timed_out = self.timed_out.get(), reused = self.reused.get(), discarded = self.discarded.get();
+            "engine connection totals"
+        );
+    }
+
     /// Counts a connection that is about to be opened.
     pub fn record_connect(&self, purpose: ConnectPurpose) {
         increment(match purpose {
@@ -64,20 +73,3 @@
 fn increment(counter: &Cell<u64>) {
     counter.set(counter.get() + 1);
 }
-
-impl fmt::Display for ConnectionCounters {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(
-            f,
-            "{} starts, {} polls, {} cancels, {} priorities, {} refused, {} timed out, {} reused, {} discarded",
-            self.starts.get(),
-            self.polls.get(),
-            self.cancels.get(),
-            self.priorities.get(),
-            self.refused.get(),
-            self.timed_out.get(),
-            self.reused.get(),
-            self.discarded.get()
-        )
-    }
-}
--- a/crates/ivypitch-testbed/src/lib.rs
+++ b/crates/ivypitch-testbed/src/lib.rs
@@ -8,6 +8,7 @@
 pub mod demo;
 pub mod experiments;
 pub mod figures;
+pub mod log_lines;
 pub mod plot;
 pub mod processes;
 pub mod report;
--- a/crates/ivypitch-testbed/src/processes/mod.rs
+++ b/crates/ivypitch-testbed/src/processes/mod.rs
@@ -23,6 +23,7 @@
 
 use rustix::process::{Pid, Signal, kill_process};
 
+use crate::log_lines::is_event;
 use crate::stand_ins::{Answer, Client, PATIENCE, Seen, configuration, program};
 use crate::virtual_time::faults::{Fault, Plan, What};
 use child::LabProcess;
@@ -231,8 +232,9 @@
         let until = Instant::now() + PATIENCE;
         for (g, seat) in self.seats.iter().enumerate() {
             for other in (0..self.setup.gateways + self.setup.hollow).filter(|&other| other != g) {
-                let line = format!("member n{other} is up");
-                while !seat.log.all().iter().any(|said| said.ends_with(&line)) {
+                let name = format!("n{other}");
+                let is_up = |line: &String| is_event(line, "member is up", &[("member", &name)]);
+                while !seat.log.all().iter().any(is_up) {
                     if Instant::now() > until {
                         let log = seat.log.all().join("\n");
                         return Err(format!("n{g} has not heard n{other}; its log:\n{log}"));
@@ -334,7 +336,7 @@
             .log
             .all()
             .iter()
-            .filter(|line| line.contains(" is lost, "))
+            .filter(|line| is_event(line, "member is lost", &[]))
             .count() as u64;
         Some(Sample {
             usage,
@@ -435,7 +437,7 @@
         let begun = log
             .all()
             .iter()
-            .filter(|line| line.contains("listens on"))
+            .filter(|line| line.contains(" gateway started "))
             .count();
         thread::spawn(move || {
             lines
@@ -447,7 +449,7 @@
         seat.child = Some(child);
         let count = begun + 1;
         seat.log.wait_for("start", count, |line| {
-            line.contains("listens on") || line.contains("ERROR listen")
+            line.contains(" gateway started ") || line.contains("ERROR listen")
         });
         Ok(())
     }
--- a/crates/ivypitch-testbed/src/processes/sockets.rs
+++ b/crates/ivypitch-testbed/src/processes/sockets.rs
@@ -21,6 +21,7 @@
 use smol::{Async, LocalExecutor, Timer};
 
 use crate::figures::{Figures, TeamFigures};
+use crate::log_lines;
 use crate::stand_ins::{login, query, spawn_with};
 use crate::virtual_time::engine::{Ended, Engine, Model, Query};
 use crate::virtual_time::traffic::{Statement, Work};
@@ -659,13 +660,14 @@
             spawn_with(&configuration(&plan, &addresses), plan.own.as_deref());
         let line = smol::unblock({
             let log = log.clone();
-            move || log.wait("start", |l| l.contains("listens on") || l.contains("ERROR"))
+            move || {
+                log.wait("start", |l| {
+                    l.contains(" gateway started ") || l.contains("ERROR")
+                })
+            }
         })
         .await;
-        let address = line
-            .split("listens on ")
-            .nth(1)
-            .and_then(|l| l.split(',').next()?.parse().ok());
+        let address = log_lines::field(&line, "address").and_then(|address| address.parse().ok());
         let Some(address) = address else {
             return Err(line);
         };
@@ -788,20 +790,22 @@
 
 /// What the gateway says of its estimates as it ends.
 fn with_estimates(mut figures: Figures, log: &[String]) -> Figures {
-    let line = log
+    let Some(line) = log
         .iter()
-        .find_map(|l| Some(l.split_once("teams waits told ")?.1));
-    let numbers: Vec<f64> = line
-        .map(|l| {
-            l.split(|c: char| !c.is_ascii_digit())
-                .filter_map(|n| n.parse().ok())
-                .collect()
-        })
-        .unwrap_or_default();
-    if let [told, good, median, ..] = numbers[..] {
-        figures.told = told as u64;
-        figures.good = good as u64;
-        figures.median_error = median / 100.0;
+        .find(|line| line.contains("wait estimate totals"))
+    else {
+        return figures;
+    };
+    let number =
+        |key: &str| log_lines::field(line, key).and_then(|value| value.parse::<u64>().ok());
+    if let (Some(told), Some(good), Some(median)) = (
+        number("estimates"),
+        number("good"),
+        number("median_error_percent"),
+    ) {
+        figures.told = told;
+        figures.good = good;
+        figures.median_error = median as f64 / 100.0;
     }
     figures
 }
--- a/crates/ivypitch-testbed/src/stand_ins.rs
+++ b/crates/ivypitch-testbed/src/stand_ins.rs
@@ -12,6 +12,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+use crate::log_lines;
+
 /// Far longer than anything takes on a busy machine; a test that waits so long has failed.
 pub const PATIENCE: Duration = Duration::from_secs(60);
 
@@ -583,12 +585,9 @@
     fn spawned(config: String, own: Option<(&str, &str)>) -> Gateway {
         let (mut child, log, path) = spawn_own(&config, own);
         let line = log.wait("line of the start", |l| {
-            l.contains("listens on") || l.contains("ERROR")
+            l.contains(" gateway started ") || l.contains("ERROR")
         });
-        let address = line
-            .split("listens on ")
-            .nth(1)
-            .and_then(|l| l.split(',').next()?.parse().ok());
+        let address = log_lines::field(&line, "address").and_then(|address| address.parse().ok());
         let address = address.unwrap_or_else(|| {
             let _ = child.kill();
             panic!("not started: {line}")
