--- a/crates/ivypitch-gateway/src/actors/scheduler/endpoints.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/endpoints.rs
@@ -113,6 +113,12 @@
             .map(EngineIndex)
     }
 
+    /// The engine with this hash of its id, while it is listed.
+    pub(super) fn find_listed(&self, id_hash: u64) -> Option<EngineIndex> {
+        self.find_by_hash(id_hash)
+            .filter(|&engine| self.mailbox(engine).is_some())
+    }
+
     /// Cores of all ready engines.
     pub(super) fn total_cores(&self) -> f64 {
         self.entries.iter().map(|entry| entry.cores).sum()
--- a/crates/ivypitch-gateway/src/actors/scheduler/ownership.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/ownership.rs
@@ -3,6 +3,7 @@
 
 use bytes::Bytes;
 use ivypitch_ownership::{ArrivalDecision, GrantDenial, StatementId, StatementSpec};
+use ivypitch_scheduler::Arrival;
 use ivypitch_types::{EngineIndex, MILLISECOND, Nanos, Outcome, StatementIndex};
 
 use super::SchedulerActor;
@@ -125,32 +126,24 @@
     /// Goes on with another gateway's statement.
     fn take_over(&mut self, takeover: Takeover) {
         let context = &mut self.context;
-        let now = context.now;
-        let Some(ownership) = &mut context.ownership else {
-            return;
-        };
-        let engine = match takeover.engine_hash {
-            None => None,
-            Some(engine_hash) => {
-                let listed = context
-                    .engines
-                    .find_by_hash(engine_hash)
-                    .filter(|&engine| context.engines.mailbox(engine).is_some());
-                if listed.is_none() {
-                    ownership.on_engine_unknown(now, takeover.id);
-                    return;
-                }
-                listed
-            }
-        };
         let id = takeover.id;
+        let listed_engine = takeover
+            .engine_hash
+            .map(|engine_hash| context.engines.find_listed(engine_hash));
+        if listed_engine == Some(None) {
+            if let Some(ownership) = &mut context.ownership {
+                ownership.on_engine_unknown(context.now, id);
+            }
+            return;
+        }
         let Some(statement) = context.parse_takeover(takeover.text) else {
             log::warn!(statement:% = format_args!("{id:016x}"); "ownership: statement {id:016x} can't be parsed again");
             context.abort_takeover(id);
             return;
         };
-        let deadline = (now + takeover.remaining).min(context.answer_by);
-        let arrival = arrival(&statement, statement.tenant, deadline.saturating_sub(now));
+        let deadline = (context.now + takeover.remaining).min(context.answer_by);
+        let time_left = deadline.saturating_sub(context.now);
+        let arrival = arrival(&statement, statement.tenant, time_left);
         let opened = context.statements.open(NewStatement {
             connection: NO_CONNECTION,
             statement,
@@ -164,11 +157,22 @@
             return;
         };
         context.set_deadline_timer(statement);
+        self.schedule_takeover(statement, arrival, listed_engine.flatten());
+    }
+
+    /// Gives a statement that was taken over to the scheduler. `engine` is where an attempt may be running: it is polled.
+    fn schedule_takeover(
+        &mut self,
+        statement: StatementIndex,
+        arrival: Arrival,
+        engine: Option<EngineIndex>,
+    ) {
+        let context = &mut self.context;
         let mut scheduler = self.scheduler.borrow_mut();
         match engine {
-            None => scheduler.on_statement_arrived(now, statement, arrival, context),
+            None => scheduler.on_statement_arrived(context.now, statement, arrival, context),
             Some(engine) => {
-                scheduler.adopt_statement(now, statement, arrival, engine, context);
+                scheduler.adopt_statement(context.now, statement, arrival, engine, context);
                 context.poll_running_attempt(statement, engine);
             }
         }
