--- a/crates/ivypitch-testbed/src/experiments/scale/peers.rs
+++ b/crates/ivypitch-testbed/src/experiments/scale/peers.rs
@@ -7,14 +7,14 @@
     GossipMessage, HealthObservation, MAX_OBSERVED_ENGINES, ObservationTable, OutlierConsensus,
     QuotaIndex, StoredObservation,
 };
-use ivypitch_gateway::wire::peers::{self, Frame};
+use ivypitch_gateway::wire::peer_frames::{Frame, encode_frame, encode_gossip};
 use ivypitch_membership::MembershipConfig;
 use ivypitch_ownership::VoterAssignment;
 use ivypitch_types::{Incarnation, MemberId, Nanos, ProcessId, SECOND};
 
 use super::slope::Measure;
 use crate::virtual_time::faults::Plan;
-use crate::virtual_time::{cost, custody_fleet, members_fleet, shares_fleet};
+use crate::virtual_time::{cost, members_fleet, ownership_fleet, shares_fleet};
 
 const MS: Nanos = 1_000_000;
 pub const GATEWAYS: [usize; 5] = [30, 100, 300, 1000, 3800];
@@ -108,7 +108,7 @@
 
 /// One link a pair with beats both ways, by the frame as it is written.
 pub fn links() -> Vec<Measure> {
-    let beat = peers::write(&Frame::Beat).len() as f64 + HEADERS;
+    let beat = encode_frame(&Frame::Heartbeat).len() as f64 + HEADERS;
     let by = |each: f64| {
         GATEWAYS
             .iter()
@@ -147,17 +147,17 @@
         .filter(|&&n| n <= if quick { 300 } else { 1000 })
     {
         // Each gateway has the same traffic, whatever the size.
-        let fleet = custody_fleet::Fleet {
+        let fleet = ownership_fleet::Fleet {
             gateways,
             zones: 7,
             engines: 20,
-            span: if quick { 1000 } else { 4000 },
-            gap: 1,
-            fault_gap: 1_000_000,
-            measure: true,
-            ..custody_fleet::Fleet::default()
+            duration_ms: if quick { 1000 } else { 4000 },
+            statement_gap_ms: 1,
+            fault_gap_ms: 1_000_000,
+            counts_bytes: true,
+            ..ownership_fleet::Fleet::default()
         };
-        let verdict = custody_fleet::play(&fleet, &Plan::default(), seed);
+        let verdict = ownership_fleet::play(&fleet, &Plan::default(), seed);
         let statements = verdict.statements.max(1) as f64;
         messages.push((gateways as f64, verdict.messages as f64 / statements));
         bytes.push((gateways as f64, verdict.bytes as f64 / statements));
@@ -183,11 +183,11 @@
 
 impl CoordinationOutput for Counted {
     fn send(&mut self, _to: MemberId, message: CoordinationMessage) {
-        self.words_bytes += peers::write(&Frame::Coordination(message)).len() as u64;
+        self.words_bytes += encode_frame(&Frame::Coordination(message)).len() as u64;
     }
     fn send_gossip(&mut self, _to: MemberId, gossip: GossipMessage) {
         self.gossip += 1;
-        self.gossip_bytes += peers::write_gossip(&gossip).len() as u64;
+        self.gossip_bytes += encode_gossip(&gossip).len() as u64;
     }
     fn on_quota_changed(&mut self, _quota: QuotaIndex, _share: f64) {}
     fn on_outlier_status(&mut self, _engine: u64, _advice: ivypitch_scheduler::OutlierStatus) {}
