--- a/crates/ivypitch-cli/tests/takeover.rs
+++ b/crates/ivypitch-cli/tests/takeover.rs
@@ -612,9 +612,9 @@
     client.send(&query(&statement("load", 2, LONGEST)));
     assert_eq!(s.held.wait_start(2), 0);
     s.fleet.signal(0, Signal::TERM);
-    s.fleet.seats[0].log.wait("hand over", |l| {
-        l.contains("custody hands 1 statements over")
-    });
+    s.fleet.seats[0]
+        .log
+        .wait("handoff", |l| l.contains("handed off statements=1"));
     s.held.end(2);
     assert_eq!(s.fleet.end(0), Some(0));
     assert_eq!(s.client(1).ask(&statement("load", 2, LONGEST)), rows(2));
@@ -636,9 +636,9 @@
     let _client = s.running(0, req);
     s.fleet.net.silence(gateway(0), gateway(1));
     s.fleet.signal(0, Signal::TERM);
-    s.fleet.seats[0].log.wait("hand over", |l| {
-        l.contains("custody hands 1 statements over")
-    });
+    s.fleet.seats[0]
+        .log
+        .wait("handoff", |l| l.contains("handed off statements=1"));
     let mut back = s.sent(2, "load", req);
     assert_eq!(s.fleet.end(0), Some(0));
     s.held.wait_ask(req, 0, &[0]);
