--- a/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/clients.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/clients.rs
@@ -5,7 +5,8 @@
 use rand::Rng;
 
 use super::action::{Action, Actions};
-use super::simulation::{Event, Simulation};
+use super::event::Event;
+use super::simulation::Simulation;
 
 /// A client with less time than this left does not come back any more.
 const MIN_REMAINING: Nanos = 50 * MILLISECOND;
--- a/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/faults.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/faults.rs
@@ -7,8 +7,9 @@
 use rand::Rng;
 
 use super::action::Actions;
+use super::event::Event;
 use super::membership::{LOSS_NOTICED, PARTITION_END_NOTICED, RETURN_NOTICED};
-use super::simulation::{Event, Simulation};
+use super::simulation::Simulation;
 use crate::virtual_time::faults::What;
 
 /// A gateway that shuts down ends after this time.
--- a/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/membership.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/membership.rs
@@ -2,7 +2,8 @@
 
 use std::collections::BTreeSet;
 
-use super::simulation::{Event, Simulation, process};
+use super::event::Event;
+use super::simulation::{Simulation, process};
 
 /// Bounds of a random delay, in milliseconds.
 #[derive(Clone, Copy)]
--- a/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/mod.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/mod.rs
@@ -4,8 +4,10 @@
 mod action;
 mod clients;
 mod engine;
+mod event;
 mod faults;
 mod membership;
+mod network;
 mod scheduling;
 mod simulation;
 mod verdict;
--- a/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/scheduling.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/scheduling.rs
@@ -7,7 +7,8 @@
 use super::action::{Action, Actions};
 use super::clients::ClientAnswer;
 use super::engine::{MAX_POLL_GAP, Poller, Query};
-use super::simulation::{Event, Simulation};
+use super::event::Event;
+use super::simulation::Simulation;
 
 const POLL_INTERVAL: Nanos = 60 * MILLISECOND;
 /// A gateway polls an attempt that it has taken over after this time.
--- a/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/simulation.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/simulation.rs
@@ -3,10 +3,8 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use ivypitch_gateway::wire::peers;
 use ivypitch_ownership::{
-    GrantDenial, Message, Output, Ownership, OwnershipConfig, OwnershipCounters, StatementId,
-    StatementSpec,
+    GrantDenial, Output, Ownership, OwnershipConfig, OwnershipCounters, StatementId, StatementSpec,
 };
 use ivypitch_types::{Incarnation, MILLISECOND, MemberId, Nanos, ProcessId};
 use rand::{Rng, SeedableRng};
@@ -16,6 +14,7 @@
 use super::action::{Action, Actions};
 use super::clients::{ClientAnswer, SubmittedStatement};
 use super::engine::Engine;
+use super::event::Event;
 use super::scheduling::LocalStatement;
 use super::verdict::Verdict;
 use crate::virtual_time::faults::Plan;
@@ -44,79 +43,6 @@
     pub(super) timer: Nanos,
 }
 
-/// Events of a gateway name its incarnation, and pass by any other.
-#[derive(Clone, Debug)]
-pub(super) enum Event {
-    Delivery {
-        to: usize,
-        incarnation: u64,
-        from: usize,
-        from_incarnation: u64,
-        message: Message,
-    },
-    Timer {
-        gateway: usize,
-        incarnation: u64,
-    },
-    /// One gateway comes to see another as it is.
-    ViewUpdate {
-        by: usize,
-        of: usize,
-    },
-    ClientArrival {
-        statement: usize,
-    },
-    /// A client has waited long enough for a silent gateway.
-    ClientGivesUp {
-        statement: usize,
-        token: u64,
-    },
-    /// The dispatch that was decided happens.
-    Dispatch {
-        gateway: usize,
-        incarnation: u64,
-        id: StatementId,
-        attempt: u32,
-    },
-    Poll {
-        gateway: usize,
-        incarnation: u64,
-        id: StatementId,
-        serial: u64,
-    },
-    Deadline {
-        gateway: usize,
-        incarnation: u64,
-        id: StatementId,
-        serial: u64,
-    },
-    /// The fault of the plan with this index begins.
-    FaultBegins(usize),
-    FaultEnds(usize),
-    Restart {
-        gateway: usize,
-    },
-}
-
-impl Event {
-    /// The gateway whose process handles the event.
-    fn handled_by(&self) -> Option<usize> {
-        match self {
-            Event::Delivery { to, .. } => Some(*to),
-            Event::ViewUpdate { by, .. } => Some(*by),
-            Event::Timer { gateway, .. }
-            | Event::Dispatch { gateway, .. }
-            | Event::Poll { gateway, .. }
-            | Event::Deadline { gateway, .. } => Some(*gateway),
-            Event::ClientArrival { .. }
-            | Event::ClientGivesUp { .. }
-            | Event::FaultBegins(_)
-            | Event::FaultEnds(_)
-            | Event::Restart { .. } => None,
-        }
-    }
-}
-
 pub(super) struct Simulation<'a> {
     pub(super) fleet: &'a Fleet,
     pub(super) plan: &'a Plan,
@@ -139,7 +65,7 @@
     pub(super) partitions: BTreeMap<(usize, usize), u32>,
     pub(super) delays: BTreeMap<(usize, usize), Nanos>,
     /// No message overtakes another on its link.
-    last_delivery: BTreeMap<(usize, usize), Nanos>,
+    pub(super) last_delivery: BTreeMap<(usize, usize), Nanos>,
     /// Statements whose clients have no answer yet.
     pub(super) open_statements: usize,
     /// When statements lost their gateway while they ran.
@@ -439,48 +365,6 @@
             }
         }
     }
-
-    pub(super) fn is_link_down(&self, from: usize, to: usize) -> bool {
-        let link = (from, to);
-        self.partitions.get(&link).is_some_and(|&faults| faults > 0)
-            || self
-                .broken_links
-                .get(&link)
-                .is_some_and(|&faults| faults > 0)
-    }
-
-    fn send(&mut self, from: usize, to: usize, message: Message) {
-        self.messages += 1;
-        if self.fleet.counts_bytes {
-            self.count_bytes(from, &message);
-        }
-        if self.is_link_down(from, to) || !self.is_up(to) {
-            return;
-        }
-        let delay = self.delays.get(&(from, to)).copied().unwrap_or(0);
-        let latency = self.rng.random_range(MILLISECOND / 5..2 * MILLISECOND);
-        let last_delivery = self.last_delivery.entry((from, to)).or_default();
-        let at = (self.now + latency + delay).max(*last_delivery + 1);
-        *last_delivery = at;
-        let delivery = Event::Delivery {
-            to,
-            incarnation: self.gateways[to].incarnation,
-            from,
-            from_incarnation: self.gateways[from].incarnation,
-            message,
-        };
-        self.schedule_at(at, delivery);
-    }
-
-    fn count_bytes(&mut self, from: usize, message: &Message) {
-        let frame = peers::write(&peers::Frame::Body(message.clone()));
-        self.bytes += frame.len() as u64;
-        let entries = self.gateways[from]
-            .ownership
-            .as_ref()
-            .map_or(0, |ownership| ownership.sizes().vote_log_entries);
-        self.max_vote_log_entries = self.max_vote_log_entries.max(entries);
-    }
 }
 
 /// The ownership configuration of all gateways.
