--- a/crates/ivypitch-config/src/deployment.rs
+++ b/crates/ivypitch-config/src/deployment.rs
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct DeploymentConfig {
     /// What the scheduler starts with.
-    pub facts: Deployment,
+    pub scheduler: Deployment,
     /// The names that its indices stand for.
     pub names: Names,
     /// Limits on connections.
@@ -70,7 +70,7 @@
             connect_timeout: settings.permissions.connect_timeout_ns,
             idle_close: settings.permissions.idle_timeout_ns,
         },
-        facts: deployment(&settings)?,
+        scheduler: deployment(&settings)?,
     })
 }
 
@@ -93,8 +93,9 @@
         quota_per_second: tenant.quota_per_second,
     };
     let fields = &settings.load_reports.fields;
-    let (extra, permissions, contract) =
-        (&settings.extra, &settings.permissions, &settings.contract);
+    let extra = &settings.extra;
+    let permissions = &settings.permissions;
+    let contract = &settings.contract;
     Ok(Deployment {
         gateways: settings.gateways,
         member_index: settings.member_index,
--- a/crates/ivypitch-gateway/src/actors/scheduler/context.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/context.rs
@@ -1,4 +1,4 @@
-//! Everything that the scheduler acts on.
+//! Everything that the scheduler acts on: statements, engines, timers, and what attempts need.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -78,13 +78,13 @@
 }
 
 impl Context {
-    /// Without engines and statements. The gate of its attempts asks `scheduler`.
+    /// Creates a context without engines and statements. Attempts ask `scheduler` before their first byte leaves.
     pub(super) fn new(
         parts: SchedulerParts,
         scheduler: &Rc<RefCell<Scheduler>>,
         now: Nanos,
     ) -> Context {
-        let deployment = &parts.deployment.facts;
+        let deployment = &parts.deployment.scheduler;
         Context {
             clock: parts.clock,
             now,
@@ -124,7 +124,7 @@
 }
 
 fn engine_table(parts: &SchedulerParts) -> EngineTable {
-    let deployment = &parts.deployment.facts;
+    let deployment = &parts.deployment.scheduler;
     let limits = &parts.deployment.limits;
     let connect_timeout = match limits.connect_timeout {
         0 => DEFAULT_CONNECT_TIMEOUT,
@@ -136,7 +136,7 @@
         pool: PoolParams::new(gateways, limits.idle_close),
         clock: parts.clock,
         permits: parts.permits.clone(),
-        connects: parts.connects.clone(),
+        connection_counters: parts.connection_counters.clone(),
         traffic: parts.traffic.clone(),
         executor: parts.executor.clone(),
     };
--- a/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/network.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/network.rs
@@ -1,6 +1,6 @@
 //! Messages between gateways: their delay, and the links that lose them.
 
-use ivypitch_gateway::wire::peers;
+use ivypitch_gateway::wire::peer_frames::{Frame, encode_frame};
 use ivypitch_ownership::Message;
 use ivypitch_types::MILLISECOND;
 use rand::Rng;
@@ -42,7 +42,7 @@
     }
 
     fn count_bytes(&mut self, from: usize, message: &Message) {
-        let frame = peers::write(&peers::Frame::Body(message.clone()));
+        let frame = encode_frame(&Frame::Ownership(message.clone()));
         self.bytes += frame.len() as u64;
         let entries = self.gateways[from]
             .ownership
