--- a/crates/ivypitch-cli/tests/takeover.rs
+++ b/crates/ivypitch-cli/tests/takeover.rs
@@ -615,7 +615,7 @@
     s.fleet.signal(0, Signal::TERM);
     s.fleet.seats[0]
         .log
-        .wait("hand over", |l| l.contains("handed off statements=1"));
+        .wait("handoff", |l| l.contains("handed off statements=1"));
     s.held.end(2);
     assert_eq!(s.fleet.end(0), Some(0));
     assert_eq!(s.client(1).ask(&statement("load", 2, LONGEST)), rows(2));
@@ -639,7 +639,7 @@
     s.fleet.signal(0, Signal::TERM);
     s.fleet.seats[0]
         .log
-        .wait("hand over", |l| l.contains("handed off statements=1"));
+        .wait("handoff", |l| l.contains("handed off statements=1"));
     let mut back = s.sent(2, "load", req);
     assert_eq!(s.fleet.end(0), Some(0));
     s.held.wait_ask(req, 0, &[0]);
