--- a/crates/ivypitch-connection-pool/src/lib.rs
+++ b/crates/ivypitch-connection-pool/src/lib.rs
@@ -1,139 +1,158 @@
-//! Which connections to an engine are kept for the next statement: how many, how long, and when none are. A kept one
-//! must never bring one statement's answer to another, nor hold an engine's place that others need. No I/O, no clock.
+//! Which idle connections to an engine stay open for the next statement: how many, for how long, and when none.
+//!
+//! A reused connection must never bring one statement's answer to another, nor occupy a connection slot of the engine that
+//! others need. There is no I/O and no clock.
+
+#![warn(missing_docs)]
 
 use std::collections::VecDeque;
 
 use ivypitch_types::{Nanos, SECOND};
 
-/// So many answers in a row must have been exact before connections of an engine are kept. One will do: where many
-/// gateways share many engines, each meets an engine a few times in a minute, and a used connection proves itself anyway.
-const EXACT_RUN: u32 = 1;
-/// After a surprise so many are wanted: one engine that spoils one answer in fifty is then hardly ever trusted.
-const EXACT_AFTER_SURPRISE: u32 = 50;
-/// What comes late behind an answer comes within this time, or is found by the question before the next use.
-const QUIET: Nanos = SECOND / 50;
-/// A connection is given up well before the engine closes it as idle.
-const OF_IDLE_CLOSE: f64 = 0.8;
-/// Connections that a process holds for one kind of peer without being told of another bound, over all gateways.
-const AT_AN_ENGINE: usize = 1024;
-const MOST_EACH: usize = 8;
+/// So many answers in a row must have been exact before connections to an engine are reused. One will do: where many
+/// gateways share many engines, each uses an engine a few times a minute, and a reused connection is checked anyway.
+const MIN_EXACT_ANSWERS: u32 = 1;
+/// After an unexpected answer so many are needed: an engine that corrupts one answer in fifty is then hardly ever trusted.
+const MIN_EXACT_ANSWERS_AFTER_FAULT: u32 = 50;
+/// Bytes that follow an answer arrive within this time, or are found by the check before the next use.
+const MIN_IDLE_TIME: Nanos = SECOND / 50;
+/// A connection is closed at this fraction of the time after which the engine would close it.
+const MAX_IDLE_FRACTION: f64 = 0.8;
+/// Connections that an engine is assumed to hold for all gateways together.
+const MAX_CONNECTIONS_PER_ENGINE: usize = 1024;
+/// Idle connections of one gateway to one engine.
+const MAX_IDLE_CONNECTIONS: usize = 8;
 
 /// What holds for all engines of a gateway.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolParams {
-    /// So many for each engine.
-    pub most: usize,
-    /// And so long.
-    pub longest: Nanos,
+    /// Idle connections to each engine at most.
+    pub max_idle: usize,
+    /// How long a connection may be idle.
+    pub max_idle_time: Nanos,
 }
 
 impl PoolParams {
-    /// `idle_close`: when engines close idle connections; 0: not told, and none is kept.
+    /// `idle_close`: after which time engines close idle connections. 0: it is unknown, and no connection is reused.
     pub fn new(gateways: usize, idle_close: Nanos) -> PoolParams {
+        let fair_share = MAX_CONNECTIONS_PER_ENGINE / gateways.max(1);
         PoolParams {
-            most: if idle_close == 0 {
+            max_idle: if idle_close == 0 {
                 0
             } else {
-                (AT_AN_ENGINE / gateways.max(1)).clamp(1, MOST_EACH)
+                fair_share.clamp(1, MAX_IDLE_CONNECTIONS)
             },
-            longest: (idle_close as f64 * OF_IDLE_CLOSE) as Nanos,
+            max_idle_time: (idle_close as f64 * MAX_IDLE_FRACTION) as Nanos,
         }
     }
 }
 
-struct Kept<T> {
+struct IdleConnection<T> {
     connection: T,
-    since: Nanos,
+    idle_since: Nanos,
 }
 
-/// The kept connections of one engine.
-pub struct Pool<T> {
+/// The idle connections to one engine.
+pub struct ConnectionPool<T> {
     params: PoolParams,
-    /// The longest quiet first. Emptied by use, time and surprise.
-    kept: VecDeque<Kept<T>>,
-    /// Exact answers since the last surprise, and how many are wanted.
-    exact: u32,
-    wanted: u32,
-    is_over: bool,
+    /// The one that is idle for longest first. Removed when used, expired and after an unexpected answer.
+    idle: VecDeque<IdleConnection<T>>,
+    /// Since the last unexpected answer.
+    exact_answers: u32,
+    min_exact_answers: u32,
+    is_closed: bool,
 }
 
-impl<T> Pool<T> {
-    pub fn new(params: PoolParams) -> Pool<T> {
-        Pool {
+impl<T> ConnectionPool<T> {
+    /// An empty pool.
+    pub fn new(params: PoolParams) -> ConnectionPool<T> {
+        ConnectionPool {
             params,
-            kept: VecDeque::new(),
-            exact: 0,
-            wanted: EXACT_RUN,
-            is_over: false,
+            idle: VecDeque::new(),
+            exact_answers: 0,
+            min_exact_answers: MIN_EXACT_ANSWERS,
+            is_closed: false,
         }
     }
 
+    /// Number of idle connections.
     pub fn len(&self) -> usize {
-        self.kept.len()
+        self.idle.len()
     }
 
+    /// Whether no connection is idle.
     pub fn is_empty(&self) -> bool {
-        self.kept.is_empty()
+        self.idle.is_empty()
     }
 
-    /// An answer came that was exactly what was asked for, and nothing beside it.
-    pub fn exact(&mut self) {
-        self.exact = self.exact.saturating_add(1);
+    /// An answer was exactly what was asked for, with nothing beside it.
+    pub fn on_exact_answer(&mut self) {
+        self.exact_answers = self.exact_answers.saturating_add(1);
     }
 
-    /// Something came that was not asked for, or not whole, or nothing came: what else is kept may be as bad.
-    pub fn surprise(&mut self) -> Vec<T> {
-        self.exact = 0;
-        self.wanted = EXACT_AFTER_SURPRISE;
+    /// An answer was not asked for, incomplete or missing: the idle connections may be as bad. Returns them to be closed.
+    #[must_use]
+    pub fn on_unexpected_answer(&mut self) -> Vec<T> {
+        self.exact_answers = 0;
+        self.min_exact_answers = MIN_EXACT_ANSWERS_AFTER_FAULT;
         self.take_all()
     }
 
-    /// The engine is gone: nothing more is kept.
+    /// The engine is gone: no connection is kept any more. Returns the idle ones to be closed.
+    #[must_use]
     pub fn close(&mut self) -> Vec<T> {
-        self.is_over = true;
+        self.is_closed = true;
         self.take_all()
     }
 
-    /// All of them, to be closed: others need the places.
+    /// Returns all idle connections to be closed: their slots are needed elsewhere.
+    #[must_use]
     pub fn take_all(&mut self) -> Vec<T> {
-        self.kept.drain(..).map(|kept| kept.connection).collect()
+        self.idle.drain(..).map(|idle| idle.connection).collect()
     }
 
-    /// One that has served its statement to the end; `Some`: it is not kept and has to be closed.
-    pub fn give(&mut self, now: Nanos, connection: T) -> Option<T> {
-        let trusted = self.exact >= self.wanted && !self.is_over;
-        if !trusted || self.kept.len() >= self.params.most {
+    /// Keeps a connection that has completed its statement; `Some`: it is not kept and has to be closed.
+    #[must_use]
+    pub fn release(&mut self, now: Nanos, connection: T) -> Option<T> {
+        let is_trusted = self.exact_answers >= self.min_exact_answers;
+        let is_full = self.idle.len() >= self.params.max_idle;
+        if self.is_closed || !is_trusted || is_full {
             return Some(connection);
         }
-        self.kept.push_back(Kept {
+        self.idle.push_back(IdleConnection {
             connection,
-            since: now,
+            idle_since: now,
         });
         None
     }
 
-    /// The one that has been quiet for longest, if it has been for long enough.
-    pub fn take(&mut self, now: Nanos) -> Option<T> {
-        let first = self.kept.front()?;
-        let quiet = now.saturating_sub(first.since);
-        if quiet < QUIET || quiet > self.params.longest {
+    /// The connection that is idle for longest, if it is for long enough and not for too long.
+    pub fn acquire(&mut self, now: Nanos) -> Option<T> {
+        let first = self.idle.front()?;
+        let idle_time = now.saturating_sub(first.idle_since);
+        if idle_time < MIN_IDLE_TIME || idle_time > self.params.max_idle_time {
             return None;
         }
-        self.kept.pop_front().map(|kept| kept.connection)
+        self.idle.pop_front().map(|idle| idle.connection)
     }
 
-    /// Those whose time is over, to be closed.
-    pub fn over(&mut self, now: Nanos) -> Vec<T> {
-        let longest = self.params.longest;
-        let old = self
-            .kept
-            .partition_point(|kept| now >= kept.since + longest);
-        self.kept.drain(..old).map(|kept| kept.connection).collect()
+    /// Returns the connections that have been idle for too long, to be closed.
+    #[must_use]
+    pub fn take_expired(&mut self, now: Nanos) -> Vec<T> {
+        let max_idle_time = self.params.max_idle_time;
+        let expired = self
+            .idle
+            .partition_point(|idle| now >= idle.idle_since + max_idle_time);
+        self.idle
+            .drain(..expired)
+            .map(|idle| idle.connection)
+            .collect()
     }
 
-    pub fn next_over(&self) -> Option<Nanos> {
-        self.kept
+    /// When [`ConnectionPool::take_expired`] is due.
+    pub fn next_expiry(&self) -> Option<Nanos> {
+        self.idle
             .front()
-            .map(|kept| kept.since + self.params.longest)
+            .map(|idle| idle.idle_since + self.params.max_idle_time)
     }
 }
--- a/crates/ivypitch-gateway/src/actors/engine_client.rs
+++ b/crates/ivypitch-gateway/src/actors/engine_client.rs
@@ -14,7 +14,7 @@
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use futures_lite::FutureExt;
-use ivypitch_connection_pool::{Pool, PoolParams};
+use ivypitch_connection_pool::{ConnectionPool, PoolParams};
 
 use super::engine_connection::{CallError, EngineConnection, Pending};
 use crate::lifecycle::clock::Clock;
@@ -56,7 +56,7 @@
     permits: Rc<ConnectionPermits>,
     connects: Rc<ConnectionCounters>,
     traffic: Rc<Traffic>,
-    pool: RefCell<Pool<EngineConnection>>,
+    pool: RefCell<ConnectionPool<EngineConnection>>,
     clock: Clock,
     /// Notified as a connection becomes idle, so that it is closed in time.
     became_idle: (Sender<()>, Receiver<()>),
@@ -71,7 +71,7 @@
             permits: params.permits,
             connects: params.connects,
             traffic: params.traffic,
-            pool: RefCell::new(Pool::new(params.pool)),
+            pool: RefCell::new(ConnectionPool::new(params.pool)),
             clock: params.clock,
             became_idle: async_channel::bounded(1),
         })
@@ -137,7 +137,7 @@
         if self.permits.is_scarce() {
             return;
         }
-        let refused = self.pool.borrow_mut().give(self.clock.now(), connection);
+        let refused = self.pool.borrow_mut().release(self.clock.now(), connection);
         if refused.is_none() {
             let _ = self.became_idle.0.try_send(());
         }
@@ -147,12 +147,12 @@
         let now = self.clock.now();
         let mut pool = self.pool.borrow_mut();
         loop {
-            let idle = pool.take(now)?;
+            let idle = pool.acquire(now)?;
             match idle.pending() {
                 Pending::Nothing => return Some(idle),
                 // One that the engine has closed as idle is no surprise.
                 Pending::Closed => {}
-                Pending::Bytes => drop(pool.surprise()),
+                Pending::Bytes => drop(pool.on_unexpected_answer()),
             }
         }
     }
@@ -237,7 +237,7 @@
                 if connection.had_informational_response() {
                     self.on_surprise();
                 } else {
-                    self.pool.borrow_mut().exact();
+                    self.pool.borrow_mut().on_exact_answer();
                     *held = Some(connection);
                 }
             }
@@ -255,7 +255,7 @@
 
     /// Something came that should not have: idle connections close, and for a while none stays open.
     fn on_surprise(&self) {
-        let closed = self.pool.borrow_mut().surprise();
+        let closed = self.pool.borrow_mut().on_unexpected_answer();
         drop(closed);
     }
 
@@ -267,12 +267,12 @@
     /// Closes idle connections as their time is over; never returns.
     pub(crate) async fn close_expired<T>(&self) -> T {
         loop {
-            let expires_at = self.pool.borrow().next_over();
+            let expires_at = self.pool.borrow().next_expiry();
             match expires_at {
                 None => drop(self.became_idle.1.recv().await),
                 Some(at) => {
                     Timer::at(self.clock.instant(at)).await;
-                    drop(self.pool.borrow_mut().over(self.clock.now()));
+                    drop(self.pool.borrow_mut().take_expired(self.clock.now()));
                 }
             }
         }
