--- a/crates/ivypitch-coordination/src/coordinator.rs
+++ b/crates/ivypitch-coordination/src/coordinator.rs
@@ -9,7 +9,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::config::{CoordinationConfig, QuotaIndex};
-use crate::engine_health::EngineHealth;
+use crate::engine_health::EngineHealthMonitor;
 use crate::event_relay::{EventRelay, RetentionLimits};
 use crate::gossip::{Announcement, Gossiper};
 use crate::message::{
@@ -68,7 +68,7 @@
     reachable: Vec<MemberId>,
     reach: FleetReach,
     quotas: SharedQuotas,
-    health: EngineHealth,
+    health: EngineHealthMonitor,
     gossip: Gossiper,
     relay: EventRelay,
     next_rebalance: Nanos,
@@ -102,7 +102,7 @@
                 FleetReach::Majority
             },
             quotas: SharedQuotas::new(me.member, &config.quotas, now),
-            health: EngineHealth::new(me, zones, config.max_engines, seed, now),
+            health: EngineHealthMonitor::new(me, zones, config.max_engines, seed, now),
             gossip: Gossiper::new(me, members, config.gossip_bytes_per_second, now),
             relay: EventRelay::new(last_event, retention, now),
             next_rebalance: now,
--- a/crates/ivypitch-coordination/src/engine_health.rs
+++ b/crates/ivypitch-coordination/src/engine_health.rs
@@ -70,7 +70,7 @@
     }
 }
 
-pub(crate) struct EngineHealth {
+pub(crate) struct EngineHealthMonitor {
     me: ProcessId,
     /// Of each member.
     zones: Vec<u16>,
@@ -93,15 +93,15 @@
     pub(crate) status: OutlierStatus,
 }
 
-impl EngineHealth {
+impl EngineHealthMonitor {
     pub(crate) fn new(
         me: ProcessId,
         zones: Vec<u16>,
         max_engines: usize,
         seed: u64,
         now: Nanos,
-    ) -> EngineHealth {
-        EngineHealth {
+    ) -> EngineHealthMonitor {
+        EngineHealthMonitor {
             me,
             seed,
             table: ObservationTable::new(zones.len(), max_engines, now),
--- a/crates/ivypitch-gateway/src/actors/peer_links/connection.rs
+++ b/crates/ivypitch-gateway/src/actors/peer_links/connection.rs
@@ -11,7 +11,7 @@
 use futures_lite::{AsyncWriteExt, FutureExt};
 use ivypitch_types::MemberId;
 
-use super::context::Context;
+use super::context::PeerContext;
 use super::links::{LinkSerial, Outbox};
 use super::messages::{AcceptedLink, PeerEvent, PeerLinksMessage, Receipt};
 use crate::actors::socket::read_some;
@@ -38,7 +38,7 @@
 }
 
 /// Serves the links that others open, until the program ends.
-pub(super) async fn accept_all(listener: Async<TcpListener>, context: Rc<Context>) {
+pub(super) async fn accept_all(listener: Async<TcpListener>, context: Rc<PeerContext>) {
     let max_links = context.members.len() + MAX_EXTRA_ACCEPTED_LINKS;
     let open_links = Rc::new(Cell::new(0));
     loop {
@@ -56,7 +56,7 @@
 }
 
 async fn serve_accepted(
-    context: Rc<Context>,
+    context: Rc<PeerContext>,
     stream: Async<TcpStream>,
     open_links: Rc<Cell<usize>>,
 ) {
@@ -64,7 +64,7 @@
     open_links.set(open_links.get() - 1);
 }
 
-async fn serve_if_compatible(context: &Rc<Context>, stream: Async<TcpStream>) {
+async fn serve_if_compatible(context: &Rc<PeerContext>, stream: Async<TcpStream>) {
     let _ = stream.get_ref().set_nodelay(true);
     let mut input = BytesMut::new();
     let Some(member) = read_hello(context, &stream, &mut input).await else {
@@ -80,7 +80,7 @@
 
 /// Opens a link and serves it until it ends.
 pub(super) async fn dial(
-    context: Rc<Context>,
+    context: Rc<PeerContext>,
     member: MemberId,
     address: SocketAddr,
     outbox: Outbox,
@@ -104,7 +104,7 @@
 
 /// Who opened the link; `None`: nobody that is compatible, or it took too long.
 async fn read_hello(
-    context: &Context,
+    context: &PeerContext,
     stream: &Async<TcpStream>,
     input: &mut BytesMut,
 ) -> Option<MemberId> {
@@ -117,7 +117,7 @@
 }
 
 async fn read_frame(
-    context: &Context,
+    context: &PeerContext,
     stream: &Async<TcpStream>,
     input: &mut BytesMut,
 ) -> Option<Frame> {
@@ -134,7 +134,7 @@
     }
 }
 
-fn notify_closed(context: &Context, member: MemberId, serial: LinkSerial) {
+fn notify_closed(context: &PeerContext, member: MemberId, serial: LinkSerial) {
     let closed = PeerLinksMessage::LinkClosed { member, serial };
     let _ = context.mailbox.try_send(closed);
 }
@@ -146,7 +146,7 @@
 }
 
 struct Link {
-    context: Rc<Context>,
+    context: Rc<PeerContext>,
     member: MemberId,
     stream: Async<TcpStream>,
     serial: LinkSerial,
@@ -156,7 +156,7 @@
 
 impl Link {
     fn new(
-        context: Rc<Context>,
+        context: Rc<PeerContext>,
         member: MemberId,
         stream: Async<TcpStream>,
         outbox: &Outbox,
--- a/crates/ivypitch-gateway/src/actors/peer_links/context.rs
+++ b/crates/ivypitch-gateway/src/actors/peer_links/context.rs
@@ -18,7 +18,7 @@
 use crate::state::traffic::Traffic;
 use crate::wire::peer_frames::{Frame, encode_frame};
 
-pub(super) struct Context {
+pub(super) struct PeerContext {
     pub(super) members: MemberList,
     pub(super) process: ProcessId,
     pub(super) clock: Clock,
@@ -31,8 +31,8 @@
     rejected: RefCell<BTreeMap<MemberId, Incarnation>>,
 }
 
-/// What a [`Context`] is made of.
-pub(super) struct ContextParts {
+/// What a [`PeerContext`] is made of.
+pub(super) struct PeerContextParts {
     pub(super) members: MemberList,
     pub(super) process: ProcessId,
     pub(super) clock: Clock,
@@ -42,9 +42,9 @@
     pub(super) traffic: Rc<Traffic>,
 }
 
-impl Context {
-    pub(super) fn new(parts: ContextParts) -> Context {
-        Context {
+impl PeerContext {
+    pub(super) fn new(parts: PeerContextParts) -> PeerContext {
+        PeerContext {
             members: parts.members,
             process: parts.process,
             clock: parts.clock,
--- a/crates/ivypitch-gateway/src/actors/peer_links/datagrams.rs
+++ b/crates/ivypitch-gateway/src/actors/peer_links/datagrams.rs
@@ -11,7 +11,7 @@
 use ivypitch_types::{MemberId, Nanos, ProcessId};
 
 use super::PROTOCOL_VERSION;
-use super::context::Context;
+use super::context::PeerContext;
 use super::messages::{GossipReceipt, PeerEvent};
 use crate::wire::peer_frames::{PeerDatagram, decode_datagram, encode_gossip};
 
@@ -21,7 +21,7 @@
 const MAX_UNHANDLED_GOSSIP: usize = 256;
 
 pub(super) struct Datagrams {
-    context: Rc<Context>,
+    context: Rc<PeerContext>,
     socket: Async<UdpSocket>,
     membership: Membership,
     /// By member: what the scheduler knows of suspicions.
@@ -31,7 +31,7 @@
 
 impl Datagrams {
     pub(super) fn new(
-        context: Rc<Context>,
+        context: Rc<PeerContext>,
         socket: Async<UdpSocket>,
         membership: Membership,
     ) -> Datagrams {
--- a/crates/ivypitch-gateway/src/actors/peer_links/links.rs
+++ b/crates/ivypitch-gateway/src/actors/peer_links/links.rs
@@ -9,7 +9,7 @@
 use ivypitch_types::MemberId;
 
 use super::connection;
-use super::context::Context;
+use super::context::PeerContext;
 use super::messages::AcceptedLink;
 use crate::wire::peer_frames::{Frame, encode_frame};
 
@@ -54,14 +54,14 @@
 }
 
 pub(super) struct LinkTable {
-    context: Rc<Context>,
+    context: Rc<PeerContext>,
     by_member: BTreeMap<MemberId, Outbox>,
     /// The link of each member that was full, to log it once.
     full: BTreeMap<MemberId, LinkSerial>,
 }
 
 impl LinkTable {
-    pub(super) fn new(context: Rc<Context>) -> LinkTable {
+    pub(super) fn new(context: Rc<PeerContext>) -> LinkTable {
         LinkTable {
             context,
             by_member: BTreeMap::new(),
--- a/crates/ivypitch-gateway/src/actors/peer_links/mod.rs
+++ b/crates/ivypitch-gateway/src/actors/peer_links/mod.rs
@@ -20,7 +20,7 @@
 };
 use ivypitch_types::ProcessId;
 
-use self::context::{Context, ContextParts};
+use self::context::{PeerContext, PeerContextParts};
 use self::datagrams::{Datagrams, MAX_DATAGRAM_BYTES};
 pub use self::links::LinkSerial;
 use self::links::LinkTable;
@@ -66,7 +66,7 @@
 
 /// The actor.
 pub struct PeerLinks {
-    context: Rc<Context>,
+    context: Rc<PeerContext>,
     datagrams: Datagrams,
     links: LinkTable,
 }
@@ -103,7 +103,7 @@
             now: params.clock.now(),
         });
         let executor = params.executor;
-        let context = Rc::new(Context::new(ContextParts {
+        let context = Rc::new(PeerContext::new(PeerContextParts {
             members: params.members,
             process: params.process,
             clock: params.clock,
@@ -192,7 +192,7 @@
     }
 }
 
-fn log_start(context: &Context, address: SocketAddr) {
+fn log_start(context: &PeerContext, address: SocketAddr) {
     let member = context.name(context.process.member);
     let members = context.members.len();
     log::info!(
