--- a/crates/ivypitch-testbed/src/experiments/scale/peers.rs
+++ b/crates/ivypitch-testbed/src/experiments/scale/peers.rs
@@ -14,7 +14,7 @@
 
 use super::slope::Measure;
 use crate::virtual_time::faults::Plan;
-use crate::virtual_time::{cost, members_fleet, ownership_fleet, shares_fleet};
+use crate::virtual_time::{coordination_fleet, cost, members_fleet, ownership_fleet};
 
 const MS: Nanos = 1_000_000;
 pub const GATEWAYS: [usize; 5] = [30, 100, 300, 1000, 3800];
@@ -211,15 +211,15 @@
 /// what the others say.
 fn one(gateways: usize, engines: usize) -> Coordinator {
     let zones = (0..gateways).map(|g| (g % ZONES) as u16).collect();
-    let mut terms = shares_fleet::terms(gateways.min(600));
-    for quota in &mut terms.quotas {
+    let mut config = coordination_fleet::config(gateways.min(600));
+    for quota in &mut config.quotas {
         quota.leases.members = gateways as u16;
     }
-    terms.max_engines = MAX_OBSERVED_ENGINES;
+    config.max_engines = MAX_OBSERVED_ENGINES;
     let mut one = Coordinator::new(CoordinatorParams {
         process: process(0, 1),
         zones,
-        config: terms,
+        config,
         last_event: 1,
         seed: 7,
         now: 0,
@@ -301,13 +301,13 @@
         .iter()
         .filter(|&&n| n <= if quick { 100 } else { 300 })
     {
-        let fleet = shares_fleet::Fleet {
+        let fleet = coordination_fleet::Fleet {
             gateways,
-            span: 6_000,
-            drop: 0.01,
-            ..shares_fleet::Fleet::default()
+            duration_ms: 6_000,
+            datagram_loss: 0.01,
+            ..coordination_fleet::Fleet::default()
         };
-        let verdict = shares_fleet::play(&fleet, &Plan::default(), seed);
+        let verdict = coordination_fleet::play(&fleet, &Plan::default(), seed);
         failing.push((gateways as f64, verdict.gossip_bytes + verdict.link_bytes));
     }
     told.push(measure(
--- a/crates/ivypitch-testbed/src/experiments/shares.rs
+++ b/crates/ivypitch-testbed/src/experiments/shares.rs
@@ -2,39 +2,44 @@
 
 use super::side_by_side;
 use crate::report::{Bound, Report};
+use crate::virtual_time::coordination_fleet;
 use crate::virtual_time::faults::Plan;
-use crate::virtual_time::shares_fleet;
 
 /// Fault plans over fleets that share; then engines that fail, with and without, and members that are wrong.
 pub fn play(quick: bool, seed: u64) -> Report {
     let mut report = Report::new("shares", seed);
-    let base = shares_fleet::Fleet::default();
-    let small = shares_fleet::Fleet {
+    let base = coordination_fleet::Fleet::default();
+    let small = coordination_fleet::Fleet {
         gateways: 12,
         ..base.clone()
     };
-    let large = shares_fleet::Fleet {
+    let large = coordination_fleet::Fleet {
         gateways: 300,
         engines: 80,
-        span: 8_000,
+        duration_ms: 8_000,
         ..base.clone()
     };
     let (plans, large_plans) = if quick { (60, 2) } else { (5000, 5000) };
     for (fleet, plans) in [(&small, plans), (&base, plans), (&large, large_plans)] {
-        let play = |seed: u64| shares_fleet::play(fleet, &shares_fleet::draw(fleet, seed), seed);
+        let play = |seed: u64| {
+            coordination_fleet::play(fleet, &coordination_fleet::draw(fleet, seed), seed)
+        };
         let all = side_by_side(plans, seed, play);
         if let Some(first) = all.iter().position(|verdict| !verdict.holds()) {
             let seed = seed + first as u64;
-            let plan = shares_fleet::draw(fleet, seed);
-            let least = plan.cut_down(30, |plan| !shares_fleet::play(fleet, plan, seed).holds());
+            let plan = coordination_fleet::draw(fleet, seed);
+            let least = plan.cut_down(30, |plan| {
+                !coordination_fleet::play(fleet, plan, seed).holds()
+            });
             println!("seed {seed} passes a bound; the least plan that does:\n{least}");
         }
         let place = format!(
             "virtual time, {} gateways, {plans} plans, all faults",
             fleet.gateways
         );
-        let sum = |of: fn(&shares_fleet::Verdict) -> f64| all.iter().map(of).sum::<f64>();
-        let most = |of: fn(&shares_fleet::Verdict) -> f64| all.iter().map(of).fold(0.0, f64::max);
+        let sum = |of: fn(&coordination_fleet::Verdict) -> f64| all.iter().map(of).sum::<f64>();
+        let most =
+            |of: fn(&coordination_fleet::Verdict) -> f64| all.iter().map(of).fold(0.0, f64::max);
         let mut bound = |what: &str, is, least, most| {
             report
                 .bounds
@@ -43,31 +48,31 @@
         bound("plans played", all.len() as f64, plans as f64, plans as f64);
         bound(
             "instants at which all held more than the bound",
-            sum(|v| v.passed_level as f64),
+            sum(|v| v.level_exceeded as f64),
             0.0,
             0.0,
         );
         bound(
             "windows in which more was spent",
-            sum(|v| v.passed_window as f64),
+            sum(|v| v.window_exceeded as f64),
             0.0,
             0.0,
         );
         bound(
             "instants under the floor",
-            sum(|v| v.under_floor as f64),
+            sum(|v| v.below_reserved as f64),
             0.0,
             0.0,
         );
         bound(
             "the most that all held, of the bound",
-            most(|v| v.max_open_statements),
+            most(|v| v.max_usable),
             0.0,
             1.0,
         );
         bound(
             "the most that was spent in a window, of the bound",
-            most(|v| v.most_spent),
+            most(|v| v.max_spent),
             0.0,
             1.0,
         );
@@ -85,27 +90,28 @@
     };
     for &(gateways, engines) in sizes {
         let plans = if quick { 6 } else { 24 };
-        let with = shares_fleet::Fleet {
+        let with = coordination_fleet::Fleet {
             gateways,
             engines,
-            span: 12_000,
+            duration_ms: 12_000,
             ..base.clone()
         };
-        let without = shares_fleet::Fleet {
-            shares: false,
+        let without = coordination_fleet::Fleet {
+            is_coordinated: false,
             ..with.clone()
         };
-        let liars = shares_fleet::Fleet {
-            liars: true,
-            failing: 1,
+        let liars = coordination_fleet::Fleet {
+            has_faulty_gateways: true,
+            failing_engines: 1,
             ..with.clone()
         };
         let none = Plan::default();
         let [with, without, liars] = [&with, &without, &liars]
-            .map(|f| side_by_side(plans, seed, |seed| shares_fleet::play(f, &none, seed)));
+            .map(|f| side_by_side(plans, seed, |seed| coordination_fleet::play(f, &none, seed)));
         let place =
             format!("virtual time, {gateways} gateways, {engines} engines, no faults of links");
-        let mean = |all: &[shares_fleet::Verdict], of: fn(&shares_fleet::Verdict) -> f64| {
+        let mean = |all: &[coordination_fleet::Verdict],
+                    of: fn(&coordination_fleet::Verdict) -> f64| {
             all.iter().map(of).sum::<f64>() / all.len().max(1) as f64
         };
         let mut bound = |what: &str, is, least, most| {
@@ -131,7 +137,8 @@
             ("own judgement alone", &without),
             ("shared, with liars", &liars),
         ] {
-            let never = |v: &shares_fleet::Verdict| f64::from(u8::from(v.out_ms == u64::MAX));
+            let never =
+                |v: &coordination_fleet::Verdict| f64::from(u8::from(v.ejected_ms == u64::MAX));
             fn ms(ms: u64) -> f64 {
                 if ms == u64::MAX { 12_000.0 } else { ms as f64 }
             }
@@ -143,31 +150,31 @@
             );
             bound(
                 &format!("{name}: until 99% send them nothing, ms"),
-                mean(all, |v| ms(v.out_ms)),
+                mean(all, |v| ms(v.ejected_ms)),
                 0.0,
                 f64::MAX,
             );
             bound(
                 &format!("{name}: until 99% use them again, ms"),
-                mean(all, |v| ms(v.back_ms)),
+                mean(all, |v| ms(v.returned_ms)),
                 0.0,
                 f64::MAX,
             );
             bound(
                 &format!("{name}: sent to failing engines, of all"),
-                mean(all, |v| v.lost),
+                mean(all, |v| v.sent_to_failing),
                 0.0,
                 f64::MAX,
             );
             bound(
                 &format!("{name}: most to a returned engine, over usual"),
-                mean(all, |v| v.herd),
+                mean(all, |v| v.max_return_load),
                 0.0,
                 f64::MAX,
             );
             bound(
                 &format!("{name}: falsely left out, engine-seconds a gateway"),
-                mean(all, |v| v.falsely_out),
+                mean(all, |v| v.falsely_ejected),
                 0.0,
                 f64::MAX,
             );
--- /dev/null
+++ b/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/faults.rs
@@ -0,0 +1,120 @@
+//! The faults of a plan.
+
+use std::collections::BTreeSet;
+use std::ops::Range;
+
+use ivypitch_types::MILLISECOND;
+use rand::Rng;
+
+use super::event::Event;
+use super::network::Direction;
+use super::simulation::Simulation;
+use crate::virtual_time::faults::{Fault, What};
+
+/// A loss is noticed after so many milliseconds.
+const LOSS_NOTICED_MS: Range<u64> = 300..1000;
+/// A return is.
+const RETURN_NOTICED_MS: Range<u64> = 20..300;
+/// The end of a partition is.
+const HEAL_NOTICED_MS: Range<u64> = 20..400;
+
+impl Simulation<'_> {
+    pub(super) fn begin_fault(&mut self, fault: Fault) {
+        match fault.what {
+            What::Kill { gateway, back } | What::End { gateway, back } => {
+                self.stop_process(gateway, back);
+                return;
+            }
+            What::Stop { gateway, .. } if self.gateways[gateway].is_up => {
+                self.gateways[gateway].is_suspended = true;
+                self.check_members_of(&BTreeSet::from([gateway]), LOSS_NOTICED_MS);
+            }
+            What::CutZone { .. } | What::CutOff { .. } => {
+                for direction in self.partitioned_directions(fault.what) {
+                    *self.network.partitions.entry(direction).or_default() += 1;
+                }
+                self.check_members_of(&self.all_gateways(), LOSS_NOTICED_MS);
+            }
+            What::Mute { from, to, .. } => {
+                *self.network.silenced.entry((from, to)).or_default() += 1;
+            }
+            What::Late { from, to, by, .. } => {
+                self.network.delays.insert((from, to), by * MILLISECOND);
+            }
+            // Without links to break, or engines that restart.
+            What::Stop { .. }
+            | What::Reset { .. }
+            | What::EngineDies { .. }
+            | What::EngineDrains { .. } => {}
+        }
+        let duration = fault.span().unwrap_or(0) * MILLISECOND;
+        self.schedule(self.now + duration, Event::FaultEnds(fault));
+    }
+
+    pub(super) fn end_fault(&mut self, fault: Fault) {
+        match fault.what {
+            What::Stop { gateway, .. } if self.gateways[gateway].is_suspended => {
+                self.resume_process(gateway);
+            }
+            What::CutZone { .. } | What::CutOff { .. } => {
+                for direction in self.partitioned_directions(fault.what) {
+                    *self.network.partitions.entry(direction).or_default() -= 1;
+                }
+                self.check_members_of(&self.all_gateways(), HEAL_NOTICED_MS);
+            }
+            What::Mute { from, to, .. } => {
+                *self.network.silenced.entry((from, to)).or_default() -= 1;
+            }
+            What::Late { from, to, .. } => {
+                self.network.delays.remove(&(from, to));
+            }
+            What::Kill { .. }
+            | What::End { .. }
+            | What::Stop { .. }
+            | What::Reset { .. }
+            | What::EngineDies { .. }
+            | What::EngineDrains { .. } => {}
+        }
+    }
+
+    fn stop_process(&mut self, gateway: usize, restart_after_ms: u64) {
+        let stopped = &mut self.gateways[gateway];
+        if !stopped.is_up {
+            return;
+        }
+        stopped.is_up = false;
+        stopped.is_suspended = false;
+        stopped.held_events.clear();
+        self.check_members_of(&BTreeSet::from([gateway]), LOSS_NOTICED_MS);
+        let restart_at = self.now + restart_after_ms * MILLISECOND;
+        self.schedule(restart_at, Event::Restart { gateway });
+    }
+
+    fn resume_process(&mut self, gateway: usize) {
+        let resumed = &mut self.gateways[gateway];
+        resumed.is_suspended = false;
+        for event in std::mem::take(&mut resumed.held_events) {
+            let after = self.rng.random_range(0..MILLISECOND);
+            self.schedule(self.now + after, event);
+        }
+        self.check_members_of(&BTreeSet::from([gateway]), RETURN_NOTICED_MS);
+    }
+
+    fn all_gateways(&self) -> BTreeSet<usize> {
+        (0..self.fleet.gateways).collect()
+    }
+
+    fn partitioned_directions(&self, what: What) -> Vec<Direction> {
+        let zones = self.fleet.zones;
+        let is_partitioned = |from: usize, to: usize| match what {
+            What::CutZone { zone, .. } => (from % zones == zone) != (to % zones == zone),
+            What::CutOff { gateway, .. } => (from == gateway) != (to == gateway),
+            _ => false,
+        };
+        let gateways = self.fleet.gateways;
+        (0..gateways * gateways)
+            .map(|i| (i / gateways, i % gateways))
+            .filter(|&(from, to)| is_partitioned(from, to))
+            .collect()
+    }
+}
--- a/crates/ivypitch-testbed/src/virtual_time/mod.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/mod.rs
@@ -1,6 +1,7 @@
 //! Whole fleets as values in virtual time: engines, gateways' deciding crates, networks with faults, open-loop
 //! traffic, all by a seed. Knows no process, no socket and no experiment.
 
+pub mod coordination_fleet;
 pub mod cost;
 pub mod engine;
 pub mod faults;
@@ -8,5 +9,4 @@
 pub mod fleet;
 pub mod members_fleet;
 pub mod ownership_fleet;
-pub mod shares_fleet;
 pub mod traffic;
--- a/crates/ivypitch-testbed/tests/shares.rs
+++ b/crates/ivypitch-testbed/tests/shares.rs
@@ -1,12 +1,12 @@
-//! What gateways share, in virtual time over fault plans; a plan that passes a bound is printed, cut down.
+//! Coordination in virtual time over fault plans; a plan that exceeds a quota is printed, cut down.
 
-use ivypitch_testbed::virtual_time::shares_fleet::{Fleet, draw, play};
+use ivypitch_testbed::virtual_time::coordination_fleet::{Fleet, draw, play};
 
 #[test]
-fn no_bound_is_passed_whatever_is_cut_or_restarted() {
+fn no_quota_is_exceeded_whatever_is_partitioned_or_restarted() {
     let fleet = Fleet {
         gateways: 12,
-        span: 6_000,
+        duration_ms: 6_000,
         ..Fleet::default()
     };
     for seed in 0..10 {
