--- a/crates/ivypitch-testbed/src/experiments/members.rs
+++ b/crates/ivypitch-testbed/src/experiments/members.rs
@@ -1,7 +1,7 @@
 //! Members in virtual time.
 
 use crate::report::{Bound, Report};
-use crate::virtual_time::members_fleet;
+use crate::virtual_time::membership_fleet::{self, TransitTime};
 
 /// Losses among many members with datagrams dropped; then a cut.
 pub fn play(quick: bool, seed: u64) -> Report {
@@ -13,50 +13,56 @@
     };
     // A living member is lost no more than once an hour: an hour of a large fleet is played.
     if !quick {
-        let hour = members_fleet::Fleet {
+        let hour = membership_fleet::Fleet {
             members: 300,
             zones: 3,
-            drop: 0.05,
-            way: (0.2, 3.0),
-            settles: 0,
+            datagram_loss: 0.05,
+            transit: TransitTime {
+                min_ms: 0.2,
+                max_ms: 3.0,
+            },
+            settle_seconds: 0,
             seconds: 3600,
-            kill_each: 0,
-            cut: 0,
+            kill_interval_ms: None,
+            partition_ms: None,
             config: ivypitch_membership::MembershipConfig::default(),
         };
-        let told = members_fleet::play(hour, seed);
+        let told = membership_fleet::play(hour, seed);
         let what =
             "virtual time, 300 members, 5% of datagrams dropped, an hour: living members told lost";
         report
             .bounds
-            .push(Bound::new(what, told.false_lost as f64, 0.0, 1.0));
+            .push(Bound::new(what, told.falsely_lost_members as f64, 0.0, 1.0));
     }
     for &(size, seconds) in sizes {
         let config = ivypitch_membership::MembershipConfig::default();
-        let calm = members_fleet::Fleet {
+        let calm = membership_fleet::Fleet {
             members: size,
             zones: 3,
-            drop: 0.05,
-            way: (0.2, 3.0),
-            settles: 0,
+            datagram_loss: 0.05,
+            transit: TransitTime {
+                min_ms: 0.2,
+                max_ms: 3.0,
+            },
+            settle_seconds: 0,
             seconds,
-            kill_each: 0,
-            cut: 0,
+            kill_interval_ms: None,
+            partition_ms: None,
             config,
         };
-        let losses = members_fleet::Fleet {
-            kill_each: 2000,
+        let losses = membership_fleet::Fleet {
+            kill_interval_ms: Some(2000),
             ..calm
         };
-        let cut = members_fleet::Fleet {
-            cut: 6000,
+        let cut = membership_fleet::Fleet {
+            partition_ms: Some(6000),
             seconds: 20,
             ..calm
         };
         let (calm, losses, cut) = std::thread::scope(|scope| {
-            let calm = scope.spawn(|| members_fleet::play(calm, seed));
-            let cut = scope.spawn(|| members_fleet::play(cut, seed));
-            let losses = members_fleet::play(losses, seed);
+            let calm = scope.spawn(|| membership_fleet::play(calm, seed));
+            let cut = scope.spawn(|| membership_fleet::play(cut, seed));
+            let losses = membership_fleet::play(losses, seed);
             (
                 calm.join().unwrap_or_default(),
                 losses,
@@ -78,51 +84,56 @@
         bound("kills", losses.kills as f64, 1.0, f64::MAX);
         bound(
             "a loss is known, median ms",
-            losses.p50_ms as f64,
+            losses.detection_p50_ms as f64,
             0.0,
             f64::MAX,
         );
-        bound("a loss is known, p99 ms", losses.p99_ms as f64, 0.0, 1000.0);
+        bound(
+            "a loss is known, p99 ms",
+            losses.detection_p99_ms as f64,
+            0.0,
+            1000.0,
+        );
         bound(
             "a loss is known, at the latest ms",
-            losses.most_ms as f64,
+            losses.max_detection_ms as f64,
             0.0,
             f64::MAX,
         );
         bound(
             "living members told lost, calm",
-            calm.false_lost as f64,
+            calm.falsely_lost_members as f64,
             0.0,
             0.0,
         );
         bound(
             "living members told lost, beside losses",
-            losses.false_lost as f64,
+            losses.falsely_lost_members as f64,
             0.0,
             0.0,
         );
         bound(
             "datagrams a member a second",
-            calm.datagrams_a_member_s,
+            calm.datagrams_per_member_second,
             0.0,
             f64::MAX,
         );
         bound(
             "bytes a member a second",
-            calm.bytes_a_member_s,
+            calm.bytes_per_member_second,
             0.0,
             f64::MAX,
         );
         if size > 3 {
             bound(
                 "cut-off members that doubt themselves, part",
-                cut.doubted as f64 / (size / 3) as f64,
+                cut.suspecting_in_minority as f64 / (size / 3) as f64,
                 0.9,
                 f64::MAX,
             );
             bound(
                 "others that doubt themselves",
-                cut.doubted_elsewhere as f64,
+                cut.suspecting_elsewhere as f64,
                 0.0,
                 0.0,
             );
--- a/crates/ivypitch-testbed/src/experiments/scale/peers.rs
+++ b/crates/ivypitch-testbed/src/experiments/scale/peers.rs
@@ -14,7 +14,8 @@
 
 use super::slope::Measure;
 use crate::virtual_time::faults::Plan;
-use crate::virtual_time::{coordination_fleet, cost, members_fleet, ownership_fleet};
+use crate::virtual_time::membership_fleet::TransitTime;
+use crate::virtual_time::{coordination_fleet, cost, membership_fleet, ownership_fleet};
 
 const MS: Nanos = 1_000_000;
 pub const GATEWAYS: [usize; 5] = [30, 100, 300, 1000, 3800];
@@ -59,25 +60,28 @@
     const JOINED: usize = 6;
     let mut points: [Vec<(f64, f64)>; 7] = Default::default();
     for &(members, settles, seconds) in sizes {
-        let fleet = members_fleet::Fleet {
+        let fleet = membership_fleet::Fleet {
             members,
             zones: ZONES,
-            drop: 0.01,
-            way: (0.2, 3.0),
-            settles,
+            datagram_loss: 0.01,
+            transit: TransitTime {
+                min_ms: 0.2,
+                max_ms: 3.0,
+            },
+            settle_seconds: settles,
             seconds,
-            kill_each: 0,
-            cut: 0,
+            kill_interval_ms: None,
+            partition_ms: None,
             config: MembershipConfig::default(),
         };
-        let told = members_fleet::play(fleet, seed);
+        let told = membership_fleet::play(fleet, seed);
         let costs = [
-            told.bytes_a_member_s,
-            told.datagrams_a_member_s,
-            told.cpu_a_member_s * 1e6,
-            told.memory_a_member,
-            told.busiest_bytes_a_member_s,
-            told.started_bytes_a_member,
+            told.bytes_per_member_second,
+            told.datagrams_per_member_second,
+            told.cpu_per_member_second * 1e6,
+            told.memory_per_member,
+            told.peak_bytes_per_member_second,
+            told.start_bytes_per_member,
             told.joined_ms as f64,
         ];
         // Where the news of the start still go round, nothing is at rest, and more is held than is kept.
--- a/crates/ivypitch-testbed/src/virtual_time/mod.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/mod.rs
@@ -7,6 +7,6 @@
 pub mod faults;
 pub mod feed_fleet;
 pub mod fleet;
-pub mod members_fleet;
+pub mod membership_fleet;
 pub mod ownership_fleet;
 pub mod traffic;
--- a/crates/ivypitch-testbed/tests/scale.rs
+++ b/crates/ivypitch-testbed/tests/scale.rs
@@ -8,7 +8,8 @@
 use ivypitch_testbed::experiments::scale::slope::{Slope, at, passes_at};
 use ivypitch_testbed::virtual_time::faults::Plan;
 use ivypitch_testbed::virtual_time::feed_fleet::{self, Reached};
-use ivypitch_testbed::virtual_time::{members_fleet, ownership_fleet};
+use ivypitch_testbed::virtual_time::membership_fleet::TransitTime;
+use ivypitch_testbed::virtual_time::{membership_fleet, ownership_fleet};
 use ivypitch_types::{MemberId, SECOND};
 
 #[test]
@@ -37,31 +38,34 @@
     assert_eq!(passes_at(|_| 1.0, 2.0, 2.0, 100_000.0), None);
 }
 
-fn members(members: usize, seed: u64) -> members_fleet::Told {
-    let fleet = members_fleet::Fleet {
+fn members(members: usize, seed: u64) -> membership_fleet::Verdict {
+    let fleet = membership_fleet::Fleet {
         members,
         zones: 24,
-        drop: 0.01,
-        way: (0.2, 3.0),
-        settles: 15,
+        datagram_loss: 0.01,
+        transit: TransitTime {
+            min_ms: 0.2,
+            max_ms: 3.0,
+        },
+        settle_seconds: 15,
         seconds: 4,
-        kill_each: 0,
-        cut: 0,
+        kill_interval_ms: None,
+        partition_ms: None,
         config: ivypitch_membership::MembershipConfig::default(),
     };
-    members_fleet::play(fleet, seed)
+    membership_fleet::play(fleet, seed)
 }
 
 #[test]
 fn members_at_rest_send_the_same_however_many_there_are() {
     for seed in [1, 2] {
         let (few, many) = (members(20, seed), members(80, seed));
-        let ratio = many.datagrams_a_member_s / few.datagrams_a_member_s;
+        let ratio = many.datagrams_per_member_second / few.datagrams_per_member_second;
         assert!(
             ratio < 1.3,
             "seed {seed}: {ratio:.2} times the datagrams at four times the members"
         );
-        let ratio = many.bytes_a_member_s / few.bytes_a_member_s;
+        let ratio = many.bytes_per_member_second / few.bytes_per_member_second;
         assert!(
             ratio < 2.0,
             "seed {seed}: {ratio:.2} times the bytes at four times the members"
