--- a/crates/ivypitch-testbed/src/experiments/scale/changes.rs
+++ b/crates/ivypitch-testbed/src/experiments/scale/changes.rs
@@ -6,7 +6,7 @@
 use super::peers::GATEWAYS;
 use super::slope::Measure;
 use crate::report::{Bound, Report};
-use crate::virtual_time::feed_fleet::{Fleet, Reached, play};
+use crate::virtual_time::discovery_fleet::{Fleet, Outage, Verdict, play};
 
 /// Budget: a change is in force everywhere within so long.
 pub const EVERYWHERE_MS: f64 = 6000.0;
@@ -23,20 +23,20 @@
         regions: 7,
         servers: 40,
         // 1 Gb/s each.
-        bytes_a_second: 125e6,
-        loss: 0.01,
+        server_bytes_per_second: 125e6,
+        segment_loss: 0.01,
         seconds: if quick { 20 } else { 60 },
         burst: 100,
-        change: line(1, false).len() as u64,
-        whole_list: line(ENGINES, true).len() as u64,
+        change_bytes: line(1, false).len() as u64,
+        list_bytes: line(ENGINES, true).len() as u64,
         zone_rows: ZONE_ROWS,
         // One change of one row took the module 0.8 ms at 44,000 engines.
-        act: SECOND / 1000,
+        apply_change: SECOND / 1000,
         // To read one and to take it, 0.37 s.
-        act_whole: SECOND * 4 / 10,
-        restarts: 0.0,
-        cut: (0, 0),
-        zone_lost: (0, 0),
+        apply_list: SECOND * 4 / 10,
+        restarts_per_second: 0.0,
+        region_outage: None,
+        zone_outage: None,
     }
 }
 
@@ -47,24 +47,31 @@
     for &gateways in &GATEWAYS {
         let fleet = calm(gateways, quick);
         let reached = play(fleet, seed);
-        last.push((gateways as f64, f64::from(reached.ms(1.0))));
+        last.push((gateways as f64, f64::from(reached.latency_ms(1.0))));
         bytes.push((
             gateways as f64,
-            reached.bytes as f64 / reached.changes as f64,
+            reached.sent_bytes as f64 / reached.changes as f64,
         ));
-        server.push((gateways as f64, reached.busiest_server_s as f64));
+        server.push((gateways as f64, reached.peak_server_bytes as f64));
         judge(report, &format!("{gateways} gateways, calm"), &reached);
     }
     let base = calm(target, quick);
-    let (from, until) = if quick { (4, 12) } else { (10, 40) };
+    let (from_second, until_second) = if quick { (4, 12) } else { (10, 40) };
+    let outage = Some(Outage {
+        from_second,
+        until_second,
+    });
     // Regions lose each other for minutes.
     let apart = match quick {
         true => Fleet {
-            cut: (from, until),
+            region_outage: outage,
             ..base
         },
         false => Fleet {
-            cut: (10, 190),
+            region_outage: Some(Outage {
+                from_second: 10,
+                until_second: 190,
+            }),
             seconds: 200,
             ..base
         },
@@ -73,7 +80,7 @@
         (
             "restarts at 20 times the target's rate",
             Fleet {
-                restarts: RESTARTS * TIMES,
+                restarts_per_second: RESTARTS * TIMES,
                 ..base
             },
         ),
@@ -81,7 +88,7 @@
         (
             "a zone lost and coming back",
             Fleet {
-                zone_lost: (from, until),
+                zone_outage: outage,
                 ..base
             },
         ),
@@ -121,7 +128,7 @@
     ]
 }
 
-fn judge(report: &mut Report, place: &str, reached: &Reached) {
+fn judge(report: &mut Report, place: &str, reached: &Verdict) {
     let mut bound = |what: &str, is, least, most| {
         report.bounds.push(Bound::new(
             &format!("changes, {place}: {what}"),
@@ -134,14 +141,14 @@
     for (name, quantile) in [("half", 0.5), ("99 in 100", 0.99), ("99.99 in 100", 0.9999)] {
         bound(
             &format!("{name} act within, ms"),
-            f64::from(reached.ms(quantile)),
+            f64::from(reached.latency_ms(quantile)),
             0.0,
             f64::MAX,
         );
     }
     bound(
         "the last acts within, ms",
-        f64::from(reached.ms(1.0)),
+        f64::from(reached.latency_ms(1.0)),
         0.0,
         EVERYWHERE_MS,
     );
@@ -154,13 +161,13 @@
     bound("restarts", reached.restarts as f64, 0.0, f64::MAX);
     bound(
         "most connections begun in a second",
-        reached.busiest_connects_s as f64,
+        reached.peak_connects as f64,
         0.0,
         f64::MAX,
     );
     bound(
         "most bytes out of one server in a second",
-        reached.busiest_server_s as f64,
+        reached.peak_server_bytes as f64,
         0.0,
         f64::MAX,
     );
--- a/crates/ivypitch-testbed/src/virtual_time/mod.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/mod.rs
@@ -3,9 +3,9 @@
 
 pub mod coordination_fleet;
 pub mod cost;
+pub mod discovery_fleet;
 pub mod engine;
 pub mod faults;
-pub mod feed_fleet;
 pub mod fleet;
 pub mod membership_fleet;
 pub mod ownership_fleet;
--- a/crates/ivypitch-testbed/tests/scale.rs
+++ b/crates/ivypitch-testbed/tests/scale.rs
@@ -6,8 +6,8 @@
 use ivypitch_testbed::experiments::scale::module::line;
 use ivypitch_testbed::experiments::scale::peers::links;
 use ivypitch_testbed::experiments::scale::slope::{Slope, at, passes_at};
+use ivypitch_testbed::virtual_time::discovery_fleet::{self, Outage, Verdict};
 use ivypitch_testbed::virtual_time::faults::Plan;
-use ivypitch_testbed::virtual_time::feed_fleet::{self, Reached};
 use ivypitch_testbed::virtual_time::membership_fleet::TransitTime;
 use ivypitch_testbed::virtual_time::{membership_fleet, ownership_fleet};
 use ivypitch_types::{MemberId, SECOND};
@@ -144,28 +144,33 @@
 
 const MS: u64 = 1_000_000;
 
-fn feeds(gateways: usize) -> feed_fleet::Fleet {
-    feed_fleet::Fleet {
+const OUTAGE: Option<Outage> = Some(Outage {
+    from_second: 3,
+    until_second: 11,
+});
+
+fn watches(gateways: usize) -> discovery_fleet::Fleet {
+    discovery_fleet::Fleet {
         gateways,
         zones: 24,
         regions: 7,
         servers: 4,
-        bytes_a_second: 125e6,
-        loss: 0.01,
+        server_bytes_per_second: 125e6,
+        segment_loss: 0.01,
         seconds: 16,
         burst: 100,
-        change: line(1, false).len() as u64,
-        whole_list: 5_936_976,
+        change_bytes: line(1, false).len() as u64,
+        list_bytes: 5_936_976,
         zone_rows: 1833,
-        act: MS,
-        act_whole: 400 * MS,
-        restarts: 0.0,
-        cut: (0, 0),
-        zone_lost: (0, 0),
+        apply_change: MS,
+        apply_list: 400 * MS,
+        restarts_per_second: 0.0,
+        region_outage: None,
+        zone_outage: None,
     }
 }
 
-fn holds(what: &str, seed: u64, reached: &Reached) {
+fn holds(what: &str, seed: u64, reached: &Verdict) {
     assert!(
         reached.changes > 100,
         "{what}, seed {seed}: only {} changes",
@@ -175,7 +180,7 @@
         reached.behind, 0,
         "{what}, seed {seed}: gateways that do not act by the last change"
     );
-    let last = reached.ms(1.0);
+    let last = reached.latency_ms(1.0);
     assert!(
         last <= 6000,
         "{what}, seed {seed}: the last gateway acts after {last} ms"
@@ -185,11 +190,11 @@
 #[test]
 fn changes_are_in_force_at_every_gateway_that_can_be_reached_within_six_seconds() {
     for seed in 0..4 {
-        let base = feeds(150);
-        holds("calm", seed, &feed_fleet::play(base, seed));
-        let restarts = feed_fleet::play(
-            feed_fleet::Fleet {
-                restarts: 2.0,
+        let base = watches(150);
+        holds("calm", seed, &discovery_fleet::play(base, seed));
+        let restarts = discovery_fleet::play(
+            discovery_fleet::Fleet {
+                restarts_per_second: 2.0,
                 ..base
             },
             seed,
@@ -199,10 +204,10 @@
             "seed {seed}: restarts were not played"
         );
         holds("restarts", seed, &restarts);
-        let calm = feed_fleet::play(base, seed);
-        let cut = feed_fleet::play(
-            feed_fleet::Fleet {
-                cut: (3, 11),
+        let calm = discovery_fleet::play(base, seed);
+        let cut = discovery_fleet::play(
+            discovery_fleet::Fleet {
+                region_outage: OUTAGE,
                 ..base
             },
             seed,
@@ -212,23 +217,23 @@
             "seed {seed}: nobody had to connect again"
         );
         holds("a region cut off", seed, &cut);
-        let lost = feed_fleet::Fleet {
-            zone_lost: (3, 11),
+        let lost = discovery_fleet::Fleet {
+            zone_outage: OUTAGE,
             ..base
         };
-        holds("a zone lost", seed, &feed_fleet::play(lost, seed));
+        holds("a zone lost", seed, &discovery_fleet::play(lost, seed));
     }
 }
 
 #[test]
 fn a_server_too_slow_for_the_fleet_is_seen_as_late() {
-    let slow = feed_fleet::Fleet {
+    let slow = discovery_fleet::Fleet {
         servers: 1,
-        bytes_a_second: 200_000.0,
-        ..feeds(300)
+        server_bytes_per_second: 200_000.0,
+        ..watches(300)
     };
     assert!(
-        feed_fleet::play(slow, 1).ms(1.0) > 6000,
+        discovery_fleet::play(slow, 1).latency_ms(1.0) > 6000,
         "the play would pass whatever the servers can do"
     );
 }
