--- a/crates/ivypitch-testbed/src/command.rs
+++ b/crates/ivypitch-testbed/src/command.rs
@@ -65,7 +65,7 @@
             What::Run(run) => run.play(),
             What::Demo => demo::play(),
             What::Engine(engine) => engine.run(),
-            What::HollowGateways => crate::processes::hollow_gateways::serve(),
+            What::HollowGateways => crate::processes::simulated_gateways::serve(),
             What::HollowEngines => crate::processes::hollow_engines::serve(),
         }
     }
--- a/crates/ivypitch-testbed/src/experiments/scale/processes.rs
+++ b/crates/ivypitch-testbed/src/experiments/scale/processes.rs
@@ -7,7 +7,7 @@
 use super::slope::Measure;
 use crate::processes::child::LabProcess;
 use crate::processes::hollow_engines::id_at;
-use crate::processes::hollow_gateways::EACH_THREAD;
+use crate::processes::simulated_gateways::GATEWAYS_PER_THREAD;
 use crate::processes::usage::{Sample, TICK_NS, cpu_ticks_ns};
 use crate::processes::{Engines, Fleet, Setup};
 use crate::report::Bound;
@@ -273,7 +273,7 @@
     let events = change(&fleet, size, from + spans.window);
     let crowd_used = cpu_ticks_ns(crowd).unwrap_or(0).saturating_sub(crowd_began) as f64 * 1e-9;
     let seconds = from.elapsed().as_secs_f64();
-    let crowd = crowd_used / seconds / fleet.setup.hollow.div_ceil(EACH_THREAD) as f64;
+    let crowd = crowd_used / seconds / fleet.setup.hollow.div_ceil(GATEWAYS_PER_THREAD) as f64;
     let end = sample(&mut fleet)?;
     for asking in asking {
         asking.join().map_err(|_| "a client failed".to_owned())?;
--- a/crates/ivypitch-testbed/src/processes/mod.rs
+++ b/crates/ivypitch-testbed/src/processes/mod.rs
@@ -6,9 +6,9 @@
 pub mod clients;
 pub mod engine;
 pub mod hollow_engines;
-pub mod hollow_gateways;
 pub mod journal;
 pub mod relay;
+pub mod simulated_gateways;
 pub mod sockets;
 pub mod story;
 pub mod usage;
@@ -28,9 +28,9 @@
 use child::LabProcess;
 use engine::stamp;
 use hollow_engines::Park;
-use hollow_gateways::Crowd;
 use journal::Journal;
 use relay::{End, Net};
+use simulated_gateways::SimulatedGateways;
 use usage::{Engines as EngineCounts, Own, Sample, Usage};
 
 /// What a process said, with its microseconds.
@@ -294,15 +294,15 @@
                     .map_err(told)?,
             );
         }
-        let crowd = Crowd {
-            own: self.own(|place| Ok(peers_at[place])).map_err(told)?,
+        let crowd = SimulatedGateways {
+            operator_settings: self.own(|place| Ok(peers_at[place])).map_err(told)?,
             first,
-            ways,
-            journal: journal.address,
+            routes: ways,
+            discovery: journal.address,
             tenants: vec!["acme".into()],
-            longest_ms: self.setup.longest_ms,
+            max_statement_timeout_ms: self.setup.longest_ms,
             seed: self.setup.seed,
-            tells_events: self.setup.hollow_tell,
+            prints_events: self.setup.hollow_tell,
         };
         let line = serde_json::to_string(&crowd).map_err(|e| e.to_string())?;
         self.crowd = Some(LabProcess::start("hollow-gateways", &line)?);
