--- a/crates/ivypitch-testbed/src/experiments/scale/mod.rs
+++ b/crates/ivypitch-testbed/src/experiments/scale/mod.rs
@@ -9,6 +9,7 @@
 
 pub mod capacity;
 pub mod changes;
+mod coordination;
 pub mod module;
 pub mod peers;
 pub mod processes;
@@ -100,13 +101,13 @@
     let mut all = Vec::new();
     // On a thread of their own, so that what they free is not used again by what is measured next.
     std::thread::scope(|scope| {
-        let members = scope.spawn(|| peers::members(quick, seed));
+        let members = scope.spawn(|| peers::membership(quick, seed));
         all.extend(members.join().unwrap_or_default());
     });
     all.extend(module::measure(quick, seed));
     all.extend(peers::links());
-    all.extend(peers::custody(quick, seed));
-    all.extend(peers::shares(quick, seed));
+    all.extend(peers::ownership(quick, seed));
+    all.extend(coordination::measure_coordination(quick, seed));
     all.extend(changes::measure(&mut report, quick, seed));
     judge(&mut report, &all);
     let (measures, bounds) = processes::measure_checked(quick, seed);
