--- a/crates/ivypitch-coordination/src/coordinator.rs
+++ b/crates/ivypitch-coordination/src/coordinator.rs
@@ -3,7 +3,6 @@
 //! The driver tells it the time, which members are up and what arrives; what is to be sent and done comes out through
 //! [`CoordinationOutput`].
 
-use ivypitch_scheduler::OutlierStatus;
 use ivypitch_types::{Incarnation, MILLISECOND, MemberId, Nanos, ProcessId, SECOND};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -16,6 +15,7 @@
     CoordinationMessage, EndpointEvent, GossipMessage, ObservationUpdate, QuotaEnvelope,
 };
 use crate::observations::{AttemptHealth, EngineNumber, OBSERVATION_TTL};
+use crate::output::CoordinationOutput;
 use crate::quota_rebalancing::REBALANCE_INTERVAL;
 use crate::shared_quotas::{QuotaOutbox, SharedQuotas};
 use crate::view::{CoordinationView, FleetReach};
@@ -27,22 +27,6 @@
 /// Quota messages in one message on a link.
 const MAX_QUOTA_MESSAGES: usize = 64;
 
-/// What the coordinator asks of its driver.
-pub trait CoordinationOutput {
-    /// Sends a message over the link to this member, if there is one.
-    fn send(&mut self, to: MemberId, message: CoordinationMessage);
-    /// Sends a gossip datagram to this member.
-    fn send_gossip(&mut self, to: MemberId, gossip: GossipMessage);
-    /// From now on this member may use the fraction `share` of the quota, 0 to 1.
-    fn on_quota_changed(&mut self, quota: QuotaIndex, share: f64);
-    /// What the fleet thinks of an engine has changed.
-    fn on_outlier_status(&mut self, engine: EngineNumber, status: OutlierStatus);
-    /// Another member relayed the next event of the endpoint list.
-    fn on_endpoint_event(&mut self, number: u64, line: &[u8]);
-    /// Writes a line to the log.
-    fn log(&mut self, line: &str);
-}
-
 /// What a coordinator starts with.
 pub struct CoordinatorParams {
     /// This process.
--- a/crates/ivypitch-coordination/src/lib.rs
+++ b/crates/ivypitch-coordination/src/lib.rs
@@ -16,6 +16,7 @@
 mod message;
 mod observations;
 mod outlier_consensus;
+mod output;
 mod quota_lease;
 mod quota_rebalancing;
 mod shared_quotas;
@@ -25,7 +26,7 @@
     CoordinationConfig, MAX_OBSERVED_ENGINES, MAX_RETAINED_EVENT_BYTES, MAX_RETAINED_EVENTS,
     QuotaIndex, QuotaLeaseConfig, SharedQuotaConfig, UNITS_PER_MEMBER,
 };
-pub use coordinator::{CoordinationOutput, Coordinator, CoordinatorParams};
+pub use coordinator::{Coordinator, CoordinatorParams};
 pub use event_relay::{EventRelay, RetentionLimits};
 pub use message::{
     CoordinationMessage, EndpointEvent, GossipMessage, KnownVersion, LeaseGrant, LeaseRequest,
@@ -36,5 +37,6 @@
     ObservationTable, StoredObservation,
 };
 pub use outlier_consensus::{MAX_EJECTED_FRACTION, OutlierConsensus, OutlierDecision, is_prober};
+pub use output::CoordinationOutput;
 pub use quota_lease::{ExpiringLease, GrantedLease, HeldLease, LeasedUnits, QuotaLeases};
 pub use view::{CoordinationView, EngineHealthView, FleetReach, MemberObservationView, QuotaView};
--- /dev/null
+++ b/crates/ivypitch-coordination/src/quota_lease/grantor.rs
@@ -0,0 +1,121 @@
+//! Leases that this member grants.
+
+use ivypitch_types::{Nanos, ProcessId};
+
+use super::{Granted, GrantedLease, QuotaLeases};
+use crate::message::{LeaseGrant, LeaseRequest, RequestId};
+
+impl QuotaLeases {
+    /// Units that could be leased out now if this member keeps so many for itself.
+    pub fn leasable_units(&self, keep: u32) -> u32 {
+        if self.is_recovering() {
+            return 0;
+        }
+        let own_units = self.base_units - self.granted_units();
+        let spare_units = own_units.saturating_sub(keep.max(self.reserved_units));
+        // A unit that was spent within the window is not leased out: its holder could spend it again.
+        if self.spend_window > 0 {
+            spare_units.min(own_units.saturating_sub(self.spent_in_window))
+        } else {
+            spare_units
+        }
+    }
+
+    /// Answers a lease request. `None`: nothing is granted, or the request is a duplicate.
+    pub fn on_request(
+        &mut self,
+        now: Nanos,
+        from: ProcessId,
+        request: LeaseRequest,
+        keep: u32,
+    ) -> Option<LeaseGrant> {
+        self.advance(now);
+        let newest = (from.incarnation, request.request);
+        let is_duplicate = self
+            .latest_requests
+            .get(&from.member)
+            .is_some_and(|&latest| latest >= newest);
+        if is_duplicate || from.member == self.member {
+            return None;
+        }
+        self.latest_requests.insert(from.member, newest);
+        let extended = request
+            .extends
+            .map(|lease| GrantedLease {
+                holder: from,
+                lease,
+            })
+            .filter(|lease| self.granted.contains_key(lease));
+        match extended {
+            Some(lease) => self.extend(lease, request.request, keep),
+            None => self.grant(from, request, keep),
+        }
+    }
+
+    /// Extends a lease unless this member needs all of it; then it expires as it would have.
+    fn extend(&mut self, lease: GrantedLease, request: RequestId, keep: u32) -> Option<LeaseGrant> {
+        let own_units = self.base_units - self.granted_units();
+        let missing_units = keep.max(self.reserved_units).saturating_sub(own_units);
+        let expires_at = self.elapsed + self.grantor_duration;
+        let granted = self.granted.get_mut(&lease)?;
+        if missing_units >= granted.units {
+            return None;
+        }
+        granted.expires_at = expires_at;
+        Some(LeaseGrant {
+            request,
+            lease: lease.lease,
+            units: granted.units,
+        })
+    }
+
+    fn grant(&mut self, holder: ProcessId, request: LeaseRequest, keep: u32) -> Option<LeaseGrant> {
+        let units = request.units.min(self.leasable_units(keep));
+        if units == 0 {
+            return None;
+        }
+        let lease = GrantedLease {
+            holder,
+            lease: request.request,
+        };
+        let expires_at = self.elapsed + self.grantor_duration;
+        self.granted.insert(lease, Granted { units, expires_at });
+        Some(LeaseGrant {
+            request: request.request,
+            lease: request.request,
+            units,
+        })
+    }
+
+    /// The holder no longer uses this lease.
+    pub fn on_release(&mut self, now: Nanos, from: ProcessId, lease: RequestId) {
+        self.advance(now);
+        let lease = GrantedLease {
+            holder: from,
+            lease,
+        };
+        if let Some(granted) = self.granted.remove(&lease) {
+            self.record_spent(granted.units);
+        }
+    }
+
+    /// Leases to revoke, the largest first, until so many units would return.
+    pub fn leases_to_revoke(&self, units: u32) -> Vec<GrantedLease> {
+        let mut by_size: Vec<(u32, GrantedLease)> = self
+            .granted
+            .iter()
+            .map(|(&lease, granted)| (granted.units, lease))
+            .collect();
+        by_size.sort_unstable_by(|a, b| b.cmp(a));
+        let mut chosen = Vec::new();
+        let mut chosen_units = 0;
+        for (granted_units, lease) in by_size {
+            if chosen_units >= units {
+                break;
+            }
+            chosen_units += granted_units;
+            chosen.push(lease);
+        }
+        chosen
+    }
+}
