--- a/crates/ivypitch-testbed/src/processes/mod.rs
+++ b/crates/ivypitch-testbed/src/processes/mod.rs
@@ -437,7 +437,7 @@
         let begun = log
             .all()
             .iter()
-            .filter(|line| line.contains(" gateway started "))
+            .filter(|line| line.contains("gateway started"))
             .count();
         thread::spawn(move || {
             lines
@@ -449,7 +449,7 @@
         seat.child = Some(child);
         let count = begun + 1;
         seat.log.wait_for("start", count, |line| {
-            line.contains(" gateway started ") || line.contains("ERROR listen")
+            line.contains("gateway started") || line.contains("ERROR listen")
         });
         Ok(())
     }
--- a/crates/ivypitch-testbed/src/processes/sockets.rs
+++ b/crates/ivypitch-testbed/src/processes/sockets.rs
@@ -662,7 +662,7 @@
             let log = log.clone();
             move || {
                 log.wait("start", |l| {
-                    l.contains(" gateway started ") || l.contains("ERROR")
+                    l.contains("gateway started") || l.contains("ERROR")
                 })
             }
         })
--- a/crates/ivypitch-testbed/src/stand_ins.rs
+++ b/crates/ivypitch-testbed/src/stand_ins.rs
@@ -585,7 +585,7 @@
     fn spawned(config: String, own: Option<(&str, &str)>) -> Gateway {
         let (mut child, log, path) = spawn_own(&config, own);
         let line = log.wait("line of the start", |l| {
-            l.contains(" gateway started ") || l.contains("ERROR")
+            l.contains("gateway started") || l.contains("ERROR")
         });
         let address = log_lines::field(&line, "address").and_then(|address| address.parse().ok());
         let address = address.unwrap_or_else(|| {
