--- a/crates/ivypitch-config-eval/src/lib.rs
+++ b/crates/ivypitch-config-eval/src/lib.rs
@@ -4,7 +4,7 @@
 //! [`ivypitch_config::schema`]. Only the short-lived command `ivypitch check` uses this crate: the evaluator costs some ten
 //! megabytes of memory.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used)]
 
 use std::path::Path;
 
--- a/crates/ivypitch-config/src/lib.rs
+++ b/crates/ivypitch-config/src/lib.rs
@@ -4,7 +4,7 @@
 //!   no other reader of it.
 //! - [`operator`] reads the operator's own settings file, [`schema`] checks and describes it.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used)]
 
 mod deployment;
 pub mod operator;
--- a/crates/ivypitch-connection-pool/src/lib.rs
+++ b/crates/ivypitch-connection-pool/src/lib.rs
@@ -3,7 +3,7 @@
 //! A reused connection must never bring one statement's answer to another, nor occupy a connection slot of the engine that
 //! others need. There is no I/O and no clock.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used)]
 
 use std::collections::VecDeque;
 
--- a/crates/ivypitch-coordination/src/engine_health.rs
+++ b/crates/ivypitch-coordination/src/engine_health.rs
@@ -261,7 +261,7 @@
     ) -> OutlierStatus {
         let engine = decision.engine;
         let member = self.me.member;
-        let has_recovered = previous.is_out && !decision.is_ejected;
+        let has_recovered = previous.is_ejected && !decision.is_ejected;
         if has_recovered && !self.return_at.contains_key(&engine) {
             // Not all members at once, when all learn of it.
             self.return_at
@@ -271,13 +271,13 @@
         if decision.is_ejected || is_return_due {
             self.return_at.remove(&engine);
         }
-        let is_out = decision.is_ejected || self.return_at.contains_key(&engine);
+        let is_ejected = decision.is_ejected || self.return_at.contains_key(&engine);
         let is_probing =
             decision.is_ejected && is_prober(now, engine, member, reachable_members, self.seed);
         OutlierStatus {
-            is_out,
-            tries: is_probing,
-            is_well: decision.is_confirmed_healthy && !is_out,
+            is_ejected,
+            is_trial_assigned: is_probing,
+            has_recovered: decision.is_confirmed_healthy && !is_ejected,
         }
     }
 
@@ -301,7 +301,7 @@
         EngineHealthView {
             engine: decision.engine,
             is_ejected: decision.is_ejected,
-            is_probing: status.is_some_and(|status| status.tries),
+            is_probing: status.is_some_and(|status| status.is_trial_assigned),
             is_unreachable: decision.is_unreachable,
             failures: decision.failures,
             outcomes: decision.outcomes,
--- a/crates/ivypitch-coordination/src/lib.rs
+++ b/crates/ivypitch-coordination/src/lib.rs
@@ -6,7 +6,7 @@
 //! whichever processes restart, the members together never exceed a quota. A member that reaches nobody keeps its
 //! reserved minimum and its own observations.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used)]
 
 mod config;
 mod coordinator;
--- a/crates/ivypitch-gateway/src/lib.rs
+++ b/crates/ivypitch-gateway/src/lib.rs
@@ -8,6 +8,8 @@
 //! - [`wire`]: the protocols, on buffers;
 //! - [`state`]: what actors share or keep, none of it deciding.
 
+#![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used)]
+
 pub mod actors;
 pub mod lifecycle;
 pub mod state;
--- a/crates/ivypitch-gateway/src/lifecycle/peers.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/peers.rs
@@ -76,8 +76,7 @@
             scheduler: self.scheduler.clone(),
             executor: self.executor.clone(),
         };
-        let links =
-            PeerLinks::start(params).map_err(|error| StartupError::Peers(error.to_string()))?;
+        let links = PeerLinks::start(params)?;
         let fleet = Fleet {
             process,
             zones,
--- a/crates/ivypitch-gateway/src/lifecycle/startup.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/startup.rs
@@ -24,6 +24,7 @@
 use super::reload::TeamBudgets;
 use crate::actors::discovery::{DiscoveryActor, DiscoveryMessage, DiscoveryParams};
 use crate::actors::messages::SchedulerMessage;
+use crate::actors::peer_links::BindError;
 use crate::actors::scheduler::{SchedulerActor, SchedulerParts};
 use crate::actors::session::Sessions;
 use crate::state::connections::ConnectionCounters;
@@ -51,8 +52,8 @@
         source: io::Error,
     },
     /// The sockets for other gateways.
-    #[error("{0}")]
-    Peers(String),
+    #[error(transparent)]
+    Peers(#[from] BindError),
 }
 
 /// Catches the signals that the gateway heeds. From here on none of them ends it unasked; each waits to be read.
--- a/crates/ivypitch-membership/src/lib.rs
+++ b/crates/ivypitch-membership/src/lib.rs
@@ -4,7 +4,7 @@
 //! decisions need. There is no I/O and no clock: the driver brings datagrams and the time, and carries away what is to be
 //! sent. `docs/ownership.md` states the guarantees.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used)]
 
 mod config;
 mod connectivity;
--- a/crates/ivypitch-ownership/src/lib.rs
+++ b/crates/ivypitch-ownership/src/lib.rs
@@ -7,7 +7,7 @@
 //! [`Ownership`], and carries out what comes back through [`Output`]. `docs/ownership.md` states the promises, the
 //! alternatives, and why nothing runs twice.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used)]
 
 mod arrival;
 mod attempt_grant;
--- a/crates/ivypitch-scheduler/src/events.rs
+++ b/crates/ivypitch-scheduler/src/events.rs
@@ -71,11 +71,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OutlierStatus {
     /// The fleet has ejected the engine: it gets trials only.
-    pub is_out: bool,
+    pub is_ejected: bool,
     /// This gateway is one of those that send trials now.
-    pub tries: bool,
+    pub is_trial_assigned: bool,
     /// Other gateways had success with it lately: earlier outcomes at this gateway are stale.
-    pub is_well: bool,
+    pub has_recovered: bool,
 }
 
 /// An attempt that ended.
--- a/crates/ivypitch-scheduler/src/lib.rs
+++ b/crates/ivypitch-scheduler/src/lib.rs
@@ -93,7 +93,7 @@
 //! assert_eq!(sends.0, [(StatementIndex(0), EngineIndex(0))]);
 //! ```
 
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used)]
 
 mod admission;
 mod attempts;
--- a/crates/ivypitch-scheduler/src/outlier_detection.rs
+++ b/crates/ivypitch-scheduler/src/outlier_detection.rs
@@ -90,9 +90,9 @@
         let Some(engine) = self.engines.get_mut(index.0) else {
             return;
         };
-        engine.is_ejected_by_fleet = status.is_out;
-        engine.is_trial_assigned = status.tries;
-        if status.is_well {
+        engine.is_ejected_by_fleet = status.is_ejected;
+        engine.is_trial_assigned = status.is_trial_assigned;
+        if status.has_recovered {
             engine.outcomes.clear();
             let evidence = HealthEvidence::RecoveredAtPeers;
             engine.transition(EngineHealth::Healthy, evidence, out);
--- a/crates/ivypitch-scheduler/tests/scenario_language/configuration.rs
+++ b/crates/ivypitch-scheduler/tests/scenario_language/configuration.rs
@@ -130,9 +130,9 @@
 pub fn outlier_status(word: &str) -> OutlierStatus {
     match word {
         "ejected" | "trial" | "recovered" | "none" => OutlierStatus {
-            is_out: word == "ejected" || word == "trial",
-            tries: word == "trial",
-            is_well: word == "recovered",
+            is_ejected: word == "ejected" || word == "trial",
+            is_trial_assigned: word == "trial",
+            has_recovered: word == "recovered",
         },
         other => panic!("unknown status {other}"),
     }
--- a/crates/ivypitch-simulator-adapter/src/lib.rs
+++ b/crates/ivypitch-simulator-adapter/src/lib.rs
@@ -4,7 +4,7 @@
 //! standard output. [`codec`] frames both, [`host`] turns events into calls of the scheduler of each instance, and
 //! the scheduler's actions into records of the reply.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used)]
 
 mod action;
 pub mod codec;
--- a/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/engines.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/engines.rs
@@ -62,7 +62,7 @@
     pub(super) fn set_status(&mut self, gateway: usize, engine: u64, status: OutlierStatus) {
         let gateway = &mut self.gateways[gateway];
         gateway.fleet_status.insert(engine, status);
-        if status.is_well {
+        if status.has_recovered {
             let engine = (engine - FIRST_ENGINE_NUMBER) as usize;
             gateway.own_ejected.remove(&engine);
             gateway.own_outcomes.remove(&engine);
@@ -101,10 +101,10 @@
             .copied()
             .unwrap_or_default();
         gateway.sends_since_probe += 1;
-        if !gateway.own_ejected.contains(&engine) && !status.is_out {
+        if !gateway.own_ejected.contains(&engine) && !status.is_ejected {
             return true;
         }
-        let has_turn = !status.is_out || status.tries;
+        let has_turn = !status.is_ejected || status.is_trial_assigned;
         let next_probe = gateway.next_probe.get(&engine).copied().unwrap_or(0);
         if gateway.sends_since_probe <= SENDS_BETWEEN_PROBES || !has_turn || now < next_probe {
             return false;
@@ -172,7 +172,7 @@
         let is_ejected_by_fleet = gateway
             .fleet_status
             .get(&engine_number(engine))
-            .is_some_and(|status| status.is_out);
+            .is_some_and(|status| status.is_ejected);
         gateway.own_ejected.contains(&engine) || is_ejected_by_fleet
     }
 
--- a/crates/ivypitch-types/src/lib.rs
+++ b/crates/ivypitch-types/src/lib.rs
@@ -3,7 +3,7 @@
 //! This crate sits below all others. It holds plain values without behaviour: nothing here decides, performs I/O or
 //! reads a clock.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used)]
 
 mod hash;
 mod ids;
