--- a/crates/ivypitch-config/src/deployment.rs
+++ b/crates/ivypitch-config/src/deployment.rs
@@ -102,7 +102,7 @@
         zone: settings.zone,
         tick: settings.tick_ns,
         workloads,
-        kinds: engine_kinds(settings),
+        engine_kinds: engine_kinds(settings),
         tenants: settings.tenants.iter().map(tenant).collect(),
         over_quota_priority_weight: settings.over_quota_priority_weight,
         max_open_statements: match permissions.max_open_statements {
@@ -119,7 +119,7 @@
         honors_memory_grants: extra.honors_memory_grants,
         honors_priorities: extra.honors_priorities,
         max_memory_grant_fraction: extra.max_memory_grant_fraction,
-        reports_true_cost: extra.reports_true_cost,
+        reports_measured_cost: extra.reports_measured_cost,
         must_request_endpoints: settings.endpoint_list_mode == "on_request",
         endpoint_request_deadline: contract.endpoint_request_deadline_ns,
         can_request_load_reports: permissions.can_request_load_reports,
@@ -140,7 +140,7 @@
         overload_window: contract.overload_window_ns,
         retry_budget: retry_budget(contract),
         key_settle_time: contract.key_settle_time_ns,
-        wasted_work_price: settings.prices.wasted_work,
+        wasted_work_price_per_s: settings.prices.wasted_work,
     })
 }
 
@@ -201,14 +201,14 @@
 
 fn report_field(name: &str) -> ReportField {
     match name {
-        "active" => ReportField::Inflight,
-        "waiting" => ReportField::Waiting,
-        "cpu" => ReportField::Cpu,
-        "avg_ms" => ReportField::LatencyMs,
-        "rps" => ReportField::ServedPerS,
-        "err_rps" => ReportField::ErrorsPerS,
-        "x0" => ReportField::MemoryGranted,
-        "x1" => ReportField::DisksBusy,
+        "active" => ReportField::InFlightAttempts,
+        "waiting" => ReportField::WaitingAttempts,
+        "cpu" => ReportField::CpuUtilization,
+        "avg_ms" => ReportField::MeanLatencyMs,
+        "rps" => ReportField::CompletedPerSecond,
+        "err_rps" => ReportField::FailedPerSecond,
+        "x0" => ReportField::GrantedMemoryFraction,
+        "x1" => ReportField::DiskUtilization,
         _ => ReportField::Unknown,
     }
 }
--- a/crates/ivypitch-config/src/platform.rs
+++ b/crates/ivypitch-config/src/platform.rs
@@ -97,7 +97,7 @@
     #[serde(rename = "progress-pace-ns")]
     pub progress_interval_ns: u64,
     #[serde(rename = "tells-cost")]
-    pub reports_true_cost: bool,
+    pub reports_measured_cost: bool,
 }
 
 #[derive(Deserialize, Default)]
--- a/crates/ivypitch-coordination/src/engine_health.rs
+++ b/crates/ivypitch-coordination/src/engine_health.rs
@@ -276,7 +276,7 @@
             decision.is_ejected && is_prober(now, engine, member, reachable_members, self.seed);
         OutlierStatus {
             is_ejected,
-            is_trial_assigned: is_probing,
+            is_probe_assigned: is_probing,
             has_recovered: decision.is_confirmed_healthy && !is_ejected,
         }
     }
@@ -301,7 +301,7 @@
         EngineHealthView {
             engine: decision.engine,
             is_ejected: decision.is_ejected,
-            is_probing: status.is_some_and(|status| status.is_trial_assigned),
+            is_probing: status.is_some_and(|status| status.is_probe_assigned),
             is_unreachable: decision.is_unreachable,
             failures: decision.failures,
             outcomes: decision.outcomes,
--- a/crates/ivypitch-gateway/src/actors/scheduler/context.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/context.rs
@@ -144,7 +144,7 @@
         executor: parts.executor.clone(),
     };
     let cores_by_kind = deployment
-        .kinds
+        .engine_kinds
         .iter()
         .map(|kind| kind.cores.max(1.0))
         .collect();
--- a/crates/ivypitch-gateway/src/actors/scheduler/endpoints.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/endpoints.rs
@@ -152,8 +152,8 @@
         }
         let id_hash = engine_id_hash(&endpoint.id);
         self.entries[engine.0].id_hash = id_hash;
-        let phase = engine_state(&endpoint.state);
-        if phase == EngineState::Gone {
+        let state = engine_state(&endpoint.state);
+        if state == EngineState::Gone {
             self.entries[engine.0].handle = None;
         } else {
             let Ok(address) = endpoint.address.parse() else {
@@ -171,7 +171,7 @@
             zone: index_of_name(&self.names.zones, &endpoint.zone),
             kind: index_of_name(&self.names.kinds, &endpoint.kind),
             cell: endpoint.cell,
-            phase,
+            state,
             weight: endpoint.weight,
             started_at: endpoint.started_ms * MILLISECOND,
         })
@@ -213,7 +213,7 @@
             }
         }
         for endpoint in listed {
-            self.entries[endpoint.engine.0].cores = if endpoint.phase == EngineState::Ready {
+            self.entries[endpoint.engine.0].cores = if endpoint.state == EngineState::Ready {
                 self.cores_by_kind
                     .get(usize::from(endpoint.kind))
                     .copied()
@@ -227,7 +227,7 @@
     /// Sets whether the listed engines are ready; engines that a complete list lacks are not.
     fn update_readiness(&mut self, kind: EndpointUpdateKind, listed: &[EngineEndpoint]) {
         for endpoint in listed {
-            self.entries[endpoint.engine.0].is_ready = endpoint.phase == EngineState::Ready;
+            self.entries[endpoint.engine.0].is_ready = endpoint.state == EngineState::Ready;
         }
         if kind == EndpointUpdateKind::Delta {
             return;
--- a/crates/ivypitch-gateway/src/actors/scheduler/ownership.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/ownership.rs
@@ -207,7 +207,7 @@
         match engine {
             None => scheduler.on_statement_arrived(context.now, statement, arrival, context),
             Some(engine) => {
-                scheduler.adopt_statement(context.now, statement, arrival, engine, context);
+                scheduler.take_over_statement(context.now, statement, arrival, engine, context);
                 context.poll_running_attempt(statement, engine);
             }
         }
--- a/crates/ivypitch-gateway/src/actors/scheduler/statements.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/statements.rs
@@ -230,10 +230,10 @@
             attempt: key.number,
             engine: key.engine,
             outcome: end.outcome,
-            took: run_time,
-            closed: context.is_answered(key.statement),
-            true_cost: end.measured_cost.map(|cost| (cost.work_ms, cost.peak_mb)),
-            report: &end.load_report,
+            duration: run_time,
+            has_final_answer: context.is_answered(key.statement),
+            measured_cost: end.measured_cost.map(|cost| (cost.work_ms, cost.peak_mb)),
+            load_report: &end.load_report,
         };
         self.scheduler
             .borrow_mut()
@@ -281,7 +281,7 @@
         time_left,
         is_repeat: fields.is_repeat,
         tenant,
-        estimated_mb: fields.memory_mb.map_or(0.0, estimated_mb),
+        estimated_memory_mb: fields.memory_mb.map_or(0.0, estimated_mb),
         estimated_work: estimated_work(statement),
     }
 }
--- a/crates/ivypitch-queueing/src/teams.rs
+++ b/crates/ivypitch-queueing/src/teams.rs
@@ -6,7 +6,7 @@
 //! importance that they ask for, and starts of their own: a report holds back no lookup. Within it, the workload goes
 //! first whose first statement is due first, where due is its coming and the workload's slack.
 
-use ivypitch_types::unit_hash;
+use ivypitch_types::hash_to_unit_interval;
 use ivypitch_types::{Nanos, StatementIndex};
 
 use crate::budgets::{Bucket, Budgets};
@@ -1213,7 +1213,7 @@
             .min(now + most);
         let back = wait.max(row.appointment - now).max(SOONEST_BACK);
         self.chances += 1;
-        let chance = unit_hash(&(self.seed, self.chances));
+        let chance = hash_to_unit_interval(&(self.seed, self.chances));
         // At the longest the spread goes below it, or all of them would come back at once then.
         let spread = (back as f64 * SPREAD_BACK * chance) as Nanos;
         if back + spread > most {
--- a/crates/ivypitch-scheduler/src/admission.rs
+++ b/crates/ivypitch-scheduler/src/admission.rs
@@ -69,7 +69,7 @@
             deadline: now.saturating_add(arrival.time_left),
             work_secs: work_secs.max(MIN_WORK_SECS),
             charged_work_secs,
-            estimated_mb: arrival.estimated_mb,
+            estimated_memory_mb: arrival.estimated_memory_mb,
             priority_weight,
             wait_until: now + max_wait,
             ..Statement::default()
--- a/crates/ivypitch-scheduler/src/attempts.rs
+++ b/crates/ivypitch-scheduler/src/attempts.rs
@@ -77,7 +77,7 @@
         };
         let state = &self.workloads[statement.workload];
         let grant_mb = if deployment.honors_memory_grants {
-            statement.estimated_mb * state.cost.memory_factor
+            statement.estimated_memory_mb * state.cost.memory_factor
         } else {
             0.0
         };
--- a/crates/ivypitch-scheduler/src/bulk_loads.rs
+++ b/crates/ivypitch-scheduler/src/bulk_loads.rs
@@ -5,7 +5,7 @@
 use crate::output::Output;
 use crate::scheduler::Scheduler;
 use crate::statement::Statement;
-use ivypitch_types::{EngineIndex, Nanos, unit_hash};
+use ivypitch_types::{EngineIndex, Nanos, hash_to_unit_interval};
 use std::collections::BTreeMap;
 
 /// Bulk loads hold one table group on at most this part of the engines, so that its readers find capacity.
@@ -13,7 +13,7 @@
 
 /// The 31-bit tag of a table group on an engine in messages among gateways.
 pub fn bulk_load_tag(engine_id: u64, table_group: u32) -> u32 {
-    (unit_hash(&(engine_id, table_group)) * f64::from(1u32 << 31)) as u32
+    (hash_to_unit_interval(&(engine_id, table_group)) * f64::from(1u32 << 31)) as u32
 }
 
 /// Whether a bulk load begins or ends.
--- a/crates/ivypitch-scheduler/src/capacity.rs
+++ b/crates/ivypitch-scheduler/src/capacity.rs
@@ -36,7 +36,7 @@
     pub(crate) fn engine_cores(&self, index: EngineIndex) -> f64 {
         let kind = usize::from(self.engines[index.0].endpoint.kind);
         self.deployment
-            .kinds
+            .engine_kinds
             .get(kind)
             .map_or(1.0, |k| k.cores)
             .max(1.0)
--- a/crates/ivypitch-scheduler/src/cost_model.rs
+++ b/crates/ivypitch-scheduler/src/cost_model.rs
@@ -120,7 +120,7 @@
 impl Scheduler {
     /// Learns from an arrival and returns the work to expect of it, in seconds.
     pub(crate) fn learn_arrival(&mut self, arrival: &Arrival) -> f64 {
-        let has_true_cost = self.deployment.reports_true_cost;
+        let has_true_cost = self.deployment.reports_measured_cost;
         let cost = &mut self.workloads[arrival.workload].cost;
         let work_secs = cost.expect_work(arrival.estimated_work, has_true_cost);
         for (workload, state) in self.workloads.iter_mut().enumerate() {
@@ -161,11 +161,11 @@
         };
         let workload = &self.deployment.workloads[statement.workload];
         let state = &mut self.workloads[statement.workload];
-        if let Some((work_ms, _)) = ended.true_cost {
+        if let Some((work_ms, _)) = ended.measured_cost {
             let true_work_secs = &mut state.cost.true_work_secs;
             *true_work_secs += LEARNING_RATE * (work_ms / 1000.0 - *true_work_secs);
         }
-        let took_secs = secs_from_nanos(ended.took);
+        let took_secs = secs_from_nanos(ended.duration);
         let slowness = (took_secs * workload.threads.max(1.0) / statement.work_secs)
             .clamp(MIN_SLOWNESS_SAMPLE, MAX_SLOWNESS_SAMPLE);
         state.cost.slowness += LEARNING_RATE * (slowness - state.cost.slowness);
--- a/crates/ivypitch-scheduler/src/deployment.rs
+++ b/crates/ivypitch-scheduler/src/deployment.rs
@@ -87,21 +87,21 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ReportField {
     /// Attempts that run on the engine, of all gateways.
-    Inflight,
+    InFlightAttempts,
     /// Attempts that wait on the engine.
-    Waiting,
+    WaitingAttempts,
     /// Processor utilization, 0 to 1.
-    Cpu,
+    CpuUtilization,
     /// Mean latency in milliseconds.
-    LatencyMs,
+    MeanLatencyMs,
     /// Completed attempts a second.
-    ServedPerS,
+    CompletedPerSecond,
     /// Failed attempts a second.
-    ErrorsPerS,
+    FailedPerSecond,
     /// Part of the memory that is granted, 0 to 1.
-    MemoryGranted,
+    GrantedMemoryFraction,
     /// Disk utilization, 0 to 1.
-    DisksBusy,
+    DiskUtilization,
     /// A field that this version does not know.
     Unknown,
 }
@@ -143,7 +143,7 @@
     /// Workloads, by index.
     pub workloads: Vec<Workload>,
     /// Engine kinds, by index.
-    pub kinds: Vec<EngineKind>,
+    pub engine_kinds: Vec<EngineKind>,
     /// Tenants, by index.
     pub tenants: Vec<Tenant>,
     /// Factor on the priority weight of statements beyond their tenant's quota.
@@ -163,7 +163,7 @@
     /// Largest memory grant, as a part of an engine's memory.
     pub max_memory_grant_fraction: f64,
     /// Results tell the true work and memory of an attempt.
-    pub reports_true_cost: bool,
+    pub reports_measured_cost: bool,
     /// Endpoints must be watched by request; else the host delivers them unasked.
     pub must_request_endpoints: bool,
     /// Where endpoints must be requested: a gateway that has not done so for this long counts as notified.
@@ -199,5 +199,5 @@
     /// How long a key rests after an attempt whose effect is unknown.
     pub key_settle_time: Option<Nanos>,
     /// Cost of a second of wasted work, relative to a completed statement.
-    pub wasted_work_price: f64,
+    pub wasted_work_price_per_s: f64,
 }
--- a/crates/ivypitch-scheduler/src/endpoints.rs
+++ b/crates/ivypitch-scheduler/src/endpoints.rs
@@ -48,6 +48,6 @@
         }
         self.set_listed(index, false);
         self.engines[index.0].endpoint = *endpoint;
-        self.set_listed(index, endpoint.phase != EngineState::Gone);
+        self.set_listed(index, endpoint.state != EngineState::Gone);
     }
 }
--- a/crates/ivypitch-scheduler/src/engine.rs
+++ b/crates/ivypitch-scheduler/src/engine.rs
@@ -86,7 +86,7 @@
     pub health: EngineHealth,
     /// The fleet's common decision, and whether this gateway sends trials now.
     pub is_ejected_by_fleet: bool,
-    pub is_trial_assigned: bool,
+    pub is_probe_assigned: bool,
     pub outcomes: RecentOutcomes,
     pub next_trial_at: Nanos,
     pub slowness: EngineSlowness,
@@ -112,7 +112,7 @@
 
     /// Whether the engine takes new statements.
     pub fn is_ready(&self) -> bool {
-        self.is_listed && self.endpoint.phase == EngineState::Ready
+        self.is_listed && self.endpoint.state == EngineState::Ready
     }
 
     /// Whether own outcomes or the fleet have ejected it.
@@ -147,7 +147,7 @@
     /// Whether a row of the endpoint list leaves the engine where it is in the subsets.
     pub fn has_same_eligibility(&self, endpoint: &EngineEndpoint) -> bool {
         self.is_listed
-            && self.endpoint.phase == endpoint.phase
+            && self.endpoint.state == endpoint.state
             && self.endpoint.zone == endpoint.zone
             && self.endpoint.kind == endpoint.kind
     }
--- a/crates/ivypitch-scheduler/src/events.rs
+++ b/crates/ivypitch-scheduler/src/events.rs
@@ -23,12 +23,12 @@
     pub id: u64,
     /// Zone, as an index.
     pub zone: u16,
-    /// Engine kind, as an index into [`Deployment::kinds`](crate::Deployment::kinds).
+    /// Engine kind, as an index into [`Deployment::engine_kinds`](crate::Deployment::engine_kinds).
     pub kind: u16,
     /// Cell, as an index.
     pub cell: u16,
     /// Whether the engine takes statements.
-    pub phase: EngineState,
+    pub state: EngineState,
     /// Weight by the endpoint list; decisions do not use it.
     pub weight: f64,
     /// When the engine's process started; 0: long ago.
@@ -62,7 +62,7 @@
     /// Index into [`Deployment::tenants`](crate::Deployment::tenants).
     pub tenant: usize,
     /// Estimated memory in MB; 0: not estimated.
-    pub estimated_mb: f64,
+    pub estimated_memory_mb: f64,
     /// Estimated work, summed over its threads; 0: not estimated.
     pub estimated_work: Nanos,
 }
@@ -73,7 +73,7 @@
     /// The fleet has ejected the engine: it gets trials only.
     pub is_ejected: bool,
     /// This gateway is one of those that send trials now.
-    pub is_trial_assigned: bool,
+    pub is_probe_assigned: bool,
     /// Other gateways had success with it lately: earlier outcomes at this gateway are stale.
     pub has_recovered: bool,
 }
@@ -88,14 +88,14 @@
     /// How it ended.
     pub outcome: Outcome,
     /// Time from its send to its end.
-    pub took: Nanos,
+    pub duration: Nanos,
     /// The statement has its final answer, by this outcome or before.
-    pub closed: bool,
+    pub has_final_answer: bool,
     /// True work in ms and memory in MB, where results tell them.
-    pub true_cost: Option<(f64, f64)>,
+    pub measured_cost: Option<(f64, f64)>,
     /// Load report that came with it; empty: none. See
     /// [`Deployment::report_fields`](crate::Deployment::report_fields).
-    pub report: &'a [f32],
+    pub load_report: &'a [f32],
 }
 
 /// What an engine reports of an attempt that runs.
--- a/crates/ivypitch-scheduler/src/lib.rs
+++ b/crates/ivypitch-scheduler/src/lib.rs
@@ -68,12 +68,12 @@
 //! let deployment = Deployment {
 //!     gateways: 1,
 //!     workloads: vec![lookup],
-//!     kinds: vec![EngineKind { cores: 8.0, memory_mb: 16384.0 }],
+//!     engine_kinds: vec![EngineKind { cores: 8.0, memory_mb: 16384.0 }],
 //!     max_open_statements: 100,
 //!     max_attempts: 3,
 //!     ..Deployment::default()
 //! };
-//! let endpoint = EngineEndpoint { id: 7, phase: EngineState::Ready, ..EngineEndpoint::default() };
+//! let endpoint = EngineEndpoint { id: 7, state: EngineState::Ready, ..EngineEndpoint::default() };
 //! let arrival = Arrival {
 //!     workload: 0,
 //!     key: 0,
@@ -81,7 +81,7 @@
 //!     time_left: 4 * SECOND,
 //!     is_repeat: false,
 //!     tenant: 0,
-//!     estimated_mb: 0.0,
+//!     estimated_memory_mb: 0.0,
 //!     estimated_work: 0,
 //! };
 //!
--- a/crates/ivypitch-scheduler/src/load_reports.rs
+++ b/crates/ivypitch-scheduler/src/load_reports.rs
@@ -71,19 +71,19 @@
         for (field, &value) in self.deployment.report_fields.iter().zip(report) {
             let value = f64::from(value);
             match field {
-                ReportField::Cpu | ReportField::MemoryGranted => {
+                ReportField::CpuUtilization | ReportField::GrantedMemoryFraction => {
                     is_busy |= value >= PRESSURE_UTILIZATION;
                 }
-                ReportField::Waiting => is_busy |= value >= PRESSURE_WAITING,
-                ReportField::Inflight => {
+                ReportField::WaitingAttempts => is_busy |= value >= PRESSURE_WAITING,
+                ReportField::InFlightAttempts => {
                     let attempts_of_others = (value - f64::from(engine.in_flight)).max(0.0);
                     engine.threads_of_others = attempts_of_others * threads_per_attempt;
                     engine.reported_at = now;
                 }
-                ReportField::LatencyMs
-                | ReportField::ServedPerS
-                | ReportField::ErrorsPerS
-                | ReportField::DisksBusy
+                ReportField::MeanLatencyMs
+                | ReportField::CompletedPerSecond
+                | ReportField::FailedPerSecond
+                | ReportField::DiskUtilization
                 | ReportField::Unknown => {}
             }
         }
--- a/crates/ivypitch-scheduler/src/outlier_detection.rs
+++ b/crates/ivypitch-scheduler/src/outlier_detection.rs
@@ -65,7 +65,7 @@
         let is_trial_due = can_be_trial && now >= self.next_trial_at;
         let is_ejected = self.health == EngineHealth::Ejected && !is_trial_due;
         let is_ejected_by_fleet =
-            self.is_ejected_by_fleet && !(is_trial_due && self.is_trial_assigned);
+            self.is_ejected_by_fleet && !(is_trial_due && self.is_probe_assigned);
         is_ejected || is_ejected_by_fleet || self.is_unresponsive(now)
     }
 }
@@ -91,7 +91,7 @@
             return;
         };
         engine.is_ejected_by_fleet = status.is_ejected;
-        engine.is_trial_assigned = status.is_trial_assigned;
+        engine.is_probe_assigned = status.is_probe_assigned;
         if status.has_recovered {
             engine.outcomes.clear();
             let evidence = HealthEvidence::RecoveredAtPeers;
--- a/crates/ivypitch-scheduler/src/placement.rs
+++ b/crates/ivypitch-scheduler/src/placement.rs
@@ -25,7 +25,7 @@
 use crate::outlier_detection::must_use_suspected;
 use crate::scheduler::Scheduler;
 use crate::statement::Statement;
-use ivypitch_types::{EngineIndex, Nanos, StatementIndex, unit_hash};
+use ivypitch_types::{EngineIndex, Nanos, StatementIndex, hash_to_unit_interval};
 
 /// The paper's α: how far the chosen engine's EMA point moves towards the query point (its
 /// best is near 0.1).
@@ -42,7 +42,10 @@
 
 /// Where an id lies on the unit square.
 pub(crate) fn point_of(id: u64) -> Point {
-    [unit_hash(&(id, 0u8)), unit_hash(&(id, 1u8))]
+    [
+        hash_to_unit_interval(&(id, 0u8)),
+        hash_to_unit_interval(&(id, 1u8)),
+    ]
 }
 
 /// One of this gateway's recent sends.
--- a/crates/ivypitch-scheduler/src/scheduler.rs
+++ b/crates/ivypitch-scheduler/src/scheduler.rs
@@ -16,7 +16,9 @@
 use crate::statement::{Attempt, PossibleRun, Statement, StatementState};
 use crate::tenant_quota::TenantQuotas;
 use crate::workload::WorkloadState;
-use ivypitch_types::{EngineIndex, MILLISECOND, Nanos, Outcome, SECOND, StatementIndex, unit_hash};
+use ivypitch_types::{
+    EngineIndex, MILLISECOND, Nanos, Outcome, SECOND, StatementIndex, hash_to_unit_interval,
+};
 use std::collections::VecDeque;
 
 /// While statements are open, lost attempts and deadlines are looked for at this interval.
@@ -40,7 +42,7 @@
     /// The next number in `[0, 1)`.
     pub fn next_unit(&mut self) -> f64 {
         self.draws += 1;
-        unit_hash(&(self.seed, self.draws))
+        hash_to_unit_interval(&(self.seed, self.draws))
     }
 }
 
@@ -204,7 +206,7 @@
     /// Takes over a statement whose attempt a lost gateway has sent to `engine`.
     ///
     /// The attempt counts as a retry, and its first error says nothing about the engine.
-    pub fn adopt_statement(
+    pub fn take_over_statement(
         &mut self,
         now: Nanos,
         index: StatementIndex,
@@ -355,8 +357,8 @@
             let change = BulkLoadChange::Ends;
             self.on_own_bulk_load(now, attempt.engine, table_group, change, out);
         }
-        self.read_load_report(now, attempt.engine, ended.report);
-        if ended.closed {
+        self.read_load_report(now, attempt.engine, ended.load_report);
+        if ended.has_final_answer {
             self.transition(index, StatementState::Answered);
         } else {
             self.retry_or_answer(now, index, ended.outcome, out);
--- a/crates/ivypitch-scheduler/src/statement.rs
+++ b/crates/ivypitch-scheduler/src/statement.rs
@@ -70,7 +70,7 @@
     pub work_secs: f64,
     /// Usual work of its workload, charged to slow-start limits.
     pub charged_work_secs: f64,
-    pub estimated_mb: f64,
+    pub estimated_memory_mb: f64,
     pub has_spilled: bool,
     /// Its workload's, less where its tenant is over quota.
     pub priority_weight: f64,
--- a/crates/ivypitch-scheduler/src/subset.rs
+++ b/crates/ivypitch-scheduler/src/subset.rs
@@ -11,7 +11,9 @@
 use crate::safety_rules::Action;
 use crate::scheduler::Scheduler;
 use crate::statement::Statement;
-use ivypitch_types::{EngineIndex, Nanos, SECOND, StatementIndex, secs_from_nanos, unit_hash};
+use ivypitch_types::{
+    EngineIndex, Nanos, SECOND, StatementIndex, hash_to_unit_interval, secs_from_nanos,
+};
 use std::collections::BTreeSet;
 
 /// Own statements bring so many load reports of each engine in the subset while a report is fresh.
@@ -33,7 +35,8 @@
 /// gateways are near each other at some engines only (a multiplier without a common factor with their number,
 /// and a shift).
 pub fn gateway_rank(engine_id: u64, member_index: usize, gateways: usize) -> usize {
-    let draw = |purpose: u8| (unit_hash(&(engine_id, purpose)) * gateways as f64) as usize;
+    let draw =
+        |purpose: u8| (hash_to_unit_interval(&(engine_id, purpose)) * gateways as f64) as usize;
     let mut multiplier = draw(2).max(1);
     while greatest_common_divisor(multiplier, gateways) > 1 {
         multiplier = multiplier % gateways + 1;
@@ -62,7 +65,7 @@
     pub fn new(endpoint: &EngineEndpoint, member_index: usize, gateways: usize) -> Self {
         EngineRank {
             gateway_rank: gateway_rank(endpoint.id, member_index, gateways) as u32,
-            id_hash: (unit_hash(&endpoint.id) * f64::from(u32::MAX)) as u32,
+            id_hash: (hash_to_unit_interval(&endpoint.id) * f64::from(u32::MAX)) as u32,
             engine: endpoint.engine,
         }
     }
@@ -180,7 +183,7 @@
         let arrivals = self.retry_budget.arrivals_since(now - span.min(now)) as f64;
         let size_by_traffic = arrivals / secs_from_nanos(span) * secs_from_nanos(REPORT_LIFETIME)
             / REPORTS_PER_LIFETIME;
-        let kinds = &self.deployment.kinds;
+        let kinds = &self.deployment.engine_kinds;
         let gateways = self.deployment.gateways;
         for state in &mut self.workloads {
             state.subset.resize(size_by_traffic, kinds, gateways);
--- a/crates/ivypitch-scheduler/tests/gateway_rank.rs
+++ b/crates/ivypitch-scheduler/tests/gateway_rank.rs
@@ -1,7 +1,7 @@
 //! Which gateways have which engines in their subsets: by counts of ranks alone, the same on any machine.
 
 use ivypitch_scheduler::gateway_rank;
-use ivypitch_types::unit_hash;
+use ivypitch_types::hash_to_unit_interval;
 use test_case::test_case;
 
 /// The engines that rank the gateway lowest, so many of them: its subset.
@@ -9,7 +9,7 @@
     let key = |id: &u64| {
         (
             gateway_rank(*id, member_index, gateways),
-            (unit_hash(id) * 1e9) as u64,
+            (hash_to_unit_interval(id) * 1e9) as u64,
             *id,
         )
     };
--- a/crates/ivypitch-scheduler/tests/scenario_language/configuration.rs
+++ b/crates/ivypitch-scheduler/tests/scenario_language/configuration.rs
@@ -14,7 +14,7 @@
         tick: 5 * MILLISECOND,
         over_quota_priority_weight: 0.1,
         max_open_statements: usize::MAX,
-        report_fields: vec![ReportField::Inflight, ReportField::Cpu],
+        report_fields: vec![ReportField::InFlightAttempts, ReportField::CpuUtilization],
         progress_interval: 2 * SECOND,
         can_cancel: true,
         honors_retry_after: true,
@@ -88,7 +88,7 @@
         zone: fields.number("zone", 0.0) as u16,
         kind: fields.number("kind", 0.0) as u16,
         cell: fields.number("cell", 0.0) as u16,
-        phase: match fields.text("phase") {
+        state: match fields.text("phase") {
             Some("draining") => EngineState::Draining,
             Some("gone") => EngineState::Gone,
             Some("ready") | None => EngineState::Ready,
@@ -107,7 +107,7 @@
         time_left: fields.millis("time_left", 4000.0),
         is_repeat: false,
         tenant: fields.number("tenant", 0.0) as usize,
-        estimated_mb: fields.number("estimated_mb", 0.0),
+        estimated_memory_mb: fields.number("estimated_mb", 0.0),
         estimated_work: fields.millis("estimated_work", 100.0),
     }
 }
@@ -131,7 +131,7 @@
     match word {
         "ejected" | "trial" | "recovered" | "none" => OutlierStatus {
             is_ejected: word == "ejected" || word == "trial",
-            is_trial_assigned: word == "trial",
+            is_probe_assigned: word == "trial",
             has_recovered: word == "recovered",
         },
         other => panic!("unknown status {other}"),
--- a/crates/ivypitch-scheduler/tests/scenario_language/player.rs
+++ b/crates/ivypitch-scheduler/tests/scenario_language/player.rs
@@ -108,7 +108,7 @@
                 self.workloads.push(words[1].into());
                 deployment.workloads.push(configuration::workload(&fields));
             }
-            "engine_kind" => deployment.kinds.push(EngineKind {
+            "engine_kind" => deployment.engine_kinds.push(EngineKind {
                 cores: fields.number("cores", 8.0),
                 memory_mb: 16384.0,
             }),
@@ -257,7 +257,7 @@
         let attempt = LastAttempt { engine, number: 0 };
         self.recorder.attempts.insert(statement.0, attempt);
         let (scheduler, recorder) = self.scheduler();
-        scheduler.adopt_statement(now, statement, arrival, engine, recorder);
+        scheduler.take_over_statement(now, statement, arrival, engine, recorder);
     }
 
     fn end_attempt(&mut self, words: &[&str]) {
@@ -271,12 +271,12 @@
             attempt: fields.number("attempt", f64::from(last.number)) as u32,
             engine: last.engine,
             outcome,
-            took: fields.millis("took", 100.0),
-            closed: outcome == Outcome::Completed || fields.flag("closed"),
-            true_cost: fields
+            duration: fields.millis("took", 100.0),
+            has_final_answer: outcome == Outcome::Completed || fields.flag("closed"),
+            measured_cost: fields
                 .text("true_cost")
                 .map(|work_ms| (work_ms.parse().unwrap(), 0.0)),
-            report: &report,
+            load_report: &report,
         };
         let (scheduler, recorder) = self.scheduler();
         scheduler.on_attempt_ended(now, statement, &ended, recorder);
--- a/crates/ivypitch-simulator-adapter/src/event.rs
+++ b/crates/ivypitch-simulator-adapter/src/event.rs
@@ -58,10 +58,10 @@
     pub attempt: u32,
     pub engine: EngineId,
     pub outcome: Outcome,
-    pub took: Nanos,
-    pub is_closed: bool,
+    pub duration: Nanos,
+    pub has_final_answer: bool,
     /// Work in ms and memory in MB.
-    pub true_cost: Option<(f64, f64)>,
+    pub measured_cost: Option<(f64, f64)>,
 }
 
 /// What has happened at an instance. Load reports are decoded beside it.
@@ -185,7 +185,7 @@
     let zone = cursor.u16()?;
     let kind = cursor.u16()?;
     let cell = cursor.u16()?;
-    let phase = match cursor.u8()? {
+    let state = match cursor.u8()? {
         0 => EngineState::Gone,
         1 => EngineState::Ready,
         2 => EngineState::Draining,
@@ -201,7 +201,7 @@
         zone,
         kind,
         cell,
-        phase,
+        state,
         weight,
         started_at,
     };
@@ -240,7 +240,7 @@
         time_left,
         is_repeat: attributes & IS_REPEAT != 0,
         tenant,
-        estimated_mb: estimated_mb(memory_mb),
+        estimated_memory_mb: estimated_mb(memory_mb),
         estimated_work: if has_estimated_work { work } else { 0 },
     };
     Ok(Event::StatementArrived { request, arrival })
@@ -262,22 +262,22 @@
     let attempt = u32::from(cursor.u16()?);
     let engine = cursor.engine()?;
     let outcome = decode_outcome(cursor)?;
-    let took = cursor.u64()?;
-    let is_closed = cursor.u8()? != 0;
+    let duration = cursor.u64()?;
+    let has_final_answer = cursor.u8()? != 0;
     let cost = cursor.u32()?;
     cursor.load_report(report)?;
     let ended = EndedAttempt {
         attempt,
         engine,
         outcome,
-        took,
-        is_closed,
-        true_cost: true_cost(cost),
+        duration,
+        has_final_answer,
+        measured_cost: measured_cost(cost),
     };
     Ok(Event::AttemptEnded { request, ended })
 }
 
-fn true_cost(cost: u32) -> Option<(f64, f64)> {
+fn measured_cost(cost: u32) -> Option<(f64, f64)> {
     if cost == 0 {
         return None;
     }
--- a/crates/ivypitch-simulator-adapter/src/host.rs
+++ b/crates/ivypitch-simulator-adapter/src/host.rs
@@ -241,10 +241,10 @@
         attempt: ended.attempt,
         engine,
         outcome: ended.outcome,
-        took: ended.took,
-        closed: ended.is_closed,
-        true_cost: ended.true_cost,
-        report,
+        duration: ended.duration,
+        has_final_answer: ended.has_final_answer,
+        measured_cost: ended.measured_cost,
+        load_report: report,
     };
     scheduler.on_attempt_ended(now, statement, &ended, output);
 }
--- a/crates/ivypitch-testbed/src/experiments/scale/module.rs
+++ b/crates/ivypitch-testbed/src/experiments/scale/module.rs
@@ -59,7 +59,7 @@
         gateways: (engines as f64 / ENGINES_A_GATEWAY).round() as usize,
         tick: MS,
         workloads: vec![workload(300, 1.0, 1.0), workload(3000, 2.0, 8.0)],
-        kinds: vec![EngineKind {
+        engine_kinds: vec![EngineKind {
             cores: 16.0,
             memory_mb: 65536.0,
         }],
@@ -68,10 +68,10 @@
         }],
         over_quota_priority_weight: 0.1,
         max_open_statements: 20_000,
-        report_fields: vec![ReportField::Inflight],
+        report_fields: vec![ReportField::InFlightAttempts],
         load_reporting: LoadReporting::WithResults,
         honors_priorities: true,
-        reports_true_cost: true,
+        reports_measured_cost: true,
         can_cancel: true,
         max_attempts: 4,
         slow_start_initial_fraction: 0.3,
@@ -92,7 +92,7 @@
         engine: EngineIndex(e),
         id: e as u64 * 7919 + 17,
         zone: (e % 24) as u16,
-        phase: EngineState::Ready,
+        state: EngineState::Ready,
         weight: 1.0,
         ..EngineEndpoint::default()
     };
@@ -141,7 +141,7 @@
             time_left: 20 * SECOND,
             is_repeat: false,
             tenant: 0,
-            estimated_mb: 0.0,
+            estimated_memory_mb: 0.0,
             estimated_work: 40 * MS,
         };
         self.module
@@ -160,10 +160,10 @@
                 attempt: 0,
                 engine,
                 outcome: Outcome::Completed,
-                took: 9 * MS,
-                closed: true,
-                true_cost: Some((40.0, 0.0)),
-                report: &[1.0],
+                duration: 9 * MS,
+                has_final_answer: true,
+                measured_cost: Some((40.0, 0.0)),
+                load_report: &[1.0],
             };
             self.module
                 .on_attempt_ended(self.now, stmt, &ended, &mut self.out);
--- a/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/engines.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/engines.rs
@@ -104,7 +104,7 @@
         if !gateway.own_ejected.contains(&engine) && !status.is_ejected {
             return true;
         }
-        let has_turn = !status.is_ejected || status.is_trial_assigned;
+        let has_turn = !status.is_ejected || status.is_probe_assigned;
         let next_probe = gateway.next_probe.get(&engine).copied().unwrap_or(0);
         if gateway.sends_since_probe <= SENDS_BETWEEN_PROBES || !has_turn || now < next_probe {
             return false;
--- a/crates/ivypitch-testbed/src/virtual_time/fleet.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/fleet.rs
@@ -265,17 +265,17 @@
         member_index: me,
         tick: SECOND / 1000,
         workloads: plan.works.iter().map(workload).collect(),
-        kinds: vec![EngineKind {
+        engine_kinds: vec![EngineKind {
             cores: plan.model.cores,
             memory_mb: 65536.0,
         }],
         tenants: plan.allowances.iter().map(rate).collect(),
         over_quota_priority_weight: 0.1,
         max_open_statements: usize::MAX,
-        report_fields: vec![ReportField::Inflight],
+        report_fields: vec![ReportField::InFlightAttempts],
         load_reporting: LoadReporting::WithResults,
         honors_priorities: true,
-        reports_true_cost: true,
+        reports_measured_cost: true,
         can_cancel: true,
         honors_retry_after: true,
         max_retry_after: 2 * SECOND,
@@ -302,7 +302,7 @@
             .map(|e| EngineEndpoint {
                 engine: EngineIndex(e),
                 id: e as u64 * 7919 + 17,
-                phase: EngineState::Ready,
+                state: EngineState::Ready,
                 weight: 1.0,
                 ..EngineEndpoint::default()
             })
@@ -502,7 +502,7 @@
             is_repeat: false,
             // A team within its share has no allowance to go over.
             tenant: if within { usize::MAX } else { asked.team },
-            estimated_mb: 0.0,
+            estimated_memory_mb: 0.0,
             estimated_work: (asked.told_work * 1e9) as Nanos,
         };
         node.module
@@ -747,10 +747,10 @@
             attempt: e.number,
             engine: EngineIndex(engine),
             outcome,
-            took,
-            closed: open.answered,
-            true_cost: (how == HOW_GOOD).then_some((work * 1000.0, 0.0)),
-            report: if matches!(how, HOW_GOOD | HOW_ERROR) {
+            duration: took,
+            has_final_answer: open.answered,
+            measured_cost: (how == HOW_GOOD).then_some((work * 1000.0, 0.0)),
+            load_report: if matches!(how, HOW_GOOD | HOW_ERROR) {
                 &report
             } else {
                 &[]
--- a/crates/ivypitch-types/src/hash.rs
+++ b/crates/ivypitch-types/src/hash.rs
@@ -3,7 +3,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 /// Maps a value to a number in `[0, 1)`. The same value gives the same number in every process.
-pub fn unit_hash(value: &impl Hash) -> f64 {
+pub fn hash_to_unit_interval(value: &impl Hash) -> f64 {
     const MANTISSA_BITS: u32 = 53;
     let mut hasher = DefaultHasher::new();
     value.hash(&mut hasher);
--- a/crates/ivypitch-types/src/lib.rs
+++ b/crates/ivypitch-types/src/lib.rs
@@ -10,7 +10,7 @@
 mod outcome;
 mod time;
 
-pub use hash::unit_hash;
+pub use hash::hash_to_unit_interval;
 pub use ids::{EngineIndex, Incarnation, MemberId, ProcessId, StatementIndex};
 pub use outcome::Outcome;
 pub use time::{MICROSECOND, MILLISECOND, Nanos, SECOND, nanos_from_secs, secs_from_nanos};
