--- a/crates/ivypitch-types/src/hash.rs
+++ b/crates/ivypitch-types/src/hash.rs
@@ -1,8 +1,8 @@
-//! Reproducible pseudo-random numbers from values.
+//! Deterministic hashing of values to the unit interval.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Maps a value to a number in `[0, 1)`. The same value gives the same number in every process.
+/// Hashes a value to a number in `[0, 1)`. The same value gives the same number in every process.
 pub fn hash_to_unit_interval(value: &impl Hash) -> f64 {
     const MANTISSA_BITS: u32 = 53;
     let mut hasher = DefaultHasher::new();
--- a/crates/ivypitch-types/src/lib.rs
+++ b/crates/ivypitch-types/src/lib.rs
@@ -1,7 +1,7 @@
 //! Time, identifiers and attempt outcomes shared by every ivypitch crate.
 //!
-//! This crate sits below all others. It holds plain values without behaviour: nothing here decides, performs I/O or
-//! reads a clock.
+//! No ivypitch crate is below this one. It holds plain values: nothing here makes scheduling
+//! decisions, performs I/O or reads a clock.
 
 #![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used)]
 
--- a/crates/ivypitch-types/src/outcome.rs
+++ b/crates/ivypitch-types/src/outcome.rs
@@ -1,30 +1,30 @@
-//! How an attempt to run a statement on an engine ended.
+//! The outcome of an attempt to run a statement on an engine.
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Outcome {
     /// The engine ran the statement and returned its complete result.
     Completed,
-    /// The engine answered with an error.
+    /// The engine returned an error.
     Error,
-    /// The engine rejected the attempt because it is at capacity. It ran nothing.
+    /// The engine rejected the attempt because it is at capacity. The statement did not run.
     Overloaded,
-    /// No result within the attempt's timeout.
+    /// No result arrived within the attempt's timeout.
     TimedOut,
-    /// No connection could be opened. The engine ran nothing.
+    /// No connection could be opened. The statement did not run.
     ConnectFailed,
     /// The connection broke after the request had been written.
     Reset,
-    /// The attempt was cancelled. It may have run.
+    /// The attempt was cancelled. The statement may have run.
     Cancelled,
-    /// The statement was already over, or another gateway acts for it. The engine ran nothing.
+    /// The statement had already ended, or another gateway owns it. The statement did not run.
     NeverDispatched,
-    /// The attempt was withdrawn before its first byte left. It does not count as an attempt.
+    /// The attempt was withdrawn before its first byte was sent. It does not count as an attempt.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether the outcome itself proves that the attempt never ran.
+    /// Whether the outcome alone proves that the engine never ran the statement.
     pub fn never_ran(self) -> bool {
         matches!(
             self,
--- a/crates/ivypitch-types/src/time.rs
+++ b/crates/ivypitch-types/src/time.rs
@@ -1,8 +1,8 @@
-//! Time as decisions see it: whole nanoseconds of a clock that only advances.
+//! Time in whole nanoseconds of a monotonic clock.
 
 /// A point in time or a duration, in nanoseconds.
 ///
-/// Points are relative to an origin that the caller chooses; they must never go backwards.
+/// Points in time are relative to an origin that the caller chooses; they must never go backwards.
 pub type Nanos = u64;
 
 /// One microsecond in nanoseconds.
@@ -14,12 +14,12 @@
 /// One second in nanoseconds.
 pub const SECOND: Nanos = 1_000_000_000;
 
-/// Converts a duration to seconds, for arithmetic with rates.
+/// Converts a duration to seconds, for arithmetic with rates per second.
 pub fn secs_from_nanos(duration: Nanos) -> f64 {
     duration as f64 / SECOND as f64
 }
 
-/// Converts seconds to a duration. Negative and undefined values become zero; values that are too large saturate.
+/// Converts seconds to a duration. Negative values and NaN become zero; too large values saturate.
 pub fn nanos_from_secs(seconds: f64) -> Nanos {
     (seconds * SECOND as f64) as Nanos
 }
