--- a/crates/ivypitch-scheduler/tests/gateway_rank.rs
+++ b/crates/ivypitch-scheduler/tests/gateway_rank.rs
@@ -1,10 +1,11 @@
-//! Which gateways have which engines in their subsets: by counts of ranks alone, the same on any machine.
+//! The distribution of engines over the gateways' subsets. The tests count ranks only, so that
+//! their results are the same on any machine.
 
 use ivypitch_scheduler::gateway_rank;
 use ivypitch_types::hash_to_unit_interval;
 use test_case::test_case;
 
-/// The engines that rank the gateway lowest, so many of them: its subset.
+/// Returns the gateway's subset: the `count` engines that rank the gateway lowest.
 fn subset(engines: &[u64], member_index: usize, gateways: usize, count: usize) -> Vec<u64> {
     let key = |id: &u64| {
         (
@@ -20,13 +21,16 @@
     ids
 }
 
-fn ids(engines: usize) -> Vec<u64> {
-    (0..engines as u64).map(|e| e * 7919 + 17).collect()
+fn engine_ids(engines: usize) -> Vec<u64> {
+    (0..engines as u64)
+        .map(|engine| engine * 7919 + 17)
+        .collect()
 }
 
-/// The least and the most gateways that have an engine in their subset, over the mean; engines in no subset.
+/// Returns the least and the largest number of gateways that have an engine in their subset, both
+/// divided by the mean, and the number of engines in no subset.
 fn gateways_per_engine(gateways: usize, engines: usize, count: usize) -> (f64, f64, usize) {
-    let all = ids(engines);
+    let all = engine_ids(engines);
     let mut counts = vec![0u32; engines];
     for member_index in 0..gateways {
         subset(&all, member_index, gateways, count)
@@ -34,11 +38,11 @@
             .for_each(|id| counts[((id - 17) / 7919) as usize] += 1);
     }
     let mean = (gateways * count) as f64 / engines as f64;
-    let (least, most) = (counts.iter().min().unwrap(), counts.iter().max().unwrap());
+    let (min, max) = (counts.iter().min().unwrap(), counts.iter().max().unwrap());
     (
-        f64::from(*least) / mean,
-        f64::from(*most) / mean,
-        counts.iter().filter(|&&n| n == 0).count(),
+        f64::from(*min) / mean,
+        f64::from(*max) / mean,
+        counts.iter().filter(|&&count| count == 0).count(),
     )
 }
 
@@ -48,7 +52,7 @@
 #[test_case(273)]
 #[test_case(3800)]
 fn every_rank_at_an_engine_goes_to_one_gateway(gateways: usize) {
-    for id in ids(5) {
+    for id in engine_ids(5) {
         let mut ranks: Vec<usize> = (0..gateways)
             .map(|member_index| gateway_rank(id, member_index, gateways))
             .collect();
@@ -70,61 +74,69 @@
     low: f64,
     high: f64,
 ) {
-    let (least, most, in_none) = gateways_per_engine(gateways, engines, count);
+    let (min, max, in_none) = gateways_per_engine(gateways, engines, count);
     println!(
-        "{gateways} x {engines}, subsets of {count}: {least:.2} to {most:.2} of the mean, {in_none} in none"
+        "{gateways} gateways x {engines} engines, subsets of {count}: {min:.2} to {max:.2} of the mean, \
+         {in_none} engines in no subset"
     );
     assert!(
-        least >= low && most <= high && in_none == 0,
-        "{least:.2} to {most:.2}, {in_none} in none"
+        min >= low && max <= high && in_none == 0,
+        "{min:.2} to {max:.2} of the mean, {in_none} engines in no subset"
     );
 }
 
-/// Two minutes unoptimized: by hand, with `--ignored` on a release build.
+/// Takes two minutes without optimization: run by hand with `--ignored` on a release build.
 #[test]
 #[ignore = "167 million ranks: run by hand on a release build"]
 fn each_engine_is_in_nearly_as_many_subsets_at_the_planned_size() {
-    let (least, most, in_none) = gateways_per_engine(3800, 44_000, 82);
+    let (min, max, in_none) = gateways_per_engine(3800, 44_000, 82);
     println!(
-        "3,800 x 44,000, subsets of 82: {least:.2} to {most:.2} of the mean, {in_none} in none"
+        "3,800 gateways x 44,000 engines, subsets of 82: {min:.2} to {max:.2} of the mean, \
+         {in_none} engines in no subset"
     );
     assert!(
-        least >= 0.3 && most <= 2.0 && in_none == 0,
-        "{least:.2} to {most:.2}, {in_none} in none"
+        min >= 0.3 && max <= 2.0 && in_none == 0,
+        "{min:.2} to {max:.2} of the mean, {in_none} engines in no subset"
     );
 }
 
 #[test]
 fn one_engine_more_or_less_changes_one_engine_in_the_subsets_that_have_it() {
     let (gateways, count) = (273, 5);
-    let (all, less) = (ids(80), ids(79));
-    let mut moved = 0;
+    let (all, all_but_one) = (engine_ids(80), engine_ids(79));
+    let mut changed_subsets = 0;
     for member_index in 0..gateways {
         let (with, without) = (
             subset(&all, member_index, gateways, count),
-            subset(&less, member_index, gateways, count),
+            subset(&all_but_one, member_index, gateways, count),
         );
-        let gone = with.iter().filter(|id| !without.contains(id)).count();
-        assert!(gone <= 1, "gateway {member_index}: {with:?}, {without:?}");
-        moved += gone;
+        let removed = with.iter().filter(|id| !without.contains(id)).count();
+        assert!(
+            removed <= 1,
+            "gateway {member_index}: {with:?}, {without:?}"
+        );
+        changed_subsets += removed;
     }
-    // As many as have an engine in their subset: 17 in the mean.
-    assert!((9..=26).contains(&moved), "{moved} subsets changed");
+    // As many subsets change as contain the engine: 17 in the mean.
+    assert!(
+        (9..=26).contains(&changed_subsets),
+        "{changed_subsets} subsets changed"
+    );
 }
 
 #[test]
 fn gateways_that_share_one_engine_share_few_others() {
     let (gateways, count) = (273, 5);
     let all: Vec<_> = (0..gateways)
-        .map(|member_index| subset(&ids(80), member_index, gateways, count))
+        .map(|member_index| subset(&engine_ids(80), member_index, gateways, count))
         .collect();
-    let mut alike = 0;
+    let mut equal_pairs = 0;
     for a in 0..gateways {
-        alike += (0..a).filter(|&b| all[a] == all[b]).count();
+        equal_pairs += (0..a).filter(|&b| all[a] == all[b]).count();
     }
-    // Closed cells of 17 gateways would make 2,184 such pairs.
+    // Disjoint groups of 17 gateways with the same subset would give 2,184 such pairs.
     assert!(
-        alike < 50,
-        "{alike} pairs of gateways with the same engines"
+        equal_pairs < 50,
+        "{equal_pairs} pairs of gateways with the same engines"
     );
 }
--- a/crates/ivypitch-scheduler/tests/scenario_language/configuration.rs
+++ b/crates/ivypitch-scheduler/tests/scenario_language/configuration.rs
@@ -1,4 +1,4 @@
-//! The deployment that scenarios start from, and the steps that change it.
+//! The default deployment of the scenarios, and the values of their steps.
 
 use super::fields::Fields;
 use ivypitch_scheduler::{
@@ -29,7 +29,7 @@
     }
 }
 
-/// `set FIELD VALUE`
+/// Applies the step `set FIELD VALUE`.
 pub fn set(deployment: &mut Deployment, field: &str, value: f64) {
     let is_on = value != 0.0;
     match field {
--- a/crates/ivypitch-scheduler/tests/scenario_language/fields.rs
+++ b/crates/ivypitch-scheduler/tests/scenario_language/fields.rs
@@ -1,4 +1,4 @@
-//! The words of a step, and values written as `name=value` among them.
+//! The words of a step, and the values written as `name=value` among them.
 
 use ivypitch_types::{MILLISECOND, Nanos};
 
@@ -25,7 +25,7 @@
             .map(|value| value.split(',').map(|n| n.parse().expect(name)).collect())
     }
 
-    /// Whether `name=yes` is there.
+    /// Whether the step contains `name=yes`.
     pub fn flag(&self, name: &str) -> bool {
         match self.text(name) {
             None => false,
@@ -35,8 +35,8 @@
     }
 }
 
-/// `yes` or `no`.
-pub fn yes_or_no(word: &str) -> bool {
+/// Parses `yes` or `no`.
+pub fn parse_yes_or_no(word: &str) -> bool {
     match word {
         "yes" => true,
         "no" => false,
--- a/crates/ivypitch-scheduler/tests/scenario_language/player.rs
+++ b/crates/ivypitch-scheduler/tests/scenario_language/player.rs
@@ -1,7 +1,7 @@
-//! Plays the steps of a scenario as one gateway.
+//! Runs the steps of a scenario as one gateway.
 
 use super::configuration;
-use super::fields::{Fields, yes_or_no};
+use super::fields::{Fields, parse_yes_or_no};
 use super::recorder::{LastAttempt, Recorder};
 use ivypitch_scheduler::{
     AttemptEnded, AttemptProgress, Deployment, EndpointUpdateKind, EngineKind, InFlight, Scheduler,
@@ -14,12 +14,12 @@
 
 pub struct Player {
     deployment: Deployment,
-    /// Starts with the first event.
+    /// `None` until the first event.
     scheduler: Option<Scheduler>,
     recorder: Recorder,
     /// Names of workloads, by index.
     workloads: Vec<String>,
-    /// How often an engine's index was given to another.
+    /// How often each engine index was reused for another engine.
     reuses: BTreeMap<usize, u64>,
 }
 
@@ -38,7 +38,7 @@
         &self.recorder.engines_used
     }
 
-    /// Sends that no check has taken.
+    /// Returns the number of sends that no check has removed.
     pub fn unchecked_sends(&self) -> usize {
         let actions = self.recorder.actions.iter();
         actions.filter(|action| action.starts_with("send ")).count()
@@ -53,14 +53,14 @@
         if !self.play_configuration(&words)
             && !self.play_event(&words)
             && !self.play_statement_event(&words)
-            && !self.play_several(&words)
+            && !self.play_composite_step(&words)
             && !self.play_check(step, &words)
         {
             panic!("unknown step {step}");
         }
     }
 
-    /// `@S` stands for the engine of S's last attempt.
+    /// Replaces `@S` by the engine of S's last attempt.
     fn resolve(&self, word: &str) -> String {
         let Some(statement) = word.strip_prefix('@') else {
             return word.into();
@@ -79,7 +79,7 @@
         (scheduler, recorder)
     }
 
-    /// The index of an engine, a new one for a new name.
+    /// Returns the index of an engine; a new name gets a new index.
     fn engine(&mut self, name: &str) -> EngineIndex {
         let engines = &mut self.recorder.engines;
         let known = engines.iter().position(|engine| engine == name);
@@ -120,7 +120,7 @@
         true
     }
 
-    /// Events that concern no single statement.
+    /// Runs events that concern no single statement.
     fn play_event(&mut self, words: &[&str]) -> bool {
         let now = self.recorder.now;
         match words[0] {
@@ -147,14 +147,14 @@
                 scheduler.on_load_report(now, engine, &report, recorder);
             }
             "peer_message" => {
-                let begins = match words[2] {
+                let begin_bit = match words[2] {
                     "bulk_load_begins" => 1,
                     "bulk_load_ends" => 0,
                     other => panic!("unknown message {other}"),
                 };
                 let engine = self.engine(words[3]);
                 let tag = bulk_load_tag(engine_id(engine, 0), words[4].parse().unwrap());
-                let message = (tag << 1 | begins).to_le_bytes();
+                let message = (tag << 1 | begin_bit).to_le_bytes();
                 self.scheduler().0.on_peer_message(now, &message);
             }
             "peer_message_bytes" => {
@@ -168,8 +168,8 @@
 
     fn play_clock(&mut self, until: Nanos) {
         loop {
-            let due = self.recorder.timers.iter().copied();
-            let Some(next) = due.filter(|timer| timer.at <= until).min() else {
+            let timers = self.recorder.timers.iter().copied();
+            let Some(next) = timers.filter(|timer| timer.at <= until).min() else {
                 break;
             };
             self.recorder.timers.retain(|timer| *timer != next);
@@ -282,8 +282,8 @@
         scheduler.on_attempt_ended(now, statement, &ended, recorder);
     }
 
-    /// Steps that stand for several.
-    fn play_several(&mut self, words: &[&str]) -> bool {
+    /// Runs steps that consist of several others.
+    fn play_composite_step(&mut self, words: &[&str]) -> bool {
         match words[0] {
             "many_endpoints" => {
                 let fields = words[2..].join(" ");
@@ -318,7 +318,7 @@
         true
     }
 
-    /// Ends a statement's attempts as often as it is sent.
+    /// Sends a statement and ends each of its attempts immediately until no further one follows.
     fn serve(&mut self, workload: &str, table_group: usize, outcome: &str) {
         let index = self.recorder.statements.len();
         let name = format!("s{table_group}-{index}");
@@ -342,12 +342,12 @@
                 let statement = self.statement(words[1]);
                 let attempt = self.last_attempt(statement).number;
                 let is_confirmed = self.scheduler().0.confirm_send(now, statement, attempt);
-                assert_eq!(is_confirmed, yes_or_no(words[2]), "{step}");
+                assert_eq!(is_confirmed, parse_yes_or_no(words[2]), "{step}");
             }
             "is_engine_referenced" => {
                 let engine = self.engine(words[1]);
                 let is_referenced = self.scheduler().0.is_engine_referenced(engine);
-                assert_eq!(is_referenced, yes_or_no(words[2]), "{step}");
+                assert_eq!(is_referenced, parse_yes_or_no(words[2]), "{step}");
             }
             "reuse_engine_index" => {
                 let engine = self.engine(words[1]);
@@ -372,7 +372,7 @@
     }
 }
 
-/// The id of an engine whose index was reused so often.
+/// Returns the id of an engine whose index was reused `reuses` times.
 fn engine_id(engine: EngineIndex, reuses: u64) -> u64 {
     engine.0 as u64 * 77 + 5 + reuses
 }
--- a/crates/ivypitch-scheduler/tests/scenario_language/recorder.rs
+++ b/crates/ivypitch-scheduler/tests/scenario_language/recorder.rs
@@ -1,4 +1,4 @@
-//! Records what the scheduler does, as text.
+//! Records the scheduler's actions as text.
 
 use ivypitch_scheduler::Output;
 use ivypitch_types::{EngineIndex, MILLISECOND, Nanos, StatementIndex};
@@ -19,11 +19,13 @@
 
 #[derive(Default)]
 pub struct Recorder {
-    /// Actions that no check has taken yet.
+    /// Actions that no check has removed yet.
     pub actions: Vec<String>,
-    /// Names, by index.
+    /// Names of the statements, by index.
     pub statements: Vec<String>,
+    /// Names of the engines, by index.
     pub engines: Vec<String>,
+    /// Last attempts, by statement index.
     pub attempts: BTreeMap<usize, LastAttempt>,
     pub engines_used: BTreeSet<EngineIndex>,
     pub timers: Vec<Timer>,
@@ -36,19 +38,27 @@
         self.actions.push(format!("{action} {name} {details}"));
     }
 
-    /// Drops the actions up to the first that begins with these words.
+    /// Removes the actions up to the first that begins with `words`; panics if there is none.
     pub fn expect(&mut self, words: &str) {
-        let position = self.actions.iter().position(|a| begins_with(a, words));
+        let position = self
+            .actions
+            .iter()
+            .position(|action| begins_with(action, words));
         let position = position.unwrap_or_else(|| panic!("no {words:?} in {:#?}", self.actions));
         self.actions.drain(..=position);
     }
 
+    /// Panics if a recorded action begins with `words`.
     pub fn expect_never(&self, words: &str) {
-        let found = self.actions.iter().find(|a| begins_with(a, words));
+        let found = self
+            .actions
+            .iter()
+            .find(|action| begins_with(action, words));
         assert!(found.is_none(), "{found:?} in {:#?}", self.actions);
     }
 }
 
+/// Whether the first words of the action are exactly `words`.
 fn begins_with(action: &str, words: &str) -> bool {
     format!("{} ", action.trim_end()).starts_with(&format!("{words} "))
 }
@@ -92,8 +102,8 @@
         self.record("forget", statement, "");
     }
 
-    fn set_timer(&mut self, timer: u64, after: Nanos) {
-        let at = self.now + after;
+    fn set_timer(&mut self, timer: u64, delay: Nanos) {
+        let at = self.now + delay;
         self.timers.push(Timer { at, timer });
     }
 
--- a/crates/ivypitch-scheduler/tests/scenarios.rs
+++ b/crates/ivypitch-scheduler/tests/scenarios.rs
@@ -1,4 +1,5 @@
-//! Plays the text scenarios of `tests/scenarios/` on a scheduler; their language is described in `scenario_language`.
+//! Runs the text scenarios of `tests/scenarios/` on a scheduler; `scenario_language` describes
+//! their language.
 
 mod scenario_language;
 
@@ -7,7 +8,7 @@
 use std::collections::BTreeMap;
 use test_case::test_case;
 
-/// Steps that concern all gateways of a fleet together, checked when each has played the scenario.
+/// Steps about all gateways of a fleet together, which are checked after each has run the scenario.
 const FLEET_STEPS: [&str; 3] = ["fleet ", "total_sends ", "gateways_per_engine "];
 
 #[test_case("ordinary_path")]
@@ -22,26 +23,26 @@
 fn scenario(file: &str) {
     let path = format!("{}/tests/scenarios/{file}.txt", env!("CARGO_MANIFEST_DIR"));
     let text = std::fs::read_to_string(path).expect("the scenario's file");
-    // Each `scenario` line starts afresh; what stands before the first is a heading.
+    // Each `scenario` line begins a new scenario; the text before the first is a heading.
     for scenario in text.split("\nscenario ").skip(1) {
         let (title, steps) = scenario.split_once('\n').expect("a title and steps");
         play_fleet(title, steps);
     }
 }
 
-/// Plays a scenario as each gateway of its fleet, by itself.
+/// Runs a scenario once for each gateway of its fleet, with a scheduler of its own.
 fn play_fleet(title: &str, steps: &str) {
     let fleet = fleet_step(steps, "fleet ").map_or(1, |numbers| numbers[0]);
     let mut sends = 0;
     let mut gateways_per_engine = BTreeMap::<EngineIndex, usize>::new();
     for member_index in 0..fleet {
         let mut player = Player::new(member_index);
-        for (i, line) in steps.lines().enumerate() {
+        for (line_index, line) in steps.lines().enumerate() {
             let line = line.split('#').next().unwrap_or("").trim();
             if line.is_empty() || FLEET_STEPS.iter().any(|step| line.starts_with(step)) {
                 continue;
             }
-            println!("{title}, line {}: {line}", i + 1);
+            println!("{title}, line {}: {line}", line_index + 1);
             line.split("; ").for_each(|step| player.play(step));
         }
         for &engine in player.engines_used() {
@@ -65,7 +66,7 @@
     }
 }
 
-/// The numbers of the first line that begins so.
+/// Returns the numbers in the first line that begins with `step`.
 fn fleet_step(steps: &str, step: &str) -> Option<Vec<usize>> {
     let numbers = steps.lines().find_map(|line| line.strip_prefix(step))?;
     Some(numbers.split(' ').map(|n| n.parse().unwrap()).collect())
