--- a/crates/ivypitch-scheduler/src/attempts.rs
+++ b/crates/ivypitch-scheduler/src/attempts.rs
@@ -1,24 +1,30 @@
-//! Attempts: how one is sent, counted, cancelled and judged as it ends.
+//! Attempts: how they are sent, counted, cancelled and evaluated when they end.
 
 use crate::bulk_loads::BulkLoadChange;
 use crate::deployment::Idempotency;
 use crate::engine::EngineHealth;
-use crate::outlier_detection::{MAX_ERRORS_AGAINST_ENGINES, TRIAL_INTERVAL};
+use crate::outlier_detection::{MAX_COUNTED_ERRORS_PER_STATEMENT, PROBE_INTERVAL};
 use crate::output::Output;
 use crate::safety_rules::Action;
 use crate::scheduler::Scheduler;
 use crate::statement::{Attempt, PossibleRun, StatementState};
 use ivypitch_types::{EngineIndex, Nanos, Outcome, StatementIndex, secs_from_nanos};
 
-/// After a failed attempt a statement waits for this part of the time that is left.
-const RETRY_WAIT_DIVISOR: Nanos = 8;
-/// A plan is bad when its projected time is this many times what its work should take ...
-const BAD_PLAN_TIME_RATIO: f64 = 2.5;
-/// ... and what is left of it this many times.
-const BAD_PLAN_TIME_LEFT_RATIO: f64 = 2.0;
+/// After a failed attempt a statement waits for an engine for at most the time to its deadline
+/// divided by this.
+const MAX_RETRY_WAIT_DIVISOR: Nanos = 8;
+/// Ratio of an attempt's projected total time to the time that its work should take, above which
+/// its plan counts as bad.
+const BAD_PLAN_TOTAL_TIME_RATIO: f64 = 2.5;
+/// Ratio of an attempt's projected remaining time to the time that its work should take, which a
+/// bad plan must exceed as well.
+const BAD_PLAN_REMAINING_TIME_RATIO: f64 = 2.0;
 
+/// Engine priority of attempts of long workloads.
 const LONG_PRIORITY: u8 = 1;
+/// Engine priority of attempts of short workloads.
 const SHORT_PRIORITY: u8 = 3;
+/// Engine priority of attempts beyond their tenant's quota.
 const OVER_QUOTA_PRIORITY: u8 = 0;
 
 impl Scheduler {
@@ -28,13 +34,13 @@
         now: Nanos,
         index: StatementIndex,
         engine: EngineIndex,
-        out: &mut dyn Output,
+        output: &mut dyn Output,
     ) {
         if !self.is_permitted(now, index, Action::Send(engine)) {
             return;
         }
         self.transition(index, StatementState::Running);
-        self.set_resources(index, out);
+        self.set_resources(index, output);
         let Some(statement) = &mut self.statements[index.0] else {
             return;
         };
@@ -45,7 +51,7 @@
             .deadline
             .saturating_sub(now + 2 * self.deployment.tick)
             .max(1);
-        out.send(index, engine, timeout);
+        output.send(index, engine, timeout);
         let charged_work_secs = statement.charged_work_secs;
         statement.attempt = Some(Attempt {
             engine,
@@ -56,18 +62,18 @@
         });
         statement.attempts += 1;
         let workload = statement.workload;
-        let point = statement.point;
+        let query_point = statement.query_point;
         let table_group = statement.table_group;
-        self.count_attempt(workload, engine);
-        self.charge_engine(now, engine, charged_work_secs);
+        self.add_in_flight_attempt(workload, engine);
+        self.record_engine_send(now, engine, charged_work_secs);
         if self.deployment.workloads[workload].is_bulk_load {
-            self.on_own_bulk_load(now, engine, table_group, BulkLoadChange::Begins, out);
+            self.on_own_bulk_load(now, engine, table_group, BulkLoadChange::Begins, output);
         }
-        self.record_send(engine, point, table_group);
+        self.record_send(engine, query_point, table_group);
     }
 
-    /// Tells the engine the memory and the priority of the next attempt, where engines honor either.
-    fn set_resources(&self, index: StatementIndex, out: &mut dyn Output) {
+    /// Sets the memory grant and the priority of the next attempt, where engines honor either.
+    fn set_resources(&self, index: StatementIndex, output: &mut dyn Output) {
         let deployment = &self.deployment;
         if !deployment.honors_priorities && !deployment.honors_memory_grants {
             return;
@@ -89,11 +95,11 @@
         } else {
             SHORT_PRIORITY
         };
-        out.set_resources(index, grant_mb, priority);
+        output.set_resources(index, grant_mb, priority);
     }
 
-    /// Counts an attempt of the workload that runs on the engine from now on.
-    pub(crate) fn count_attempt(&mut self, workload: usize, engine: EngineIndex) {
+    /// Counts an attempt of the workload as running on the engine.
+    pub(crate) fn add_in_flight_attempt(&mut self, workload: usize, engine: EngineIndex) {
         let threads = self.deployment.workloads[workload].threads;
         let state = &mut self.workloads[workload];
         state.in_flight += 1;
@@ -102,8 +108,8 @@
         *engine.threads.of_class_mut(state.is_long) += threads;
     }
 
-    /// Takes back [`Self::count_attempt`] as the attempt ends.
-    pub(crate) fn uncount_attempt(&mut self, workload: usize, engine: EngineIndex) {
+    /// Reverts [`Self::add_in_flight_attempt`] when the attempt ends.
+    pub(crate) fn remove_in_flight_attempt(&mut self, workload: usize, engine: EngineIndex) {
         let threads = self.deployment.workloads[workload].threads;
         let state = &mut self.workloads[workload];
         state.in_flight -= 1;
@@ -112,22 +118,22 @@
         *engine.threads.of_class_mut(state.is_long) -= threads;
     }
 
-    /// Counts a send for trials and for the engine's slow-start limit.
-    fn charge_engine(&mut self, now: Nanos, engine: EngineIndex, work_secs: f64) {
+    /// Records a send for the engine probes and for the engine's slow-start limit.
+    fn record_engine_send(&mut self, now: Nanos, engine: EngineIndex, work_secs: f64) {
         let window_start = now.saturating_sub(self.deployment.overload_window);
         let engine = &mut self.engines[engine.0];
-        engine.next_trial_at = now + TRIAL_INTERVAL;
-        if engine.is_suspected() {
-            self.sends_since_trial = 0;
+        engine.next_probe_at = now + PROBE_INTERVAL;
+        if engine.is_ejected() {
+            self.sends_since_probe = 0;
         } else {
-            self.sends_since_trial += 1;
+            self.sends_since_probe += 1;
         }
         engine.sends.push(now, work_secs);
         engine.sends.evict_before(window_start);
     }
 
-    /// Cancels the statement's attempt, where one runs and attempts may be cancelled.
-    pub(crate) fn cancel_attempt(&mut self, index: StatementIndex, out: &mut dyn Output) {
+    /// Cancels the statement's attempt if one is running and the deployment allows cancellation.
+    pub(crate) fn cancel_attempt(&mut self, index: StatementIndex, output: &mut dyn Output) {
         let Some(statement) = self.statement(index) else {
             return;
         };
@@ -135,12 +141,13 @@
             return;
         }
         if let Some(attempt) = &statement.attempt {
-            out.cancel(index, attempt.number);
+            output.cancel(index, attempt.number);
             self.transition(index, StatementState::Cancelling);
         }
     }
 
-    /// Whether a running attempt is better retried, of which so much is done after so long.
+    /// Whether a running attempt should be cancelled and retried, given the fraction of its work
+    /// done after `elapsed`.
     pub(crate) fn has_bad_plan(
         &self,
         index: StatementIndex,
@@ -155,17 +162,18 @@
             && workload.idempotency == Idempotency::Idempotent
             && statement.sent_attempts() < self.deployment.max_attempts;
         let elapsed_secs = secs_from_nanos(elapsed);
-        let left_secs = elapsed_secs * (1.0 - fraction_done).max(0.0) / fraction_done.max(0.01);
+        let remaining_secs =
+            elapsed_secs * (1.0 - fraction_done).max(0.0) / fraction_done.max(0.01);
         let slowness = self.workloads[statement.workload].cost.slowness;
-        let usual_secs = statement.work_secs / workload.threads.max(1.0) * slowness;
+        let expected_secs = statement.work_secs / workload.threads.max(1.0) * slowness;
         can_retry
-            && left_secs > BAD_PLAN_TIME_LEFT_RATIO * usual_secs
-            && elapsed_secs + left_secs > BAD_PLAN_TIME_RATIO * usual_secs
+            && remaining_secs > BAD_PLAN_REMAINING_TIME_RATIO * expected_secs
+            && elapsed_secs + remaining_secs > BAD_PLAN_TOTAL_TIME_RATIO * expected_secs
     }
 
-    /// Records at the statement and its key what the end of an attempt means. Returns whether it is a fault
-    /// of the engine.
-    pub(crate) fn record_end(
+    /// Records the outcome of an attempt at its statement and key. Returns whether the outcome
+    /// counts as a fault of the engine.
+    pub(crate) fn record_attempt_outcome(
         &mut self,
         now: Nanos,
         index: StatementIndex,
@@ -194,7 +202,7 @@
             self.key_queues.settle_until(statement.key, settles_at);
         }
         match outcome {
-            Outcome::Error => statement.errors <= MAX_ERRORS_AGAINST_ENGINES,
+            Outcome::Error => statement.errors <= MAX_COUNTED_ERRORS_PER_STATEMENT,
             Outcome::Reset | Outcome::ConnectFailed => true,
             Outcome::Completed
             | Outcome::Overloaded
@@ -205,8 +213,8 @@
         }
     }
 
-    /// Takes back what was counted for an attempt that never left the gateway.
-    pub(crate) fn take_back_send(&mut self, index: StatementIndex, attempt: &Attempt) {
+    /// Reverts the counts of an attempt that never left the gateway.
+    pub(crate) fn retract_send(&mut self, index: StatementIndex, attempt: &Attempt) {
         let sends = &mut self.engines[attempt.engine.0].sends;
         sends.remove(attempt.started_at, attempt.charged_work_secs);
         self.retract_retry(index, attempt.started_at);
@@ -215,7 +223,7 @@
         }
     }
 
-    /// Takes the send of a retry out of the retry budget; `false`: it was no retry.
+    /// Removes a retry from the retry budget. Returns `false` if the send was not a retry.
     pub(crate) fn retract_retry(&mut self, index: StatementIndex, sent_at: Nanos) -> bool {
         let is_retry = self
             .statement(index)
@@ -223,13 +231,14 @@
         is_retry && self.retry_budget.retract_retry(sent_at)
     }
 
-    /// After an attempt that was no final answer the statement waits for the next or is answered.
+    /// Queues the statement for another attempt if one is allowed; otherwise gives its final
+    /// answer.
     pub(crate) fn retry_or_answer(
         &mut self,
         now: Nanos,
         index: StatementIndex,
         outcome: Outcome,
-        out: &mut dyn Output,
+        output: &mut dyn Output,
     ) {
         let Some(statement) = self.statement_mut(index) else {
             return;
@@ -238,17 +247,17 @@
             return;
         }
         let time_left = statement.deadline.saturating_sub(now);
-        statement.wait_until = now + time_left / RETRY_WAIT_DIVISOR;
+        statement.wait_deadline = now + time_left / MAX_RETRY_WAIT_DIVISOR;
         let workload = statement.workload;
         if outcome != Outcome::NeverDispatched && self.can_retry(now, index) {
             self.transition(index, StatementState::Waiting);
             self.workloads[workload].queue.push(index);
         } else {
-            self.reject_or_abort(now, index, out);
+            self.reject_or_abort(now, index, output);
         }
     }
 
-    /// Whether some engine may get a further attempt of the statement.
+    /// Whether the statement may get a further attempt on some engine.
     fn can_retry(&self, now: Nanos, index: StatementIndex) -> bool {
         let Some(statement) = self.statement(index) else {
             return false;
--- a/crates/ivypitch-scheduler/src/bulk_loads.rs
+++ b/crates/ivypitch-scheduler/src/bulk_loads.rs
@@ -1,5 +1,4 @@
-//! Bulk loads lock their table group on their engine: which engine holds which group, here and at other
-//! gateways.
+//! Table-group locks: a bulk load, of this or another gateway, locks its table group on its engine.
 
 use crate::engine::Engine;
 use crate::output::Output;
@@ -8,15 +7,16 @@
 use ivypitch_types::{EngineIndex, Nanos, hash_to_unit_interval};
 use std::collections::BTreeMap;
 
-/// Bulk loads hold one table group on at most this part of the engines, so that its readers find capacity.
-const MAX_LOCKED_FRACTION: f64 = 0.65;
+/// Largest fraction of the engines on which bulk loads may lock one table group, so that the
+/// group's readers find capacity.
+const MAX_LOCKED_ENGINES_FRACTION: f64 = 0.65;
 
-/// The 31-bit tag of a table group on an engine in messages among gateways.
+/// Returns the 31-bit tag of a table group on an engine for messages between gateways.
 pub fn bulk_load_tag(engine_id: u64, table_group: u32) -> u32 {
     (hash_to_unit_interval(&(engine_id, table_group)) * f64::from(1u32 << 31)) as u32
 }
 
-/// Whether a bulk load begins or ends.
+/// The begin or the end of a bulk load.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum BulkLoadChange {
     Begins,
@@ -26,11 +26,11 @@
 #[derive(Default)]
 struct Lock {
     holders: u32,
-    /// A gateway that fails never reports the end of its bulk loads.
+    /// Expiry of the lock, since a gateway that fails never reports the end of its bulk loads.
     expires_at: Nanos,
 }
 
-/// Table groups that bulk loads hold on engines, by [`bulk_load_tag`].
+/// Locks of table groups on engines, by [`bulk_load_tag`].
 #[derive(Default)]
 pub(crate) struct BulkLoads(BTreeMap<u32, Lock>);
 
@@ -58,39 +58,45 @@
 }
 
 impl Scheduler {
-    /// Records a bulk load of this gateway and tells the others.
+    /// Records the begin or end of a bulk load of this gateway and broadcasts it to the other
+    /// gateways.
     pub(crate) fn on_own_bulk_load(
         &mut self,
         now: Nanos,
         engine: EngineIndex,
         table_group: u32,
         change: BulkLoadChange,
-        out: &mut dyn Output,
+        output: &mut dyn Output,
     ) {
         let tag = bulk_load_tag(self.engines[engine.0].endpoint.id, table_group);
         self.record_bulk_load(now, tag, change);
         if self.deployment.can_broadcast && self.deployment.gateways > 1 {
-            let begins = u32::from(change == BulkLoadChange::Begins);
-            out.broadcast(&(tag << 1 | begins).to_le_bytes());
+            let begin_bit = u32::from(change == BulkLoadChange::Begins);
+            output.broadcast(&(tag << 1 | begin_bit).to_le_bytes());
         }
     }
 
-    /// Reads a peer's message: the tag times two, plus one at its begin. Other lengths are ignored.
+    /// Records the begin or end of a bulk load of another gateway. The message is the tag shifted
+    /// left by one bit, with the lowest bit set at the begin; messages of other lengths are
+    /// ignored.
     pub(crate) fn on_peer_bulk_load(&mut self, now: Nanos, message: &[u8]) {
-        let Ok(word) = message.try_into().map(u32::from_le_bytes) else {
+        let Ok(encoded) = message.try_into().map(u32::from_le_bytes) else {
             return;
         };
-        let change = if word & 1 == 1 {
+        let change = if encoded & 1 == 1 {
             BulkLoadChange::Begins
         } else {
             BulkLoadChange::Ends
         };
-        self.record_bulk_load(now, word >> 1, change);
+        self.record_bulk_load(now, encoded >> 1, change);
     }
 
     fn record_bulk_load(&mut self, now: Nanos, tag: u32, change: BulkLoadChange) {
-        let timeouts = self.deployment.workloads.iter();
-        let max_duration = timeouts.map(|w| w.statement_timeout).max().unwrap_or(0);
+        let workloads = self.deployment.workloads.iter();
+        let max_duration = workloads
+            .map(|workload| workload.statement_timeout)
+            .max()
+            .unwrap_or(0);
         self.bulk_loads.record(now, tag, change, max_duration);
     }
 
@@ -104,12 +110,14 @@
         self.bulk_loads.is_locked(now, tag)
     }
 
-    /// Whether the statement is a bulk load whose table group has readers that would wait for it.
-    pub(crate) fn is_kept_apart_from_readers(&self, statement: &Statement) -> bool {
+    /// Whether the statement is a bulk load in a deployment that has readers waiting for bulk
+    /// loads.
+    pub(crate) fn avoids_readers(&self, statement: &Statement) -> bool {
         self.has_readers_of_bulk_loads && self.deployment.workloads[statement.workload].is_bulk_load
     }
 
-    /// Whether one more bulk load of the table group would leave its readers too few of these engines.
+    /// Whether one more bulk load of the table group would leave too few of these engines to its
+    /// readers.
     pub(crate) fn exceeds_locked_fraction(
         &self,
         now: Nanos,
@@ -120,6 +128,6 @@
             .iter()
             .filter(|engine| self.is_table_group_locked(now, engine, table_group))
             .count();
-        locked > 0 && (locked + 1) as f64 > MAX_LOCKED_FRACTION * engines.len() as f64
+        locked > 0 && (locked + 1) as f64 > MAX_LOCKED_ENGINES_FRACTION * engines.len() as f64
     }
 }
--- a/crates/ivypitch-scheduler/src/capacity.rs
+++ b/crates/ivypitch-scheduler/src/capacity.rs
@@ -1,33 +1,37 @@
-//! Whether an engine has capacity for a statement: bounds on threads per engine that bind under pressure.
+//! Whether an engine has capacity for a statement: bounds on the threads per engine that apply
+//! under pressure.
 
 use crate::engine::Engine;
 use crate::scheduler::Scheduler;
 use crate::statement::Statement;
 use ivypitch_types::{EngineIndex, Nanos};
 
-/// Threads per core that one class of workloads may use on an engine under pressure.
+/// Bound on the threads per core of all long workloads on an engine under pressure.
 const MAX_LONG_THREADS_PER_CORE: f64 = 3.0;
+/// Bound on the threads per core of all short workloads on an engine under pressure.
 const MAX_SHORT_THREADS_PER_CORE: f64 = 3.5;
-/// Threads per core that all workloads together may use on an engine under pressure.
+/// Bound on the threads per core of all workloads together on an engine under pressure.
 const MAX_THREADS_PER_CORE: f64 = 3.5;
-/// The bound of a class holds in full up to this part of its workload's usual work ...
+/// Ratio of a statement's work to its workload's usual work up to which the bound of its class
+/// applies in full.
 const FULL_BOUND_WORK_RATIO: f64 = 0.6;
-/// ... and narrows with the work, to this part.
+/// Least fraction of a class's bound, reached by statements of much work.
 const MIN_BOUND_FRACTION: f64 = 0.3;
-/// Part of a class's bound that is open to statements beyond their tenant's quota.
+/// Fraction of a class's bound that is available to statements beyond their tenant's quota.
 const OVER_QUOTA_BOUND_FRACTION: f64 = 0.2;
-/// Sign of pressure: threads per core.
+/// Threads per core from which an engine shows signs of pressure.
 pub(crate) const PRESSURE_THREADS_PER_CORE: f64 = 1.4;
-/// Threads of other gateways count so many times, since reports are late.
-pub(crate) const OTHERS_THREADS_FACTOR: f64 = 1.4;
-/// An engine counts at least this part of its cores, whatever other workloads need there.
+/// Factor on the threads of other gateways, which compensates for the delay of load reports.
+pub(crate) const OTHER_GATEWAYS_THREADS_FACTOR: f64 = 1.4;
+/// Least fraction of an engine's cores that counts as available, whatever other workloads need
+/// there.
 const MIN_REMAINING_CORES_FRACTION: f64 = 0.3;
 
-/// What an engine has for one more statement.
+/// An engine's capacity for one more statement.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum Capacity {
     Available,
-    /// Within the bounds of an engine that shows signs of pressure.
+    /// Available within the bounds that apply to an engine under pressure.
     AvailableUnderPressure,
     Exhausted,
 }
@@ -42,10 +46,11 @@
             .max(1.0)
     }
 
-    /// The engine's capacity for the statement.
+    /// Returns the engine's capacity for the statement.
     ///
-    /// Under pressure the threads of its class and of all classes are bounded: by this gateway's part of the
-    /// engine, or by what other gateways leave where a load report is fresh.
+    /// Under pressure the threads of the statement's class and of all classes are bounded: by this
+    /// gateway's part of the engine or, where a load report is fresh, by the threads that other
+    /// gateways leave free.
     pub(crate) fn capacity(&self, now: Nanos, statement: &Statement, engine: &Engine) -> Capacity {
         let workload = &self.deployment.workloads[statement.workload];
         let state = &self.workloads[statement.workload];
@@ -59,7 +64,7 @@
         let has_report = engine.has_fresh_report(now);
         let own_threads = engine.threads.total();
         let all_threads = if has_report {
-            own_threads + OTHERS_THREADS_FACTOR * engine.threads_of_others
+            own_threads + OTHER_GATEWAYS_THREADS_FACTOR * engine.other_gateways_threads
         } else {
             own_threads * gateways
         };
@@ -68,12 +73,12 @@
         }
         let is_within = |used_threads: f64, threads_per_core: f64| {
             let bound = threads_per_core * cores;
-            let left = if has_report {
-                bound - engine.threads_of_others
+            let own_thread_limit = if has_report {
+                bound - engine.other_gateways_threads
             } else {
                 workload.threads
             };
-            used_threads + workload.threads <= left.max(bound / gateways)
+            used_threads + workload.threads <= own_thread_limit.max(bound / gateways)
         };
         let class_threads = engine.threads.of_class(state.is_long);
         if is_within(class_threads, self.class_threads_per_core(statement))
@@ -85,17 +90,18 @@
         }
     }
 
-    /// The bound on the threads per core of a statement's class: narrower beyond its tenant's quota, and for
-    /// much work the more engines are under pressure.
+    /// Returns the bound on the threads per core of a statement's class. The bound is lower beyond
+    /// the tenant's quota; for statements of much work it also falls as more engines are under
+    /// pressure.
     fn class_threads_per_core(&self, statement: &Statement) -> f64 {
         let workload = &self.deployment.workloads[statement.workload];
         let state = &self.workloads[statement.workload];
-        let quota_fraction = if statement.priority_weight < workload.priority_weight {
+        let over_quota_factor = if statement.priority_weight < workload.priority_weight {
             OVER_QUOTA_BOUND_FRACTION
         } else {
             1.0
         };
-        let usual_work_secs = state.cost.true_work_secs;
+        let usual_work_secs = state.cost.measured_work_secs;
         let work_fraction = (FULL_BOUND_WORK_RATIO * usual_work_secs / statement.work_secs)
             .clamp(MIN_BOUND_FRACTION, 1.0)
             .powf(self.pressure_fraction);
@@ -104,13 +110,14 @@
         } else {
             MAX_SHORT_THREADS_PER_CORE
         };
-        quota_fraction * work_fraction * class_bound
+        over_quota_factor * work_fraction * class_bound
     }
 
-    /// An engine's cores, less what workloads that may run on fewer engines need there.
+    /// Returns an engine's cores, less the cores that workloads with fewer eligible engines need
+    /// there.
     ///
-    /// Guards against statements that may run anywhere filling the only engines of others. Hurts for a while
-    /// when the mix of workloads changes.
+    /// Guards against statements that may run anywhere occupying the only engines of other
+    /// workloads. Drawback: the result is off for a while when the mix of workloads changes.
     pub(crate) fn remaining_cores(&self, workload: usize, engine: &Engine) -> f64 {
         let total_demand = self
             .workloads
@@ -119,18 +126,19 @@
             .sum::<f64>()
             .max(1e-9);
         let eligible_cores = self.workloads[workload].subset.eligible_cores;
-        let constrained = self
+        let constrained_workloads = self
             .workloads
             .iter()
             .zip(&self.deployment.workloads)
             .filter(|(state, workload)| {
                 state.subset.eligible_cores < eligible_cores && workload.allows(&engine.endpoint)
             });
-        let taken: f64 = constrained
+        let reserved_fraction: f64 = constrained_workloads
             .map(|(state, _)| {
                 state.cost.demand_secs / total_demand * eligible_cores / state.subset.eligible_cores
             })
             .sum();
-        self.engine_cores(engine.endpoint.engine) * (1.0 - taken).max(MIN_REMAINING_CORES_FRACTION)
+        self.engine_cores(engine.endpoint.engine)
+            * (1.0 - reserved_fraction).max(MIN_REMAINING_CORES_FRACTION)
     }
 }
--- a/crates/ivypitch-scheduler/src/dispatch.rs
+++ b/crates/ivypitch-scheduler/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Which waiting statement is sent next, and load shedding: which one is rejected.
+//! Dispatch of waiting statements and load shedding.
 
 use crate::deployment::Workload;
 use crate::output::Output;
@@ -7,17 +7,18 @@
 use crate::statement::{Statement, StatementState};
 use ivypitch_types::{Nanos, SECOND, StatementIndex};
 
-/// Where more statements wait, they are looked at once for each time of the clock.
-const MAX_WAITING_FOR_EVERY_EVENT: usize = 8;
-/// This part of the slots for open statements is for all ...
+/// Number of waiting statements above which dispatch runs at most once for each value of the clock.
+const MAX_WAITING_FOR_REPEATED_DISPATCH: usize = 8;
+/// Fraction of the slots for open statements that any statement may take.
 const UNRESERVED_SLOTS_FRACTION: f64 = 0.95;
-/// ... and the last for statements whose priority weight for their time is so many times the usual.
+/// Ratio of a statement's priority weight per time to the usual one at which the statement may take
+/// every reserved slot.
 const RESERVED_SLOT_VALUE_RATIO: f64 = 1.4;
-/// Out of turn in its key's order, a statement waits on until so long before its deadline.
-const KEY_ORDER_MARGIN: Nanos = SECOND;
+/// Time before its deadline until which a statement may wait for earlier statements of its key.
+const KEY_ORDER_DEADLINE_MARGIN: Nanos = SECOND;
 
 struct WaitingStatement {
-    /// Priority weight for each second of work.
+    /// Priority weight per second of work.
     value: f64,
     index: StatementIndex,
 }
@@ -31,7 +32,7 @@
 }
 
 impl StatementClass {
-    /// `None` for a statement with conditions of its own.
+    /// Returns `None` for a statement that has conditions of its own on engines.
     fn of(statement: &Statement, workload: &Workload) -> Option<Self> {
         let is_ordinary = statement.key == 0
             && !statement.is_retry()
@@ -46,15 +47,17 @@
 }
 
 impl Scheduler {
-    /// Sends what waits, the most valuable for its work first. What has waited its time is answered.
-    pub(crate) fn dispatch(&mut self, now: Nanos, out: &mut dyn Output) {
+    /// Sends waiting statements, those with the highest priority weight per work first. Statements
+    /// that have exceeded their maximum wait are answered.
+    pub(crate) fn dispatch(&mut self, now: Nanos, output: &mut dyn Output) {
         let waiting: usize = self.workloads.iter().map(|state| state.queue.len()).sum();
-        // The cost must not grow with the square of their number.
-        if waiting > MAX_WAITING_FOR_EVERY_EVENT && self.dispatched_at == now {
+        // The total cost must not grow with the square of the number of waiting statements.
+        if waiting > MAX_WAITING_FOR_REPEATED_DISPATCH && self.last_dispatch_at == now {
             return;
         }
-        self.dispatched_at = now;
-        // Where one of a class finds no capacity, no less valuable one does: the search is spared.
+        self.last_dispatch_at = now;
+        // If a statement of a class finds no capacity, neither do less valuable ones of that class,
+        // so their search is skipped.
         let mut exhausted_classes: Vec<StatementClass> = Vec::new();
         for WaitingStatement { index, .. } in self.waiting_by_value() {
             let Some(statement) = self.statement(index) else {
@@ -62,21 +65,21 @@
             };
             let workload = &self.deployment.workloads[statement.workload];
             let class = StatementClass::of(statement, workload);
-            let has_slot = self.has_slot(statement);
+            let can_take_slot = self.can_take_slot(statement);
             let is_exhausted = class
                 .as_ref()
                 .is_some_and(|c| exhausted_classes.contains(c));
-            if has_slot && !is_exhausted {
+            if can_take_slot && !is_exhausted {
                 if let Some(engine) = self.choose_engine(now, index) {
-                    if !self.awaits_load_report(now, index, engine, out) {
-                        self.send(now, index, engine, out);
+                    if !self.awaits_load_report(now, index, engine, output) {
+                        self.send(now, index, engine, output);
                     }
                     continue;
                 }
                 exhausted_classes.extend(class);
             }
-            if !has_slot || self.has_waited_out(now, index) {
-                self.reject_or_abort(now, index, out);
+            if !can_take_slot || self.has_exceeded_max_wait(now, index) {
+                self.reject_or_abort(now, index, output);
             }
         }
     }
@@ -96,24 +99,25 @@
         waiting
     }
 
-    /// Whether a statement that found no engine gets its answer now.
-    fn has_waited_out(&self, now: Nanos, index: StatementIndex) -> bool {
+    /// Whether a statement that found no engine must be answered now.
+    fn has_exceeded_max_wait(&self, now: Nanos, index: StatementIndex) -> bool {
         let Some(statement) = self.statement(index) else {
             return false;
         };
-        let is_held_by_key = self
+        let is_blocked_by_key = self
             .key_queues
             .get(statement.key)
             .is_some_and(|queue| !queue.is_first(index) || queue.is_settling(now));
-        let can_wait_for_key = is_held_by_key && now + KEY_ORDER_MARGIN < statement.deadline;
-        now >= statement.wait_until && !can_wait_for_key
+        let can_wait_for_key =
+            is_blocked_by_key && now + KEY_ORDER_DEADLINE_MARGIN < statement.deadline;
+        now >= statement.wait_deadline && !can_wait_for_key
     }
 
     /// Whether the statement may take one of the slots for open statements.
     ///
-    /// The last are for statements that are worth much for their time. Guards against few that run long
-    /// keeping out many. Hurts where estimates mislead.
-    fn has_slot(&self, statement: &Statement) -> bool {
+    /// The last slots are reserved for statements of high priority weight per time. Guards against
+    /// a few long statements keeping out many short ones. Drawback: depends on good estimates.
+    fn can_take_slot(&self, statement: &Statement) -> bool {
         let time_secs = |work_secs: f64, workload: usize| {
             work_secs / self.deployment.workloads[workload].threads.max(1.0)
         };
@@ -130,13 +134,13 @@
         self.open_statements as f64 <= slots
     }
 
-    /// Gives the final answer to a statement that will not complete: a rejection where the safety rules allow
-    /// it, else an abort.
+    /// Gives the final answer to a statement that will not complete: a rejection where the safety
+    /// rules permit it, otherwise an abort.
     pub(crate) fn reject_or_abort(
         &mut self,
         now: Nanos,
         index: StatementIndex,
-        out: &mut dyn Output,
+        output: &mut dyn Output,
     ) {
         if self.is_permitted(now, index, Action::Reject) {
             let retry_after = if self.deployment.honors_retry_after {
@@ -144,14 +148,14 @@
             } else {
                 0
             };
-            out.reject(index, retry_after);
+            output.reject(index, retry_after);
         } else if self.is_permitted(now, index, Action::Abort) {
-            out.abort(index);
+            output.abort(index);
         } else {
             return;
         }
-        self.cancel_attempt(index, out);
+        self.cancel_attempt(index, output);
         self.transition(index, StatementState::Answered);
-        self.forget_if_finished(index, out);
+        self.forget_if_finished(index, output);
     }
 }
--- a/crates/ivypitch-scheduler/src/endpoints.rs
+++ b/crates/ivypitch-scheduler/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: which engines there are.
+//! Updates of the endpoint list.
 
 use crate::deployment::Deployment;
 use crate::engine::Engine;
@@ -9,28 +9,28 @@
 use ivypitch_types::EngineIndex;
 
 impl Scheduler {
-    /// Drops the engines that a complete list does not name.
-    pub(crate) fn unlist_missing(&mut self, endpoints: &[EngineEndpoint]) {
-        let mut is_named = vec![false; self.engines.len()];
+    /// Removes the engines that a complete endpoint list does not contain.
+    pub(crate) fn unlist_missing_engines(&mut self, endpoints: &[EngineEndpoint]) {
+        let mut is_listed = vec![false; self.engines.len()];
         for endpoint in endpoints {
-            if let Some(named) = is_named.get_mut(endpoint.engine.0) {
-                *named = true;
+            if let Some(is_listed) = is_listed.get_mut(endpoint.engine.0) {
+                *is_listed = true;
             }
         }
-        for (index, is_named) in is_named.into_iter().enumerate() {
-            if !is_named {
+        for (index, is_listed) in is_listed.into_iter().enumerate() {
+            if !is_listed {
                 self.set_listed(EngineIndex(index), false);
             }
         }
     }
 
-    pub(crate) fn update_endpoint(&mut self, endpoint: &EngineEndpoint, out: &mut dyn Output) {
+    pub(crate) fn update_endpoint(&mut self, endpoint: &EngineEndpoint, output: &mut dyn Output) {
         let index = endpoint.engine;
         if self.engines.len() <= index.0 {
             self.engines.resize_with(index.0 + 1, Engine::default);
         }
-        let former = self.engines[index.0].endpoint;
-        if former.id != endpoint.id || former.engine != index {
+        let previous = self.engines[index.0].endpoint;
+        if previous.id != endpoint.id || previous.engine != index {
             self.set_listed(index, false);
             let Deployment {
                 member_index,
@@ -41,7 +41,7 @@
             self.engines[index.0] = Engine::new(*endpoint, rank);
         }
         let engine = &mut self.engines[index.0];
-        engine.on_endpoint_changed(endpoint, out);
+        engine.on_endpoint_changed(endpoint, output);
         if engine.has_same_eligibility(endpoint) {
             engine.endpoint = *endpoint;
             return;
--- a/crates/ivypitch-scheduler/src/engine.rs
+++ b/crates/ivypitch-scheduler/src/engine.rs
@@ -1,32 +1,32 @@
-//! What a scheduler keeps for each engine, and the state machine of its health.
+//! The scheduler's state of each engine, and the state machine of its health.
 
 use crate::cost_model::EngineSlowness;
 use crate::events::{EngineEndpoint, EngineState};
 use crate::outlier_detection::RecentOutcomes;
 use crate::output::Output;
-use crate::placement::{Point, point_of};
+use crate::placement::{Point, hash_to_point};
 use crate::sliding_window::SlidingWindow;
 use crate::subset::EngineRank;
 use ivypitch_types::Nanos;
 use std::fmt;
 
-/// Whether this gateway's own outcomes keep the engine in use.
+/// Health of an engine according to the outcomes of this gateway's own attempts.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub(crate) enum EngineHealth {
     #[default]
     Healthy,
-    /// It gets trials only.
+    /// The engine gets probes only.
     Ejected,
 }
 
-/// Why an engine's health was decided anew.
+/// The reason for a change of an engine's health.
 #[derive(Clone, Copy)]
 pub(crate) enum HealthEvidence {
-    /// A restarted process has none of the former one's faults.
+    /// The engine's process was restarted, so that earlier faults no longer count.
     Restarted,
-    /// Other gateways had success with it.
+    /// Attempts of other gateways succeeded on the engine.
     RecoveredAtPeers,
-    /// Part of successes among the recent outcomes.
+    /// Fraction of successes among the recent outcomes.
     SuccessRate(f64),
 }
 
@@ -65,38 +65,39 @@
     }
 }
 
-/// The state of one engine.
+/// The scheduler's state of one engine.
 #[derive(Default)]
 pub(crate) struct Engine {
     pub endpoint: EngineEndpoint,
-    /// The endpoint list has it.
+    /// Whether the endpoint list contains the engine.
     pub is_listed: bool,
-    /// Order among the engines at this gateway.
+    /// Sort key among the engines at this gateway.
     pub rank: EngineRank,
     /// The paper's EMA\[s\].
     pub ema_point: Point,
-    /// This gateway's attempts that run there.
+    /// Number of this gateway's attempts that run on the engine.
     pub in_flight: u32,
     pub threads: ThreadsInUse,
-    /// Threads of other gateways' attempts, by the last load report.
-    pub threads_of_others: f64,
+    /// Threads of other gateways' attempts, according to the last load report.
+    pub other_gateways_threads: f64,
     pub reported_at: Nanos,
-    /// When a load report was requested that has not come.
+    /// Time of a request for a load report that has no reply yet.
     pub report_requested_at: Option<Nanos>,
     pub health: EngineHealth,
-    /// The fleet's common decision, and whether this gateway sends trials now.
+    /// Whether the fleet's common decision has ejected the engine.
     pub is_ejected_by_fleet: bool,
+    /// Whether the fleet lets this gateway probe the engine now.
     pub is_probe_assigned: bool,
     pub outcomes: RecentOutcomes,
-    pub next_trial_at: Nanos,
+    pub next_probe_at: Nanos,
     pub slowness: EngineSlowness,
-    /// It shows signs of pressure until then.
+    /// End of the period in which the engine counts as under pressure.
     pub pressure_until: Nanos,
-    /// It has rejected an attempt and is left alone until then.
+    /// End of the period in which the engine gets no attempts because it has rejected one.
     pub overloaded_until: Nanos,
-    /// Number of this gateway's recent sends that went there.
+    /// Number of this gateway's recent sends that went to the engine.
     pub recent_sends: usize,
-    /// Work sent there within the overload window.
+    /// Work sent to the engine by this gateway within the overload window.
     pub sends: SlidingWindow,
 }
 
@@ -115,13 +116,18 @@
         self.is_listed && self.endpoint.state == EngineState::Ready
     }
 
-    /// Whether own outcomes or the fleet have ejected it.
-    pub fn is_suspected(&self) -> bool {
+    /// Whether this gateway's own outcomes or the fleet have ejected the engine.
+    pub fn is_ejected(&self) -> bool {
         self.health == EngineHealth::Ejected || self.is_ejected_by_fleet
     }
 
-    /// The one place where the engine's health changes.
-    pub fn transition(&mut self, to: EngineHealth, evidence: HealthEvidence, out: &mut dyn Output) {
+    /// Changes the engine's health. No other function does.
+    pub fn transition(
+        &mut self,
+        to: EngineHealth,
+        evidence: HealthEvidence,
+        output: &mut dyn Output,
+    ) {
         let event = match (self.health, to) {
             (EngineHealth::Healthy, EngineHealth::Ejected) => "engine ejected",
             (EngineHealth::Ejected, EngineHealth::Healthy) => "engine readmitted",
@@ -130,21 +136,23 @@
         };
         self.health = to;
         let engine = self.endpoint.engine.0;
-        out.log(&format!("{event}: engine={engine} {evidence}"));
+        output.log(&format!("{event}: engine={engine} {evidence}"));
     }
 
-    /// Applies a changed row of the endpoint list.
-    pub fn on_endpoint_changed(&mut self, endpoint: &EngineEndpoint, out: &mut dyn Output) {
+    /// Prepares the engine for a changed entry of the endpoint list: resets the EMA point of an
+    /// engine that is new in the list, and the health of an engine that has restarted.
+    pub fn on_endpoint_changed(&mut self, endpoint: &EngineEndpoint, output: &mut dyn Output) {
         if !self.is_listed {
-            self.ema_point = point_of(endpoint.id);
+            self.ema_point = hash_to_point(endpoint.id);
         }
         if endpoint.started_at > self.endpoint.started_at {
             self.outcomes.clear();
-            self.transition(EngineHealth::Healthy, HealthEvidence::Restarted, out);
+            self.transition(EngineHealth::Healthy, HealthEvidence::Restarted, output);
         }
     }
 
-    /// Whether a row of the endpoint list leaves the engine where it is in the subsets.
+    /// Whether an entry of the endpoint list leaves the engine's eligibility for workloads
+    /// unchanged.
     pub fn has_same_eligibility(&self, endpoint: &EngineEndpoint) -> bool {
         self.is_listed
             && self.endpoint.state == endpoint.state
--- a/crates/ivypitch-scheduler/src/events.rs
+++ b/crates/ivypitch-scheduler/src/events.rs
@@ -1,25 +1,25 @@
-//! What a scheduler is notified of.
+//! The data of the events that a scheduler is notified of.
 
 use ivypitch_types::{EngineIndex, Nanos, Outcome};
 
-/// Whether an engine takes statements.
+/// State of an engine in the endpoint list.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub enum EngineState {
-    /// It takes new statements.
+    /// The engine takes new statements.
     Ready,
-    /// It completes what runs and takes nothing new.
+    /// The engine completes running statements and takes no new ones.
     Draining,
-    /// It has left the deployment.
+    /// The engine has left the deployment.
     #[default]
     Gone,
 }
 
-/// One engine as the endpoint list has it.
+/// An entry of the endpoint list: one engine.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EngineEndpoint {
-    /// Position in this gateway's tables.
+    /// Index of the engine in this gateway's tables.
     pub engine: EngineIndex,
-    /// The engine's id as a number, the same at every gateway.
+    /// The engine's numeric id, the same at every gateway.
     pub id: u64,
     /// Zone, as an index.
     pub zone: u16,
@@ -29,20 +29,20 @@
     pub cell: u16,
     /// Whether the engine takes statements.
     pub state: EngineState,
-    /// Weight by the endpoint list; decisions do not use it.
+    /// Weight in the endpoint list; the scheduler does not use it.
     pub weight: f64,
-    /// When the engine's process started; 0: long ago.
+    /// Start time of the engine's process; 0: long ago.
     pub started_at: Nanos,
 }
 
-/// What the rows of an endpoint update cover.
+/// The coverage of an endpoint update.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum EndpointUpdateKind {
     /// Changed endpoints only.
     Delta,
-    /// Every endpoint; an engine that is missing is gone.
+    /// All endpoints; an engine that is missing has left the deployment.
     Full,
-    /// Every endpoint as last known, possibly out of date.
+    /// All endpoints as last known, possibly out of date.
     Snapshot,
 }
 
@@ -51,30 +51,32 @@
 pub struct Arrival {
     /// Index into [`Deployment::workloads`](crate::Deployment::workloads).
     pub workload: usize,
-    /// Key for workloads ordered by key; 0: none.
+    /// Ordering key, for workloads ordered by key; 0: none.
     pub key: u64,
-    /// The tables that the statement touches; statements of one group profit from one engine's cache.
+    /// The set of tables that the statement reads or writes; statements of one group profit from
+    /// the cache of the same engine.
     pub table_group: u32,
     /// Time until the client stops waiting.
     pub time_left: Nanos,
-    /// The client has sent it before.
+    /// Whether the client has sent the statement before.
     pub is_repeat: bool,
     /// Index into [`Deployment::tenants`](crate::Deployment::tenants).
     pub tenant: usize,
-    /// Estimated memory in MB; 0: not estimated.
+    /// Estimated memory in MB; 0: unknown.
     pub estimated_memory_mb: f64,
-    /// Estimated work, summed over its threads; 0: not estimated.
+    /// Estimated work, summed over the statement's threads; 0: unknown.
     pub estimated_work: Nanos,
 }
 
 /// The fleet's common decision on an engine, where gateways exchange health observations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OutlierStatus {
-    /// The fleet has ejected the engine: it gets trials only.
+    /// Whether the fleet has ejected the engine, so that it gets engine probes only.
     pub is_ejected: bool,
-    /// This gateway is one of those that send trials now.
+    /// Whether this gateway is one of those that probe the engine now.
     pub is_probe_assigned: bool,
-    /// Other gateways had success with it lately: earlier outcomes at this gateway are stale.
+    /// Whether attempts of other gateways have recently succeeded on the engine, so that earlier
+    /// outcomes at this gateway are stale.
     pub has_recovered: bool,
 }
 
@@ -83,30 +85,30 @@
 pub struct AttemptEnded<'a> {
     /// Number of the attempt, from 0 for each statement.
     pub attempt: u32,
-    /// Engine that it was sent to.
+    /// Engine that the attempt was sent to.
     pub engine: EngineIndex,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// Time from its send to its end.
+    /// Time from the attempt's send to its end.
     pub duration: Nanos,
-    /// The statement has its final answer, by this outcome or before.
+    /// Whether the statement has its final answer, by this outcome or an earlier one.
     pub has_final_answer: bool,
-    /// True work in ms and memory in MB, where results tell them.
+    /// Measured work in ms and memory in MB, where results carry them.
     pub measured_cost: Option<(f64, f64)>,
-    /// Load report that came with it; empty: none. See
+    /// Load report that came with the result; empty: none. See
     /// [`Deployment::report_fields`](crate::Deployment::report_fields).
     pub load_report: &'a [f32],
 }
 
-/// What an engine reports of an attempt that runs.
+/// An engine's report on the progress of a running attempt.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum AttemptProgress {
-    /// Part of the work that is done, 0 to 1.
+    /// Fraction of the work that is done, 0 to 1.
     FractionDone(f64),
-    /// Memory in MB that was missing, so that it spilled to disk.
+    /// The attempt spilled to disk; memory in MB that was missing.
     SpilledMb(f64),
-    /// It waits for its memory grant.
+    /// The attempt waits for its memory grant.
     WaitingForMemory,
-    /// It waits for a bulk load that locks its table group.
+    /// The attempt waits for a bulk load that locks its table group.
     WaitingForBulkLoad,
 }
--- a/crates/ivypitch-scheduler/src/key_order.rs
+++ b/crates/ivypitch-scheduler/src/key_order.rs
@@ -1,4 +1,4 @@
-//! Statements of one key run one at a time, in the order of their arrival.
+//! Key order: statements of one key run one at a time, in order of arrival.
 
 use ivypitch_types::{Nanos, StatementIndex};
 use std::collections::{BTreeMap, VecDeque};
@@ -11,12 +11,12 @@
 }
 
 impl KeyQueue {
-    /// Whether it is the statement's turn.
+    /// Whether the statement is the first of its key.
     pub fn is_first(&self, statement: StatementIndex) -> bool {
         self.statements.front() == Some(&statement)
     }
 
-    /// Whether an attempt with unknown effect may still change what the key stands for.
+    /// Whether an attempt with unknown effect may still change the data of the key.
     pub fn is_settling(&self, now: Nanos) -> bool {
         now < self.settles_at
     }
@@ -26,7 +26,7 @@
     }
 }
 
-/// The queues of all keys in use. Key 0 stands for no key and has no queue.
+/// The queues of all keys in use. Key 0 means no key and has no queue.
 #[derive(Default)]
 pub(crate) struct KeyQueues(BTreeMap<u64, KeyQueue>);
 
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Lets the key rest until then, because the effect of an attempt is unknown.
+    /// Blocks the key until `time`, because the effect of an attempt is unknown.
     pub fn settle_until(&mut self, key: u64, time: Nanos) {
         if let Some(queue) = self.0.get_mut(&key) {
             queue.settles_at = time;
--- a/crates/ivypitch-scheduler/src/lib.rs
+++ b/crates/ivypitch-scheduler/src/lib.rs
@@ -1,33 +1,35 @@
-//! The decisions of one ivypitch gateway: which engine runs a statement, whether it is retried and what is
-//! rejected.
+//! The scheduler of one ivypitch gateway: chooses the engine for each statement, decides whether
+//! the statement is retried, and sheds load.
 //!
 //! # Contract
 //!
-//! [`Scheduler`] has one method for each thing that can happen (`on_...`, `begin_shutdown`,
-//! `set_quota_share`). The host calls it with the time of the event; the scheduler calls [`Output`] before
-//! the method returns. It performs no I/O, reads no clock and starts no threads: the same calls with the same
+//! [`Scheduler`] has one method per event (`on_...`, `begin_shutdown`, `set_quota_share`). The host
+//! calls the method with the time of the event; the scheduler calls [`Output`] before the method
+//! returns. It performs no I/O, reads no clock and starts no threads: the same calls with the same
 //! times and seed give the same decisions.
 //!
-//! - Times are [`Nanos`](ivypitch_types::Nanos) of one clock that never goes backwards.
-//! - A [`StatementIndex`](ivypitch_types::StatementIndex) is free again once [`Output::forget`] has named it.
-//!   An [`EngineIndex`](ivypitch_types::EngineIndex) is free once [`Scheduler::is_engine_referenced`] denies
-//!   it.
+//! - Times are [`Nanos`](ivypitch_types::Nanos) of one monotonic clock.
+//! - A [`StatementIndex`](ivypitch_types::StatementIndex) may be reused once the scheduler has
+//!   called [`Output::forget`] with it, an [`EngineIndex`](ivypitch_types::EngineIndex) once
+//!   [`Scheduler::is_engine_referenced`] returns `false` for it.
 //! - Every statement that arrives gets exactly one final answer: a complete result by the host,
 //!   [`Output::reject`] or [`Output::abort`].
-//! - [`Scheduler::confirm_send`] is asked as the first byte of an attempt leaves. A denied attempt is
-//!   reported as [`Outcome::NotSent`](ivypitch_types::Outcome::NotSent).
+//! - The host calls [`Scheduler::confirm_send`] just before it sends the first byte of an attempt,
+//!   and reports a denied attempt as [`Outcome::NotSent`](ivypitch_types::Outcome::NotSent).
 //!
-//! # Where to read
+//! # Code structure
 //!
-//! `scheduler.rs` holds the entry points, `placement.rs` the choice of an engine (BEMA) and `safety_rules.rs`
-//! the seven rules that every send, rejection and abort must pass. The other files are the departures from
-//! the ordinary path, one each.
+//! `scheduler.rs` holds the entry points, `placement.rs` the choice of an engine (BEMA) and
+//! `safety_rules.rs` the seven rules that every send, rejection and abort must pass. Each other
+//! file holds one addition to this basic path.
 //!
 //! # Example
 //!
 //! ```
-//! use ivypitch_scheduler::{Arrival, EndpointUpdateKind, EngineEndpoint, EngineState, Output, Scheduler};
-//! use ivypitch_scheduler::{DeduplicationScope, Deployment, EngineKind, Idempotency, Workload};
+//! use ivypitch_scheduler::{
+//!     Arrival, DeduplicationScope, Deployment, EndpointUpdateKind, EngineEndpoint, EngineKind,
+//!     EngineState, Idempotency, Output, Scheduler, Workload,
+//! };
 //! use ivypitch_types::{EngineIndex, Nanos, SECOND, StatementIndex};
 //!
 //! #[derive(Default)]
@@ -37,7 +39,7 @@
 //!     fn send(&mut self, statement: StatementIndex, engine: EngineIndex, _timeout: Nanos) {
 //!         self.0.push((statement, engine));
 //!     }
-//!     // The other methods of a real host act as well.
+//!     // A real host also implements the other methods.
 //! #   fn cancel(&mut self, _: StatementIndex, _: u32) {}
 //! #   fn set_resources(&mut self, _: StatementIndex, _: f64, _: u8) {}
 //! #   fn reject(&mut self, _: StatementIndex, _: Nanos) {}
--- a/crates/ivypitch-scheduler/src/load_reports.rs
+++ b/crates/ivypitch-scheduler/src/load_reports.rs
@@ -1,7 +1,8 @@
-//! Load reports of engines: what they tell, when they are fresh, and when one is requested before a send.
+//! Load reports of engines: their evaluation, their lifetime, and requests for a report before a
+//! send.
 
-use crate::capacity::{OTHERS_THREADS_FACTOR, PRESSURE_THREADS_PER_CORE};
-use crate::cost_model::LEARNING_RATE;
+use crate::capacity::{OTHER_GATEWAYS_THREADS_FACTOR, PRESSURE_THREADS_PER_CORE};
+use crate::cost_model::SMOOTHING_FACTOR;
 use crate::deployment::ReportField;
 use crate::engine::Engine;
 use crate::output::Output;
@@ -9,21 +10,21 @@
 use crate::statement::Statement;
 use ivypitch_types::{EngineIndex, Nanos, SECOND, StatementIndex};
 
-/// How long a load report is fresh.
+/// Time for which a load report is fresh.
 pub(crate) const REPORT_LIFETIME: Nanos = SECOND * 3 / 10;
-/// An engine that does not answer a request for that long is passed over.
-const REQUEST_TIMEOUT: Nanos = SECOND * 3 / 100;
-/// Another report of an engine that has not answered is requested after so long.
-const REQUEST_INTERVAL: Nanos = SECOND;
-/// Reports requested for one statement, apart from those that were not answered.
-const MAX_REQUESTS_PER_STATEMENT: usize = 2;
-/// Pressure lasts this long after its last sign.
+/// Time without a reply to a request after which an engine counts as unresponsive.
+const REPORT_REQUEST_TIMEOUT: Nanos = SECOND * 3 / 100;
+/// Time after which another report is requested from an engine that has not replied.
+const REPORT_REQUEST_INTERVAL: Nanos = SECOND;
+/// Load reports requested for one statement, not counting those without a reply.
+const MAX_REPORT_REQUESTS_PER_STATEMENT: usize = 2;
+/// Time for which an engine counts as under pressure after its last sign of pressure.
 const PRESSURE_DURATION: Nanos = SECOND / 2;
-/// Sign of pressure: processor or memory utilization by a report.
+/// Reported processor or memory utilization from which an engine shows pressure.
 const PRESSURE_UTILIZATION: f64 = 0.93;
-/// Sign of pressure: attempts that wait, by a report.
+/// Reported number of waiting attempts from which an engine shows pressure.
 const PRESSURE_WAITING: f64 = 1.0;
-/// Sign of pressure: slowness against its best.
+/// Ratio of an engine's slowness to its best above which the engine shows pressure.
 const PRESSURE_SLOWNESS_RATIO: f64 = 3.0;
 
 impl Engine {
@@ -31,25 +32,27 @@
         now < self.reported_at + REPORT_LIFETIME
     }
 
-    /// A request for a load report has timed out, and it is too early for the next.
+    /// Whether a request for a load report has timed out and it is too early for the next one.
     pub(crate) fn is_unresponsive(&self, now: Nanos) -> bool {
-        self.report_requested_at
-            .is_some_and(|at| now >= at + REQUEST_TIMEOUT && now < at + REQUEST_INTERVAL)
+        self.report_requested_at.is_some_and(|at| {
+            now >= at + REPORT_REQUEST_TIMEOUT && now < at + REPORT_REQUEST_INTERVAL
+        })
     }
 
-    /// Its last report is stale and none has been requested since.
+    /// Whether the engine's last report is stale and none is requested.
     pub(crate) fn needs_report_request(&self, now: Nanos) -> bool {
         self.report_requested_at.is_none() && !self.has_fresh_report(now)
     }
 
     fn can_request_report(&self, now: Nanos) -> bool {
         self.report_requested_at
-            .is_none_or(|at| now >= at + REQUEST_INTERVAL)
+            .is_none_or(|at| now >= at + REPORT_REQUEST_INTERVAL)
     }
 
-    /// Learns the slowness of a short statement; far above the best is a sign of pressure.
-    pub(crate) fn learn_slowness(&mut self, now: Nanos, sample: f64) {
-        self.slowness.learn(sample);
+    /// Updates the slowness with a short statement's. Slowness far above the best is a sign of
+    /// pressure.
+    pub(crate) fn update_slowness(&mut self, now: Nanos, sample: f64) {
+        self.slowness.update(sample);
         if self.slowness.current > PRESSURE_SLOWNESS_RATIO * self.slowness.best {
             self.pressure_until = now + PRESSURE_DURATION;
         }
@@ -57,7 +60,7 @@
 }
 
 impl Scheduler {
-    /// Reads a load report; an empty one tells nothing.
+    /// Applies a load report; an empty one is ignored.
     pub(crate) fn read_load_report(&mut self, now: Nanos, index: EngineIndex, report: &[f32]) {
         if report.is_empty() {
             return;
@@ -76,8 +79,8 @@
                 }
                 ReportField::WaitingAttempts => is_busy |= value >= PRESSURE_WAITING,
                 ReportField::InFlightAttempts => {
-                    let attempts_of_others = (value - f64::from(engine.in_flight)).max(0.0);
-                    engine.threads_of_others = attempts_of_others * threads_per_attempt;
+                    let other_gateways_attempts = (value - f64::from(engine.in_flight)).max(0.0);
+                    engine.other_gateways_threads = other_gateways_attempts * threads_per_attempt;
                     engine.reported_at = now;
                 }
                 ReportField::MeanLatencyMs
@@ -90,21 +93,23 @@
         if is_busy {
             engine.pressure_until = now + PRESSURE_DURATION;
         }
-        let threads = engine.threads.total() + OTHERS_THREADS_FACTOR * engine.threads_of_others;
+        let threads =
+            engine.threads.total() + OTHER_GATEWAYS_THREADS_FACTOR * engine.other_gateways_threads;
         is_busy |= threads >= PRESSURE_THREADS_PER_CORE * cores;
-        self.pressure_fraction += LEARNING_RATE * (f64::from(is_busy) - self.pressure_fraction);
+        self.pressure_fraction += SMOOTHING_FACTOR * (f64::from(is_busy) - self.pressure_fraction);
     }
 
-    /// Whether a statement waits for a fresh load report of its engine, which is requested here.
+    /// Whether a statement must wait for a fresh load report of its engine, which is requested
+    /// here.
     ///
-    /// Only long statements do, since it costs them a round trip. Guards against gateways so many that each
-    /// sees little of what an engine runs, and finds engines that answer nothing.
+    /// Only long statements wait, since a request costs a round trip. Guards against fleets so
+    /// large that each gateway sees little of an engine's load, and detects unresponsive engines.
     pub(crate) fn awaits_load_report(
         &mut self,
         now: Nanos,
         index: StatementIndex,
         engine_index: EngineIndex,
-        out: &mut dyn Output,
+        output: &mut dyn Output,
     ) -> bool {
         let Some(statement) = self.statements[index.0].as_mut() else {
             return false;
@@ -116,15 +121,16 @@
             return false;
         }
         if engine.can_request_report(now) {
-            out.request_load_report(engine_index);
+            output.request_load_report(engine_index);
             engine.report_requested_at = Some(now);
             statement.report_requests += 1;
         }
         true
     }
 
-    /// Whether a long statement has used up its requests, so that it goes only where no further one is needed.
-    pub(crate) fn has_no_requests_left(
+    /// Whether a long statement has used up its report requests and may only be sent to engines
+    /// that need no further one.
+    pub(crate) fn has_no_report_requests_left(
         &self,
         now: Nanos,
         statement: &Statement,
@@ -138,6 +144,6 @@
             .iter()
             .filter(|engine| engine.is_unresponsive(now))
             .count();
-        statement.report_requests >= MAX_REQUESTS_PER_STATEMENT + unresponsive
+        statement.report_requests >= MAX_REPORT_REQUESTS_PER_STATEMENT + unresponsive
     }
 }
--- a/crates/ivypitch-scheduler/src/output.rs
+++ b/crates/ivypitch-scheduler/src/output.rs
@@ -1,29 +1,29 @@
-//! What a scheduler may do.
+//! The interface through which a scheduler acts on its host.
 
 use ivypitch_types::{EngineIndex, Nanos, StatementIndex};
 
-/// The actions of a [`Scheduler`](crate::Scheduler), carried out by its host.
+/// The actions of a [`Scheduler`](crate::Scheduler), performed by its host.
 ///
-/// An action takes effect at the time of the event that it answers.
+/// An action takes effect at the time of the event during which it is called.
 pub trait Output {
-    /// Starts an attempt that the engine is to end after `timeout`. Attempts of a statement are numbered from
-    /// 0.
+    /// Starts an attempt that the engine must end after `timeout`. Attempts of a statement are
+    /// numbered from 0.
     fn send(&mut self, statement: StatementIndex, engine: EngineIndex, timeout: Nanos);
-    /// Cancels a running attempt. Its end is still reported.
+    /// Cancels a running attempt. The host still reports its end.
     fn cancel(&mut self, statement: StatementIndex, attempt: u32);
-    /// Memory for the next attempt (0: the engine's own choice) and priority (0: lowest), also for one that
-    /// runs.
+    /// Sets the memory grant of the next attempt (0: chosen by the engine) and the priority (0:
+    /// lowest) of the next or the running attempt.
     fn set_resources(&mut self, statement: StatementIndex, grant_mb: f64, priority: u8);
-    /// Final answer: the statement had no effect and may be retried, after `retry_after` where that is above
-    /// 0.
+    /// Gives the final answer that the statement had no effect and may be retried by the client,
+    /// after `retry_after` if that is above 0.
     fn reject(&mut self, statement: StatementIndex, retry_after: Nanos);
-    /// Final answer that claims nothing about effects.
+    /// Gives a final answer that claims nothing about the statement's effects.
     fn abort(&mut self, statement: StatementIndex);
-    /// The scheduler has dropped the statement and its attempts: the index may name another one.
+    /// Reports that the scheduler has dropped the statement, whose index may be reused.
     fn forget(&mut self, statement: StatementIndex);
-    /// Calls [`Scheduler::on_timer`](crate::Scheduler::on_timer) with `timer` after that time.
-    fn set_timer(&mut self, timer: u64, after: Nanos);
-    /// Asks an engine for a load report.
+    /// Calls [`Scheduler::on_timer`](crate::Scheduler::on_timer) with `timer` after `delay`.
+    fn set_timer(&mut self, timer: u64, delay: Nanos);
+    /// Requests a load report from an engine.
     fn request_load_report(&mut self, engine: EngineIndex);
     /// Sends a message to every other gateway.
     fn broadcast(&mut self, message: &[u8]);
--- a/crates/ivypitch-scheduler/src/placement.rs
+++ b/crates/ivypitch-scheduler/src/placement.rs
@@ -1,47 +1,47 @@
 //! The choice of an engine: BEMA, the balanced policy of B. Nam, D. Hwang, J. Kim and M. Shin,
-//! "High-Throughput Query Scheduling with Spatial Clustering based on Distributed Exponential Moving Average
-//! (EMA)" (2012), Algorithm 1.
+//! "High-Throughput Query Scheduling with Spatial Clustering based on Distributed Exponential
+//! Moving Average (EMA)" (2012), Algorithm 1.
 //!
-//! How the paper's terms map to this file, Algorithm 1 line by line:
+//! The paper's terms in this file, by the lines of Algorithm 1:
 //!
-//! - The query *Q*, its center point: [`Scheduler::draw_statement_point`], the hash of the statement's table
-//!   group with a small random offset.
+//! - The query *Q*, its center point: [`Scheduler::draw_query_point`], the hash of the statement's
+//!   table group with a small random offset.
 //! - *EMA\[s\]*: `Engine::ema_point`.
-//! - Lines 3 and 11 to 16, the server with the least weighted distance: [`Scheduler::choose_engine`], among
-//!   the engines of the subset that have capacity.
-//! - Lines 4 to 8, a server without a point gets the query: not here. A point starts at the hash of the
-//!   engine's id, [`point_of`], so that all gateways agree on it.
-//! - Line 9, *Load\[s\]*, the assignment count among the last N queries: `Engine::recent_sends` plus one,
-//!   over the engine's cores. Each gateway counts its own sends.
-//! - Line 10, *WeightedDistance*: [`Scheduler::weighted_distance`]. Distance counts at least
+//! - Lines 3 and 11 to 16, the server with the least weighted distance:
+//!   [`Scheduler::choose_engine`], among the engines of the subset that have capacity.
+//! - Lines 4 to 8, a server without a point gets the query: not implemented. A point starts at the
+//!   hash of the engine's id, [`hash_to_point`], so that all gateways agree on it.
+//! - Line 9, *Load\[s\]*, the assignment count among the last N queries: `Engine::recent_sends`
+//!   plus one, divided by the engine's cores. Each gateway counts its own sends.
+//! - Line 10, *WeightedDistance*: [`Scheduler::weighted_distance`]. Distance counts as at least
 //!   [`MIN_DISTANCE`].
 //! - Line 17, the query is forwarded: `Scheduler::send` in `attempts.rs`.
 //! - Line 18 and equation 2, *EMA\[s\] ← αQ + (1 - α)EMA\[s\]*: [`Scheduler::record_send`].
 //!
-//! What differs from the paper, and why, is in `docs/design.md`.
+//! The differences from the paper, with reasons, are in `docs/design.md`.
 
 use crate::capacity::Capacity;
 use crate::engine::Engine;
-use crate::outlier_detection::must_use_suspected;
+use crate::outlier_detection::should_ignore_exclusions;
 use crate::scheduler::Scheduler;
 use crate::statement::Statement;
 use ivypitch_types::{EngineIndex, Nanos, StatementIndex, hash_to_unit_interval};
 
-/// The paper's α: how far the chosen engine's EMA point moves towards the query point (its
-/// best is near 0.1).
+/// The paper's α: the fraction of the distance to the query point by which the chosen engine's EMA
+/// point moves. The paper found values near 0.1 to be best.
 const ALPHA: f64 = 0.1;
-/// The paper's N, for each engine in use.
+/// The paper's N, divided by the number of engines in use.
 const RECENT_SENDS_PER_ENGINE: usize = 9;
-/// Half the side of the square around a table group's point in which query points lie; the plane's side is 1.
+/// Largest offset of a query point from its table group's point on each axis of the unit square.
 const MAX_POINT_OFFSET: f64 = 0.04;
-/// Distance counts at least this part of the plane's side, so that load still spreads a hot table group.
+/// Least distance on the unit square that counts, so that load still spreads a hot table group.
 const MIN_DISTANCE: f64 = 0.1;
 
 /// A point on the unit square.
 pub(crate) type Point = [f64; 2];
 
-/// Where an id lies on the unit square.
-pub(crate) fn point_of(id: u64) -> Point {
+/// Hashes an id to a point on the unit square.
+pub(crate) fn hash_to_point(id: u64) -> Point {
     [
         hash_to_unit_interval(&(id, 0u8)),
         hash_to_unit_interval(&(id, 1u8)),
@@ -55,60 +55,62 @@
     pub table_group: u32,
 }
 
-/// The fields are compared in order: an engine without signs of pressure is better than any with.
+/// The score of a candidate engine; the lowest is best. The fields are compared in order, so that
+/// any engine without signs of pressure is better than any engine with them.
 #[derive(Clone, Copy, PartialEq, PartialOrd)]
-struct Score {
+struct EngineScore {
     is_under_pressure: bool,
     weighted_distance: f64,
     engine: EngineIndex,
 }
 
 impl Scheduler {
-    /// Draws the query point of a statement. Bulk loads that are kept apart from readers have points of their
-    /// own.
-    pub(crate) fn draw_statement_point(&mut self, table_group: u32, is_kept_apart: bool) -> Point {
-        let group_point = point_of(u64::from(table_group) | u64::from(is_kept_apart) << 32);
+    /// Draws the query point of a statement. Bulk loads that avoid the readers of their table group
+    /// use another point for the group than its readers do.
+    pub(crate) fn draw_query_point(&mut self, table_group: u32, avoids_readers: bool) -> Point {
+        let group_point = hash_to_point(u64::from(table_group) | u64::from(avoids_readers) << 32);
         [0, 1].map(|axis| {
-            let offset = MAX_POINT_OFFSET * (2.0 * self.random.next_unit() - 1.0);
+            let offset = MAX_POINT_OFFSET * (2.0 * self.random.next_f64() - 1.0);
             group_point[axis] + offset
         })
     }
 
-    /// The engine with the least weighted distance among those of the subset that have capacity; `None`: none
-    /// has.
+    /// Returns the engine with the least weighted distance among those of the subset that have
+    /// capacity, or `None` if none has.
     ///
-    /// Engines that are left out make way for the next by rank. Beyond the subset's size the search goes on
-    /// only while no engine has capacity.
+    /// Excluded engines are replaced by the next in rank. Beyond the subset's size the search
+    /// continues only while no engine has been found to have capacity.
     pub(crate) fn choose_engine(&self, now: Nanos, index: StatementIndex) -> Option<EngineIndex> {
         let statement = self.statement(index)?;
         let state = &self.workloads[statement.workload];
         let candidates = self.candidate_engines(now, index, statement);
-        let uses_suspected = must_use_suspected(now, &candidates);
-        let is_kept_apart = self.is_kept_apart_from_readers(statement);
-        if is_kept_apart && self.exceeds_locked_fraction(now, &candidates, statement.table_group) {
+        let ignores_exclusions = should_ignore_exclusions(now, &candidates);
+        let avoids_readers = self.avoids_readers(statement);
+        if avoids_readers && self.exceeds_locked_fraction(now, &candidates, statement.table_group) {
             return None;
         }
-        let can_be_trial = self.can_be_trial(statement);
-        let has_no_requests_left = self.has_no_requests_left(now, statement, &candidates);
-        let mut best: Option<Score> = None;
-        let mut tried = 0;
+        let can_probe = self.can_probe(statement);
+        let has_no_report_requests_left =
+            self.has_no_report_requests_left(now, statement, &candidates);
+        let mut best: Option<EngineScore> = None;
+        let mut examined = 0;
         for &engine in &candidates {
-            if tried >= state.subset.size && best.is_some() {
+            if examined >= state.subset.size && best.is_some() {
                 break;
             }
-            if engine.is_left_out(now, can_be_trial) && !uses_suspected {
+            if engine.is_excluded(now, can_probe) && !ignores_exclusions {
                 continue;
             }
-            tried += 1;
+            examined += 1;
             let capacity = self.capacity(now, statement, engine);
             if capacity == Capacity::Exhausted
-                || has_no_requests_left && engine.needs_report_request(now)
+                || has_no_report_requests_left && engine.needs_report_request(now)
             {
                 continue;
             }
-            let score = Score {
+            let score = EngineScore {
                 is_under_pressure: capacity == Capacity::AvailableUnderPressure,
-                weighted_distance: self.weighted_distance(statement, engine, is_kept_apart),
+                weighted_distance: self.weighted_distance(statement, engine, avoids_readers),
                 engine: engine.endpoint.engine,
             };
             if best.is_none_or(|least| score < least) {
@@ -118,39 +120,42 @@
         best.map(|score| score.engine)
     }
 
-    /// The paper's *WeightedDistance*, with load per core. Bulk loads that are kept apart from readers also
-    /// spread from the recent sends of their own table group.
+    /// Computes the paper's *WeightedDistance*, with load per core. Bulk loads that avoid the
+    /// readers of their table group are also spread away from recent sends of that group.
     fn weighted_distance(
         &self,
         statement: &Statement,
         engine: &Engine,
-        is_kept_apart: bool,
+        avoids_readers: bool,
     ) -> f64 {
-        let difference = [0, 1].map(|axis| engine.ema_point[axis] - statement.point[axis]);
+        let difference = [0, 1].map(|axis| engine.ema_point[axis] - statement.query_point[axis]);
         let distance = difference[0].hypot(difference[1]).max(MIN_DISTANCE);
         let load = (engine.recent_sends + 1) as f64;
         let weighted = distance * load / self.remaining_cores(statement.workload, engine);
-        if !is_kept_apart {
+        if !avoids_readers {
             return weighted;
         }
-        let same = RecentSend {
+        let same_group_send = RecentSend {
             engine: engine.endpoint.engine,
             table_group: statement.table_group,
         };
-        let same_sends = self.recent_sends.iter().filter(|&&send| send == same);
-        weighted * (1.0 + same_sends.count() as f64)
+        let same_group_sends = self
+            .recent_sends
+            .iter()
+            .filter(|&&send| send == same_group_send);
+        weighted * (1.0 + same_group_sends.count() as f64)
     }
 
-    /// Moves the chosen engine's EMA point and counts the send among the last N.
+    /// Moves the chosen engine's EMA point and adds the send to the last N.
     pub(crate) fn record_send(
         &mut self,
         engine_index: EngineIndex,
-        point: Point,
+        query_point: Point,
         table_group: u32,
     ) {
         let engine = &mut self.engines[engine_index.0];
         engine.ema_point =
-            [0, 1].map(|axis| ALPHA * point[axis] + (1.0 - ALPHA) * engine.ema_point[axis]);
+            [0, 1].map(|axis| ALPHA * query_point[axis] + (1.0 - ALPHA) * engine.ema_point[axis]);
         engine.recent_sends += 1;
         self.recent_sends.push_back(RecentSend {
             engine: engine_index,
--- a/crates/ivypitch-scheduler/src/retry_budget.rs
+++ b/crates/ivypitch-scheduler/src/retry_budget.rs
@@ -1,11 +1,11 @@
-//! The retry budget: retries are limited to a part of the statements that arrive.
+//! The retry budget: retries are limited to a fraction of the statements that arrive.
 
 use crate::deployment::RetryBudget;
 use crate::sliding_window::SlidingWindow;
 use ivypitch_types::{Nanos, SECOND};
 
-/// Limit on retries by own suspicion where no contract states one: if more attempts seem lost, all engines
-/// are slow.
+/// Limit on retries of attempts that this gateway considers lost or badly planned, if the contract
+/// sets none: if more attempts seem lost, all engines are slow.
 const DEFAULT_RETRY_BUDGET: RetryBudget = RetryBudget {
     window: SECOND * 5,
     base: 5.0,
@@ -28,12 +28,12 @@
         }
     }
 
-    /// Length of the budget's window.
+    /// Returns the length of the budget's window.
     pub fn window(&self) -> Nanos {
         self.budget.window
     }
 
-    /// Counts a statement that arrived, and evicts what has left the window.
+    /// Counts a statement that has arrived and evicts the events that have left the window.
     pub fn record_arrival(&mut self, now: Nanos) {
         self.arrivals.push(now, 0.0);
         let window_start = now.saturating_sub(self.budget.window);
@@ -45,7 +45,7 @@
         self.retries.push(now, 0.0);
     }
 
-    /// Takes back a retry that was recorded at that time; `false`: there is none.
+    /// Removes a retry that was recorded at the given time. Returns `false` if there is none.
     pub fn retract_retry(&mut self, at: Nanos) -> bool {
         self.retries.remove(at, 0.0)
     }
@@ -56,7 +56,8 @@
 
     /// Whether the budget covers the recorded retries and `additional` ones.
     ///
-    /// Arrivals count for two ticks less than the window, since the host's clock may be late by as much.
+    /// Arrivals count for two ticks less than the window, since the host's clock may lag by as
+    /// much.
     pub fn allows(&self, now: Nanos, tick: Nanos, additional: usize) -> bool {
         let window = self.budget.window;
         let arrivals_since = now.saturating_sub(window.saturating_sub(2 * tick));
--- a/crates/ivypitch-scheduler/src/scheduler.rs
+++ b/crates/ivypitch-scheduler/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The state of a scheduler and its entry points, one for each thing that happens.
+//! The state of a scheduler and its entry points, one per event.
 
 use crate::bulk_loads::{BulkLoadChange, BulkLoads};
 use crate::cost_model::ArrivalMix;
@@ -8,7 +8,7 @@
     Arrival, AttemptEnded, AttemptProgress, EndpointUpdateKind, EngineEndpoint, OutlierStatus,
 };
 use crate::key_order::KeyQueues;
-use crate::outlier_detection::{MAX_ERRORS_AGAINST_ENGINES, SENDS_PER_TRIAL};
+use crate::outlier_detection::{MAX_COUNTED_ERRORS_PER_STATEMENT, MIN_SENDS_PER_PROBE};
 use crate::output::Output;
 use crate::placement::RecentSend;
 use crate::retry_budget::RetryBudgetTracker;
@@ -21,17 +21,20 @@
 };
 use std::collections::VecDeque;
 
-/// While statements are open, lost attempts and deadlines are looked for at this interval.
+/// Interval at which open statements are checked for lost attempts and deadlines.
 const HOUSEKEEPING_INTERVAL: Nanos = SECOND / 100;
-/// A failed request for the endpoint list is repeated after this and up to as much again.
+/// A failed request for the endpoint list is repeated after this interval plus a jitter of up to
+/// the same length.
 const WATCH_RETRY_INTERVAL: Nanos = SECOND;
-/// An engine that has rejected an attempt as overloaded gets the next after so long.
+/// How long an engine gets no attempts after it has rejected one as overloaded.
 const OVERLOAD_BACKOFF: Nanos = SECOND;
 
+/// Timer for housekeeping while statements are open.
 const TIMER_HOUSEKEEPING: u64 = 0;
+/// Timer that repeats a failed request for the endpoint list.
 const TIMER_WATCH_ENDPOINTS: u64 = 1;
 
-/// Reproducible pseudo-random numbers: a function of the seed and the number of draws.
+/// Reproducible pseudo-random numbers: a hash of the seed and the number of draws.
 #[derive(Default)]
 pub(crate) struct RandomSequence {
     seed: u64,
@@ -40,56 +43,57 @@
 
 impl RandomSequence {
     /// The next number in `[0, 1)`.
-    pub fn next_unit(&mut self) -> f64 {
+    pub fn next_f64(&mut self) -> f64 {
         self.draws += 1;
         hash_to_unit_interval(&(self.seed, self.draws))
     }
 }
 
-/// What a scheduler has in hand.
+/// Counts of a scheduler's open statements and running attempts.
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
 pub struct InFlight {
-    /// Statements that it has not forgotten.
+    /// Open statements, including answered ones whose attempt still runs.
     pub statements: usize,
-    /// Attempts that run.
+    /// Running attempts.
     pub attempts: u32,
-    /// Threads of these attempts.
+    /// Threads that the running attempts occupy on their engines.
     pub threads: f64,
 }
 
-/// All decisions of one gateway. See the [crate's documentation](crate) for its contract.
+/// The scheduler of one gateway. See the [crate's documentation](crate) for its contract.
 #[derive(Default)]
 pub struct Scheduler {
     pub(crate) deployment: Deployment,
     pub(crate) random: RandomSequence,
     pub(crate) started_at: Nanos,
-    /// By index; `None`: free.
+    /// Indexed by [`StatementIndex`]; `None`: the index is free.
     pub(crate) statements: Vec<Option<Statement>>,
     pub(crate) open_statements: usize,
     pub(crate) workloads: Vec<WorkloadState>,
-    /// By index; one that is not referenced may be given to another engine.
+    /// Indexed by [`EngineIndex`]; the entry of an engine that is no longer referenced may be
+    /// reused.
     pub(crate) engines: Vec<Engine>,
     pub(crate) listed_engines: usize,
-    /// How many engines this gateway's sends go to.
+    /// Number of engines that this gateway sends statements to.
     pub(crate) engines_in_use: usize,
-    /// The last N sends of this gateway, oldest first.
+    /// The last N sends of this gateway (the paper's N), oldest first.
     pub(crate) recent_sends: VecDeque<RecentSend>,
-    pub(crate) sends_since_trial: u32,
+    pub(crate) sends_since_probe: u32,
     pub(crate) key_queues: KeyQueues,
     pub(crate) bulk_loads: BulkLoads,
-    /// A workload waits for bulk loads.
+    /// Whether the statements of some workload stall while a bulk load locks their table group.
     pub(crate) has_readers_of_bulk_loads: bool,
     pub(crate) retry_budget: RetryBudgetTracker,
     pub(crate) quotas: TenantQuotas,
     pub(crate) arrival_mix: ArrivalMix,
-    /// Part of the load reports that show pressure, smoothed.
+    /// Smoothed fraction of load reports that show pressure.
     pub(crate) pressure_fraction: f64,
-    pub(crate) dispatched_at: Nanos,
+    pub(crate) last_dispatch_at: Nanos,
     is_housekeeping_timer_set: bool,
 }
 
 impl Scheduler {
-    /// A scheduler of one gateway that starts at `now`. The seed decides its random draws.
+    /// Creates the scheduler of a gateway that starts at `now`. `seed` determines its random draws.
     pub fn new(mut deployment: Deployment, seed: u64, now: Nanos) -> Self {
         deployment.gateways = deployment.gateways.max(1);
         let workloads = &deployment.workloads;
@@ -105,45 +109,45 @@
             deployment,
             random: RandomSequence { seed, draws: 0 },
             started_at: now,
-            sends_since_trial: SENDS_PER_TRIAL,
+            sends_since_probe: MIN_SENDS_PER_PROBE,
             ..Scheduler::default()
         }
     }
 
-    /// Begins to work: requests the endpoint list where the deployment wants that.
-    pub fn start(&mut self, _now: Nanos, out: &mut dyn Output) {
+    /// Requests the endpoint list if the deployment does not deliver it unasked.
+    pub fn start(&mut self, _now: Nanos, output: &mut dyn Output) {
         if self.deployment.must_request_endpoints {
-            out.watch_endpoints();
+            output.watch_endpoints();
         }
     }
 
-    /// The endpoint list has changed.
+    /// Applies a change of the endpoint list.
     pub fn on_endpoints_updated(
         &mut self,
         now: Nanos,
         kind: EndpointUpdateKind,
         endpoints: &[EngineEndpoint],
-        out: &mut dyn Output,
+        output: &mut dyn Output,
     ) {
         if kind != EndpointUpdateKind::Delta {
-            self.unlist_missing(endpoints);
+            self.unlist_missing_engines(endpoints);
         }
         for endpoint in endpoints {
-            self.update_endpoint(endpoint, out);
+            self.update_endpoint(endpoint, output);
         }
         self.resize_subsets(now);
-        self.dispatch(now, out);
+        self.dispatch(now, output);
     }
 
-    /// The request for the endpoint list has failed: it is repeated after a pause that differs among
-    /// gateways.
-    pub fn on_endpoint_watch_failed(&mut self, _now: Nanos, out: &mut dyn Output) {
-        let jitter = (self.random.next_unit() * WATCH_RETRY_INTERVAL as f64) as Nanos;
-        out.set_timer(TIMER_WATCH_ENDPOINTS, WATCH_RETRY_INTERVAL + jitter);
+    /// Schedules another request for the endpoint list after one has failed. The random jitter
+    /// keeps gateways from repeating their requests at the same time.
+    pub fn on_endpoint_watch_failed(&mut self, _now: Nanos, output: &mut dyn Output) {
+        let jitter = (self.random.next_f64() * WATCH_RETRY_INTERVAL as f64) as Nanos;
+        output.set_timer(TIMER_WATCH_ENDPOINTS, WATCH_RETRY_INTERVAL + jitter);
     }
 
-    /// Whether an open statement, an attempt or a recent send refers to the engine, or the endpoint list has
-    /// it. Else its index may be given to another engine.
+    /// Whether the endpoint list, an open statement, an attempt or a recent send refers to the
+    /// engine. Otherwise its index may be reused for another engine.
     pub fn is_engine_referenced(&self, index: EngineIndex) -> bool {
         let is_in_use =
             |engine: &Engine| engine.is_listed || engine.in_flight > 0 || engine.recent_sends > 0;
@@ -157,64 +161,66 @@
         })
     }
 
-    /// The gateways have decided together on an engine's health.
+    /// Applies the fleet's common decision on an engine's health.
     pub fn on_outlier_status(
         &mut self,
         index: EngineIndex,
         status: OutlierStatus,
-        out: &mut dyn Output,
+        output: &mut dyn Output,
     ) {
-        self.apply_outlier_status(index, status, out);
+        self.apply_outlier_status(index, status, output);
     }
 
-    /// Sets the part of a tenant's quota that this gateway may use, 0 to 1. At first it is an even part.
+    /// Sets this gateway's share of a tenant's quota, 0 to 1. The initial share is `1 / gateways`.
     pub fn set_quota_share(&mut self, tenant: usize, share: f64) {
-        self.quotas.set_share(tenant, share);
+        self.quotas.set_quota_share(tenant, share);
     }
 
-    /// An engine has answered a request for a load report.
+    /// Handles an engine's reply to a request for a load report.
     pub fn on_load_report(
         &mut self,
         now: Nanos,
         index: EngineIndex,
         report: &[f32],
-        out: &mut dyn Output,
+        output: &mut dyn Output,
     ) {
         self.read_load_report(now, index, report);
-        self.dispatch(now, out);
+        self.dispatch(now, output);
     }
 
-    /// Another gateway has sent a message by [`Output::broadcast`]. One that cannot be read is ignored.
+    /// Handles a message that another gateway has sent by [`Output::broadcast`]. Messages that
+    /// cannot be decoded are ignored.
     pub fn on_peer_message(&mut self, now: Nanos, message: &[u8]) {
         self.on_peer_bulk_load(now, message);
     }
 
-    /// A statement arrives, under an index that is free.
+    /// Admits a statement that arrives. `index` must be free.
     pub fn on_statement_arrived(
         &mut self,
         now: Nanos,
         index: StatementIndex,
         arrival: Arrival,
-        out: &mut dyn Output,
+        output: &mut dyn Output,
     ) {
-        if self.admit(now, index, &arrival, out) {
-            self.dispatch(now, out);
-            self.set_housekeeping_timer(out);
+        if self.admit(now, index, &arrival, output) {
+            self.dispatch(now, output);
+            self.set_housekeeping_timer(output);
         }
     }
 
     /// Takes over a statement whose attempt a lost gateway has sent to `engine`.
     ///
-    /// The attempt counts as a retry, and its first error says nothing about the engine.
+    /// The attempt counts as a retry, and an error that it returns does not count against the
+    /// engine.
     pub fn take_over_statement(
         &mut self,
         now: Nanos,
         index: StatementIndex,
         arrival: Arrival,
         engine: EngineIndex,
-        out: &mut dyn Output,
+        output: &mut dyn Output,
     ) {
-        if !self.admit(now, index, &arrival, out) {
+        if !self.admit(now, index, &arrival, output) {
             return;
         }
         self.transition(index, StatementState::Running);
@@ -229,22 +235,25 @@
             last_progress_at: now,
         });
         statement.attempts = 1;
-        statement.errors = MAX_ERRORS_AGAINST_ENGINES;
+        statement.errors = MAX_COUNTED_ERRORS_PER_STATEMENT;
         statement.possible_run = Some(PossibleRun {
             engine,
             started_at: now,
         });
         let table_group = statement.table_group;
-        self.count_attempt(arrival.workload, engine);
+        self.add_in_flight_attempt(arrival.workload, engine);
         self.retry_budget.record_retry(now);
         if self.deployment.workloads[arrival.workload].is_bulk_load {
-            self.on_own_bulk_load(now, engine, table_group, BulkLoadChange::Begins, out);
+            self.on_own_bulk_load(now, engine, table_group, BulkLoadChange::Begins, output);
         }
-        self.set_housekeeping_timer(out);
+        self.set_housekeeping_timer(output);
     }
 
-    /// The first byte of an attempt is about to leave: checks the safety rules again, with windows that count
-    /// from now on. `false`: it must not leave; its end is to be reported as [`Outcome::NotSent`].
+    /// Checks the safety rules again just before the first byte of an attempt is sent. From then on
+    /// the attempt counts in the slow-start and retry windows as sent at `now`.
+    ///
+    /// Returns `false` if the attempt must not be sent; the host then reports its end as
+    /// [`Outcome::NotSent`].
     pub fn confirm_send(&mut self, now: Nanos, index: StatementIndex, attempt: u32) -> bool {
         let Some(statement) = self.statement(index) else {
             return false;
@@ -275,7 +284,7 @@
         true
     }
 
-    /// The client begins to receive the result of an attempt.
+    /// Records that the client has begun to receive the result of an attempt.
     pub fn on_response_started(&mut self, _now: Nanos, index: StatementIndex, attempt: u32) {
         let Some(statement) = self.statement(index) else {
             return;
@@ -286,18 +295,18 @@
         }
     }
 
-    /// An engine reports the progress of an attempt.
+    /// Handles an engine's report on the progress of an attempt.
     ///
-    /// An attempt with a bad plan is cancelled and retried: one projected to take many times what its work
-    /// should take. That covers attempts that stand still. Hurts when estimates are far too low: work is
-    /// lost.
+    /// An attempt with a bad plan is cancelled and retried: one whose projected time is a multiple
+    /// of the time that its work should take. This includes stalled attempts. Drawback: if
+    /// estimates are far too low, the work done so far is lost.
     pub fn on_progress(
         &mut self,
         now: Nanos,
         index: StatementIndex,
         attempt: u32,
         progress: AttemptProgress,
-        out: &mut dyn Output,
+        output: &mut dyn Output,
     ) {
         let Some(statement) = self.statement_mut(index) else {
             return;
@@ -308,23 +317,23 @@
         running.last_progress_at = now;
         let elapsed = now - running.started_at;
         match progress {
-            AttemptProgress::SpilledMb(missing_mb) => self.learn_memory(index, missing_mb),
+            AttemptProgress::SpilledMb(missing_mb) => self.update_memory_factor(index, missing_mb),
             AttemptProgress::FractionDone(done) => {
                 if self.has_bad_plan(index, elapsed, done) && self.is_within_retry_budget(now, 1) {
-                    self.cancel_attempt(index, out);
+                    self.cancel_attempt(index, output);
                 }
             }
             AttemptProgress::WaitingForMemory | AttemptProgress::WaitingForBulkLoad => {}
         }
     }
 
-    /// An attempt has ended. One that does not run is ignored.
+    /// Handles the end of an attempt. An attempt that is not running is ignored.
     pub fn on_attempt_ended(
         &mut self,
         now: Nanos,
         index: StatementIndex,
         ended: &AttemptEnded,
-        out: &mut dyn Output,
+        output: &mut dyn Output,
     ) {
         let Some(statement) = self.statement_mut(index) else {
             return;
@@ -334,14 +343,14 @@
         };
         let workload = statement.workload;
         let table_group = statement.table_group;
-        self.uncount_attempt(workload, attempt.engine);
-        let is_fault = self.record_end(now, index, &attempt, ended.outcome);
+        self.remove_in_flight_attempt(workload, attempt.engine);
+        let is_fault = self.record_attempt_outcome(now, index, &attempt, ended.outcome);
         match ended.outcome {
-            Outcome::Completed => self.learn_completion(now, index, &attempt, ended),
+            Outcome::Completed => self.update_costs_on_completion(now, index, &attempt, ended),
             Outcome::Overloaded => {
                 self.engines[attempt.engine.0].overloaded_until = now + OVERLOAD_BACKOFF;
             }
-            Outcome::NotSent => self.take_back_send(index, &attempt),
+            Outcome::NotSent => self.retract_send(index, &attempt),
             Outcome::Error
             | Outcome::TimedOut
             | Outcome::ConnectFailed
@@ -351,81 +360,83 @@
         }
         let is_completed = ended.outcome == Outcome::Completed;
         if is_completed || is_fault {
-            self.record_outcome(now, attempt.engine, is_completed, out);
+            self.record_engine_outcome(now, attempt.engine, is_completed, output);
         }
         if self.deployment.workloads[workload].is_bulk_load {
             let change = BulkLoadChange::Ends;
-            self.on_own_bulk_load(now, attempt.engine, table_group, change, out);
+            self.on_own_bulk_load(now, attempt.engine, table_group, change, output);
         }
         self.read_load_report(now, attempt.engine, ended.load_report);
         if ended.has_final_answer {
             self.transition(index, StatementState::Answered);
         } else {
-            self.retry_or_answer(now, index, ended.outcome, out);
+            self.retry_or_answer(now, index, ended.outcome, output);
         }
-        self.forget_if_finished(index, out);
-        self.dispatch(now, out);
+        self.forget_if_finished(index, output);
+        self.dispatch(now, output);
     }
 
-    /// The client no longer waits for the statement: it needs no answer, and its attempt is cancelled.
+    /// Closes a statement whose client no longer waits: it needs no answer, and its attempt is
+    /// cancelled.
     pub fn on_statement_expired(
         &mut self,
         now: Nanos,
         index: StatementIndex,
-        out: &mut dyn Output,
+        output: &mut dyn Output,
     ) {
         if self.statement(index).is_some() {
-            self.cancel_attempt(index, out);
+            self.cancel_attempt(index, output);
             self.transition(index, StatementState::Answered);
-            self.forget_if_finished(index, out);
-            self.dispatch(now, out);
+            self.forget_if_finished(index, output);
+            self.dispatch(now, output);
         }
     }
 
-    /// The gateway shuts down: what is open must be answered by `deadline`.
+    /// Shortens the deadlines of all open statements to `deadline`, because the gateway shuts down.
     pub fn begin_shutdown(&mut self, deadline: Nanos) {
         for statement in self.statements.iter_mut().flatten() {
             statement.deadline = statement.deadline.min(deadline);
         }
     }
 
-    /// A timer of [`Output::set_timer`] has fired.
-    pub fn on_timer(&mut self, now: Nanos, timer: u64, out: &mut dyn Output) {
+    /// Handles a timer set by [`Output::set_timer`] that has fired.
+    pub fn on_timer(&mut self, now: Nanos, timer: u64, output: &mut dyn Output) {
         if timer == TIMER_WATCH_ENDPOINTS {
-            return out.watch_endpoints();
+            return output.watch_endpoints();
         }
         self.is_housekeeping_timer_set = false;
-        self.detect_lost_attempts(now, out);
-        self.answer_before_deadlines(now, out);
-        self.dispatch(now, out);
+        self.detect_lost_attempts(now, output);
+        self.answer_before_deadlines(now, output);
+        self.dispatch(now, output);
         self.key_queues.evict_idle(now);
-        self.set_housekeeping_timer(out);
+        self.set_housekeeping_timer(output);
     }
 
-    /// Rule 1: what has no answer at the last moment before its deadline gets one here.
-    fn answer_before_deadlines(&mut self, now: Nanos, out: &mut dyn Output) {
-        let last_moment = now + 2 * self.deployment.tick.max(MILLISECOND);
+    /// Safety rule 1: rejects or aborts statements that have no answer shortly before their
+    /// deadline.
+    fn answer_before_deadlines(&mut self, now: Nanos, output: &mut dyn Output) {
+        let answer_threshold = now + 2 * self.deployment.tick.max(MILLISECOND);
         for index in 0..self.statements.len() {
             let index = StatementIndex(index);
-            let is_due = |statement: &Statement| {
+            let needs_answer = |statement: &Statement| {
                 let is_streaming = statement.state == StatementState::Streaming;
                 let is_answered = statement.state == StatementState::Answered;
-                !is_streaming && !is_answered && statement.deadline <= last_moment
+                !is_streaming && !is_answered && statement.deadline <= answer_threshold
             };
-            if self.statement(index).is_some_and(is_due) {
-                self.reject_or_abort(now, index, out);
+            if self.statement(index).is_some_and(needs_answer) {
+                self.reject_or_abort(now, index, output);
             }
         }
     }
 
-    fn set_housekeeping_timer(&mut self, out: &mut dyn Output) {
+    fn set_housekeeping_timer(&mut self, output: &mut dyn Output) {
         if self.open_statements > 0 && !self.is_housekeeping_timer_set {
             self.is_housekeeping_timer_set = true;
-            out.set_timer(TIMER_HOUSEKEEPING, HOUSEKEEPING_INTERVAL);
+            output.set_timer(TIMER_HOUSEKEEPING, HOUSEKEEPING_INTERVAL);
         }
     }
 
-    /// What is in hand now.
+    /// Counts the open statements and running attempts.
     pub fn in_flight(&self) -> InFlight {
         let threads = |(state, workload): (&WorkloadState, &Workload)| {
             f64::from(state.in_flight) * workload.threads
--- a/crates/ivypitch-scheduler/src/statement.rs
+++ b/crates/ivypitch-scheduler/src/statement.rs
@@ -1,23 +1,23 @@
-//! What a scheduler keeps for each open statement, and its state machine.
+//! The scheduler's state of each open statement, and its state machine.
 
 use crate::output::Output;
 use crate::placement::Point;
 use crate::scheduler::Scheduler;
 use ivypitch_types::{EngineIndex, Nanos, StatementIndex};
 
-/// Where a statement stands.
+/// State of an open statement.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub(crate) enum StatementState {
-    /// It waits in its workload's queue; no attempt runs.
+    /// The statement waits in its workload's queue; no attempt runs.
     #[default]
     Waiting,
     /// An attempt runs.
     Running,
-    /// Its attempt was cancelled; how it ended is not known yet.
+    /// The attempt was cancelled; its outcome is not known yet.
     Cancelling,
     /// The client receives the result.
     Streaming,
-    /// It has its final answer; an attempt may still run.
+    /// The statement has its final answer; an attempt may still run.
     Answered,
 }
 
@@ -37,15 +37,16 @@
     }
 }
 
-/// An attempt that runs on an engine.
+/// A running attempt.
 pub(crate) struct Attempt {
     pub engine: EngineIndex,
     pub started_at: Nanos,
-    /// From 0 for each statement.
+    /// Number of the attempt, from 0 for each statement.
     pub number: u32,
     /// Work charged to the engine's slow-start limit.
     pub charged_work_secs: f64,
-    /// The last progress report; `Nanos::MAX` once the attempt is taken for lost.
+    /// Time of the last progress report, or of the start if there is none; `Nanos::MAX` once the
+    /// attempt counts as lost.
     pub last_progress_at: Nanos,
 }
 
@@ -60,36 +61,37 @@
 #[derive(Default)]
 pub(crate) struct Statement {
     pub workload: usize,
-    /// 0: none.
+    /// Ordering key; 0: none.
     pub key: u64,
     pub table_group: u32,
-    /// The paper's query point Q.
-    pub point: Point,
+    /// The paper's *Q*.
+    pub query_point: Point,
     pub deadline: Nanos,
     /// Expected work of all threads.
     pub work_secs: f64,
-    /// Usual work of its workload, charged to slow-start limits.
+    /// Usual work of the workload, charged to slow-start limits.
     pub charged_work_secs: f64,
     pub estimated_memory_mb: f64,
     pub has_spilled: bool,
-    /// Its workload's, less where its tenant is over quota.
+    /// Priority weight of the workload, reduced if the tenant is over its quota.
     pub priority_weight: f64,
     pub state: StatementState,
+    /// Number of attempts, including unsent ones.
     pub attempts: u32,
-    /// Attempts that never left the gateway.
+    /// Number of attempts that never left the gateway.
     pub unsent_attempts: u32,
-    /// Errors by engines that were healthy.
+    /// Number of errors returned by engines that were healthy.
     pub errors: u32,
     pub attempt: Option<Attempt>,
     pub possible_run: Option<PossibleRun>,
-    /// It is answered when it still waits then.
-    pub wait_until: Nanos,
-    /// Load reports requested for it.
+    /// Time from which the statement is answered if it still waits for an engine.
+    pub wait_deadline: Nanos,
+    /// Number of load reports requested for the statement.
     pub report_requests: usize,
 }
 
 impl Statement {
-    /// Attempts that left the gateway or run.
+    /// Number of attempts that have left the gateway or may still leave it.
     pub fn sent_attempts(&self) -> u32 {
         self.attempts - self.unsent_attempts
     }
@@ -98,7 +100,7 @@
         self.sent_attempts() > 0
     }
 
-    /// The attempt of that number, if it runs.
+    /// Returns the attempt with the given number if it is running.
     pub fn running_attempt(&self, number: u32) -> Option<&Attempt> {
         self.attempt
             .as_ref()
@@ -119,7 +121,7 @@
         self.statements.get_mut(index.0).and_then(Option::as_mut)
     }
 
-    /// The one place where a statement's state changes.
+    /// Changes a statement's state. No other function does.
     pub(crate) fn transition(&mut self, index: StatementIndex, to: StatementState) {
         let Some(statement) = &mut self.statements[index.0] else {
             return;
@@ -133,14 +135,14 @@
         statement.state = to;
     }
 
-    /// Drops a statement that has its answer and no attempt that runs.
-    pub(crate) fn forget_if_finished(&mut self, index: StatementIndex, out: &mut dyn Output) {
+    /// Drops a statement that has its final answer and no running attempt.
+    pub(crate) fn forget_if_finished(&mut self, index: StatementIndex, output: &mut dyn Output) {
         let slot = &mut self.statements[index.0];
         let Some(statement) = slot.take_if(|statement| statement.is_finished()) else {
             return;
         };
         self.key_queues.remove(statement.key, index);
         self.open_statements -= 1;
-        out.forget(index);
+        output.forget(index);
     }
 }
--- a/crates/ivypitch-scheduler/src/subset.rs
+++ b/crates/ivypitch-scheduler/src/subset.rs
@@ -1,8 +1,8 @@
-//! The part of the engines that one gateway uses, where the fleet is large and its own traffic thin.
+//! Subsetting: the engines that one gateway uses if the fleet is large and its own traffic is low.
 //!
-//! Each engine ranks all gateways by a permutation of its own; a gateway uses the engines that rank it
-//! lowest. The subset is the same after a restart, and an engine more or less changes few subsets by one
-//! engine.
+//! Each engine ranks all gateways by its own permutation; a gateway uses the engines that rank it
+//! lowest. The subset is the same after a restart, and adding or removing an engine changes few
+//! subsets, each by one engine.
 
 use crate::deployment::EngineKind;
 use crate::engine::Engine;
@@ -16,24 +16,30 @@
 };
 use std::collections::BTreeSet;
 
-/// Own statements bring so many load reports of each engine in the subset while a report is fresh.
+/// Number of load reports that this gateway's own statements return from each engine of the subset
+/// within the lifetime of a report.
 const REPORTS_PER_LIFETIME: f64 = 2.0;
-/// Upper end by traffic: what a statement may cost.
-const MAX_SIZE_BY_TRAFFIC: f64 = 80.0;
-/// Lower end: a choice is left where one engine fails, one drains and one warms up.
-const MIN_SIZE: f64 = 5.0;
-/// Gateways that share each engine at least: one more or less changes its load by a seventh.
+/// Upper limit of the subset size derived from traffic; it bounds the scheduling cost per
+/// statement.
+const MAX_SUBSET_SIZE_BY_TRAFFIC: f64 = 80.0;
+/// Lower limit of the subset size; it leaves a choice of engines while one has failed, one drains
+/// and one warms up.
+const MIN_SUBSET_SIZE: f64 = 5.0;
+/// Least mean number of gateways per engine; one gateway more or less then changes an engine's load
+/// by a seventh.
 const MIN_GATEWAYS_PER_ENGINE: f64 = 7.0;
-/// A subset of more than this part of the engines is replaced by all of them.
-const MAX_FRACTION: f64 = 0.25;
-/// Without capacity the subset widens to so many times its size.
-const MAX_WIDENING: usize = 2;
-/// It looks at so many times its size for engines that may be used.
-const MAX_LOOKUPS_PER_ENGINE: usize = 4;
-
-/// The rank of gateway `member_index` at an engine: each rank below `gateways` goes to one gateway, and two
-/// gateways are near each other at some engines only (a multiplier without a common factor with their number,
-/// and a shift).
+/// A subset larger than this fraction of the eligible engines is replaced by all of them.
+const MAX_SUBSET_FRACTION: f64 = 0.25;
+/// Multiple of its size to which a subset widens when its engines have no capacity.
+const MAX_WIDENING_FACTOR: usize = 2;
+/// Number of ranks examined for permitted engines, as a multiple of the subset's size.
+const MAX_LOOKUPS_PER_SUBSET_ENGINE: usize = 4;
+
+/// Returns the rank of gateway `member_index` at an engine.
+///
+/// Each rank below `gateways` belongs to exactly one gateway. The permutation is affine, with a
+/// multiplier that is coprime to `gateways` and an offset, both hashed from the engine's id, so
+/// that two gateways have neighboring ranks at some engines only.
 pub fn gateway_rank(engine_id: u64, member_index: usize, gateways: usize) -> usize {
     let draw =
         |purpose: u8| (hash_to_unit_interval(&(engine_id, purpose)) * gateways as f64) as usize;
@@ -52,8 +58,8 @@
     }
 }
 
-/// Order of the engines at one gateway: by the gateway's rank at the engine, then by a hash of the engine's
-/// id.
+/// Sort key of an engine at one gateway: the gateway's rank at the engine, then a hash of the
+/// engine's id.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default)]
 pub(crate) struct EngineRank {
     gateway_rank: u32,
@@ -76,11 +82,11 @@
     }
 }
 
-/// The engines that are ready and may run a workload. A change costs the logarithm of their number.
+/// The engines that are ready and may run a workload. Insertion and removal take logarithmic time.
 #[derive(Default)]
 struct EligibleEngines {
     ranks: BTreeSet<EngineRank>,
-    /// How many there are of each kind.
+    /// Number of eligible engines, indexed by engine kind.
     count_by_kind: Vec<u32>,
 }
 
@@ -101,7 +107,7 @@
         }
     }
 
-    /// The cores of all; a kind that is not configured has one.
+    /// Total cores; an engine of a kind that is not configured counts as one core.
     fn cores(&self, kinds: &[EngineKind]) -> f64 {
         let cores = |kind: usize| kinds.get(kind).map_or(1.0, |k| k.cores).max(1.0);
         self.count_by_kind
@@ -112,14 +118,14 @@
     }
 }
 
-/// The engines of one workload, of which this gateway uses the first `size` by rank.
+/// The eligible engines of one workload, of which this gateway uses the first `size` by rank.
 #[derive(Default)]
 pub(crate) struct Subset {
     eligible: EligibleEngines,
-    /// The cores of all eligible engines.
+    /// Total cores of the eligible engines.
     pub eligible_cores: f64,
     pub size: usize,
-    /// How many gateways have each engine in their subset, in the mean.
+    /// Mean number of gateways that have an engine in their subset.
     pub gateways_per_engine: f64,
 }
 
@@ -128,18 +134,19 @@
         self.size < self.eligible.ranks.len()
     }
 
-    /// `size_by_traffic` is how many engines own statements keep reported on.
+    /// Sets the size. `size_by_traffic` is the number of engines for which this gateway's own
+    /// statements return enough load reports.
     fn resize(&mut self, size_by_traffic: f64, kinds: &[EngineKind], gateways: usize) {
         self.eligible_cores = self.eligible.cores(kinds).max(1.0);
         let eligible = self.eligible.ranks.len() as f64;
         let gateways = gateways as f64;
-        let min_size = MIN_SIZE.max(MIN_GATEWAYS_PER_ENGINE * eligible / gateways);
+        let min_size = MIN_SUBSET_SIZE.max(MIN_GATEWAYS_PER_ENGINE * eligible / gateways);
         let size = size_by_traffic
-            .min(MAX_SIZE_BY_TRAFFIC)
+            .min(MAX_SUBSET_SIZE_BY_TRAFFIC)
             .max(min_size)
             .ceil();
-        // A larger part gains little, and table groups have their homes in all engines.
-        let size = if size > MAX_FRACTION * eligible {
+        // A larger subset saves little, and table groups are placed over all engines.
+        let size = if size > MAX_SUBSET_FRACTION * eligible {
             eligible
         } else {
             size
@@ -150,7 +157,8 @@
 }
 
 impl Scheduler {
-    /// The one place where an engine becomes eligible for workloads, and ceases to be.
+    /// Adds an engine to the eligible engines of its workloads or removes it. No other function
+    /// changes eligibility.
     pub(crate) fn set_listed(&mut self, index: EngineIndex, is_listed: bool) {
         let engine = &mut self.engines[index.0];
         self.listed_engines =
@@ -172,16 +180,17 @@
         }
     }
 
-    /// Sizes the subset of each workload, so that own statements keep its engines reported on.
+    /// Sizes the subset of each workload so that this gateway's own statements return load reports
+    /// often enough from each of its engines.
     ///
-    /// Guards against traffic so thin that no report is fresh. Hurts where what few engines have cached is in
-    /// few subsets.
+    /// Guards against traffic so low that no load report is fresh. Drawback: table groups that only
+    /// a few engines have cached are in few subsets.
     pub(crate) fn resize_subsets(&mut self, now: Nanos) {
-        let span = now
+        let window = now
             .saturating_sub(self.started_at)
             .clamp(SECOND, self.retry_budget.window().max(SECOND));
-        let arrivals = self.retry_budget.arrivals_since(now - span.min(now)) as f64;
-        let size_by_traffic = arrivals / secs_from_nanos(span) * secs_from_nanos(REPORT_LIFETIME)
+        let arrivals = self.retry_budget.arrivals_since(now - window.min(now)) as f64;
+        let size_by_traffic = arrivals / secs_from_nanos(window) * secs_from_nanos(REPORT_LIFETIME)
             / REPORTS_PER_LIFETIME;
         let kinds = &self.deployment.engine_kinds;
         let gateways = self.deployment.gateways;
@@ -196,8 +205,9 @@
         self.engines_in_use = partial_sizes.max().unwrap_or(self.listed_engines);
     }
 
-    /// The engines that the statement may be sent to now, by rank: those of the subset first, then those that
-    /// it widens by. Engines that may not be used make way for the next.
+    /// Returns the engines that the statement may be sent to now, by rank: first those of the
+    /// subset, then those by which it widens. Engines that may not be used are replaced by the next
+    /// in rank.
     pub(crate) fn candidate_engines(
         &self,
         now: Nanos,
@@ -205,17 +215,17 @@
         statement: &Statement,
     ) -> Vec<&Engine> {
         let subset = &self.workloads[statement.workload].subset;
-        // Only some engines may recognize a repeat: they can be anywhere in the order.
+        // Only some engines may recognize a repeated idempotency key, and they can have any rank.
         let max_lookups = if statement.possible_run.is_some() {
             usize::MAX
         } else {
-            MAX_LOOKUPS_PER_ENGINE * subset.size
+            MAX_LOOKUPS_PER_SUBSET_ENGINE * subset.size
         };
         let ranks = subset.eligible.ranks.iter().take(max_lookups);
         ranks
             .map(|rank| rank.engine)
             .filter(|&engine| self.is_permitted(now, index, Action::Send(engine)))
-            .take(MAX_WIDENING * subset.size)
+            .take(MAX_WIDENING_FACTOR * subset.size)
             .map(|engine| &self.engines[engine.0])
             .collect()
     }
--- a/crates/ivypitch-scheduler/src/workload.rs
+++ b/crates/ivypitch-scheduler/src/workload.rs
@@ -1,23 +1,24 @@
-//! What a scheduler keeps for each workload.
+//! The scheduler's state of each workload.
 
 use crate::cost_model::WorkloadCost;
 use crate::deployment::Workload;
 use crate::subset::Subset;
 use ivypitch_types::{Nanos, StatementIndex};
 
-/// A workload is long when its latency objective is this many times the shortest of the deployment.
+/// Ratio of a workload's latency objective to the shortest of the deployment from which the
+/// workload counts as long.
 const LONG_OBJECTIVE_RATIO: u64 = 2;
 
-/// The state of one workload.
+/// The scheduler's state of one workload.
 #[derive(Default)]
 pub(crate) struct WorkloadState {
-    /// Its statements run long compared with other workloads'.
+    /// Whether the workload's statements run long compared with those of other workloads.
     pub is_long: bool,
     pub cost: WorkloadCost,
     pub subset: Subset,
-    /// Attempts that run.
+    /// Number of running attempts.
     pub in_flight: u32,
-    /// Statements that wait for an engine.
+    /// Statements waiting for an engine.
     pub queue: Vec<StatementIndex>,
 }
 
