--- a/crates/ivypitch-scheduler/src/scheduler.rs
+++ b/crates/ivypitch-scheduler/src/scheduler.rs
@@ -42,7 +42,7 @@
 }
 
 impl RandomSequence {
-    /// The next number in `[0, 1)`.
+    /// Returns the next number in `[0, 1)`.
     pub fn next_f64(&mut self) -> f64 {
         self.draws += 1;
         hash_to_unit_interval(&(self.seed, self.draws))
@@ -210,8 +210,7 @@
 
     /// Takes over a statement whose attempt a lost gateway has sent to `engine`.
     ///
-    /// The attempt counts as a retry, and an error that it returns does not count against the
-    /// engine.
+    /// The attempt counts as a retry, and its first error does not count against the engine.
     pub fn take_over_statement(
         &mut self,
         now: Nanos,
--- a/crates/ivypitch-scheduler/src/subset.rs
+++ b/crates/ivypitch-scheduler/src/subset.rs
@@ -76,7 +76,7 @@
         }
     }
 
-    /// This gateway's rank at the engine.
+    /// Returns this gateway's rank at the engine.
     pub fn gateway_rank(self) -> u32 {
         self.gateway_rank
     }
