--- a/crates/ivypitch-cli/tests/teams.rs
+++ b/crates/ivypitch-cli/tests/teams.rs
@@ -299,10 +299,10 @@
     let given = ivypitch_config::read(SETTINGS.as_bytes()).unwrap();
     let budgets = own.teams.unwrap().budgets(&given, 100).unwrap();
     assert_eq!(
-        (budgets.teams[0].share, budgets.teams[0].most_queued),
+        (budgets.teams[0].share, budgets.teams[0].max_queued),
         (2.0, 5)
     );
-    assert_eq!((budgets.other.share, budgets.most_queued), (1.0, 100));
+    assert_eq!((budgets.other.share, budgets.max_queued), (1.0, 100));
 }
 
 #[test]
--- a/crates/ivypitch-config/src/operator/teams.rs
+++ b/crates/ivypitch-config/src/operator/teams.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use ivypitch_queueing::budgets::LaneBudget;
-use ivypitch_queueing::window::Way;
-use ivypitch_queueing::{Budgets, TeamBudget, WorkloadTerms};
+use ivypitch_queueing::budgets::LaneLimits;
+use ivypitch_queueing::window::WindowPolicy;
+use ivypitch_queueing::{Budgets, TeamBudget, WorkloadQueueParams};
 use ivypitch_scheduler::Workload;
 use ivypitch_types::Nanos;
 
@@ -134,20 +134,20 @@
         } else {
             0
         };
-        let window = match self.window.as_str() {
-            "fixed" => Way::Fixed,
-            "additive" => Way::Additive,
-            _ => Way::Gradient,
+        let window_policy = match self.window.as_str() {
+            "fixed" => WindowPolicy::Fixed,
+            "additive" => WindowPolicy::Additive,
+            _ => WindowPolicy::Gradient,
         };
         Ok(Budgets {
             workloads: self.workload_terms(config),
             teams: teams.collect(),
             other: self.other.budget(&names.workloads),
-            most_queued: self.max_queued.unwrap_or(max_open_statements),
-            most_queued_bytes: max_bytes(self.max_queued_kb),
-            preempts_from: self.preempts_from_priority_weight,
-            longest_come_back: max_retry_after,
-            window,
+            max_queued: self.max_queued.unwrap_or(max_open_statements),
+            max_queued_bytes: max_bytes(self.max_queued_kb),
+            preempts_from_priority_weight: self.preempts_from_priority_weight,
+            max_retry_after,
+            window_policy,
         })
     }
 
@@ -174,7 +174,7 @@
         }
     }
 
-    fn workload_terms(&self, config: &DeploymentConfig) -> Vec<WorkloadTerms> {
+    fn workload_terms(&self, config: &DeploymentConfig) -> Vec<WorkloadQueueParams> {
         let workloads = &config.scheduler.workloads;
         let min_priority_weight = workloads
             .iter()
@@ -195,22 +195,25 @@
         workload: &Workload,
         settings: Option<&WorkloadSettings>,
         min_priority_weight: f64,
-    ) -> WorkloadTerms {
+    ) -> WorkloadQueueParams {
         let configured = |field: fn(&WorkloadSettings) -> Option<f64>| {
             settings.and_then(field).map(nanos_from_millis)
         };
         let objective = workload.latency_objective;
-        let default_slack =
-            WorkloadTerms::slack_of(objective, workload.priority_weight, min_priority_weight);
+        let default_slack = WorkloadQueueParams::default_slack(
+            objective,
+            workload.priority_weight,
+            min_priority_weight,
+        );
         let default_wait = (objective as f64 * self.wait_fraction) as Nanos;
-        WorkloadTerms {
+        WorkloadQueueParams {
             priority_weight: workload.priority_weight,
             latency_objective: objective,
             threads: workload.threads,
-            is_load: workload.is_bulk_load,
+            is_bulk_load: workload.is_bulk_load,
             usual_work: configured(|settings| settings.usual_work_ms).unwrap_or(objective / 3),
             slack: configured(|settings| settings.slack_ms).unwrap_or(default_slack),
-            longest_wait: configured(|settings| settings.max_wait_ms).unwrap_or(default_wait),
+            max_wait: configured(|settings| settings.max_wait_ms).unwrap_or(default_wait),
         }
     }
 }
@@ -221,27 +224,27 @@
             .iter()
             .map(|name| match self.workloads.get(name) {
                 Some(settings) => settings.budget(),
-                None => LaneBudget::default(),
+                None => LaneLimits::default(),
             });
         let work_per_second = self.work_cores.unwrap_or(f64::INFINITY);
         TeamBudget {
             share: self.share,
-            work_per_s: work_per_second,
-            burst: self.burst_core_seconds.unwrap_or(work_per_second),
-            most_released: self.max_released_threads.unwrap_or(f64::INFINITY),
-            most_queued: self.max_queued.unwrap_or(usize::MAX),
-            most_queued_bytes: max_bytes(self.max_queued_kb),
+            work_cores: work_per_second,
+            burst_core_seconds: self.burst_core_seconds.unwrap_or(work_per_second),
+            max_released_threads: self.max_released_threads.unwrap_or(f64::INFINITY),
+            max_queued: self.max_queued.unwrap_or(usize::MAX),
+            max_queued_bytes: max_bytes(self.max_queued_kb),
             lanes: lanes.collect(),
         }
     }
 }
 
 impl TeamWorkloadSettings {
-    fn budget(&self) -> LaneBudget {
-        LaneBudget {
-            most_released: self.max_released_threads.unwrap_or(f64::INFINITY),
-            most_queued: self.max_queued.unwrap_or(usize::MAX),
-            longest_wait: self.max_wait_ms.map(nanos_from_millis),
+    fn budget(&self) -> LaneLimits {
+        LaneLimits {
+            max_released_threads: self.max_released_threads.unwrap_or(f64::INFINITY),
+            max_queued: self.max_queued.unwrap_or(usize::MAX),
+            max_wait: self.max_wait_ms.map(nanos_from_millis),
         }
     }
 }
--- a/crates/ivypitch-gateway/src/actors/messages.rs
+++ b/crates/ivypitch-gateway/src/actors/messages.rs
@@ -8,7 +8,7 @@
 use async_channel::Sender;
 use async_io::Async;
 use bytes::Bytes;
-use ivypitch_queueing::{Budgets, Queued};
+use ivypitch_queueing::{Budgets, QueuedStatement};
 use ivypitch_scheduler::AttemptProgress;
 use ivypitch_types::{EngineIndex, Nanos, Outcome, StatementIndex};
 
@@ -183,7 +183,7 @@
     /// Index of its workload.
     pub workload: usize,
     /// Its place in the queue; `None` once the scheduler has it.
-    pub queued: Option<Queued>,
+    pub queued: Option<QueuedStatement>,
 }
 
 /// Where the answer to a statement goes.
--- a/crates/ivypitch-gateway/src/actors/queueing.rs
+++ b/crates/ivypitch-gateway/src/actors/queueing.rs
@@ -5,7 +5,7 @@
 
 use std::collections::VecDeque;
 
-use ivypitch_queueing::{Budgets, Claim, Output, Queued, Teams};
+use ivypitch_queueing::{Budgets, Output, QueueArrival, QueuedStatement, TeamQueues};
 use ivypitch_types::{Nanos, StatementIndex};
 
 /// `SHOW QUEUE` answers at most so many rows.
@@ -51,7 +51,7 @@
         });
     }
 
-    fn mode(&mut self, team: Option<usize>, line: &str) {
+    fn log_mode_change(&mut self, team: Option<usize>, line: &str) {
         match team.and_then(|team| self.tenants.get(team)) {
             Some(team) => log::info!(tenant = team.as_str(); "team mode {line}"),
             None => log::info!("queueing mode {line}"),
@@ -61,7 +61,7 @@
 
 /// Connects the teams' queues to the scheduler's actor.
 pub struct QueueingDriver {
-    teams: Teams,
+    teams: TeamQueues,
     output: QueueingOutput,
 }
 
@@ -69,7 +69,7 @@
     /// Creates the queues with these budgets. `tenants` are the names of the settings' tenants, for log lines.
     pub fn new(budgets: Budgets, tenants: Vec<String>, seed: u64, now: Nanos) -> QueueingDriver {
         QueueingDriver {
-            teams: Teams::new(budgets, seed, now),
+            teams: TeamQueues::new(budgets, seed, now),
             output: QueueingOutput {
                 actions: VecDeque::new(),
                 tenants,
@@ -79,7 +79,7 @@
 
     /// Cores that the teams' statements would use now: threads of those that run and of those that wait.
     pub fn cores_wanted(&self) -> f64 {
-        self.teams.threads_out() + self.teams.threads_queued()
+        self.teams.released_threads() + self.teams.queued_threads()
     }
 
     /// Takes the next action, in the order in which they were asked for.
@@ -88,13 +88,19 @@
     }
 
     /// A statement arrived.
-    pub fn on_statement_queued(&mut self, now: Nanos, statement: StatementIndex, claim: Claim) {
-        self.teams.arrive(now, statement, claim, &mut self.output);
+    pub fn on_statement_queued(
+        &mut self,
+        now: Nanos,
+        statement: StatementIndex,
+        arrival: QueueArrival,
+    ) {
+        self.teams
+            .on_statement_arrived(now, statement, arrival, &mut self.output);
     }
 
     /// Takes a statement off its queue. False if it does not wait in one.
     pub fn remove(&mut self, now: Nanos, statement: StatementIndex) -> bool {
-        self.teams.leave(now, statement, &mut self.output)
+        self.teams.remove(now, statement, &mut self.output)
     }
 
     /// A statement that was released has ended: the work of its attempts, and how long its successful one took.
@@ -106,12 +112,12 @@
         run_time: Option<Nanos>,
     ) {
         self.teams
-            .over(now, statement, work, run_time, &mut self.output);
+            .on_statement_ended(now, statement, work, run_time, &mut self.output);
     }
 
     /// The cores that this gateway's statements may use have changed.
     pub fn set_capacity(&mut self, now: Nanos, cores: f64) {
-        self.teams.capacity(now, cores, &mut self.output);
+        self.teams.set_capacity(now, cores, &mut self.output);
     }
 
     /// The operators' file sets new budgets.
@@ -121,18 +127,18 @@
 
     /// The gateway shuts down; every statement is to be answered by then.
     pub fn on_shutdown(&mut self, now: Nanos, answer_by: Nanos) {
-        self.teams.ending(now, answer_by, &mut self.output);
+        self.teams.on_shutdown(now, answer_by, &mut self.output);
     }
 
     /// When [`Self::on_timer`] is to be called next; `None` for never.
     pub fn next_timer(&self) -> Option<Nanos> {
-        self.teams.next_wake()
+        self.teams.next_timer()
     }
 
     /// To be called at [`Self::next_timer`]; does nothing before.
     pub fn on_timer(&mut self, now: Nanos) {
         if self.next_timer().is_some_and(|at| at <= now) {
-            self.teams.woken(now, &mut self.output);
+            self.teams.on_timer(now, &mut self.output);
         }
     }
 
@@ -142,22 +148,22 @@
     }
 
     /// The statements that wait, up to a bound.
-    pub fn rows(&self, now: Nanos) -> Vec<Queued> {
-        self.teams.queued_rows(now, MAX_QUEUE_ROWS)
+    pub fn rows(&self, now: Nanos) -> Vec<QueuedStatement> {
+        self.teams.queued_statements(now, MAX_QUEUE_ROWS)
     }
 
     /// The place of one statement that waits.
-    pub fn row(&self, now: Nanos, statement: StatementIndex) -> Option<Queued> {
-        self.teams.queued_row(now, statement)
+    pub fn row(&self, now: Nanos, statement: StatementIndex) -> Option<QueuedStatement> {
+        self.teams.queued_statement(now, statement)
     }
 
     /// Logs how good the estimates of waiting times were that clients got with rejections.
     pub fn log_totals(&self) {
-        let record = self.teams.record();
+        let record = self.teams.wait_statistics();
         let median = record.errors_percent.value_at_quantile(0.5);
         let longest = record.waits_ms.max();
         log::info!(
-            estimates = record.told, good = record.good, median_error_percent = median, longest_wait_ms = longest;
+            estimates = record.estimates, good = record.good_estimates, median_error_percent = median, longest_wait_ms = longest;
             "wait estimate totals"
         );
     }
--- a/crates/ivypitch-gateway/src/actors/scheduler/statements.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/statements.rs
@@ -1,7 +1,7 @@
 //! Statements from their arrival to their answer, and the ends of their attempts.
 
 use ivypitch_config::{estimated_mb, table_group};
-use ivypitch_queueing::Claim;
+use ivypitch_queueing::QueueArrival;
 use ivypitch_scheduler::{Arrival, AttemptEnded, AttemptProgress};
 use ivypitch_types::{MILLISECOND, Nanos, Outcome, StatementIndex};
 
@@ -46,10 +46,10 @@
             new.statement.tenant,
             new.deadline.saturating_sub(now),
         );
-        let claim = Claim {
+        let queue_arrival = QueueArrival {
             team: new.statement.tenant,
             workload: new.statement.workload,
-            told_work: arrival.estimated_work,
+            estimated_work: arrival.estimated_work,
             bytes: new.statement.fields.statement.len(),
             deadline: new.deadline,
         };
@@ -65,7 +65,7 @@
         };
         context.set_deadline_timer(statement);
         if let Some(queueing) = &mut self.queueing {
-            queueing.on_statement_queued(now, statement, claim);
+            queueing.on_statement_queued(now, statement, queue_arrival);
         } else {
             self.scheduler
                 .borrow_mut()
@@ -265,7 +265,7 @@
             None => queueing
                 .rows(now)
                 .iter()
-                .filter_map(|queued| row(queued.stmt))
+                .filter_map(|queued| row(queued.statement))
                 .collect(),
         }
     }
--- a/crates/ivypitch-queueing/benches/index.rs
+++ b/crates/ivypitch-queueing/benches/index.rs
@@ -9,8 +9,10 @@
 use ivypitch_queueing::lane::Lane;
 use ivypitch_queueing::ranks::Ranks;
 use ivypitch_queueing::wheel::Wheel;
-use ivypitch_queueing::window::Way;
-use ivypitch_queueing::{Budgets, Claim, Output, TeamBudget, Teams, WorkloadTerms};
+use ivypitch_queueing::window::WindowPolicy;
+use ivypitch_queueing::{
+    Budgets, Output, QueueArrival, TeamBudget, TeamQueues, WorkloadQueueParams,
+};
 use ivypitch_types::StatementIndex;
 
 const SIZES: [(usize, usize); 4] = [(1_000, 3), (1_000, 1_000), (100_000, 3), (100_000, 1_000)];
@@ -145,48 +147,49 @@
 struct Count(u64);
 
 impl Output for Count {
-    fn release(&mut self, _stmt: StatementIndex, _within: bool) {
+    fn release(&mut self, _statement: StatementIndex, _is_within_share: bool) {
         self.0 += 1;
     }
-    fn reject(&mut self, _stmt: StatementIndex, _come_back: u64) {
+    fn reject(&mut self, _statement: StatementIndex, _retry_after: u64) {
         self.0 += 1;
     }
-    fn mode(&mut self, _team: Option<usize>, _line: &str) {}
+    fn log_mode_change(&mut self, _team: Option<usize>, _line: &str) {}
 }
 
 /// The whole decision: one statement comes and, its team over its share, waits or is sent away; one that waits leaves.
 fn decisions(c: &mut Criterion) {
     for (waiting, teams) in SIZES {
-        let terms = |priority_weight| WorkloadTerms {
+        let terms = |priority_weight| WorkloadQueueParams {
             priority_weight,
             latency_objective: 800_000_000,
             threads: 1.0,
-            is_load: false,
+            is_bulk_load: false,
             usual_work: 100_000_000,
             slack: 320_000_000,
-            longest_wait: u64::MAX / 8,
+            max_wait: u64::MAX / 8,
         };
         let budgets = Budgets {
             workloads: vec![terms(1.0), terms(8.0), terms(8.0)],
             teams: vec![TeamBudget::default(); teams],
             other: TeamBudget::default(),
-            most_queued: usize::MAX,
-            most_queued_bytes: usize::MAX,
-            preempts_from: 100.0,
-            longest_come_back: 2_000_000_000,
-            window: Way::Fixed,
+            max_queued: usize::MAX,
+            max_queued_bytes: usize::MAX,
+            preempts_from_priority_weight: 100.0,
+            max_retry_after: 2_000_000_000,
+            window_policy: WindowPolicy::Fixed,
         };
-        let (mut all, mut out) = (Teams::new(budgets, 7, 0), Count::default());
+        let (mut all, mut out) = (TeamQueues::new(budgets, 7, 0), Count::default());
         // Too little to serve any of it: all of it waits.
-        all.capacity(0, 0.001, &mut out);
-        let claim = |n: usize| Claim {
+        all.set_capacity(0, 0.001, &mut out);
+        let claim = |n: usize| QueueArrival {
             team: n % teams,
             workload: n % 3,
-            told_work: 1_000,
+            estimated_work: 1_000,
             bytes: 100,
             deadline: u64::MAX / 4,
         };
-        (0..waiting).for_each(|n| all.arrive(0, StatementIndex(n), claim(n), &mut out));
+        (0..waiting)
+            .for_each(|n| all.on_statement_arrived(0, StatementIndex(n), claim(n), &mut out));
         let (mut n, mut now) = (0, 0);
         c.bench_function(
             &format!("decision: one comes, one leaves, {waiting} waiting, {teams} teams"),
@@ -194,8 +197,8 @@
                 b.iter(|| {
                     n = (n + 7919) % waiting;
                     now += 1_000;
-                    all.leave(now, StatementIndex(n), &mut out);
-                    all.arrive(now, StatementIndex(n), claim(n), &mut out);
+                    all.remove(now, StatementIndex(n), &mut out);
+                    all.on_statement_arrived(now, StatementIndex(n), claim(n), &mut out);
                 });
             },
         );
--- a/crates/ivypitch-queueing/src/budgets.rs
+++ b/crates/ivypitch-queueing/src/budgets.rs
@@ -5,25 +5,25 @@
 
 /// What the order needs to know of a workload.
 #[derive(Clone, Debug, PartialEq)]
-pub struct WorkloadTerms {
+pub struct WorkloadQueueParams {
     pub priority_weight: f64,
     pub latency_objective: Nanos,
     pub threads: f64,
-    pub is_load: bool,
+    pub is_bulk_load: bool,
     /// Until something is learned: the work of all its threads.
     pub usual_work: Nanos,
     /// What came so much later than another workload's still goes before it: the order's ageing.
     pub slack: Nanos,
     /// What has waited so long is rejected; what will, by its estimate, is rejected as it comes.
-    pub longest_wait: Nanos,
+    pub max_wait: Nanos,
 }
 
 /// A part of the SLO time within which work should leave the queue, before importance is counted in.
 const SLACK_PART: f64 = 0.4;
 
-impl WorkloadTerms {
+impl WorkloadQueueParams {
     /// The slack follows from SLO time and importance: of two that came together, the more important goes first.
-    pub fn slack_of(
+    pub fn default_slack(
         latency_objective: Nanos,
         priority_weight: f64,
         least_importance: f64,
@@ -35,21 +35,21 @@
 
 /// Of one workload of a team.
 #[derive(Clone, Debug, PartialEq)]
-pub struct LaneBudget {
+pub struct LaneLimits {
     /// Threads released at once.
-    pub most_released: f64,
+    pub max_released_threads: f64,
     /// Statements waiting.
-    pub most_queued: usize,
+    pub max_queued: usize,
     /// In place of the workload's.
-    pub longest_wait: Option<Nanos>,
+    pub max_wait: Option<Nanos>,
 }
 
-impl Default for LaneBudget {
+impl Default for LaneLimits {
     fn default() -> Self {
-        LaneBudget {
-            most_released: f64::INFINITY,
-            most_queued: usize::MAX,
-            longest_wait: None,
+        LaneLimits {
+            max_released_threads: f64::INFINITY,
+            max_queued: usize::MAX,
+            max_wait: None,
         }
     }
 }
@@ -59,64 +59,64 @@
     /// Its weight against the other teams'. 0: only what nobody else wants.
     pub share: f64,
     /// Core-seconds a second that it may use at most, idle neighbours or not.
-    pub work_per_s: f64,
+    pub work_cores: f64,
     /// Core-seconds that it may run ahead of that.
-    pub burst: f64,
+    pub burst_core_seconds: f64,
     /// Threads released at once.
-    pub most_released: f64,
-    pub most_queued: usize,
-    pub most_queued_bytes: usize,
+    pub max_released_threads: f64,
+    pub max_queued: usize,
+    pub max_queued_bytes: usize,
     /// By workload; one that is missing has no bounds of its own.
-    pub lanes: Vec<LaneBudget>,
+    pub lanes: Vec<LaneLimits>,
 }
 
 impl Default for TeamBudget {
     fn default() -> Self {
         TeamBudget {
             share: 1.0,
-            work_per_s: f64::INFINITY,
-            burst: f64::INFINITY,
-            most_released: f64::INFINITY,
-            most_queued: usize::MAX,
-            most_queued_bytes: usize::MAX,
+            work_cores: f64::INFINITY,
+            burst_core_seconds: f64::INFINITY,
+            max_released_threads: f64::INFINITY,
+            max_queued: usize::MAX,
+            max_queued_bytes: usize::MAX,
             lanes: Vec::new(),
         }
     }
 }
 
 impl TeamBudget {
-    pub(crate) fn lane(&self, workload: usize) -> LaneBudget {
+    pub(crate) fn lane(&self, workload: usize) -> LaneLimits {
         self.lanes.get(workload).cloned().unwrap_or_default()
     }
 
     pub(crate) fn most_queued_in(&self, workload: usize) -> usize {
         self.lanes
             .get(workload)
-            .map_or(usize::MAX, |lane| lane.most_queued)
+            .map_or(usize::MAX, |lane| lane.max_queued)
     }
 
     pub(crate) fn most_released_in(&self, workload: usize) -> f64 {
         self.lanes
             .get(workload)
-            .map_or(f64::INFINITY, |lane| lane.most_released)
+            .map_or(f64::INFINITY, |lane| lane.max_released_threads)
     }
 }
 
 /// All that is granted, by team and workload index.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Budgets {
-    pub workloads: Vec<WorkloadTerms>,
+    pub workloads: Vec<WorkloadQueueParams>,
     pub teams: Vec<TeamBudget>,
     /// For teams that have no row.
     pub other: TeamBudget,
     /// Of all teams together.
-    pub most_queued: usize,
-    pub most_queued_bytes: usize,
+    pub max_queued: usize,
+    pub max_queued_bytes: usize,
     /// Importance from which reports and loads push out what waits.
-    pub preempts_from: f64,
+    pub preempts_from_priority_weight: f64,
     /// The longest time to come back that clients heed; 0: they heed none.
-    pub longest_come_back: Nanos,
-    pub window: crate::window::Way,
+    pub max_retry_after: Nanos,
+    pub window_policy: crate::window::WindowPolicy,
 }
 
 impl Budgets {
@@ -136,7 +136,7 @@
 impl Bucket {
     pub fn new(budget: &TeamBudget, now: Nanos) -> Bucket {
         Bucket {
-            left: budget.burst,
+            left: budget.burst_core_seconds,
             at: now,
         }
     }
@@ -145,10 +145,10 @@
         let span = now.saturating_sub(self.at) as f64 / 1e9;
         self.at = self.at.max(now);
         // Without a rate there is no budget to keep.
-        self.left = if budget.work_per_s.is_finite() {
-            (self.left + span * budget.work_per_s).min(budget.burst)
+        self.left = if budget.work_cores.is_finite() {
+            (self.left + span * budget.work_cores).min(budget.burst_core_seconds)
         } else {
-            budget.burst
+            budget.burst_core_seconds
         };
     }
 
@@ -158,13 +158,13 @@
 
     /// How long until something is left; 0: now.
     pub fn wait(&self, budget: &TeamBudget) -> Nanos {
-        if self.left > 0.0 || !budget.work_per_s.is_finite() {
+        if self.left > 0.0 || !budget.work_cores.is_finite() {
             return 0;
         }
-        if budget.work_per_s <= 0.0 {
+        if budget.work_cores <= 0.0 {
             return Nanos::MAX / 4;
         }
-        ((-self.left / budget.work_per_s * 1e9) as Nanos)
+        ((-self.left / budget.work_cores * 1e9) as Nanos)
             .saturating_add(1)
             .min(Nanos::MAX / 4)
     }
--- a/crates/ivypitch-queueing/src/teams.rs
+++ b/crates/ivypitch-queueing/src/team_queues.rs
@@ -12,7 +12,7 @@
 use crate::budgets::{Bucket, Budgets};
 use crate::lane::Lane;
 use crate::ranks::Ranks;
-use crate::waits::{Pace, Rate, Record, Wait};
+use crate::wait_estimates::{Pace, Rate, WaitEstimate, WaitStatistics};
 use crate::wheel::{Handle, Wheel};
 use crate::window::Window;
 
@@ -72,23 +72,23 @@
 
 /// A statement as it comes to the queues.
 #[derive(Clone, Copy, Debug)]
-pub struct Claim {
+pub struct QueueArrival {
     pub team: usize,
     pub workload: usize,
     /// Work of all its threads as its client tells it; 0: not told.
-    pub told_work: Nanos,
+    pub estimated_work: Nanos,
     pub bytes: usize,
     pub deadline: Nanos,
 }
 
 pub trait Output {
     /// It goes to the decision module now; its team asks for no more than its share, or for more.
-    fn release(&mut self, stmt: StatementIndex, within: bool);
+    fn release(&mut self, statement: StatementIndex, is_within_share: bool);
     /// Final: it never left the queue, so trying again is harmless, after `retry_after` where that is above 0. The
     /// index may be given to another.
-    fn reject(&mut self, stmt: StatementIndex, retry_after: Nanos);
+    fn reject(&mut self, statement: StatementIndex, retry_after: Nanos);
     /// A change of mode: of a team, or of all.
-    fn mode(&mut self, team: Option<usize>, line: &str);
+    fn log_mode_change(&mut self, team: Option<usize>, line: &str);
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -181,17 +181,17 @@
 
 /// One row of what a client may ask to see.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Queued {
-    pub stmt: StatementIndex,
+pub struct QueuedStatement {
+    pub statement: StatementIndex,
     pub team: usize,
     pub workload: usize,
     /// Of its workload's line in its team; the next to go is 1.
     pub position: u64,
-    pub wait: Wait,
+    pub wait: WaitEstimate,
     pub age: Nanos,
 }
 
-pub struct Teams {
+pub struct TeamQueues {
     budgets: Budgets,
     /// By statement index; emptied as the statement is over.
     tickets: Vec<Option<Ticket>>,
@@ -224,7 +224,7 @@
     /// The shares of those who wait.
     waiting_shares: f64,
     turn: Option<Handle>,
-    record: Record,
+    record: WaitStatistics,
     seed: u64,
     chances: u64,
     /// Queueing since, or not; and when somebody last waited.
@@ -232,20 +232,20 @@
     waited_at: Nanos,
 }
 
-impl Teams {
-    pub fn new(budgets: Budgets, seed: u64, now: Nanos) -> Teams {
+impl TeamQueues {
+    pub fn new(budgets: Budgets, seed: u64, now: Nanos) -> TeamQueues {
         let widest = budgets
             .workloads
             .iter()
             .map(|w| w.threads)
             .fold(1.0, f64::max);
-        let mut teams = Teams {
+        let mut teams = TeamQueues {
             tickets: Vec::new(),
             rows: Vec::new(),
             ranks: Ranks::default(),
             fullest: Ranks::default(),
             wheel: Wheel::new(now),
-            window: Window::new(budgets.window, widest),
+            window: Window::new(budgets.window_policy, widest),
             out: 0.0,
             lent: 0.0,
             queued: 0,
@@ -262,7 +262,7 @@
             blocked: false,
             waiting_shares: 0.0,
             turn: None,
-            record: Record::default(),
+            record: WaitStatistics::default(),
             seed,
             chances: 0,
             queueing: None,
@@ -276,15 +276,21 @@
     // ---- what happens ----
 
     /// The cores of the engines that are ready, this gateway's share of them.
-    pub fn capacity(&mut self, now: Nanos, cores: f64, out: &mut dyn Output) {
+    pub fn set_capacity(&mut self, now: Nanos, cores: f64, out: &mut dyn Output) {
         self.window.set_cores(cores);
         self.dispatch(now, out);
     }
 
-    pub fn arrive(&mut self, now: Nanos, ix: StatementIndex, claim: Claim, out: &mut dyn Output) {
+    pub fn on_statement_arrived(
+        &mut self,
+        now: Nanos,
+        ix: StatementIndex,
+        claim: QueueArrival,
+        out: &mut dyn Output,
+    ) {
         self.have_rows(claim.team + 1, now);
         let workload = claim.workload.min(self.budgets.workloads.len() - 1);
-        let work = self.charge(claim.team, workload, claim.told_work);
+        let work = self.charge(claim.team, workload, claim.estimated_work);
         let ticket = Ticket {
             team: claim.team as u32,
             workload: workload as u16,
@@ -293,7 +299,7 @@
             came: now,
             deadline: claim.deadline,
             work,
-            told: claim.told_work,
+            told: claim.estimated_work,
             bytes: claim.bytes,
             timer: None,
             told_wait: 0,
@@ -355,12 +361,12 @@
                 self.window.threads(),
                 self.queued
             );
-            out.mode(None, &line);
+            out.log_mode_change(None, &line);
         }
     }
 
     /// Its client has gone or has killed it. False: it is no longer in the queues.
-    pub fn leave(&mut self, now: Nanos, ix: StatementIndex, out: &mut dyn Output) -> bool {
+    pub fn remove(&mut self, now: Nanos, ix: StatementIndex, out: &mut dyn Output) -> bool {
         if !self.is_queued(ix) {
             return false;
         }
@@ -371,7 +377,7 @@
 
     /// A released statement is over: answered, and no execution of it is out. `real` is its work where answers tell
     /// it, else threads times time on engines; `None`: it never ran. `took` is the time of its good execution.
-    pub fn over(
+    pub fn on_statement_ended(
         &mut self,
         now: Nanos,
         ix: StatementIndex,
@@ -412,7 +418,7 @@
             .iter()
             .map(|w| w.threads)
             .fold(1.0, f64::max);
-        self.window.set_way(budgets.window, widest);
+        self.window.set_way(budgets.window_policy, widest);
         self.budgets = budgets;
         self.have_rows(self.budgets.teams.len(), now);
         for team in 0..self.rows.len() {
@@ -436,7 +442,7 @@
     }
 
     /// The program ends: what can't be met by then is rejected now.
-    pub fn ending(&mut self, now: Nanos, by: Nanos, out: &mut dyn Output) {
+    pub fn on_shutdown(&mut self, now: Nanos, by: Nanos, out: &mut dyn Output) {
         let queued: Vec<StatementIndex> = (0..self.tickets.len())
             .map(StatementIndex)
             .filter(|&ix| self.is_queued(ix))
@@ -458,7 +464,7 @@
         self.dispatch(now, out);
     }
 
-    pub fn woken(&mut self, now: Nanos, out: &mut dyn Output) {
+    pub fn on_timer(&mut self, now: Nanos, out: &mut dyn Output) {
         while let Some(due) = self.wheel.pop(now) {
             match due {
                 Due::Waited(ix) => {
@@ -477,8 +483,8 @@
         self.dispatch(now, out);
     }
 
-    /// When [`Teams::woken`] is wanted at the latest.
-    pub fn next_wake(&self) -> Option<Nanos> {
+    /// When [`TeamQueues::on_timer`] is wanted at the latest.
+    pub fn next_timer(&self) -> Option<Nanos> {
         self.wheel.next()
     }
 
@@ -495,12 +501,12 @@
         self.queued
     }
 
-    pub fn threads_out(&self) -> f64 {
+    pub fn released_threads(&self) -> f64 {
         self.out
     }
 
     /// Of all that waits.
-    pub fn threads_queued(&self) -> f64 {
+    pub fn queued_threads(&self) -> f64 {
         self.threads_queued
     }
 
@@ -508,7 +514,7 @@
         self.window.threads()
     }
 
-    pub fn record(&self) -> &Record {
+    pub fn wait_statistics(&self) -> &WaitStatistics {
         &self.record
     }
 
@@ -528,15 +534,15 @@
         lanes + self.tickets.capacity() * size_of::<Option<Ticket>>()
     }
 
-    pub fn queued_row(&self, now: Nanos, ix: StatementIndex) -> Option<Queued> {
+    pub fn queued_statement(&self, now: Nanos, ix: StatementIndex) -> Option<QueuedStatement> {
         let ticket = self
             .tickets
             .get(ix.0)?
             .as_ref()
             .filter(|t| t.place == Place::Queued)?;
         let (team, workload) = (ticket.team as usize, usize::from(ticket.workload));
-        Some(Queued {
-            stmt: ix,
+        Some(QueuedStatement {
+            statement: ix,
             team,
             workload,
             position: self.rows[team].lanes[workload]
@@ -549,12 +555,12 @@
     }
 
     /// What waits, line by line, `most` rows at most.
-    pub fn queued_rows(&self, now: Nanos, most: usize) -> Vec<Queued> {
+    pub fn queued_statements(&self, now: Nanos, most: usize) -> Vec<QueuedStatement> {
         let lanes = self.rows.iter().flat_map(|row| &row.lanes);
         let waiting = lanes.flat_map(|lane| lane.iter().map(|(ix, _)| ix));
         waiting
             .take(most)
-            .filter_map(|ix| self.queued_row(now, ix))
+            .filter_map(|ix| self.queued_statement(now, ix))
             .collect()
     }
 
@@ -629,7 +635,7 @@
                 "Queueing -> Direct: after {:.1} s",
                 (now - since) as f64 / 1e9
             );
-            out.mode(None, &line);
+            out.log_mode_change(None, &line);
         }
     }
 
@@ -724,7 +730,7 @@
             let threads = self.budgets.workloads[workload].threads.max(1.0);
             // One is always let through where nothing is out: a bound below its threads would hold it for good.
             let within = |out: f64, most: f64| most > 0.0 && (out <= 0.0 || out + threads <= most);
-            within(row.out, budget.most_released)
+            within(row.out, budget.max_released_threads)
                 && within(row.out_in[workload], budget.most_released_in(workload))
         };
         let filled = (0..row.lanes.len()).filter(|&w| !row.lanes[w].is_empty() && may_go(w));
@@ -1076,19 +1082,20 @@
 
     fn team_within(&self, team: usize, workload: usize) -> bool {
         let (row, budget) = (&self.rows[team], self.budgets.team(team));
-        row.queued <= budget.most_queued
-            && row.bytes <= budget.most_queued_bytes
+        row.queued <= budget.max_queued
+            && row.bytes <= budget.max_queued_bytes
             && row.lanes[workload].len() <= budget.most_queued_in(workload)
     }
 
     fn all_within(&self) -> bool {
-        self.queued <= self.budgets.most_queued && self.bytes <= self.budgets.most_queued_bytes
+        self.queued <= self.budgets.max_queued && self.bytes <= self.budgets.max_queued_bytes
     }
 
     // ---- pre-emption ----
 
     fn preempts(&self, workload: usize) -> bool {
-        self.budgets.workloads[workload].priority_weight >= self.budgets.preempts_from
+        self.budgets.workloads[workload].priority_weight
+            >= self.budgets.preempts_from_priority_weight
     }
 
     /// Makes room for one that is over a bound: by what matters less in its own team, where that is over its own
@@ -1134,7 +1141,7 @@
     fn least_waiting(&self, team: usize, workload: usize) -> Option<StatementIndex> {
         let terms = &self.budgets.workloads;
         let lanes = (0..terms.len()).filter(|&w| {
-            !terms[w].is_load
+            !terms[w].is_bulk_load
                 && terms[w].priority_weight < terms[workload].priority_weight
                 && !self.rows[team].lanes[w].is_empty()
         });
@@ -1154,7 +1161,7 @@
         }
         let terms = &self.budgets.workloads;
         let lanes = (0..terms.len())
-            .filter(|&w| !terms[w].is_load && !self.rows[fullest].lanes[w].is_empty());
+            .filter(|&w| !terms[w].is_bulk_load && !self.rows[fullest].lanes[w].is_empty());
         let least = lanes.min_by(|&a, &b| {
             terms[a]
                 .priority_weight
@@ -1185,7 +1192,7 @@
             let line = format!(
                 "Within -> Over: {queued} waiting, {held:.1} of its {part:.1} threads out, {before} rejected before"
             );
-            out.mode(Some(team), &line);
+            out.log_mode_change(Some(team), &line);
         }
         out.reject(ix, retry_after);
     }
@@ -1193,7 +1200,7 @@
     /// When there is room again for as much: behind what waits and behind those sent away before, spread by chance
     /// so that they do not come together.
     fn retry_after(&mut self, now: Nanos, ix: StatementIndex, team: usize, work: u64) -> Nanos {
-        let most = self.budgets.longest_come_back;
+        let most = self.budgets.max_retry_after;
         if most == 0 {
             return 0;
         }
@@ -1225,8 +1232,8 @@
 
     fn may_wait_until(&self, ticket: &Ticket) -> Nanos {
         let (team, workload) = (ticket.team as usize, usize::from(ticket.workload));
-        let own = self.budgets.team(team).lane(workload).longest_wait;
-        let longest = own.unwrap_or(self.budgets.workloads[workload].longest_wait);
+        let own = self.budgets.team(team).lane(workload).max_wait;
+        let longest = own.unwrap_or(self.budgets.workloads[workload].max_wait);
         let left = ticket.deadline.saturating_sub(ticket.came);
         ticket
             .came
@@ -1249,7 +1256,7 @@
     /// Work (ns) a second that a team is served with while it waits.
     fn pace_of(&self, now: Nanos, team: usize) -> f64 {
         let share = self.budgets.team(team).share.max(LEAST_SHARE);
-        let budget = self.budgets.team(team).work_per_s * 1e9;
+        let budget = self.budgets.team(team).work_cores * 1e9;
         let in_order = (self.usual_pace(now) * share).min(budget);
         match self.ranks.rank(team) {
             // Those within their share are served as fast as engines work.
@@ -1315,8 +1322,8 @@
             served.max(self.until_room(now, workload, CALLED_BACK))
         };
         let budget = self.budgets.team(team);
-        let by_budget = if budget.work_per_s.is_finite() {
-            ((ahead / 1e9 - row.bucket.left()) / budget.work_per_s.max(1e-9) * 1e9).max(0.0)
+        let by_budget = if budget.work_cores.is_finite() {
+            ((ahead / 1e9 - row.bucket.left()) / budget.work_cores.max(1e-9) * 1e9).max(0.0)
         } else {
             0.0
         };
--- a/crates/ivypitch-queueing/src/waits.rs
+++ b/crates/ivypitch-queueing/src/wait_estimates.rs
@@ -23,7 +23,7 @@
 
 /// What a statement is told of its wait.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
-pub struct Wait {
+pub struct WaitEstimate {
     pub low: Nanos,
     pub mid: Nanos,
     pub high: Nanos,
@@ -83,27 +83,27 @@
 }
 
 /// Waits as they were, and how far the words about them were off.
-pub struct Record {
+pub struct WaitStatistics {
     pub waits_ms: Histogram<u64>,
     /// |true - told| in percent of the true wait, of those that waited longer than the grain.
     pub errors_percent: Histogram<u64>,
-    pub told: u64,
+    pub estimates: u64,
     /// Within a quarter of the true wait, or within the grain of it.
-    pub good: u64,
+    pub good_estimates: u64,
     error: f64,
     /// Waits of late as they were, and as they were estimated before any correction: fading sums.
     were: Rate,
     estimated: Rate,
 }
 
-impl Default for Record {
+impl Default for WaitStatistics {
     fn default() -> Self {
         let of = |most| Histogram::new_with_bounds(1, most, 2).unwrap_or_else(|_| unreachable!());
-        Record {
+        WaitStatistics {
             waits_ms: of(LONGEST_MS),
             errors_percent: of(10_000),
-            told: 0,
-            good: 0,
+            estimates: 0,
+            good_estimates: 0,
             error: FIRST_ERROR,
             were: Rate::fading(BIAS_FADE),
             estimated: Rate::fading(BIAS_FADE),
@@ -111,10 +111,10 @@
     }
 }
 
-impl Record {
-    pub fn wait(&self, mid: Nanos) -> Wait {
+impl WaitStatistics {
+    pub fn wait(&self, mid: Nanos) -> WaitEstimate {
         let off = (mid as f64 * (SPREAD * self.error).min(0.9)) as Nanos;
-        Wait {
+        WaitEstimate {
             low: mid.saturating_sub(off),
             mid,
             high: mid.saturating_add(off).saturating_add(GRAIN),
@@ -131,8 +131,8 @@
     /// One that waited: what it was told, the estimate before its correction, and what came of it.
     pub(crate) fn released(&mut self, now: Nanos, told: Nanos, estimated: Nanos, was: Nanos) {
         let off = told.abs_diff(was);
-        self.told += 1;
-        self.good += u64::from(off <= GRAIN || off <= was / 4);
+        self.estimates += 1;
+        self.good_estimates += u64::from(off <= GRAIN || off <= was / 4);
         self.waits_ms.saturating_record(was / MS);
         let relative = off as f64 / was.max(1) as f64;
         if was.max(told) > GRAIN {
--- a/crates/ivypitch-queueing/src/window.rs
+++ b/crates/ivypitch-queueing/src/window.rs
@@ -29,7 +29,7 @@
 const KEEP: f64 = 0.85;
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
-pub enum Way {
+pub enum WindowPolicy {
     /// Always the same threads a core.
     Fixed,
     /// Opens and closes in proportion to the best slowness over the present.
@@ -40,7 +40,7 @@
 }
 
 pub struct Window {
-    way: Way,
+    way: WindowPolicy,
     /// This gateway's share of the engines' cores.
     cores: f64,
     /// A statement needs at least so much room, or nothing would ever go.
@@ -58,7 +58,7 @@
 }
 
 impl Window {
-    pub fn new(way: Way, widest: f64) -> Window {
+    pub fn new(way: WindowPolicy, widest: f64) -> Window {
         Window {
             way,
             cores: 0.0,
@@ -86,14 +86,14 @@
         self.cores
     }
 
-    pub fn set_way(&mut self, way: Way, widest: f64) {
+    pub fn set_way(&mut self, way: WindowPolicy, widest: f64) {
         (self.way, self.widest) = (way, widest);
         self.set_cores(self.cores);
     }
 
     /// The engines that are ready have changed. Without any, nothing is released.
     pub fn set_cores(&mut self, cores: f64) {
-        let keeps = self.cores > 0.0 && self.way != Way::Fixed;
+        let keeps = self.cores > 0.0 && self.way != WindowPolicy::Fixed;
         let part = if keeps {
             self.threads / self.start()
         } else {
@@ -106,7 +106,7 @@
 
     fn start(&self) -> f64 {
         let threads = START * self.cores;
-        if self.way == Way::Fixed {
+        if self.way == WindowPolicy::Fixed {
             threads
         } else {
             threads + HEADROOM * threads.sqrt()
@@ -158,16 +158,16 @@
             ratio
         };
         match self.way {
-            Way::Fixed => {}
-            Way::Gradient => {
+            WindowPolicy::Fixed => {}
+            WindowPolicy::Gradient => {
                 let step = ratio.clamp(STEP_DOWN, STEP_UP);
                 if step < 1.0 || self.bound {
                     self.threads *= step;
                 }
             }
-            Way::Additive if ratio < 1.0 => self.threads *= KEEP,
-            Way::Additive if self.bound => self.threads += ADD,
-            Way::Additive => {}
+            WindowPolicy::Additive if ratio < 1.0 => self.threads *= KEEP,
+            WindowPolicy::Additive if self.bound => self.threads += ADD,
+            WindowPolicy::Additive => {}
         }
         self.hold_ends();
         (self.seen, self.done, self.looked_at, self.bound) = (0, 0.0, now, false);
--- a/crates/ivypitch-queueing/tests/scenarios.rs
+++ b/crates/ivypitch-queueing/tests/scenarios.rs
@@ -9,9 +9,11 @@
 //! waiting|out|rejected|done|gone`, `count TEAM|all waiting|out|rejected|done LOW HIGH`, `used TEAM LOW HIGH`
 //! (core-seconds), `longest TEAM WORKLOAD MS`, `order NAMES`, `estimates LEAST-PERCENT`, `said WORDS`.
 
-use ivypitch_queueing::budgets::LaneBudget;
-use ivypitch_queueing::window::Way;
-use ivypitch_queueing::{Budgets, Claim, Output, TeamBudget, Teams, WorkloadTerms};
+use ivypitch_queueing::budgets::LaneLimits;
+use ivypitch_queueing::window::WindowPolicy;
+use ivypitch_queueing::{
+    Budgets, Output, QueueArrival, TeamBudget, TeamQueues, WorkloadQueueParams,
+};
 use ivypitch_types::{Nanos, StatementIndex};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -52,7 +54,7 @@
     workload: usize,
     came: Nanos,
     real: Nanos,
-    claim: Claim,
+    claim: QueueArrival,
     state: State,
     again: bool,
 }
@@ -77,7 +79,7 @@
 }
 
 impl Output for World {
-    fn release(&mut self, ix: StatementIndex, _within: bool) {
+    fn release(&mut self, ix: StatementIndex, _is_within_share: bool) {
         let stmt = &mut self.stmts[ix.0];
         assert_eq!(stmt.state, State::Waiting, "{} released", stmt.name);
         stmt.state = State::Out;
@@ -108,7 +110,7 @@
             )));
         }
     }
-    fn mode(&mut self, team: Option<usize>, line: &str) {
+    fn log_mode_change(&mut self, team: Option<usize>, line: &str) {
         self.said.push(format!(
             "{} {line}",
             team.map_or("all".into(), |t| t.to_string())
@@ -120,7 +122,7 @@
     budgets: Budgets,
     workloads: Vec<String>,
     teams: Vec<String>,
-    started: Option<Teams>,
+    started: Option<TeamQueues>,
     world: World,
 }
 
@@ -152,7 +154,7 @@
             return;
         };
         loop {
-            let wake = teams.next_wake().map(|at| at.max(self.world.now));
+            let wake = teams.next_timer().map(|at| at.max(self.world.now));
             let event = self.world.events.peek().map(|Reverse((at, _))| *at);
             let at = wake
                 .into_iter()
@@ -171,7 +173,7 @@
                         stmt.state = State::Done;
                         let real = stmt.real;
                         self.world.out -= self.world.threads[stmt.workload];
-                        teams.over(
+                        teams.on_statement_ended(
                             self.world.now,
                             StatementIndex(ix),
                             Some(real),
@@ -183,7 +185,7 @@
                         let stmt = &self.world.stmts[ix];
                         if stmt.claim.deadline > self.world.now {
                             let claim = stmt.claim;
-                            teams.arrive(
+                            teams.on_statement_arrived(
                                 self.world.now,
                                 StatementIndex(ix),
                                 claim,
@@ -195,20 +197,20 @@
                     }
                 }
             } else {
-                teams.woken(self.world.now, &mut self.world);
+                teams.on_timer(self.world.now, &mut self.world);
             }
         }
         self.world.now = self.world.now.max(until);
-        teams.woken(self.world.now, &mut self.world);
+        teams.on_timer(self.world.now, &mut self.world);
     }
 
     fn stmt(&mut self, team: &str, workload: &str, fields: &Fields, at: Nanos) -> usize {
         let (team, workload) = (self.team(team), self.workload(workload));
         let usual = self.budgets.workloads[workload].usual_work as f64 / MS as f64;
-        let claim = Claim {
+        let claim = QueueArrival {
             team,
             workload,
-            told_work: fields.ms("told", 0.0),
+            estimated_work: fields.ms("told", 0.0),
             bytes: fields.number("bytes", 100.0) as usize,
             deadline: at + fields.ms("left", 20_000.0),
         };
@@ -245,19 +247,26 @@
     fn step(&mut self, words: &[&str]) {
         let fields = Fields(words.to_vec());
         let budget = |old: TeamBudget| {
-            let rate = fields.number("rate", old.work_per_s);
+            let rate = fields.number("rate", old.work_cores);
             TeamBudget {
                 share: fields.number("share", old.share),
-                work_per_s: rate,
-                burst: fields.number("burst", if rate.is_finite() { rate } else { old.burst }),
-                most_released: fields.number("released", old.most_released),
-                most_queued: fields.number("queue", old.most_queued as f64) as usize,
-                most_queued_bytes: fields.number("bytes", old.most_queued_bytes as f64) as usize,
+                work_cores: rate,
+                burst_core_seconds: fields.number(
+                    "burst",
+                    if rate.is_finite() {
+                        rate
+                    } else {
+                        old.burst_core_seconds
+                    },
+                ),
+                max_released_threads: fields.number("released", old.max_released_threads),
+                max_queued: fields.number("queue", old.max_queued as f64) as usize,
+                max_queued_bytes: fields.number("bytes", old.max_queued_bytes as f64) as usize,
                 lanes: fields.text("lane-queue").map_or(old.lanes, |most| {
-                    let most_queued = most.parse().unwrap();
-                    let lane = LaneBudget {
-                        most_queued,
-                        ..LaneBudget::default()
+                    let max_queued = most.parse().unwrap();
+                    let lane = LaneLimits {
+                        max_queued,
+                        ..LaneLimits::default()
                     };
                     vec![lane; self.workloads.len()]
                 }),
@@ -269,18 +278,17 @@
                 let slo = fields.ms("slo", 800.0);
                 self.workloads.push(name.to_string());
                 self.world.threads.push(fields.number("threads", 1.0));
-                self.budgets.workloads.push(WorkloadTerms {
+                self.budgets.workloads.push(WorkloadQueueParams {
                     priority_weight,
                     latency_objective: slo,
                     threads: fields.number("threads", 1.0),
-                    is_load: fields.number("load", 0.0) > 0.0,
+                    is_bulk_load: fields.number("load", 0.0) > 0.0,
                     usual_work: fields.ms("work", 100.0),
-                    slack: fields
-                        .text("slack")
-                        .map_or(WorkloadTerms::slack_of(slo, priority_weight, 1.0), |_| {
-                            fields.ms("slack", 0.0)
-                        }),
-                    longest_wait: fields.ms("wait", 400.0),
+                    slack: fields.text("slack").map_or(
+                        WorkloadQueueParams::default_slack(slo, priority_weight, 1.0),
+                        |_| fields.ms("slack", 0.0),
+                    ),
+                    max_wait: fields.ms("wait", 400.0),
                 });
             }
             ["team", name, ..] => {
@@ -289,9 +297,9 @@
             }
             ["other", ..] => self.budgets.other = budget(TeamBudget::default()),
             ["all", ..] => {
-                self.budgets.most_queued = fields.number("queue", 1e9) as usize;
-                self.budgets.most_queued_bytes = fields.number("bytes", 1e12) as usize;
-                self.budgets.longest_come_back = fields.ms("back", 0.0);
+                self.budgets.max_queued = fields.number("queue", 1e9) as usize;
+                self.budgets.max_queued_bytes = fields.number("bytes", 1e12) as usize;
+                self.budgets.max_retry_after = fields.ms("back", 0.0);
             }
             ["cores", cores] => {
                 let cores: f64 = cores.parse().unwrap();
@@ -299,14 +307,17 @@
                 let (budgets, now) = (&self.budgets, self.world.now);
                 let teams = self
                     .started
-                    .get_or_insert_with(|| Teams::new(budgets.clone(), 7, now));
-                teams.capacity(now, cores, &mut self.world);
+                    .get_or_insert_with(|| TeamQueues::new(budgets.clone(), 7, now));
+                teams.set_capacity(now, cores, &mut self.world);
             }
             ["at", at] => self.wake_and_end(at.parse::<u64>().unwrap() * MS),
             ["jump", at] => {
                 self.world.now = at.parse::<u64>().unwrap() * MS;
                 let now = self.world.now;
-                self.started.as_mut().unwrap().woken(now, &mut self.world);
+                self.started
+                    .as_mut()
+                    .unwrap()
+                    .on_timer(now, &mut self.world);
                 self.wake_and_end(now);
             }
             ["come", team, workload, ..] => {
@@ -318,7 +329,7 @@
                     let ix = self.stmt(team, workload, &fields, self.now());
                     let claim = self.world.stmts[ix].claim;
                     let now = self.world.now;
-                    self.started.as_mut().unwrap().arrive(
+                    self.started.as_mut().unwrap().on_statement_arrived(
                         now,
                         StatementIndex(ix),
                         claim,
@@ -342,7 +353,7 @@
                     self.started
                         .as_mut()
                         .unwrap()
-                        .leave(now, StatementIndex(ix), &mut self.world);
+                        .remove(now, StatementIndex(ix), &mut self.world);
                 assert_eq!(
                     left,
                     self.world.stmts[ix].state == State::Waiting,
@@ -357,7 +368,7 @@
                 self.started
                     .as_mut()
                     .unwrap()
-                    .ending(now, by, &mut self.world);
+                    .on_shutdown(now, by, &mut self.world);
             }
             ["budget", team, ..] => {
                 let team = self.team(team);
@@ -412,13 +423,13 @@
                 assert_eq!(found, names);
             }
             ["estimates", least] => {
-                let record = self.started.as_ref().unwrap().record();
-                assert!(record.told > 20, "{} estimates", record.told);
-                let percent = record.good * 100 / record.told;
+                let record = self.started.as_ref().unwrap().wait_statistics();
+                assert!(record.estimates > 20, "{} estimates", record.estimates);
+                let percent = record.good_estimates * 100 / record.estimates;
                 assert!(
                     percent >= least.parse::<u64>().unwrap(),
                     "{percent}% of {} good",
-                    record.told
+                    record.estimates
                 );
             }
             ["said", words @ ..] => {
@@ -435,7 +446,7 @@
             let count = |state| self.world.stmts.iter().filter(|s| s.state == state).count();
             assert_eq!(
                 count(State::Out) > 0,
-                teams.threads_out() > 1e-9,
+                teams.released_threads() > 1e-9,
                 "threads out"
             );
             assert!(teams.queued() <= count(State::Waiting), "waiting");
@@ -539,11 +550,11 @@
             workloads: Vec::new(),
             teams: Vec::new(),
             other: TeamBudget::default(),
-            most_queued: usize::MAX,
-            most_queued_bytes: usize::MAX,
-            preempts_from: 8.0,
-            longest_come_back: 0,
-            window: Way::Fixed,
+            max_queued: usize::MAX,
+            max_queued_bytes: usize::MAX,
+            preempts_from_priority_weight: 8.0,
+            max_retry_after: 0,
+            window_policy: WindowPolicy::Fixed,
         },
         workloads: Vec::new(),
         teams: Vec::new(),
--- a/crates/ivypitch-testbed/src/experiments/team_flood.rs
+++ b/crates/ivypitch-testbed/src/experiments/team_flood.rs
@@ -1,7 +1,7 @@
 //! One of three teams floods, in virtual time and on sockets.
 
-use ivypitch_queueing::window::Way;
-use ivypitch_queueing::{Budgets, TeamBudget, WorkloadTerms};
+use ivypitch_queueing::window::WindowPolicy;
+use ivypitch_queueing::{Budgets, TeamBudget, WorkloadQueueParams};
 use ivypitch_types::SECOND;
 
 use crate::figures::Figures;
@@ -23,14 +23,14 @@
         .iter()
         .map(|w| w.priority_weight)
         .fold(f64::INFINITY, f64::min);
-    let terms = |w: &Work| WorkloadTerms {
+    let terms = |w: &Work| WorkloadQueueParams {
         priority_weight: w.priority_weight,
         latency_objective: w.slo,
         threads: w.threads,
-        is_load: w.effect == ivypitch_scheduler::Idempotency::NonIdempotent,
+        is_bulk_load: w.effect == ivypitch_scheduler::Idempotency::NonIdempotent,
         usual_work: w.slo / 3,
-        slack: WorkloadTerms::slack_of(w.slo, w.priority_weight, least),
-        longest_wait: (w.slo as f64 * 0.4) as u64,
+        slack: WorkloadQueueParams::default_slack(w.slo, w.priority_weight, least),
+        max_wait: (w.slo as f64 * 0.4) as u64,
     };
     Budgets {
         workloads: works.iter().map(terms).collect(),
@@ -42,11 +42,11 @@
             })
             .collect(),
         other: TeamBudget::default(),
-        most_queued: 100_000,
-        most_queued_bytes: usize::MAX,
-        preempts_from: 8.0,
-        longest_come_back: 2 * SECOND,
-        window: Way::Gradient,
+        max_queued: 100_000,
+        max_queued_bytes: usize::MAX,
+        preempts_from_priority_weight: 8.0,
+        max_retry_after: 2 * SECOND,
+        window_policy: WindowPolicy::Gradient,
     }
 }
 
--- a/crates/ivypitch-testbed/src/virtual_time/fleet.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/fleet.rs
@@ -6,7 +6,7 @@
 use std::collections::BinaryHeap;
 
 use hdrhistogram::Histogram;
-use ivypitch_queueing::{Budgets, Claim, Teams};
+use ivypitch_queueing::{Budgets, QueueArrival, TeamQueues};
 use ivypitch_scheduler::Scheduler;
 use ivypitch_scheduler::{
     Arrival, AttemptEnded, DeduplicationScope, Deployment, EndpointUpdateKind, EngineEndpoint,
@@ -194,12 +194,12 @@
     fn reject(&mut self, stmt: StatementIndex, retry_after: Nanos) {
         self.rejected.push((stmt, retry_after));
     }
-    fn mode(&mut self, _team: Option<usize>, _line: &str) {}
+    fn log_mode_change(&mut self, _team: Option<usize>, _line: &str) {}
 }
 
 struct Node {
     module: Scheduler,
-    teams: Option<Teams>,
+    teams: Option<TeamQueues>,
     desk: Desk,
     teams_desk: TeamsDesk,
     slots: Vec<Option<Open>>,
@@ -333,7 +333,7 @@
                 .plan
                 .budgets
                 .clone()
-                .map(|budgets| Teams::new(budgets, seed, 0));
+                .map(|budgets| TeamQueues::new(budgets, seed, 0));
             fleet.nodes.push(Node {
                 module,
                 teams,
@@ -350,7 +350,7 @@
             if let Some(teams) = &mut node.teams {
                 let cores =
                     fleet.plan.engines as f64 * fleet.plan.model.cores / fleet.plan.gateways as f64;
-                teams.capacity(0, cores, &mut node.teams_desk);
+                teams.set_capacity(0, cores, &mut node.teams_desk);
             }
             fleet.settle(me);
         }
@@ -418,7 +418,7 @@
                 let node = &mut self.nodes[gateway];
                 node.woken_at = None;
                 if let Some(teams) = &mut node.teams {
-                    teams.woken(now, &mut node.teams_desk);
+                    teams.on_timer(now, &mut node.teams_desk);
                 }
                 self.settle(gateway);
             }
@@ -465,15 +465,15 @@
         });
         let (team, workload) = (asked.team, asked.workload);
         if let Some(teams) = &mut node.teams {
-            let told_work = (asked.told_work * 1e9) as Nanos;
-            let claim = Claim {
+            let estimated_work = (asked.told_work * 1e9) as Nanos;
+            let claim = QueueArrival {
                 team,
                 workload,
-                told_work,
+                estimated_work,
                 bytes: 200,
                 deadline,
             };
-            teams.arrive(now, StatementIndex(slot), claim, &mut node.teams_desk);
+            teams.on_statement_arrived(now, StatementIndex(slot), claim, &mut node.teams_desk);
         } else {
             self.pass_on(gateway, slot, false);
         }
@@ -515,7 +515,7 @@
             let node = &mut self.nodes[gateway];
             if let Some((ix, real, took)) = node.over.pop() {
                 if let Some(teams) = &mut node.teams {
-                    teams.over(self.now, ix, real, took, &mut node.teams_desk);
+                    teams.on_statement_ended(self.now, ix, real, took, &mut node.teams_desk);
                 }
             } else if let Some((ix, within)) = node.teams_desk.released.pop() {
                 self.pass_on(gateway, ix.0, within);
@@ -534,7 +534,7 @@
             }
         }
         let node = &mut self.nodes[gateway];
-        let wake = node.teams.as_ref().and_then(Teams::next_wake);
+        let wake = node.teams.as_ref().and_then(TeamQueues::next_timer);
         if let Some(at) = wake.filter(|&at| node.woken_at.is_none_or(|set| at < set)) {
             node.woken_at = Some(at);
             self.at(at, Event::TeamsWake { gateway });
@@ -639,7 +639,7 @@
         let left = node
             .teams
             .as_mut()
-            .is_some_and(|t| t.leave(self.now, StatementIndex(slot), &mut node.teams_desk));
+            .is_some_and(|t| t.remove(self.now, StatementIndex(slot), &mut node.teams_desk));
         if left {
             self.free(gateway, slot);
         } else {
@@ -792,9 +792,9 @@
         let mut errors = errors.unwrap_or_else(|_| unreachable!());
         for node in &self.nodes {
             if let Some(teams) = &node.teams {
-                figures.told += teams.record().told;
-                figures.good += teams.record().good;
-                let _ = errors.add(&teams.record().errors_percent);
+                figures.told += teams.wait_statistics().estimates;
+                figures.good += teams.wait_statistics().good_estimates;
+                let _ = errors.add(&teams.wait_statistics().errors_percent);
             }
         }
         figures.median_error = errors.value_at_quantile(0.5) as f64 / 100.0;
