--- a/crates/ivypitch-config/src/operator/peers.rs
+++ b/crates/ivypitch-config/src/operator/peers.rs
@@ -213,13 +213,13 @@
 impl OwnershipSettings {
     /// The configuration of ownership, in a deployment whose longest statement timeout is this.
     pub fn config(&self, max_statement_timeout: Nanos) -> OwnershipConfig {
-        let no_quorum = match self.without_quorum.as_str() {
+        let no_quorum_policy = match self.without_quorum.as_str() {
             "single" => NoQuorumPolicy::ProceedAlone,
             _ => NoQuorumPolicy::Reject,
         };
         OwnershipConfig {
             voters_per_statement: self.voters,
-            no_quorum,
+            no_quorum_policy,
             max_statement_timeout,
             retention: nanos_from_millis(self.retention_ms),
             result_cache_bytes_per_tenant: (self.result_cache_mb_per_tenant * BYTES_PER_MB)
--- a/crates/ivypitch-gateway/src/actors/ownership.rs
+++ b/crates/ivypitch-gateway/src/actors/ownership.rs
@@ -47,7 +47,7 @@
     /// A client that waits here gets its answer.
     Answer {
         /// The client, by the token that it waits under.
-        waiter: u64,
+        waiter_token: u64,
         /// Its answer.
         answer: FinalAnswer,
     },
@@ -110,9 +110,9 @@
         }));
     }
 
-    fn answer(&mut self, waiter: u64, answer: &FinalAnswer) {
+    fn answer(&mut self, waiter_token: u64, answer: &FinalAnswer) {
         self.actions.push_back(Action::Answer {
-            waiter,
+            waiter_token,
             answer: answer.clone(),
         });
     }
@@ -269,8 +269,8 @@
     }
 
     /// Whether the statement goes on though its client has disconnected.
-    pub fn outlives_client(&self, id: StatementId) -> bool {
-        self.ownership.outlives_client(id)
+    pub fn continues_without_client(&self, id: StatementId) -> bool {
+        self.ownership.continues_without_client(id)
     }
 
     /// Keeps a client until its answer comes.
@@ -340,7 +340,7 @@
 
     fn remove_waiting_client(&mut self, token: u64) -> Option<WaitingClient> {
         let waiting = self.waiting_clients.remove(&token)?;
-        self.ownership.on_client_gone(waiting.id, token);
+        self.ownership.on_client_stopped_waiting(waiting.id, token);
         Some(waiting)
     }
 
--- a/crates/ivypitch-gateway/src/actors/scheduler/ownership.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/ownership.rs
@@ -51,7 +51,10 @@
                 } => self.deny_attempt(id, attempt, denial),
                 Action::Proceed { id } => self.proceed(id),
                 Action::TakeOver(takeover) => self.take_over(takeover),
-                Action::Answer { waiter, answer } => self.answer_waiter(waiter, answer),
+                Action::Answer {
+                    waiter_token,
+                    answer,
+                } => self.answer_waiter(waiter_token, answer),
             }
         }
         if let Some(ownership) = &mut self.context.ownership {
@@ -102,8 +105,12 @@
                 .map_or(EngineIndex(usize::MAX), |in_flight| in_flight.engine),
         };
         match denial {
-            GrantDenial::NoQuorum { clean: true } => {}
-            GrantDenial::NoQuorum { clean: false } => context.answer(statement, Answer::Aborted),
+            GrantDenial::NoQuorum {
+                is_provably_unsent: true,
+            } => {}
+            GrantDenial::NoQuorum {
+                is_provably_unsent: false,
+            } => context.answer(statement, Answer::Aborted),
             GrantDenial::OwnedElsewhere => context.move_client_to_ownership(statement),
         }
         if let Some(ownership) = &mut context.ownership {
@@ -233,8 +240,8 @@
         let arrival = ivypitch_ownership::Arrival {
             id,
             spec: statement_spec(&new, context.now, is_idempotent),
-            worth_lookup: ownership.is_worth_lookup(estimated_work(&new.statement), start),
-            waiter: token,
+            is_worth_lookup: ownership.is_worth_lookup(estimated_work(&new.statement), start),
+            waiter_token: token,
         };
         match ownership.on_statement_arrived(context.now, arrival) {
             ArrivalDecision::Proceed => self.start_or_reject(new, start, token),
@@ -306,7 +313,7 @@
         digest: fields.digest(),
         workload: new.statement.workload as u16,
         tenant: new.statement.tenant as u16,
-        idempotent: is_idempotent,
+        is_idempotent,
         remaining_ms: remaining_ms as u32,
         request: fields.write(remaining_ms.max(1)),
     }
--- a/crates/ivypitch-gateway/src/actors/scheduler/statements.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/statements.rs
@@ -89,7 +89,7 @@
             .get(statement)
             .map_or(0, OpenStatement::id);
         if let Some(ownership) = &mut context.ownership {
-            if ownership.outlives_client(id) {
+            if ownership.continues_without_client(id) {
                 // The answer is cached until the client returns, here or at another gateway.
                 return;
             }
--- a/crates/ivypitch-gateway/tests/recorded_peer_messages.rs
+++ b/crates/ivypitch-gateway/tests/recorded_peer_messages.rs
@@ -24,7 +24,7 @@
 #[test]
 fn every_frame_keeps_its_recorded_bytes() {
     let epoch = Epoch {
-        count: 7,
+        number: 7,
         process: ProcessId {
             member: MemberId(300),
             incarnation: Incarnation(1_700_000_000_123),
--- a/crates/ivypitch-ownership/src/arrival.rs
+++ b/crates/ivypitch-ownership/src/arrival.rs
@@ -16,9 +16,9 @@
     /// The statement.
     pub spec: StatementSpec,
     /// Whether it is expensive enough for asking the voters first whether it is known elsewhere.
-    pub worth_lookup: bool,
+    pub is_worth_lookup: bool,
     /// Names the client in [`Output::answer`].
-    pub waiter: u64,
+    pub waiter_token: u64,
 }
 
 impl Ownership {
@@ -31,9 +31,9 @@
     ) -> ArrivalDecision {
         self.evict_expired(now);
         let id = arrival.id;
-        let mut epoch_count = 0;
+        let mut epoch_number = 0;
         if let Some(statement) = self.statements.get(id) {
-            epoch_count = statement.epoch.count;
+            epoch_number = statement.epoch.number;
             if let Some(decision) = self.join_known_statement(&arrival) {
                 return decision;
             }
@@ -41,28 +41,28 @@
         }
         let record = self.vote_log.get(now, id);
         if let Some(record) = record.filter(StatementRecord::has_content) {
-            epoch_count = epoch_count.max(record.epoch.count + 1);
+            epoch_number = epoch_number.max(record.epoch.number + 1);
             if let Some(decision) = self.follow_record(now, &arrival, &record, out) {
                 return decision;
             }
         }
-        if let Some(decision) = self.look_up_if_needed(now, &arrival, epoch_count, out) {
+        if let Some(decision) = self.look_up_if_needed(now, &arrival, epoch_number, out) {
             return decision;
         }
         let mut statement = self.new_statement(now, arrival.spec, StatementState::Owned);
-        statement.submitter = Some(arrival.waiter);
-        statement.epoch.count = epoch_count;
+        statement.submitter = Some(arrival.waiter_token);
+        statement.epoch.number = epoch_number;
         self.statements.insert(id, statement);
         ArrivalDecision::Proceed
     }
 
     /// A client no longer waits.
-    pub fn on_client_gone(&mut self, id: StatementId, waiter: u64) {
+    pub fn on_client_stopped_waiting(&mut self, id: StatementId, waiter_token: u64) {
         if let Some(statement) = self.statements.get_mut(id) {
             statement
                 .waiters
-                .retain(|&other| other != Waiter::Local(waiter));
-            statement.submitter = statement.submitter.filter(|&other| other != waiter);
+                .retain(|&other| other != Waiter::Local(waiter_token));
+            statement.submitter = statement.submitter.filter(|&other| other != waiter_token);
         }
     }
 
@@ -74,10 +74,10 @@
             return Some(ArrivalDecision::Answer(FinalAnswer::IdReused));
         }
         if statement.is_open() {
-            statement.waiters.push(Waiter::Local(arrival.waiter));
+            statement.waiters.push(Waiter::Local(arrival.waiter_token));
             return Some(ArrivalDecision::Wait);
         }
-        let answer = self.known_end(arrival.id, state, arrival.spec.idempotent)?;
+        let answer = self.known_end(arrival.id, state, arrival.spec.is_idempotent)?;
         let is_completed = matches!(
             answer,
             FinalAnswer::Rows(_) | FinalAnswer::CompletedWithoutRows
@@ -104,7 +104,7 @@
         let id = arrival.id;
         let spec = arrival.spec.clone();
         let mut statement = self.new_statement(now, spec, StatementState::LookingUp);
-        statement.waiters.push(Waiter::Local(arrival.waiter));
+        statement.waiters.push(Waiter::Local(arrival.waiter_token));
         match self.locate(record) {
             Location::At(member) => {
                 self.statements.insert(id, statement);
@@ -115,10 +115,10 @@
                 statement.grants = record.grants.clone();
                 self.statements.insert(id, statement);
                 self.statements.transition(id, StatementState::Orphaned);
-                self.request_takeover(now, id, record.epoch.count + 1, out);
+                self.request_takeover(now, id, record.epoch.number + 1, out);
                 Some(ArrivalDecision::Wait)
             }
-            Location::Over(answer) if !arrival.spec.idempotent => {
+            Location::Over(answer) if !arrival.spec.is_idempotent => {
                 Some(ArrivalDecision::Answer(answer))
             }
             Location::Over(_) | Location::Nowhere => None,
@@ -130,7 +130,7 @@
         &mut self,
         now: Nanos,
         arrival: &Arrival,
-        epoch_count: u32,
+        epoch_number: u32,
         out: &mut dyn Output,
     ) -> Option<ArrivalDecision> {
         let id = arrival.id;
@@ -138,7 +138,7 @@
         let has_recent_loss = self
             .members
             .has_recent_loss(now, self.config.max_statement_timeout);
-        if !arrival.worth_lookup && !is_joining && !has_recent_loss {
+        if !arrival.is_worth_lookup && !is_joining && !has_recent_loss {
             return None;
         }
         let candidates = self.lookup_candidates(id);
@@ -147,9 +147,9 @@
         }
         let spec = arrival.spec.clone();
         let mut statement = self.new_statement(now, spec, StatementState::LookingUp);
-        statement.submitter = Some(arrival.waiter);
+        statement.submitter = Some(arrival.waiter_token);
         statement.lookup.candidates = candidates;
-        statement.epoch.count = epoch_count;
+        statement.epoch.number = epoch_number;
         self.statements.insert(id, statement);
         if is_joining {
             self.statements
--- a/crates/ivypitch-ownership/src/attempt_grant.rs
+++ b/crates/ivypitch-ownership/src/attempt_grant.rs
@@ -65,7 +65,7 @@
             engine,
             never_ran: false,
         };
-        if statement.spec.idempotent {
+        if statement.spec.is_idempotent {
             statement.grants.push(grant);
             self.queue_update(now, id, None);
             return GrantDecision::Granted;
@@ -348,13 +348,13 @@
 
     fn on_no_quorum(&mut self, now: Nanos, has_all_answers: bool) -> GrantDecision {
         self.counters.no_quorum += 1;
-        if self.config.no_quorum == NoQuorumPolicy::ProceedAlone {
+        if self.config.no_quorum_policy == NoQuorumPolicy::ProceedAlone {
             return GrantDecision::Granted;
         }
         // Voters that are connected and do not answer may be the first sign of a partition: the statement's client may
         // come from beyond it.
-        let clean = has_all_answers && self.is_first_arrival(now);
-        GrantDecision::Denied(GrantDenial::NoQuorum { clean })
+        let is_provably_unsent = has_all_answers && self.is_first_arrival(now);
+        GrantDecision::Denied(GrantDenial::NoQuorum { is_provably_unsent })
     }
 
     /// No client that comes now can have been at a gateway that is lost, as far as this one can know.
@@ -389,7 +389,7 @@
             }
             Location::Orphaned | Location::Nowhere => {
                 self.statements.transition(id, StatementState::Orphaned);
-                self.request_takeover(now, id, record.epoch.count + 1, out);
+                self.request_takeover(now, id, record.epoch.number + 1, out);
             }
         }
     }
--- a/crates/ivypitch-ownership/src/completion.rs
+++ b/crates/ivypitch-ownership/src/completion.rs
@@ -35,7 +35,7 @@
         if !statement.is_owner() {
             return None;
         }
-        let is_idempotent = statement.spec.idempotent;
+        let is_idempotent = statement.spec.is_idempotent;
         let has_other_voters = self.voters.count() > 1;
         match answer {
             FinalAnswer::Rejected { retry_after_ms } if !is_idempotent && has_other_voters => {
@@ -58,7 +58,7 @@
         let Some(statement) = statement.filter(|statement| statement.is_owner()) else {
             return;
         };
-        if statement.spec.idempotent {
+        if statement.spec.is_idempotent {
             let spec = statement.spec.clone();
             out.take_over(id, &spec, statement.remaining(now), None);
         } else {
@@ -78,7 +78,7 @@
         };
         for waiter in std::mem::take(&mut statement.waiters) {
             match waiter {
-                Waiter::Local(waiter) => out.answer(waiter, answer),
+                Waiter::Local(waiter_token) => out.answer(waiter_token, answer),
                 Waiter::Remote { member, request_id } => {
                     let answer = LookupAnswer::Final(answer.clone());
                     let reply = Message::LookupReply {
@@ -95,7 +95,7 @@
     /// Its attempt may have run, and another gateway may have taken it over while this one was stopped or not heard.
     fn may_be_known_elsewhere(&self, now: Nanos, id: StatementId) -> bool {
         self.statements.get(id).is_some_and(|statement| {
-            !statement.spec.idempotent
+            !statement.spec.is_idempotent
                 && statement.may_have_run()
                 && !statement.lookup.is_before_abort
                 && now < statement.deadline
@@ -138,9 +138,9 @@
         let submitter = statement.submitter;
         statement.submitter_waits();
         statement.takeover.rejection = Some(PendingRejection { retry_after_ms });
-        let epoch_count = statement.epoch.count + 1;
+        let epoch_number = statement.epoch.number + 1;
         self.statements.transition(id, StatementState::Orphaned);
-        self.request_takeover(now, id, epoch_count, out);
+        self.request_takeover(now, id, epoch_number, out);
         submitter
     }
 
@@ -157,11 +157,11 @@
         // Where no grant that was used stands here, what became of the statement is known elsewhere if anywhere:
         // whoever comes back has it looked up again, and does not get this answer until the statement is forgotten.
         // Alone, without a quorum, a gateway dispatches all the same and under no grant.
-        let may_have_run =
-            self.config.no_quorum == NoQuorumPolicy::ProceedAlone || statement.may_have_run();
+        let may_have_run = self.config.no_quorum_policy == NoQuorumPolicy::ProceedAlone
+            || statement.may_have_run();
         let ended = EndedStatement {
             tenant: statement.spec.tenant,
-            is_idempotent: statement.spec.idempotent,
+            is_idempotent: statement.spec.is_idempotent,
             is_known_to_voters: statement.is_known_to_voters,
             is_taken_over: statement.state() == StatementState::TakenOver,
             may_have_run,
--- a/crates/ivypitch-ownership/src/config.rs
+++ b/crates/ivypitch-ownership/src/config.rs
@@ -39,7 +39,7 @@
     /// How long after its timeout a statement's client may come back.
     pub retention: Nanos,
     /// What happens without a quorum.
-    pub no_quorum: NoQuorumPolicy,
+    pub no_quorum_policy: NoQuorumPolicy,
     /// Results that are cached for the clients of one tenant, in bytes.
     pub result_cache_bytes_per_tenant: usize,
     /// Bound of the vote log, and of the statements that are remembered after their end.
@@ -60,7 +60,7 @@
             update_interval: 20 * MILLISECOND,
             max_statement_timeout: 25 * SECOND,
             retention: 5 * SECOND,
-            no_quorum: NoQuorumPolicy::Reject,
+            no_quorum_policy: NoQuorumPolicy::Reject,
             result_cache_bytes_per_tenant: 4 << 20,
             max_entries: 200_000,
         }
--- a/crates/ivypitch-ownership/src/handoff.rs
+++ b/crates/ivypitch-ownership/src/handoff.rs
@@ -79,6 +79,6 @@
         self.statements.insert(id, statement);
         self.statements.transition(id, StatementState::Orphaned);
         self.counters.orphaned += 1;
-        self.request_takeover(now, id, record.epoch.count + 1, out);
+        self.request_takeover(now, id, record.epoch.number + 1, out);
     }
 }
--- a/crates/ivypitch-ownership/src/lookup.rs
+++ b/crates/ivypitch-ownership/src/lookup.rs
@@ -89,10 +89,10 @@
         }
         // Dispatched under a grant before, and nobody knows its end: polled for under a new epoch, never dispatched
         // again.
-        if !statement.spec.idempotent && statement.may_have_run() {
-            let epoch_count = statement.epoch.count + 1;
+        if !statement.spec.is_idempotent && statement.may_have_run() {
+            let epoch_number = statement.epoch.number + 1;
             self.statements.transition(id, StatementState::Orphaned);
-            self.request_takeover(now, id, epoch_count, out);
+            self.request_takeover(now, id, epoch_number, out);
             return;
         }
         if statement.submitter.is_some() {
@@ -124,7 +124,7 @@
             && let Location::Orphaned = self.locate(&record)
         {
             self.statements.transition(id, StatementState::Orphaned);
-            self.request_takeover(now, id, record.epoch.count + 1, out);
+            self.request_takeover(now, id, record.epoch.number + 1, out);
             return;
         }
         self.statements.transition(id, StatementState::LookingUp);
@@ -156,7 +156,7 @@
         if !is_looking_up && statement.state() != StatementState::OwnedElsewhere {
             return;
         }
-        let is_idempotent = statement.spec.idempotent;
+        let is_idempotent = statement.spec.is_idempotent;
         match answer {
             LookupAnswer::Unknown if is_looking_up => self.ask_next_voter(now, id, out),
             LookupAnswer::Unknown => self.look_up_again(now, id, out),
--- a/crates/ivypitch-ownership/src/lookup_answer.rs
+++ b/crates/ivypitch-ownership/src/lookup_answer.rs
@@ -99,7 +99,7 @@
             | StatementState::Delivered
             | StatementState::Closed
             | StatementState::Unknown => {
-                let is_idempotent = statement.spec.idempotent;
+                let is_idempotent = statement.spec.is_idempotent;
                 let Some(answer) = self.known_end(id, state, is_idempotent) else {
                     return Some(LookupAnswer::Unknown);
                 };
@@ -137,7 +137,7 @@
                 self.statements.insert(id, statement);
                 self.statements.transition(id, StatementState::Orphaned);
                 self.counters.orphaned += 1;
-                self.request_takeover(now, id, record.epoch.count + 1, out);
+                self.request_takeover(now, id, record.epoch.number + 1, out);
                 None
             }
         }
--- a/crates/ivypitch-ownership/src/message.rs
+++ b/crates/ivypitch-ownership/src/message.rs
@@ -17,7 +17,7 @@
 )]
 pub struct Epoch {
     /// How often ownership has moved, roughly; it decides before the process does.
-    pub count: u32,
+    pub number: u32,
     /// The process that acts under this epoch.
     pub process: ProcessId,
 }
@@ -32,7 +32,7 @@
     /// Index of the tenant.
     pub tenant: u16,
     /// Running it twice has the same effect as running it once.
-    pub idempotent: bool,
+    pub is_idempotent: bool,
     /// What remains of its client's timeout, in milliseconds.
     pub remaining_ms: u32,
     /// The request as the client sent it, with all its fields; empty where it need not travel again.
--- a/crates/ivypitch-ownership/src/output.rs
+++ b/crates/ivypitch-ownership/src/output.rs
@@ -24,7 +24,7 @@
         engine: Option<u64>,
     );
     /// Answers a client that waits here.
-    fn answer(&mut self, waiter: u64, answer: &FinalAnswer);
+    fn answer(&mut self, waiter_token: u64, answer: &FinalAnswer);
     /// One line for the log.
     fn log(&mut self, line: &str);
 }
@@ -47,7 +47,7 @@
     NoQuorum {
         /// Nobody else can have dispatched the statement. False where a member was lost lately, because the client may
         /// have come from there.
-        clean: bool,
+        is_provably_unsent: bool,
     },
     /// Another gateway acts for the statement; the client waits here for that one's answer.
     OwnedElsewhere,
--- a/crates/ivypitch-ownership/src/ownership.rs
+++ b/crates/ivypitch-ownership/src/ownership.rs
@@ -86,9 +86,9 @@
     }
 
     /// Whether the statement's attempt goes on after its client has gone: the client may come back to another gateway.
-    pub fn outlives_client(&self, id: StatementId) -> bool {
+    pub fn continues_without_client(&self, id: StatementId) -> bool {
         self.statements.get(id).is_some_and(|statement| {
-            statement.is_owner() && (statement.is_known_to_voters || !statement.spec.idempotent)
+            statement.is_owner() && (statement.is_known_to_voters || !statement.spec.is_idempotent)
         })
     }
 
@@ -250,9 +250,9 @@
     }
 
     /// An epoch under which this process acts.
-    pub(crate) fn own_epoch(&self, count: u32) -> Epoch {
+    pub(crate) fn own_epoch(&self, number: u32) -> Epoch {
         Epoch {
-            count,
+            number,
             process: self.members.this(),
         }
     }
--- a/crates/ivypitch-ownership/src/statement.rs
+++ b/crates/ivypitch-ownership/src/statement.rs
@@ -239,7 +239,7 @@
             digest: self.spec.digest,
             workload: self.spec.workload,
             tenant: self.spec.tenant,
-            idempotent: self.spec.idempotent,
+            is_idempotent: self.spec.is_idempotent,
             remaining_ms: (self.remaining(now) / MILLISECOND) as u32,
             request,
         };
--- a/crates/ivypitch-ownership/src/takeover.rs
+++ b/crates/ivypitch-ownership/src/takeover.rs
@@ -68,7 +68,7 @@
             }
         }
         statement.grants = record.grants;
-        statement.epoch.count = record.epoch.count + 1;
+        statement.epoch.number = record.epoch.number + 1;
         self.statements.insert(id, statement);
         self.statements.transition(id, StatementState::Orphaned);
         self.counters.orphaned += 1;
@@ -104,10 +104,10 @@
         &mut self,
         now: Nanos,
         id: StatementId,
-        epoch_count: u32,
+        epoch_number: u32,
         out: &mut dyn Output,
     ) {
-        let epoch = self.own_epoch(epoch_count);
+        let epoch = self.own_epoch(epoch_number);
         let Some(statement) = self.statements.get_mut(id) else {
             return;
         };
@@ -265,7 +265,7 @@
             // The takeover of a process that is lost too: the next try goes over it.
             _ => {
                 if let Some(statement) = self.statements.get_mut(id) {
-                    statement.epoch.count = statement.epoch.count.max(record.epoch.count);
+                    statement.epoch.number = statement.epoch.number.max(record.epoch.number);
                 }
             }
         }
@@ -277,9 +277,9 @@
             return;
         };
         let promised = self.vote_log.get(now, id);
-        let next_count = promised.map_or(0, |record| record.epoch.count + 1);
-        let epoch_count = statement.epoch.count.max(next_count);
-        self.request_takeover(now, id, epoch_count, out);
+        let next_number = promised.map_or(0, |record| record.epoch.number + 1);
+        let epoch_number = statement.epoch.number.max(next_number);
+        self.request_takeover(now, id, epoch_number, out);
     }
 
     /// No quorum has promised yet.
@@ -290,8 +290,8 @@
         };
         let is_late = now >= statement.deadline;
         let is_rejection_pending = statement.takeover.rejection.is_some();
-        let is_idempotent = statement.spec.idempotent;
-        let epoch_count = statement.epoch.count + 1;
+        let is_idempotent = statement.spec.is_idempotent;
+        let epoch_number = statement.epoch.number + 1;
         if is_rejection_pending || (!is_late && !has_quorum) {
             // Nobody may act for it now, or nobody can say that it did not run. Whoever waits is told so at once and may
             // come back with the same id.
@@ -308,7 +308,7 @@
             self.answer_waiters(id, &answer, out);
             self.statements.transition(id, StatementState::Closed);
         } else {
-            self.request_takeover(now, id, epoch_count, out);
+            self.request_takeover(now, id, epoch_number, out);
         }
     }
 }
--- a/crates/ivypitch-ownership/src/takeover_outcome.rs
+++ b/crates/ivypitch-ownership/src/takeover_outcome.rs
@@ -40,7 +40,7 @@
             Some(StatementEnd::Completed { rows_at }) => {
                 self.take_over_completed(now, id, &found, rows_at, out);
             }
-            Some(StatementEnd::Aborted) if !found.spec.idempotent => {
+            Some(StatementEnd::Aborted) if !found.spec.is_idempotent => {
                 self.answer_waiters(id, &FinalAnswer::Aborted, out);
                 self.statements.transition(id, StatementState::Unknown);
             }
@@ -101,7 +101,7 @@
             self.queue_update(now, id, Some(StatementEnd::Rejected));
             self.set_known_to_voters(id);
             self.statements.transition(id, StatementState::Closed);
-        } else if found.spec.idempotent || found.has_waiters {
+        } else if found.spec.is_idempotent || found.has_waiters {
             self.statements.transition(id, StatementState::Owned);
             out.take_over(id, &found.spec, found.remaining, None);
         } else {
--- a/crates/ivypitch-ownership/src/updates.rs
+++ b/crates/ivypitch-ownership/src/updates.rs
@@ -103,7 +103,7 @@
             statement.record_without_request(now, id)
         };
         record.end = end;
-        if end.is_some() && !statement.spec.idempotent {
+        if end.is_some() && !statement.spec.is_idempotent {
             record.spec = None;
         }
         statement.is_known_to_voters = true;
@@ -115,7 +115,7 @@
         let is_idempotent = self
             .statements
             .get(id)
-            .is_some_and(|statement| statement.spec.idempotent);
+            .is_some_and(|statement| statement.spec.is_idempotent);
         if is_idempotent {
             voters.truncate(self.config.voters_of_idempotent_statements);
         }
--- a/crates/ivypitch-ownership/tests/model.rs
+++ b/crates/ivypitch-ownership/tests/model.rs
@@ -102,7 +102,7 @@
 
 fn epoch(by: usize, owner: usize) -> Epoch {
     Epoch {
-        count: u32::from(by != owner) + by as u32 * u32::from(by != owner),
+        number: u32::from(by != owner) + by as u32 * u32::from(by != owner),
         process: process(by as u16),
     }
 }
@@ -119,7 +119,7 @@
         digest: 1,
         workload: 0,
         tenant: 0,
-        idempotent: false,
+        is_idempotent: false,
         remaining_ms: 1,
         request: Vec::new(),
     };
@@ -434,9 +434,9 @@
         for step in 0..300u64 {
             let now = step * 10;
             let statement = rng.random_range(0..3);
-            let (by, count) = (rng.random_range(0..3u16), rng.random_range(0..3));
+            let (by, number) = (rng.random_range(0..3u16), rng.random_range(0..3));
             let epoch = Epoch {
-                count,
+                number,
                 process: process(by),
             };
             let grant = AttemptGrant {
--- a/crates/ivypitch-ownership/tests/recorded_messages.rs
+++ b/crates/ivypitch-ownership/tests/recorded_messages.rs
@@ -28,7 +28,7 @@
 
 const ID: u64 = 0x1122_3344_5566;
 const EPOCH: Epoch = Epoch {
-    count: 7,
+    number: 7,
     process: process(300, 1_700_000_000_123),
 };
 const GRANT: AttemptGrant = AttemptGrant {
@@ -43,7 +43,7 @@
         digest: 0xd1d2_d3d4_d5d6_d7d8,
         workload: 11,
         tenant: 512,
-        idempotent: true,
+        is_idempotent: true,
         remaining_ms: 29_999,
         request: b"SELECT 1".to_vec(),
     };
@@ -66,7 +66,7 @@
     StatementRecord {
         id: 9,
         epoch: Epoch {
-            count: 1,
+            number: 1,
             process: process(2, 3),
         },
         spec: None,
--- a/crates/ivypitch-ownership/tests/rows_of_lost_gateway.rs
+++ b/crates/ivypitch-ownership/tests/rows_of_lost_gateway.rs
@@ -33,14 +33,14 @@
     ownership.on_member_up(SECOND, process(0, 10));
     ownership.on_member_up(SECOND, process(2, 12));
     let epoch = Epoch {
-        count: 0,
+        number: 0,
         process: process(0, 10),
     };
     let spec = StatementSpec {
         digest: 1,
         workload: 0,
         tenant: 0,
-        idempotent: false,
+        is_idempotent: false,
         remaining_ms: 6000,
         request: vec![1],
     };
@@ -83,8 +83,8 @@
     let arrival = Arrival {
         id: ID,
         spec,
-        worth_lookup: true,
-        waiter: 1,
+        is_worth_lookup: true,
+        waiter_token: 1,
     };
     let arrived = ownership.on_arrival(lost, arrival, &mut IgnoredOutput);
     assert_eq!(
--- a/crates/ivypitch-ownership/tests/single_gateway/late_votes.rs
+++ b/crates/ivypitch-ownership/tests/single_gateway/late_votes.rs
@@ -52,7 +52,9 @@
     let mut out = Recorder::default();
     let mut ownership = gateway_that_asked_for_votes(&mut out);
     run_timers(&mut ownership, START + 401 * MILLISECOND, &mut out);
-    let denial = GrantDenial::NoQuorum { clean: false };
+    let denial = GrantDenial::NoQuorum {
+        is_provably_unsent: false,
+    };
     assert_eq!((&out.granted, &out.denied), (&vec![], &vec![denial]));
     vote(&mut ownership, START + 402 * MILLISECOND, 2, &mut out);
     vote(&mut ownership, START + 402 * MILLISECOND, 3, &mut out);
@@ -67,7 +69,12 @@
         ownership.on_member_suspected(MemberId(member));
     }
     run_timers(&mut ownership, START + 101 * MILLISECOND, &mut out);
-    assert_eq!(out.denied, [GrantDenial::NoQuorum { clean: false }]);
+    assert_eq!(
+        out.denied,
+        [GrantDenial::NoQuorum {
+            is_provably_unsent: false
+        }]
+    );
 }
 
 #[test]
@@ -78,6 +85,11 @@
         ownership.on_member_down(START + 120 * MILLISECOND, process(member), &mut out);
     }
     run_timers(&mut ownership, START + 250 * MILLISECOND, &mut out);
-    assert_eq!(out.denied, [GrantDenial::NoQuorum { clean: false }]);
+    assert_eq!(
+        out.denied,
+        [GrantDenial::NoQuorum {
+            is_provably_unsent: false
+        }]
+    );
     assert!(ownership.next_timer() > START + SECOND / 4);
 }
--- a/crates/ivypitch-ownership/tests/single_gateway/recorder.rs
+++ b/crates/ivypitch-ownership/tests/single_gateway/recorder.rs
@@ -57,7 +57,7 @@
         digest: 1,
         workload: 0,
         tenant: 0,
-        idempotent: false,
+        is_idempotent: false,
         remaining_ms: 20_000,
         request: vec![1],
     }
@@ -81,11 +81,11 @@
     ownership
 }
 
-pub fn arrival(worth_lookup: bool) -> Arrival {
+pub fn arrival(is_worth_lookup: bool) -> Arrival {
     Arrival {
         id: ID,
         spec: spec(),
-        worth_lookup,
-        waiter: CLIENT,
+        is_worth_lookup,
+        waiter_token: CLIENT,
     }
 }
--- a/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/clients.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/clients.rs
@@ -154,8 +154,8 @@
         let arrival = Arrival {
             id,
             spec: spec.clone(),
-            worth_lookup: self.statements[statement].work > MIN_LOOKUP_WORK,
-            waiter: token,
+            is_worth_lookup: self.statements[statement].work > MIN_LOOKUP_WORK,
+            waiter_token: token,
         };
         match ownership.on_arrival(now, arrival, &mut actions) {
             ArrivalDecision::Proceed => self.start_local(gateway, id, spec, Some(token)),
@@ -178,7 +178,7 @@
         let gateway = &self.gateways[session.gateway];
         if gateway.incarnation == session.incarnation && !gateway.is_stopped {
             self.with_ownership(session.gateway, |ownership, _, _| {
-                ownership.on_client_gone(id, token);
+                ownership.on_client_stopped_waiting(id, token);
             });
         }
         self.return_later(statement);
--- a/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/scheduling.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/scheduling.rs
@@ -245,7 +245,7 @@
             return;
         };
         local.is_dispatched = false;
-        if local.spec.idempotent {
+        if local.spec.is_idempotent {
             self.try_attempt(gateway, id);
         } else {
             self.give_up(gateway, id);
@@ -266,7 +266,7 @@
         let Some(local) = self.gateways[gateway].local.get(&id) else {
             return;
         };
-        let answer = if local.spec.idempotent || !local.may_have_run {
+        let answer = if local.spec.is_idempotent || !local.may_have_run {
             ClientAnswer::Rejected
         } else {
             ClientAnswer::Aborted
--- a/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/simulation.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/simulation.rs
@@ -344,10 +344,20 @@
         match action {
             Action::Send(to, message) => self.send(gateway, to.as_usize(), message),
             Action::Dispatch { id, attempt } => self.dispatch_soon(gateway, id, attempt),
-            Action::Deny(id, GrantDenial::NoQuorum { clean: true }) => {
+            Action::Deny(
+                id,
+                GrantDenial::NoQuorum {
+                    is_provably_unsent: true,
+                },
+            ) => {
                 self.answer_local(gateway, id, ClientAnswer::Rejected);
             }
-            Action::Deny(id, GrantDenial::NoQuorum { clean: false }) => {
+            Action::Deny(
+                id,
+                GrantDenial::NoQuorum {
+                    is_provably_unsent: false,
+                },
+            ) => {
                 self.answer_local(gateway, id, ClientAnswer::Aborted);
             }
             Action::Deny(id, GrantDenial::OwnedElsewhere) => {
@@ -372,7 +382,7 @@
     OwnershipConfig {
         max_statement_timeout: 6_000 * MILLISECOND,
         retention: 1_000 * MILLISECOND,
-        no_quorum: fleet.no_quorum,
+        no_quorum_policy: fleet.no_quorum,
         result_cache_bytes_per_tenant: 1 << 20,
         ..OwnershipConfig::default()
     }
@@ -405,7 +415,7 @@
             digest: rng.random(),
             workload: u16::from(is_load),
             tenant: rng.random_range(0..3),
-            idempotent: !is_load,
+            is_idempotent: !is_load,
             remaining_ms: timeout_ms as u32,
             request: vec![b's'; request_bytes],
         };
--- a/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/verdict.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/verdict.rs
@@ -83,7 +83,7 @@
 
     fn count_statement(&self, verdict: &mut Verdict, statement: &SubmittedStatement) {
         let id = statement.id;
-        let is_load = !statement.spec.idempotent;
+        let is_load = !statement.spec.is_idempotent;
         let got = |answer: ClientAnswer| statement.answers.contains(&answer);
         let is_served = got(ClientAnswer::Rows) || got(ClientAnswer::Completed);
         verdict.loads += u64::from(is_load);
