--- a/crates/ivypitch-cli/tests/takeover/member_lists.rs
+++ b/crates/ivypitch-cli/tests/takeover/member_lists.rs
@@ -64,7 +64,7 @@
     log.wait("refusal", refused);
     // A datagram of such a member.
     let mut stranger = Membership::new(MembershipParams {
-        members,
+        member_list: members,
         process: ProcessId {
             member: MemberId(1),
             incarnation: Incarnation(9),
@@ -77,7 +77,7 @@
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     for round in 0..20u64 {
         stranger.on_timer(round * 250_000_000);
-        while let Some(OutgoingDatagram { to, data }) = stranger.next_datagram() {
+        while let Some(OutgoingDatagram { to, data }) = stranger.pop_datagram() {
             if to == MemberId(0) {
                 socket.send_to(&data, s.fleet.seats[0].peers_at).unwrap();
             }
--- a/crates/ivypitch-config/src/operator/peers.rs
+++ b/crates/ivypitch-config/src/operator/peers.rs
@@ -241,7 +241,7 @@
     pub fn config(&self, gateways: usize, tenants: &[String]) -> CoordinationConfig {
         let leases = QuotaLeaseConfig {
             total_units: UNITS_PER_MEMBER * gateways as u32,
-            members: gateways as u16,
+            member_count: gateways as u16,
             reserved_fraction: self.reserved_fraction,
             spend_window: 0,
             lease_duration: nanos_from_millis(self.lease_ms),
--- a/crates/ivypitch-coordination/benches/observation_table.rs
+++ b/crates/ivypitch-coordination/benches/observation_table.rs
@@ -45,7 +45,7 @@
     let mut table = ObservationTable::new(usize::from(MEMBERS), 200, NOW - 50 * SECOND);
     let mut map: BTreeMap<(u64, MemberId), StoredObservation> = BTreeMap::new();
     for (engine, member, observation) in observations() {
-        table.put(engine, member, observation);
+        table.insert_if_newer(engine, member, observation);
         map.insert((engine, member), observation);
     }
     println!(
@@ -57,7 +57,7 @@
     c.bench_function("an observation arrives, table", |b| {
         b.iter(|| {
             version += 1;
-            table.put(black_box(40), black_box(MemberId(17)), nothing_new(version))
+            table.insert_if_newer(black_box(40), black_box(MemberId(17)), nothing_new(version))
         })
     });
     c.bench_function("an observation arrives, plain map", |b| {
--- a/crates/ivypitch-coordination/src/config.rs
+++ b/crates/ivypitch-coordination/src/config.rs
@@ -21,7 +21,7 @@
     /// The whole quota in units, over all members.
     pub total_units: u32,
     /// Number of members that share the quota.
-    pub members: u16,
+    pub member_count: u16,
     /// Fraction of a member's base allocation that it never leases out, 0 to 1.
     pub reserved_fraction: f64,
     /// For how long a spent unit counts against the quota, by the member's own clock; a unit that changes hands counts
@@ -36,7 +36,7 @@
 impl QuotaLeaseConfig {
     /// The units that belong to a member: an even share. What does not divide goes to the first members.
     pub fn base_units(&self, member: MemberId) -> u32 {
-        let members = u32::from(self.members.max(1));
+        let members = u32::from(self.member_count.max(1));
         let has_one_more = u32::from(member.0) < self.total_units % members;
         self.total_units / members + u32::from(has_one_more)
     }
--- a/crates/ivypitch-coordination/src/coordinator.rs
+++ b/crates/ivypitch-coordination/src/coordinator.rs
@@ -250,7 +250,7 @@
 
     fn report_shares(&mut self, out: &mut dyn CoordinationOutput) {
         for change in self.quotas.take_changed_shares() {
-            out.on_quota_changed(change.quota, change.share);
+            out.on_quota_share_changed(change.quota, change.share);
         }
     }
 
@@ -287,7 +287,7 @@
     // Endpoint events.
 
     /// The event source said something, an event or not.
-    pub fn on_event_source_heard(&mut self, now: Nanos) {
+    pub fn on_event_source_activity(&mut self, now: Nanos) {
         self.relay.on_source_heard(now);
     }
 
--- a/crates/ivypitch-coordination/src/engine_health.rs
+++ b/crates/ivypitch-coordination/src/engine_health.rs
@@ -179,7 +179,7 @@
             observation,
             observed_at: now,
         };
-        self.table.put(engine, self.me.member, stored);
+        self.table.insert_if_newer(engine, self.me.member, stored);
         ObservationUpdate {
             observer: self.me,
             engine,
@@ -230,7 +230,7 @@
             observed_at,
         };
         self.table
-            .put(update.engine, update.observer.member, stored)
+            .insert_if_newer(update.engine, update.observer.member, stored)
     }
 
     /// Evaluates all ready engines; returns the statuses that have changed. `reachable_members` counts this one too.
--- a/crates/ivypitch-coordination/src/observations.rs
+++ b/crates/ivypitch-coordination/src/observations.rs
@@ -135,7 +135,7 @@
     }
 
     /// Stores an observation. False: it is not newer than what is known, or there is no room for it.
-    pub fn put(
+    pub fn insert_if_newer(
         &mut self,
         engine: EngineNumber,
         member: MemberId,
--- a/crates/ivypitch-coordination/src/output.rs
+++ b/crates/ivypitch-coordination/src/output.rs
@@ -14,7 +14,7 @@
     /// Sends a gossip datagram to this member.
     fn send_gossip(&mut self, to: MemberId, gossip: GossipMessage);
     /// From now on this member may use the fraction `share` of the quota, 0 to 1.
-    fn on_quota_changed(&mut self, quota: QuotaIndex, share: f64);
+    fn on_quota_share_changed(&mut self, quota: QuotaIndex, share: f64);
     /// What the fleet thinks of an engine has changed.
     fn on_outlier_status(&mut self, engine: EngineNumber, status: OutlierStatus);
     /// Another member relayed the next event of the endpoint list.
--- a/crates/ivypitch-coordination/tests/observations.rs
+++ b/crates/ivypitch-coordination/tests/observations.rs
@@ -50,7 +50,7 @@
     let mut table = table(10);
     for &(member, observation) in observations {
         let observation = stored(1, observation, NOW - SECOND / 10);
-        table.put(7, MemberId(member), observation);
+        table.insert_if_newer(7, MemberId(member), observation);
     }
     table
 }
@@ -79,7 +79,7 @@
         let fill = |observations: &[(u64, u16, StoredObservation)]| {
             let mut table = table(10);
             for &(engine, member, observation) in observations {
-                table.put(engine, MemberId(member), observation);
+                table.insert_if_newer(engine, MemberId(member), observation);
             }
             table
         };
@@ -145,11 +145,11 @@
         for member in 0..3 {
             // Three faulty members, and four that are served by all.
             let observation = stored(version, failures(3), NOW - SECOND / 10);
-            table.put(engine, MemberId(member), observation);
+            table.insert_if_newer(engine, MemberId(member), observation);
         }
         for member in 3..7 {
             let observation = stored(version, successes(3), NOW - SECOND / 5);
-            table.put(engine, MemberId(member), observation);
+            table.insert_if_newer(engine, MemberId(member), observation);
         }
     }
     let ready: Vec<u64> = (0..6).collect();
@@ -164,7 +164,7 @@
     for &engine in &ready {
         for member in 0..8 {
             let observation = stored(engine as u32 + 1, failures(2), NOW - SECOND / 10);
-            table.put(engine, MemberId(member), observation);
+            table.insert_if_newer(engine, MemberId(member), observation);
         }
     }
     let mut consensus = OutlierConsensus::default();
--- a/crates/ivypitch-coordination/tests/quota_lease_model.rs
+++ b/crates/ivypitch-coordination/tests/quota_lease_model.rs
@@ -87,7 +87,7 @@
         };
         QuotaLeaseConfig {
             total_units: 6,
-            members: MEMBERS as u16,
+            member_count: MEMBERS as u16,
             reserved_fraction: 0.5,
             spend_window: 0,
             lease_duration: LEASE_DURATION,
--- a/crates/ivypitch-gateway/src/actors/coordination.rs
+++ b/crates/ivypitch-gateway/src/actors/coordination.rs
@@ -64,7 +64,7 @@
             .try_send(PeerLinksMessage::SendGossip { to, gossip });
     }
 
-    fn on_quota_changed(&mut self, quota: QuotaIndex, fraction: f64) {
+    fn on_quota_share_changed(&mut self, quota: QuotaIndex, fraction: f64) {
         self.actions.push_back(match quota {
             CORES_QUOTA => Action::SetCoreQuota { fraction },
             _ => Action::SetTenantQuota {
@@ -195,7 +195,7 @@
             Some(event) => self
                 .coordinator
                 .on_endpoint_event(now, event.position, &event.line),
-            None => self.coordinator.on_event_source_heard(now),
+            None => self.coordinator.on_event_source_activity(now),
         }
     }
 
--- a/crates/ivypitch-gateway/src/actors/peer_links/datagrams.rs
+++ b/crates/ivypitch-gateway/src/actors/peer_links/datagrams.rs
@@ -89,14 +89,14 @@
 
     /// Sends what the membership protocol wants sent.
     pub(super) fn flush(&mut self) {
-        while let Some(datagram) = self.membership.next_datagram() {
+        while let Some(datagram) = self.membership.pop_datagram() {
             self.send(datagram.to, &datagram.data);
         }
     }
 
     /// Logs the next membership event and notifies the scheduler. `None`: there are no more.
     pub(super) fn take_event(&mut self) -> Option<MembershipEvent> {
-        let event = self.membership.next_event()?;
+        let event = self.membership.pop_event()?;
         match event {
             MembershipEvent::MemberUp(process) => {
                 let member = self.context.name(process.member);
--- a/crates/ivypitch-gateway/src/actors/peer_links/mod.rs
+++ b/crates/ivypitch-gateway/src/actors/peer_links/mod.rs
@@ -95,7 +95,7 @@
         let listener = Async::<TcpListener>::bind(address).map_err(bind_error)?;
         let (mailbox, messages) = async_channel::unbounded();
         let membership = Membership::new(MembershipParams {
-            members: params.members.clone(),
+            member_list: params.members.clone(),
             process: params.process,
             protocol_version: PROTOCOL_VERSION,
             config: params.membership,
--- a/crates/ivypitch-membership/src/membership.rs
+++ b/crates/ivypitch-membership/src/membership.rs
@@ -44,7 +44,7 @@
 /// What a [`Membership`] starts with.
 pub struct MembershipParams {
     /// The fleet.
-    pub members: MemberList,
+    pub member_list: MemberList,
     /// This process.
     pub process: ProcessId,
     /// Version of all messages between gateways.
@@ -61,7 +61,7 @@
 pub struct Membership {
     swim: Foca<MemberIdentity, PostcardCodec, ChaCha8Rng, foca::NoCustomBroadcast>,
     runtime: SwimRuntime,
-    members: MemberList,
+    member_list: MemberList,
     me: MemberIdentity,
     /// By member.
     statuses: Vec<MemberStatus>,
@@ -81,7 +81,7 @@
     /// A process that has heard from nobody.
     pub fn new(params: MembershipParams) -> Membership {
         let MembershipParams {
-            members,
+            member_list,
             process,
             protocol_version,
             config,
@@ -93,18 +93,18 @@
             incarnation: process.incarnation,
             renewals: 0,
             protocol_version,
-            list_fingerprint: members.fingerprint(),
+            list_fingerprint: member_list.fingerprint(),
         };
         let member_seed = u64::from(process.member.0).wrapping_mul(SEED_MULTIPLIER);
         let rng = ChaCha8Rng::seed_from_u64(seed ^ member_seed);
-        let swim_config = config.for_swim(members.len());
+        let swim_config = config.for_swim(member_list.len());
         Membership {
             swim: Foca::new(me, swim_config, rng, PostcardCodec),
             runtime: SwimRuntime::new(now),
             me,
-            statuses: vec![MemberStatus::default(); members.len()],
-            incompatible: vec![Incarnation(0); members.len()],
-            members,
+            statuses: vec![MemberStatus::default(); member_list.len()],
+            incompatible: vec![Incarnation(0); member_list.len()],
+            member_list,
             detector: PartitionDetector::new(now, config.probe_interval),
             partition_suspicion: PartitionSuspicion::None,
             changed_at: now,
@@ -121,8 +121,8 @@
     }
 
     /// The fleet.
-    pub fn members(&self) -> &MemberList {
-        &self.members
+    pub fn member_list(&self) -> &MemberList {
+        &self.member_list
     }
 
     /// What is known of a member.
@@ -140,10 +140,10 @@
 
     /// How much of the fleet is reachable.
     pub fn connectivity(&self) -> Connectivity {
-        let zones = self.members.zones.len().max(1);
+        let zones = self.member_list.zones.len().max(1);
         let mut reachable = vec![0; zones];
         let mut members = vec![0; zones];
-        for (i, member) in self.members.members.iter().enumerate() {
+        for (i, member) in self.member_list.members.iter().enumerate() {
             let zone = usize::from(member.zone).min(zones - 1);
             members[zone] += 1;
             reachable[zone] += u16::from(self.is_reachable(MemberId(i as u16)));
@@ -165,7 +165,7 @@
         let Some(from) = sender(data) else {
             return;
         };
-        if from.member == self.me.member || from.member.as_usize() >= self.members.len() {
+        if from.member == self.me.member || from.member.as_usize() >= self.member_list.len() {
             return;
         }
         if !from.is_compatible_with(&self.me) {
@@ -214,18 +214,18 @@
     }
 
     /// The next datagram to be sent.
-    pub fn next_datagram(&mut self) -> Option<OutgoingDatagram> {
+    pub fn pop_datagram(&mut self) -> Option<OutgoingDatagram> {
         self.runtime.take_datagram()
     }
 
     /// The next change that was not taken yet.
-    pub fn next_event(&mut self) -> Option<MembershipEvent> {
+    pub fn pop_event(&mut self) -> Option<MembershipEvent> {
         self.events.pop_front()
     }
 
     /// Asks the next unreachable members of the list, behind this one's position, who is there.
     fn request_join(&mut self, max_requests: usize) {
-        let members = self.members.len();
+        let members = self.member_list.len();
         let mut requests = 0;
         for _ in 1..members {
             if requests == max_requests {
--- a/crates/ivypitch-membership/tests/membership.rs
+++ b/crates/ivypitch-membership/tests/membership.rs
@@ -27,7 +27,7 @@
 
 fn membership(names: &[&str], process: ProcessId, seed: u64, now: Nanos) -> Membership {
     Membership::new(MembershipParams {
-        members: member_list(names),
+        member_list: member_list(names),
         process,
         protocol_version: 1,
         config: MembershipConfig::default(),
@@ -68,13 +68,13 @@
                     member.on_timer(self.now);
                 }
                 while let Some(OutgoingDatagram { to, data }) =
-                    self.members[i].as_mut().and_then(Membership::next_datagram)
+                    self.members[i].as_mut().and_then(Membership::pop_datagram)
                 {
                     if let Some(to) = self.members.get_mut(to.as_usize()).and_then(Option::as_mut) {
                         to.on_datagram(self.now, &data);
                     }
                 }
-                while let Some(event) = self.members[i].as_mut().and_then(Membership::next_event) {
+                while let Some(event) = self.members[i].as_mut().and_then(Membership::pop_event) {
                     self.events.push((i, event));
                 }
             }
--- a/crates/ivypitch-testbed/src/experiments/scale/coordination.rs
+++ b/crates/ivypitch-testbed/src/experiments/scale/coordination.rs
@@ -42,7 +42,7 @@
         self.gossip_datagrams += 1;
         self.gossip_bytes += encode_gossip(&gossip).len() as u64;
     }
-    fn on_quota_changed(&mut self, _quota: QuotaIndex, _share: f64) {}
+    fn on_quota_share_changed(&mut self, _quota: QuotaIndex, _share: f64) {}
     fn on_outlier_status(&mut self, _engine: u64, _status: OutlierStatus) {}
     fn on_endpoint_event(&mut self, _number: u64, _line: &[u8]) {}
     fn log(&mut self, _line: &str) {}
@@ -162,7 +162,7 @@
         let mut table = ObservationTable::new(gateways, MAX_OBSERVED_ENGINES, 0);
         for (e, &engine) in ready.iter().enumerate() {
             for member in (e % 10..gateways).step_by(10) {
-                table.put(engine, MemberId(member as u16), observed(3 * SECOND));
+                table.insert_if_newer(engine, MemberId(member as u16), observed(3 * SECOND));
             }
         }
         let mut consensus = OutlierConsensus::default();
@@ -184,7 +184,7 @@
     for engines in SIZES {
         let mut table = ObservationTable::new(GATEWAYS_AT_REST, MAX_OBSERVED_ENGINES, 0);
         for e in 0..engines {
-            table.put(engine_number(e), MemberId(1), observed(SECOND));
+            table.insert_if_newer(engine_number(e), MemberId(1), observed(SECOND));
         }
         bytes.push((engines as f64, table.size_bytes() as f64));
     }
@@ -203,7 +203,7 @@
 fn coordinator(gateways: usize, engines: usize) -> Coordinator {
     let mut config = coordination_fleet::config(gateways.min(MAX_QUOTA_MEMBERS));
     for quota in &mut config.quotas {
-        quota.leases.members = gateways as u16;
+        quota.leases.member_count = gateways as u16;
     }
     config.max_engines = MAX_OBSERVED_ENGINES;
     let mut coordinator = Coordinator::new(CoordinatorParams {
--- a/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/gateway.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/gateway.rs
@@ -105,7 +105,7 @@
     fn send_gossip(&mut self, to: MemberId, gossip: GossipMessage) {
         self.0.push(Action::SendGossip(to, gossip));
     }
-    fn on_quota_changed(&mut self, _quota: QuotaIndex, _share: f64) {}
+    fn on_quota_share_changed(&mut self, _quota: QuotaIndex, _share: f64) {}
     fn on_outlier_status(&mut self, engine: u64, status: OutlierStatus) {
         self.0.push(Action::SetStatus(engine, status));
     }
--- a/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/mod.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/mod.rs
@@ -108,7 +108,7 @@
         name: name.into(),
         leases: QuotaLeaseConfig {
             total_units: UNITS_PER_MEMBER * gateways as u32,
-            members: gateways as u16,
+            member_count: gateways as u16,
             reserved_fraction: 0.1,
             spend_window: window,
             lease_duration: LEASE_DURATION,
--- a/crates/ivypitch-testbed/src/virtual_time/membership_fleet/simulation.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/membership_fleet/simulation.rs
@@ -73,7 +73,7 @@
         self.incarnations[member] += 1;
         let seed = self.rng.random();
         let membership = Membership::new(MembershipParams {
-            members: self.member_list(),
+            member_list: self.member_list(),
             process: ProcessId {
                 member: MemberId(member as u16),
                 incarnation: Incarnation(self.incarnations[member]),
@@ -151,7 +151,7 @@
     fn after_call(&mut self, member: usize) {
         while let Some(datagram) = self.members[member]
             .as_mut()
-            .and_then(Membership::next_datagram)
+            .and_then(Membership::pop_datagram)
         {
             self.send(member, datagram);
         }
@@ -182,7 +182,7 @@
     fn take_events(&mut self, member: usize, mut measurements: Option<&mut Measurements>) {
         while let Some(event) = self.members[member]
             .as_mut()
-            .and_then(Membership::next_event)
+            .and_then(Membership::pop_event)
         {
             if let Some(measurements) = &mut measurements {
                 measurements.on_event(self, member, event);
--- a/crates/ivypitch-testbed/tests/scale.rs
+++ b/crates/ivypitch-testbed/tests/scale.rs
@@ -122,7 +122,7 @@
     let held = |engines: u64| {
         let mut table = ObservationTable::new(300, MAX_OBSERVED_ENGINES, 0);
         for engine in 0..engines {
-            table.put(
+            table.insert_if_newer(
                 engine,
                 MemberId(1),
                 StoredObservation {
