--- a/crates/ivypitch-gateway/src/actors/peer_links/connection.rs
+++ b/crates/ivypitch-gateway/src/actors/peer_links/connection.rs
@@ -13,7 +13,7 @@
 
 use super::context::PeerContext;
 use super::links::{LinkSerial, Outbox};
-use super::messages::{AcceptedLink, PeerEvent, PeerLinksMessage, Receipt};
+use super::messages::{AcceptedLink, MessageGuard, PeerEvent, PeerLinksMessage};
 use crate::actors::socket::read_some;
 use crate::wire::peer_frames::{Frame, decode_frame, encode_frame};
 
@@ -218,7 +218,7 @@
     }
 
     async fn read_frames(&self, input: &mut BytesMut, mut handshake: Handshake) {
-        let (unhandled, receipts) = async_channel::bounded(MAX_UNHANDLED_MESSAGES);
+        let (unhandled, guard_slots) = async_channel::bounded(MAX_UNHANDLED_MESSAGES);
         let mut silent_at = Instant::now() + SILENCE_TIMEOUT;
         while let Some(frame) = self.read_until(input, silent_at).await {
             if handshake == Handshake::Expected
@@ -227,7 +227,7 @@
                 return;
             }
             handshake = Handshake::Done;
-            if !self.deliver(frame, &unhandled, &receipts).await {
+            if !self.deliver(frame, &unhandled, &guard_slots).await {
                 return;
             }
             silent_at = Instant::now() + SILENCE_TIMEOUT;
@@ -245,7 +245,12 @@
     }
 
     /// Hands a message to the scheduler once enough of those before it are handled. False: the link is to end.
-    async fn deliver(&self, frame: Frame, unhandled: &Sender<()>, receipts: &Receiver<()>) -> bool {
+    async fn deliver(
+        &self,
+        frame: Frame,
+        unhandled: &Sender<()>,
+        guard_slots: &Receiver<()>,
+    ) -> bool {
         if let Frame::Hello { .. } | Frame::Heartbeat = frame {
             return true;
         }
@@ -253,17 +258,17 @@
             return false;
         }
         let from = self.member;
-        let receipt = Receipt(receipts.clone());
+        let guard = MessageGuard(guard_slots.clone());
         let event = match frame {
             Frame::Ownership(message) => PeerEvent::Ownership {
                 from,
                 message: Box::new(message),
-                receipt,
+                guard,
             },
             Frame::Coordination(message) => PeerEvent::Coordination {
                 from,
                 message: Box::new(message),
-                receipt,
+                guard,
             },
             Frame::Hello { .. } | Frame::Heartbeat => return true,
         };
--- a/crates/ivypitch-gateway/src/actors/peer_links/datagrams.rs
+++ b/crates/ivypitch-gateway/src/actors/peer_links/datagrams.rs
@@ -12,7 +12,7 @@
 
 use super::PROTOCOL_VERSION;
 use super::context::PeerContext;
-use super::messages::{GossipReceipt, PeerEvent};
+use super::messages::{GossipGuard, PeerEvent};
 use crate::log_events::MEMBER_LOST;
 use crate::wire::peer_frames::{PeerDatagram, decode_datagram, encode_gossip};
 
@@ -59,9 +59,9 @@
         match decode_datagram(datagram) {
             PeerDatagram::Membership(datagram) => self.membership.on_datagram(now, datagram),
             PeerDatagram::Gossip(gossip) if self.unhandled_gossip.get() < MAX_UNHANDLED_GOSSIP => {
-                let receipt = GossipReceipt::new(&self.unhandled_gossip);
+                let guard = GossipGuard::new(&self.unhandled_gossip);
                 self.context
-                    .notify_scheduler(PeerEvent::Gossip { gossip, receipt });
+                    .notify_scheduler(PeerEvent::Gossip { gossip, guard });
             }
             // Unreadable, or more than the scheduler handles: dropped, as a network would.
             PeerDatagram::Gossip(_) | PeerDatagram::MalformedGossip => {}
--- a/crates/ivypitch-gateway/src/actors/peer_links/messages.rs
+++ b/crates/ivypitch-gateway/src/actors/peer_links/messages.rs
@@ -63,7 +63,7 @@
         /// The message.
         message: Box<OwnershipMessage>,
         /// To be dropped once it is handled.
-        receipt: Receipt,
+        guard: MessageGuard,
     },
     /// A message about what gateways coordinate arrived.
     Coordination {
@@ -72,14 +72,14 @@
         /// The message.
         message: Box<CoordinationMessage>,
         /// To be dropped once it is handled.
-        receipt: Receipt,
+        guard: MessageGuard,
     },
     /// A gossip datagram arrived.
     Gossip {
         /// The message.
         gossip: Box<GossipMessage>,
         /// To be dropped once it is handled.
-        receipt: GossipReceipt,
+        guard: GossipGuard,
     },
     /// A process is there.
     MemberUp(ProcessId),
@@ -92,26 +92,26 @@
 }
 
 /// Held as long as a message of a link is not handled; then the link may read another.
-pub struct Receipt(pub(super) Receiver<()>);
+pub struct MessageGuard(pub(super) Receiver<()>);
 
-impl Drop for Receipt {
+impl Drop for MessageGuard {
     fn drop(&mut self) {
         let _ = self.0.try_recv();
     }
 }
 
 /// Held as long as a gossip datagram is not handled; then another may be taken.
-pub struct GossipReceipt(Rc<Cell<usize>>);
+pub struct GossipGuard(Rc<Cell<usize>>);
 
-impl GossipReceipt {
+impl GossipGuard {
     /// Counts one more in `unhandled`.
-    pub(super) fn new(unhandled: &Rc<Cell<usize>>) -> GossipReceipt {
+    pub(super) fn new(unhandled: &Rc<Cell<usize>>) -> GossipGuard {
         unhandled.set(unhandled.get() + 1);
-        GossipReceipt(unhandled.clone())
+        GossipGuard(unhandled.clone())
     }
 }
 
-impl Drop for GossipReceipt {
+impl Drop for GossipGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get().saturating_sub(1));
     }
--- a/crates/ivypitch-gateway/src/actors/peer_links/mod.rs
+++ b/crates/ivypitch-gateway/src/actors/peer_links/mod.rs
@@ -24,7 +24,7 @@
 use self::datagrams::{Datagrams, MAX_DATAGRAM_BYTES};
 pub use self::links::LinkSerial;
 use self::links::LinkTable;
-pub use self::messages::{AcceptedLink, GossipReceipt, PeerEvent, PeerLinksMessage, Receipt};
+pub use self::messages::{AcceptedLink, GossipGuard, MessageGuard, PeerEvent, PeerLinksMessage};
 use super::messages::SchedulerMessage;
 use crate::lifecycle::clock::Clock;
 use crate::state::traffic::Traffic;
--- a/crates/ivypitch-gateway/src/actors/scheduler/context.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/context.rs
@@ -10,7 +10,7 @@
 use ivypitch_scheduler::{Deployment, Idempotency, Scheduler};
 use ivypitch_types::{Nanos, StatementIndex};
 
-use super::SchedulerParts;
+use super::SchedulerActorParams;
 use super::endpoints::{EngineSpawner, EngineTable};
 use super::timers::Timers;
 use crate::actors::attempt::SendGate;
@@ -82,26 +82,26 @@
 impl Context {
     /// Creates a context without engines and statements. Attempts ask `scheduler` before their first byte leaves.
     pub(super) fn new(
-        parts: SchedulerParts,
+        params: SchedulerActorParams,
         scheduler: &Rc<RefCell<Scheduler>>,
         now: Nanos,
     ) -> Context {
-        let deployment = &parts.deployment.scheduler;
+        let deployment = &params.deployment.scheduler;
         Context {
-            clock: parts.clock,
+            clock: params.clock,
             now,
             statements: StatementTable::default(),
             timers: Timers::default(),
-            engines: engine_table(&parts),
-            attempts: attempt_params(&parts, scheduler),
+            engines: engine_table(&params),
+            attempts: attempt_params(&params, scheduler),
             workloads: workload_params(deployment),
             quotas: fleet_quotas(deployment),
             answer_grace: deployment.answer_grace,
             answer_by: Nanos::MAX,
             has_handed_off: false,
-            names: parts.deployment.names,
-            ownership: parts.ownership,
-            coordination: parts.coordination,
+            names: params.deployment.names,
+            ownership: params.ownership,
+            coordination: params.coordination,
             ended_statements: None,
         }
     }
@@ -115,20 +115,23 @@
     }
 }
 
-fn attempt_params(parts: &SchedulerParts, scheduler: &Rc<RefCell<Scheduler>>) -> AttemptParams {
+fn attempt_params(
+    params: &SchedulerActorParams,
+    scheduler: &Rc<RefCell<Scheduler>>,
+) -> AttemptParams {
     AttemptParams {
-        report_fields: Rc::new(parts.deployment.names.report_fields.clone()),
-        scheduler: parts.mailbox.clone(),
+        report_fields: Rc::new(params.deployment.names.report_fields.clone()),
+        scheduler: params.mailbox.clone(),
         gate: SendGate {
             scheduler: scheduler.clone(),
-            clock: parts.clock,
+            clock: params.clock,
         },
     }
 }
 
-fn engine_table(parts: &SchedulerParts) -> EngineTable {
-    let deployment = &parts.deployment.scheduler;
-    let limits = &parts.deployment.limits;
+fn engine_table(params: &SchedulerActorParams) -> EngineTable {
+    let deployment = &params.deployment.scheduler;
+    let limits = &params.deployment.limits;
     let connect_timeout = match limits.connect_timeout {
         0 => DEFAULT_CONNECT_TIMEOUT,
         stated => Duration::from_nanos(stated),
@@ -137,18 +140,18 @@
     let spawner = EngineSpawner {
         connect_timeout,
         pool: PoolParams::new(gateways, limits.idle_close),
-        clock: parts.clock,
-        permits: parts.permits.clone(),
-        connection_counters: parts.connection_counters.clone(),
-        traffic: parts.traffic.clone(),
-        executor: parts.executor.clone(),
+        clock: params.clock,
+        permits: params.permits.clone(),
+        connection_counters: params.connection_counters.clone(),
+        traffic: params.traffic.clone(),
+        executor: params.executor.clone(),
     };
     let cores_by_kind = deployment
         .kinds
         .iter()
         .map(|kind| kind.cores.max(1.0))
         .collect();
-    EngineTable::new(parts.deployment.names.clone(), cores_by_kind, spawner)
+    EngineTable::new(params.deployment.names.clone(), cores_by_kind, spawner)
 }
 
 fn workload_params(deployment: &Deployment) -> Vec<WorkloadParams> {
--- a/crates/ivypitch-gateway/src/actors/scheduler/coordination.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/coordination.rs
@@ -33,11 +33,11 @@
             PeerEvent::Coordination {
                 from,
                 message,
-                receipt: _receipt,
+                guard: _guard,
             } => coordination.on_message(now, from, *message),
             PeerEvent::Gossip {
                 gossip,
-                receipt: _receipt,
+                guard: _guard,
             } => coordination.on_gossip(now, *gossip),
             PeerEvent::Ownership { .. }
             | PeerEvent::MemberSuspected(_)
--- a/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
@@ -45,7 +45,7 @@
 const MAX_MESSAGES_PER_TURN: usize = 256;
 
 /// What a [`SchedulerActor`] is made of.
-pub struct SchedulerParts {
+pub struct SchedulerActorParams {
     /// The settings.
     pub deployment: DeploymentConfig,
     /// Budgets of the teams; `None` without queues.
@@ -89,20 +89,20 @@
 
 impl SchedulerActor {
     /// Creates an actor that knows no engines and no statements yet.
-    pub fn new(mut parts: SchedulerParts) -> SchedulerActor {
-        let now = parts.clock.now();
+    pub fn new(mut params: SchedulerActorParams) -> SchedulerActor {
+        let now = params.clock.now();
         let scheduler = Rc::new(RefCell::new(Scheduler::new(
-            parts.deployment.scheduler.clone(),
-            parts.seed,
+            params.deployment.scheduler.clone(),
+            params.seed,
             now,
         )));
-        let tenants = parts.deployment.names.tenants.clone();
-        let queueing = parts
+        let tenants = params.deployment.names.tenants.clone();
+        let queueing = params
             .budgets
             .take()
-            .map(|budgets| QueueingDriver::new(budgets, tenants, parts.seed, now));
-        let traffic = parts.traffic.clone();
-        let mut context = Context::new(parts, &scheduler, now);
+            .map(|budgets| QueueingDriver::new(budgets, tenants, params.seed, now));
+        let traffic = params.traffic.clone();
+        let mut context = Context::new(params, &scheduler, now);
         context.ended_statements = queueing.is_some().then(Vec::new);
         SchedulerActor {
             queueing,
--- a/crates/ivypitch-gateway/src/lifecycle/startup.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/startup.rs
@@ -25,7 +25,7 @@
 use crate::actors::discovery::{DiscoveryActor, DiscoveryMessage, DiscoveryParams};
 use crate::actors::messages::SchedulerMessage;
 use crate::actors::peer_links::BindError;
-use crate::actors::scheduler::{SchedulerActor, SchedulerParts};
+use crate::actors::scheduler::{SchedulerActor, SchedulerActorParams};
 use crate::actors::session::Sessions;
 use crate::state::connections::ConnectionCounters;
 use crate::state::permits::ConnectionPermits;
@@ -201,7 +201,7 @@
         budgets: Option<Budgets>,
         peers: PeerDrivers,
     ) -> SchedulerActor {
-        SchedulerActor::new(SchedulerParts {
+        SchedulerActor::new(SchedulerActorParams {
             deployment,
             budgets,
             ownership: peers.ownership,
