--- a/crates/ivypitch-cli/tests/takeover/member_lists.rs
+++ b/crates/ivypitch-cli/tests/takeover/member_lists.rs
@@ -44,7 +44,7 @@
             ivypitch_gateway::wire::peer_frames::encode_frame(&frame),
         )
     };
-    let (members, old) = hello(VERSION - 1);
+    let (member_list, old) = hello(VERSION - 1);
     for _ in 0..3 {
         let mut link = TcpStream::connect(s.fleet.seats[0].peers_at).unwrap();
         link.write_all(&old).unwrap();
@@ -64,7 +64,7 @@
     log.wait("refusal", refused);
     // A datagram of such a member.
     let mut stranger = Membership::new(MembershipParams {
-        member_list: members,
+        member_list,
         process: ProcessId {
             member: MemberId(1),
             incarnation: Incarnation(9),
--- a/crates/ivypitch-membership/src/identity.rs
+++ b/crates/ivypitch-membership/src/identity.rs
@@ -1,25 +1,26 @@
-//! How members identify themselves in their datagrams.
+//! Identity of a member in its datagrams.
 
 use ivypitch_types::{Incarnation, MemberId, ProcessId};
 use serde::{Deserialize, Serialize};
 
-/// A process of a gateway. Encoded by position: fields may be renamed, never reordered.
+/// Identity of a gateway process. Encoded by position: fields may be renamed, never reordered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct MemberIdentity {
-    /// Its position in the member list.
+    /// Position of the gateway in the member list.
     pub member: MemberId,
-    /// A gateway that restarts has lost its state, and counts as another member.
+    /// Incarnation of the process. A restarted gateway has lost its state and counts as a new
+    /// member.
     pub incarnation: Incarnation,
-    /// How often this process was declared lost although it ran.
+    /// Number of times that this process was declared lost while it ran.
     pub renewals: u16,
     /// Version of all messages between gateways.
     pub protocol_version: u16,
-    /// [`MemberList::fingerprint`](crate::MemberList::fingerprint) of its list.
+    /// [`MemberList::fingerprint`](crate::MemberList::fingerprint) of the process's member list.
     pub list_fingerprint: u32,
 }
 
 impl MemberIdentity {
-    /// The process, whatever it was declared.
+    /// The process, regardless of its renewals.
     pub fn process(&self) -> ProcessId {
         ProcessId {
             member: self.member,
@@ -27,7 +28,7 @@
         }
     }
 
-    /// Whether two processes understand each other and agree on what a member id means.
+    /// Whether two processes use the same protocol version and the same member ids.
     pub fn is_compatible_with(&self, other: &MemberIdentity) -> bool {
         self.protocol_version == other.protocol_version
             && self.list_fingerprint == other.list_fingerprint
--- a/crates/ivypitch-membership/src/lib.rs
+++ b/crates/ivypitch-membership/src/lib.rs
@@ -1,8 +1,10 @@
-//! Which gateways of the fleet are reachable, suspected or lost, and whether this gateway is the one that is partitioned.
+//! Membership of the fleet: which gateways are reachable, suspected or lost, and whether this
+//! gateway itself may be partitioned.
 //!
-//! Failure detection is SWIM as the library `foca` implements it; [`Membership`] turns its notices into the events that
-//! decisions need. There is no I/O and no clock: the driver brings datagrams and the time, and carries away what is to be
-//! sent. `docs/ownership.md` states the guarantees.
+//! Failure detection is SWIM as implemented by the library `foca`; [`Membership`] translates its
+//! notifications into [`MembershipEvent`]s. There is no I/O and no clock: the driver passes in
+//! datagrams and the time, and sends the outgoing datagrams. `docs/ownership.md` states the
+//! guarantees.
 
 #![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used)]
 
--- a/crates/ivypitch-membership/src/member_list.rs
+++ b/crates/ivypitch-membership/src/member_list.rs
@@ -1,4 +1,4 @@
-//! The gateways of the fleet as the operator's settings list them.
+//! The list of the gateways of the fleet from the operator's settings.
 
 use std::hash::Hasher;
 use std::net::SocketAddr;
@@ -9,18 +9,19 @@
 /// One gateway of the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberAddress {
-    /// The gateway's name.
+    /// Name of the gateway.
     pub name: String,
     /// Position in [`MemberList::zones`].
     pub zone: u16,
-    /// Address of both its datagrams and its links.
+    /// Address for both datagrams and links.
     pub address: SocketAddr,
 }
 
-/// All gateways of the fleet. The position of each is its [`MemberId`], so the list is the same at every gateway.
+/// All gateways of the fleet. The position of a gateway is its [`MemberId`], so the list must be
+/// the same at every gateway.
 #[derive(Clone, Debug, Default)]
 pub struct MemberList {
-    /// By member id.
+    /// The gateways, by member id.
     pub members: Vec<MemberAddress>,
     /// Names of the zones.
     pub zones: Vec<String>,
@@ -32,7 +33,7 @@
         self.members.len()
     }
 
-    /// Whether there is no gateway.
+    /// Whether the list has no gateways.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
@@ -53,8 +54,9 @@
         self.members.iter().map(|member| member.zone).collect()
     }
 
-    /// Changes with names, zones and their order: gateways of another list mean other gateways by the same ids.
-    /// Addresses may differ, as one gateway may reach another by another route.
+    /// Hash of the names, the zones and their order. In a list with another fingerprint, the same
+    /// ids may stand for other gateways. Addresses are not included, because two gateways may reach
+    /// a third by different routes.
     pub fn fingerprint(&self) -> u32 {
         let mut hasher = SipHasher13::new();
         for member in &self.members {
--- a/crates/ivypitch-membership/src/membership.rs
+++ b/crates/ivypitch-membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! The members as this gateway sees them.
+//! Failure detection of one gateway, and the events that it reports.
 
 use std::collections::VecDeque;
 
@@ -8,52 +8,55 @@
 use rand_chacha::rand_core::SeedableRng;
 
 use crate::partition_suspicion::PartitionDetector;
-use crate::status::{Notice, Transition};
-use crate::swim_runtime::{SwimNotice, SwimRuntime};
+use crate::status::{LivenessChange, Transition};
+use crate::swim_runtime::{SwimNotification, SwimRuntime};
 use crate::{
     Connectivity, MemberIdentity, MemberList, MemberStatus, MembershipConfig, OutgoingDatagram,
     PartitionSuspicion,
 };
 
-/// Members that are asked to join at once at the start and while nobody is reachable; else one.
-const MAX_JOIN_REQUESTS: usize = 5;
+/// Maximum number of members that a join request is sent to at a time while no other member is
+/// reachable; otherwise 1.
+const MAX_JOIN_REQUESTS_WHEN_ISOLATED: usize = 5;
+/// Time between two rounds of join requests.
 const JOIN_INTERVAL: Nanos = SECOND / 4;
-/// Spreads the seeds of the members over the range.
+/// Multiplier that spreads the seeds of the members over the range of the seed.
 const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// What has changed.
+/// A change that a [`Membership`] reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipEvent {
-    /// A process is there that was not.
+    /// A process has become reachable.
     MemberUp(ProcessId),
-    /// A process is gone: it is lost, or another one runs in its place.
+    /// A process is lost, or another process of its member has replaced it.
     MemberDown(ProcessId),
-    /// Whether this gateway may be partitioned.
+    /// The suspicion that this gateway is partitioned has changed.
     PartitionSuspicionChanged(PartitionSuspicion),
-    /// A process speaks another version or has another member list, and is ignored. Reported once for each process.
+    /// A process has another protocol version or member list, and is ignored. Reported once for
+    /// each process.
     IncompatibleMember {
-        /// The member as which it speaks.
+        /// Member id that the process uses.
         member: MemberId,
-        /// Its version.
+        /// Protocol version of the process.
         protocol_version: u16,
-        /// The fingerprint of its member list.
+        /// Fingerprint of its member list.
         list_fingerprint: u32,
     },
 }
 
-/// What a [`Membership`] starts with.
+/// Parameters of a new [`Membership`].
 pub struct MembershipParams {
-    /// The fleet.
+    /// The gateways of the fleet.
     pub member_list: MemberList,
-    /// This process.
+    /// The process that the membership runs in.
     pub process: ProcessId,
     /// Version of all messages between gateways.
     pub protocol_version: u16,
-    /// Failure detection.
+    /// Configuration of failure detection.
     pub config: MembershipConfig,
-    /// For random choices.
+    /// Seed of random choices.
     pub seed: u64,
-    /// The time.
+    /// Current time.
     pub now: Nanos,
 }
 
@@ -62,23 +65,24 @@
     swim: Foca<MemberIdentity, PostcardCodec, ChaCha8Rng, foca::NoCustomBroadcast>,
     runtime: SwimRuntime,
     member_list: MemberList,
-    me: MemberIdentity,
-    /// By member.
+    own_identity: MemberIdentity,
+    /// Status of each member.
     statuses: Vec<MemberStatus>,
-    /// By member: the incompatible process that was reported last.
-    incompatible: Vec<Incarnation>,
-    detector: PartitionDetector,
+    /// By member: the incompatible process that was last reported.
+    last_reported_incompatible: Vec<Incarnation>,
+    partition_detector: PartitionDetector,
     partition_suspicion: PartitionSuspicion,
     changed_at: Nanos,
     events: VecDeque<MembershipEvent>,
     next_join: Nanos,
-    /// How far behind this gateway's own position in the list the last member stands that was asked to join.
+    /// Distance in the member list from this gateway to the last member that a join request was
+    /// sent to.
     join_offset: usize,
     has_left: bool,
 }
 
 impl Membership {
-    /// A process that has heard from nobody.
+    /// Creates a membership that reaches no other member yet.
     pub fn new(params: MembershipParams) -> Membership {
         let MembershipParams {
             member_list,
@@ -88,7 +92,7 @@
             seed,
             now,
         } = params;
-        let me = MemberIdentity {
+        let own_identity = MemberIdentity {
             member: process.member,
             incarnation: process.incarnation,
             renewals: 0,
@@ -97,15 +101,15 @@
         };
         let member_seed = u64::from(process.member.0).wrapping_mul(SEED_MULTIPLIER);
         let rng = ChaCha8Rng::seed_from_u64(seed ^ member_seed);
-        let swim_config = config.for_swim(member_list.len());
+        let swim_config = config.swim_config(member_list.len());
         Membership {
-            swim: Foca::new(me, swim_config, rng, PostcardCodec),
+            swim: Foca::new(own_identity, swim_config, rng, PostcardCodec),
             runtime: SwimRuntime::new(now),
-            me,
+            own_identity,
             statuses: vec![MemberStatus::default(); member_list.len()],
-            incompatible: vec![Incarnation(0); member_list.len()],
+            last_reported_incompatible: vec![Incarnation(0); member_list.len()],
             member_list,
-            detector: PartitionDetector::new(now, config.probe_interval),
+            partition_detector: PartitionDetector::new(now, config.probe_interval),
             partition_suspicion: PartitionSuspicion::None,
             changed_at: now,
             events: VecDeque::new(),
@@ -115,17 +119,17 @@
         }
     }
 
-    /// How this process identifies itself.
+    /// Identity of this process.
     pub fn identity(&self) -> MemberIdentity {
-        self.me
+        self.own_identity
     }
 
-    /// The fleet.
+    /// The gateways of the fleet.
     pub fn member_list(&self) -> &MemberList {
         &self.member_list
     }
 
-    /// What is known of a member.
+    /// Status of a member.
     pub fn status(&self, member: MemberId) -> MemberStatus {
         self.statuses
             .get(member.as_usize())
@@ -133,52 +137,54 @@
             .unwrap_or_default()
     }
 
-    /// Whether a member's process is there, as far as is known.
+    /// Whether a member counts as reachable. This member always does.
     pub fn is_reachable(&self, member: MemberId) -> bool {
-        member == self.me.member || self.status(member).state.is_reachable()
+        member == self.own_identity.member || self.status(member).state.is_reachable()
     }
 
-    /// How much of the fleet is reachable.
+    /// The part of the fleet that is reachable.
     pub fn connectivity(&self) -> Connectivity {
-        let zones = self.member_list.zones.len().max(1);
-        let mut reachable = vec![0; zones];
-        let mut members = vec![0; zones];
+        let zone_count = self.member_list.zones.len().max(1);
+        let mut reachable_by_zone = vec![0; zone_count];
+        let mut members_by_zone = vec![0; zone_count];
         for (i, member) in self.member_list.members.iter().enumerate() {
-            let zone = usize::from(member.zone).min(zones - 1);
-            members[zone] += 1;
-            reachable[zone] += u16::from(self.is_reachable(MemberId(i as u16)));
+            let zone = usize::from(member.zone).min(zone_count - 1);
+            members_by_zone[zone] += 1;
+            reachable_by_zone[zone] += u16::from(self.is_reachable(MemberId(i as u16)));
         }
         Connectivity {
-            reachable,
-            members,
-            since: self.changed_at,
+            reachable_by_zone,
+            members_by_zone,
+            changed_at: self.changed_at,
             partition_suspicion: self.partition_suspicion,
         }
     }
 
-    /// A datagram arrived. It is dropped if it is unreadable or its sender incompatible.
+    /// Handles a datagram. It is dropped if it cannot be decoded or its sender is incompatible.
     pub fn on_datagram(&mut self, now: Nanos, data: &[u8]) {
         if self.has_left {
             return;
         }
         self.runtime.now = now;
-        let Some(from) = sender(data) else {
+        let Some(from) = decode_sender(data) else {
             return;
         };
-        if from.member == self.me.member || from.member.as_usize() >= self.member_list.len() {
+        if from.member == self.own_identity.member
+            || from.member.as_usize() >= self.member_list.len()
+        {
             return;
         }
-        if !from.is_compatible_with(&self.me) {
+        if !from.is_compatible_with(&self.own_identity) {
             self.report_incompatible(from);
             return;
         }
-        self.detector.on_datagram(now);
-        // A datagram that the library cannot use leaves it as it was.
+        self.partition_detector.on_datagram(now);
+        // If the library rejects a datagram, its state is unchanged.
         let _ = self.swim.handle_data(data, &mut self.runtime);
-        self.apply_notices(now);
+        self.apply_notifications(now);
     }
 
-    /// When [`Membership::on_timer`] is due.
+    /// The time at which [`Membership::on_timer`] must be called next.
     pub fn next_timer(&self) -> Nanos {
         let swim_timer = self.runtime.next_timer();
         if self.has_left {
@@ -188,23 +194,28 @@
         }
     }
 
-    /// Does what is due.
+    /// Handles the timers that have expired.
     pub fn on_timer(&mut self, now: Nanos) {
         self.runtime.now = now;
-        while let Some(timer) = self.runtime.take_due_timer() {
+        while let Some(timer) = self.runtime.pop_expired_timer() {
             let _ = self.swim.handle_timer(timer, &mut self.runtime);
         }
         if now >= self.next_join && !self.has_left {
             self.next_join = now + JOIN_INTERVAL;
-            // Whoever is reachable passes on whom it reaches, but two parts of a fleet that each know only themselves
-            // would never meet: unreachable members are asked as long as there are any.
-            let is_alone = self.swim.num_members() == 0;
-            self.request_join(if is_alone { MAX_JOIN_REQUESTS } else { 1 });
+            // Reachable members pass on the members that they reach, but two parts of a fleet that
+            // know only their own members would never find each other. Join requests are therefore
+            // sent as long as any member is unreachable.
+            let is_isolated = self.swim.num_members() == 0;
+            self.request_join(if is_isolated {
+                MAX_JOIN_REQUESTS_WHEN_ISOLATED
+            } else {
+                1
+            });
         }
-        self.apply_notices(now);
+        self.apply_notifications(now);
     }
 
-    /// Tells the others that this process ends. Nothing is received after.
+    /// Notifies the other members that this process ends. Later datagrams are ignored.
     pub fn leave(&mut self, now: Nanos) {
         if !self.has_left {
             self.runtime.now = now;
@@ -213,26 +224,27 @@
         }
     }
 
-    /// The next datagram to be sent.
+    /// Removes and returns the next datagram to send.
     pub fn pop_datagram(&mut self) -> Option<OutgoingDatagram> {
-        self.runtime.take_datagram()
+        self.runtime.pop_datagram()
     }
 
-    /// The next change that was not taken yet.
+    /// Removes and returns the next event.
     pub fn pop_event(&mut self) -> Option<MembershipEvent> {
         self.events.pop_front()
     }
 
-    /// Asks the next unreachable members of the list, behind this one's position, who is there.
+    /// Sends join requests to the next unreachable members of the list, starting after the last one
+    /// that was sent to.
     fn request_join(&mut self, max_requests: usize) {
-        let members = self.member_list.len();
+        let member_count = self.member_list.len();
         let mut requests = 0;
-        for _ in 1..members {
+        for _ in 1..member_count {
             if requests == max_requests {
                 return;
             }
-            self.join_offset = self.join_offset % (members - 1) + 1;
-            let position = (self.me.member.as_usize() + self.join_offset) % members;
+            self.join_offset = self.join_offset % (member_count - 1) + 1;
+            let position = (self.own_identity.member.as_usize() + self.join_offset) % member_count;
             let member = MemberId(position as u16);
             if self.is_reachable(member) {
                 continue;
@@ -242,14 +254,14 @@
                 member,
                 incarnation: Incarnation(0),
                 renewals: 0,
-                ..self.me
+                ..self.own_identity
             };
             let _ = self.swim.announce(any_process, &mut self.runtime);
         }
     }
 
     fn report_incompatible(&mut self, from: MemberIdentity) {
-        let reported = &mut self.incompatible[from.member.as_usize()];
+        let reported = &mut self.last_reported_incompatible[from.member.as_usize()];
         if *reported == from.incarnation {
             return;
         }
@@ -261,38 +273,47 @@
         });
     }
 
-    /// Turns what the library noticed into events.
-    fn apply_notices(&mut self, now: Nanos) {
+    /// Translates the notifications of the library into events.
+    fn apply_notifications(&mut self, now: Nanos) {
         self.runtime.drop_excess_datagrams();
-        for notice in self.runtime.take_notices() {
-            match notice {
-                SwimNotice::Up(identity) => self.apply(now, identity, Notice::Up),
-                SwimNotice::Down(identity) => self.apply(now, identity, Notice::Down),
-                SwimNotice::Renamed { from, to } => self.apply_rename(now, from, to),
+        for notification in self.runtime.take_notifications() {
+            match notification {
+                SwimNotification::Up(identity) => {
+                    self.apply_liveness_change(now, identity, LivenessChange::Up)
+                }
+                SwimNotification::Down(identity) => {
+                    self.apply_liveness_change(now, identity, LivenessChange::Down)
+                }
+                SwimNotification::Renamed { from, to } => self.apply_identity_change(now, from, to),
             }
         }
         self.update_suspected(now);
         self.update_partition_suspicion(now);
     }
 
-    fn apply_rename(&mut self, now: Nanos, from: MemberIdentity, to: MemberIdentity) {
-        // The same process under a renewed identity is no loss.
+    fn apply_identity_change(&mut self, now: Nanos, from: MemberIdentity, to: MemberIdentity) {
+        // A process that renewed its identity is not lost.
         if from.incarnation != to.incarnation {
-            self.apply(now, from, Notice::Down);
+            self.apply_liveness_change(now, from, LivenessChange::Down);
         }
         if self.swim.iter_members().any(|member| *member.id() == to) {
-            self.apply(now, to, Notice::Up);
+            self.apply_liveness_change(now, to, LivenessChange::Up);
         }
     }
 
-    fn apply(&mut self, now: Nanos, identity: MemberIdentity, notice: Notice) {
-        if identity.member == self.me.member {
+    fn apply_liveness_change(
+        &mut self,
+        now: Nanos,
+        identity: MemberIdentity,
+        change: LivenessChange,
+    ) {
+        if identity.member == self.own_identity.member {
             return;
         }
         let Some(status) = self.statuses.get_mut(identity.member.as_usize()) else {
             return;
         };
-        let Some(transition) = status.transition(now, identity, notice) else {
+        let Some(transition) = status.transition(now, identity, change) else {
             return;
         };
         let Transition {
@@ -302,10 +323,10 @@
         } = transition;
         if let Some(process) = down {
             self.events.push_back(MembershipEvent::MemberDown(process));
-            self.detector.on_loss(now);
+            self.partition_detector.on_loss(now);
         }
         if is_refuted {
-            self.detector.on_loss_refuted(now);
+            self.partition_detector.on_loss_refuted(now);
         }
         if let Some(process) = up {
             self.events.push_back(MembershipEvent::MemberUp(process));
@@ -313,7 +334,8 @@
         self.changed_at = now;
     }
 
-    /// The library does not notify of suspicions: they are read off its list.
+    /// Updates the suspected members from the library's list, because it sends no notifications of
+    /// suspicions.
     fn update_suspected(&mut self, now: Nanos) {
         for member in self.swim.iter_members() {
             let Some(status) = self.statuses.get_mut(member.id().member.as_usize()) else {
@@ -333,7 +355,7 @@
             .iter()
             .filter(|status| status.state.is_reachable())
             .count();
-        let suspicion = self.detector.suspicion(now, reachable);
+        let suspicion = self.partition_detector.suspicion(now, reachable);
         if suspicion != self.partition_suspicion {
             self.partition_suspicion = suspicion;
             self.events
@@ -342,7 +364,7 @@
     }
 }
 
-fn sender(data: &[u8]) -> Option<MemberIdentity> {
+fn decode_sender(data: &[u8]) -> Option<MemberIdentity> {
     let header: foca::Header<MemberIdentity> = PostcardCodec.decode_header(data).ok()?;
     Some(header.src)
 }
--- a/crates/ivypitch-membership/src/partition_suspicion.rs
+++ b/crates/ivypitch-membership/src/partition_suspicion.rs
@@ -1,5 +1,6 @@
-//! Whether this gateway is the one that is partitioned. A member that hears from nobody, or has lost most of the others
-//! at once, can say nothing about them: it suspects itself.
+//! Suspicion that this gateway itself is partitioned. A member that receives no datagrams, or that
+//! lost most of the other members within a short time, cannot tell whether they have failed, so it
+//! suspects that it is partitioned itself.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -9,11 +10,13 @@
 /// Whether this gateway may be partitioned from the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PartitionSuspicion {
-    /// Nothing speaks for it.
+    /// There is no sign of a partition.
     None,
-    /// It has heard from nobody for a while: it was suspended, or is cut off from all.
+    /// It has received no datagram for a while: it was suspended, or is partitioned from all
+    /// members.
     Isolated,
-    /// Within a short time it lost more members than it still reaches: it is in the smaller part.
+    /// It lost more members within a short time than it still reaches: it is in the smaller part of
+    /// the fleet.
     Minority,
 }
 
@@ -27,67 +30,69 @@
     }
 }
 
-/// Losses within this time count as one event.
+/// Time within which losses count as one event.
 const LOSS_WINDOW: Nanos = 3 * SECOND;
-/// So many probe intervals without a datagram: with a probe and its answer in each, chance alone needs 1 in 10^9.
-const MAX_SILENT_PROBES: u64 = 4;
+/// Number of probe intervals without a datagram after which the gateway counts as isolated. With a
+/// probe and its answer in each interval, the probability that this happens by chance is 1 in 10^9.
+const MAX_SILENT_PROBE_INTERVALS: u64 = 4;
 
-/// What the suspicion follows from.
+/// Derives the partition suspicion from received datagrams and lost members.
 #[derive(Debug)]
 pub(crate) struct PartitionDetector {
     probe_interval: Nanos,
-    last_datagram: Nanos,
-    /// Times of the latest losses; older ones are dropped as others come.
-    losses: VecDeque<Nanos>,
+    last_datagram_at: Nanos,
+    /// Times of the latest losses; older ones are dropped when a loss is added.
+    loss_times: VecDeque<Nanos>,
 }
 
 impl PartitionDetector {
     pub(crate) fn new(now: Nanos, probe_interval: Nanos) -> PartitionDetector {
         PartitionDetector {
             probe_interval,
-            last_datagram: now,
-            losses: VecDeque::new(),
+            last_datagram_at: now,
+            loss_times: VecDeque::new(),
         }
     }
 
     pub(crate) fn on_datagram(&mut self, now: Nanos) {
-        self.last_datagram = now;
+        self.last_datagram_at = now;
     }
 
     pub(crate) fn on_loss(&mut self, now: Nanos) {
-        self.losses.push_back(now);
+        self.loss_times.push_back(now);
         self.drop_old_losses(now);
     }
 
-    /// A lost member is back: its loss was wrong.
+    /// Removes the latest loss, because a lost member has refuted its loss.
     pub(crate) fn on_loss_refuted(&mut self, now: Nanos) {
-        self.losses.pop_back();
+        self.loss_times.pop_back();
         self.drop_old_losses(now);
     }
 
     fn drop_old_losses(&mut self, now: Nanos) {
         while self
-            .losses
+            .loss_times
             .front()
             .is_some_and(|&at| at + LOSS_WINDOW < now)
         {
-            self.losses.pop_front();
+            self.loss_times.pop_front();
         }
     }
 
-    /// `reachable`: the other members that are.
+    /// Returns the current suspicion. `reachable`: the number of other reachable members.
     pub(crate) fn suspicion(&self, now: Nanos, reachable: usize) -> PartitionSuspicion {
         let recent_losses = self
-            .losses
+            .loss_times
             .iter()
             .filter(|&&at| at + LOSS_WINDOW >= now)
             .count();
         let has_others = reachable + recent_losses > 0;
-        let silent_from = self.last_datagram + MAX_SILENT_PROBES * self.probe_interval;
-        if has_others && now >= silent_from {
+        let silence_deadline =
+            self.last_datagram_at + MAX_SILENT_PROBE_INTERVALS * self.probe_interval;
+        if has_others && now >= silence_deadline {
             PartitionSuspicion::Isolated
         } else if recent_losses > reachable + 1 {
-            // This gateway counts among those that it reaches.
+            // The number of members that this gateway reaches includes itself.
             PartitionSuspicion::Minority
         } else {
             PartitionSuspicion::None
--- a/crates/ivypitch-membership/src/status.rs
+++ b/crates/ivypitch-membership/src/status.rs
@@ -1,113 +1,122 @@
-//! What is known of one member.
+//! Status of one member, and its transitions.
 
 use ivypitch_types::{Incarnation, Nanos, ProcessId};
 
 use crate::MemberIdentity;
 
-/// Whether a member is there.
+/// State of a member according to the failure detector.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum MemberState {
-    /// Nothing was ever received from it.
+    /// The failure detector has not reported on it yet.
     #[default]
     Unknown,
-    /// It answers, to this gateway or to others.
+    /// It answers this gateway or other members.
     Reachable,
-    /// Some member's probe was not answered; it may still refute that it is lost.
+    /// It did not answer some member's probe, but may still refute that it is lost.
     Suspected,
-    /// It did not refute it, or said that it ends.
+    /// It did not refute the suspicion, or announced that it ends.
     Lost,
 }
 
 impl MemberState {
-    /// Whether a suspicion waits to be refuted.
+    /// Whether there is a suspicion that it may still refute.
     pub fn is_suspected(self) -> bool {
         self == MemberState::Suspected
     }
 
-    /// Whether the member counts as there: as long as it may refute a suspicion.
+    /// Whether the member counts as reachable, which includes a suspected member.
     pub fn is_reachable(self) -> bool {
         matches!(self, MemberState::Reachable | MemberState::Suspected)
     }
 }
 
-/// What is known of one member.
+/// Status of one member.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MemberStatus {
-    /// Whether its process is there.
+    /// State of its process.
     pub state: MemberState,
-    /// The process that the state is about.
+    /// Incarnation of the process that the state belongs to.
     pub incarnation: Incarnation,
-    /// Since when it is so.
+    /// Time of the last change of the state.
     pub since: Nanos,
-    /// Version of its messages.
+    /// Protocol version of the process.
     pub protocol_version: u16,
 }
 
-/// What the failure detector says about a process.
+/// A change that the failure detector reports for a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Notice {
+pub(crate) enum LivenessChange {
     Up,
     Down,
 }
 
-/// What a notice changes for others, in this order.
+/// Events that result from a liveness change, in this order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Transition {
-    /// This process is gone.
+    /// The process that is no longer reachable.
     pub(crate) down: Option<ProcessId>,
-    /// The loss reported before was wrong.
+    /// Whether the loss that was reported before was wrong.
     pub(crate) is_refuted: bool,
-    /// This process is there.
+    /// The process that has become reachable.
     pub(crate) up: Option<ProcessId>,
 }
 
 impl MemberStatus {
-    /// The one function that applies what the failure detector says. `None`: the process is an earlier one.
+    /// Applies a change that the failure detector reports; nothing else changes the process.
+    /// Returns `None` for a process earlier than the known one.
     pub(crate) fn transition(
         &mut self,
         now: Nanos,
         identity: MemberIdentity,
-        notice: Notice,
+        change: LivenessChange,
     ) -> Option<Transition> {
         if identity.incarnation < self.incarnation {
             return None;
         }
         let process = identity.process();
         let is_same_process = identity.incarnation == self.incarnation;
-        let previous = ProcessId {
+        let previous_process = ProcessId {
             incarnation: self.incarnation,
             ..process
         };
-        // A process that was never known needs no loss.
-        let replaced = (self.incarnation > Incarnation(0)).then_some(previous);
-        let transition = match (self.state, is_same_process, notice) {
-            (MemberState::Reachable | MemberState::Suspected, true, Notice::Up) => {
+        // No loss is reported for a process that was never known.
+        let replaced_process = (self.incarnation > Incarnation(0)).then_some(previous_process);
+        let transition = match (self.state, is_same_process, change) {
+            (MemberState::Reachable | MemberState::Suspected, true, LivenessChange::Up) => {
                 Transition::default()
             }
-            (MemberState::Reachable | MemberState::Suspected, true, Notice::Down) => Transition {
-                down: Some(process),
-                ..Transition::default()
-            },
-            (MemberState::Reachable | MemberState::Suspected, false, Notice::Up) => Transition {
-                down: replaced,
-                up: Some(process),
-                ..Transition::default()
-            },
-            (MemberState::Reachable | MemberState::Suspected, false, Notice::Down) => Transition {
-                down: replaced,
-                ..Transition::default()
-            },
-            (MemberState::Unknown | MemberState::Lost, _, Notice::Up) => Transition {
+            (MemberState::Reachable | MemberState::Suspected, true, LivenessChange::Down) => {
+                Transition {
+                    down: Some(process),
+                    ..Transition::default()
+                }
+            }
+            (MemberState::Reachable | MemberState::Suspected, false, LivenessChange::Up) => {
+                Transition {
+                    down: replaced_process,
+                    up: Some(process),
+                    ..Transition::default()
+                }
+            }
+            (MemberState::Reachable | MemberState::Suspected, false, LivenessChange::Down) => {
+                Transition {
+                    down: replaced_process,
+                    ..Transition::default()
+                }
+            }
+            (MemberState::Unknown | MemberState::Lost, _, LivenessChange::Up) => Transition {
                 is_refuted: is_same_process && self.state == MemberState::Lost,
                 up: Some(process),
                 ..Transition::default()
             },
-            (MemberState::Unknown | MemberState::Lost, _, Notice::Down) => Transition::default(),
+            (MemberState::Unknown | MemberState::Lost, _, LivenessChange::Down) => {
+                Transition::default()
+            }
         };
         *self = MemberStatus {
-            state: match notice {
-                Notice::Up => MemberState::Reachable,
-                Notice::Down => MemberState::Lost,
+            state: match change {
+                LivenessChange::Up => MemberState::Reachable,
+                LivenessChange::Down => MemberState::Lost,
             },
             incarnation: identity.incarnation,
             since: now,
@@ -116,14 +125,14 @@
         Some(transition)
     }
 
-    /// Takes over whether the failure detector suspects a process that is there.
+    /// Sets whether the failure detector suspects a reachable process.
     pub(crate) fn set_suspected(&mut self, now: Nanos, is_suspected: bool) {
-        let next = match (self.state, is_suspected) {
+        let next_state = match (self.state, is_suspected) {
             (MemberState::Reachable, true) => MemberState::Suspected,
             (MemberState::Suspected, false) => MemberState::Reachable,
             _ => return,
         };
-        self.state = next;
+        self.state = next_state;
         self.since = now;
     }
 }
--- a/crates/ivypitch-membership/src/swim_runtime.rs
+++ b/crates/ivypitch-membership/src/swim_runtime.rs
@@ -1,4 +1,4 @@
-//! Collects what the SWIM library asks for: datagrams to send, timers to set, notices to act on.
+//! Runtime of the SWIM library: collects its outgoing datagrams, timers and notifications.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -8,42 +8,45 @@
 
 use crate::MemberIdentity;
 
-/// Datagrams that wait to be sent; beyond it the oldest are dropped, as a network would.
-const MAX_WAITING_DATAGRAMS: usize = 4096;
+/// Maximum number of queued datagrams; beyond it the oldest are dropped, as a congested network
+/// would.
+const MAX_QUEUED_DATAGRAMS: usize = 4096;
 
 /// A datagram for another member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingDatagram {
-    /// The member that it is for.
+    /// The receiving member.
     pub to: MemberId,
-    /// Its content.
+    /// Content of the datagram.
     pub data: Vec<u8>,
 }
 
-/// What the library has noticed.
-pub(crate) enum SwimNotice {
+/// A notification of the SWIM library.
+pub(crate) enum SwimNotification {
     Up(MemberIdentity),
     Down(MemberIdentity),
-    /// A member goes by another identity.
+    /// A member has changed its identity.
     Renamed {
         from: MemberIdentity,
         to: MemberIdentity,
     },
 }
 
-/// A timer's due time; timers of the same time fire in the order in which they were set.
+/// Expiry time of a timer. Timers with the same expiry time fire in the order in which they were
+/// set.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct TimerKey {
-    at: Nanos,
+    expires_at: Nanos,
     serial: u64,
 }
 
+/// Time, timers, outgoing datagrams and notifications of the SWIM library.
 pub(crate) struct SwimRuntime {
     pub(crate) now: Nanos,
     timers: BTreeMap<TimerKey, Timer<MemberIdentity>>,
     last_serial: u64,
     datagrams: VecDeque<OutgoingDatagram>,
-    notices: Vec<SwimNotice>,
+    notifications: Vec<SwimNotification>,
 }
 
 impl SwimRuntime {
@@ -53,32 +56,32 @@
             timers: BTreeMap::new(),
             last_serial: 0,
             datagrams: VecDeque::new(),
-            notices: Vec::new(),
+            notifications: Vec::new(),
         }
     }
 
     pub(crate) fn next_timer(&self) -> Nanos {
         self.timers
             .first_key_value()
-            .map_or(Nanos::MAX, |(key, _)| key.at)
+            .map_or(Nanos::MAX, |(key, _)| key.expires_at)
     }
 
-    /// The next timer that is due.
-    pub(crate) fn take_due_timer(&mut self) -> Option<Timer<MemberIdentity>> {
+    /// Removes and returns the next expired timer.
+    pub(crate) fn pop_expired_timer(&mut self) -> Option<Timer<MemberIdentity>> {
         let first = self.timers.first_entry()?;
-        (first.key().at <= self.now).then(|| first.remove())
+        (first.key().expires_at <= self.now).then(|| first.remove())
     }
 
-    pub(crate) fn take_notices(&mut self) -> Vec<SwimNotice> {
-        std::mem::take(&mut self.notices)
+    pub(crate) fn take_notifications(&mut self) -> Vec<SwimNotification> {
+        std::mem::take(&mut self.notifications)
     }
 
-    pub(crate) fn take_datagram(&mut self) -> Option<OutgoingDatagram> {
+    pub(crate) fn pop_datagram(&mut self) -> Option<OutgoingDatagram> {
         self.datagrams.pop_front()
     }
 
     pub(crate) fn drop_excess_datagrams(&mut self) {
-        while self.datagrams.len() > MAX_WAITING_DATAGRAMS {
+        while self.datagrams.len() > MAX_QUEUED_DATAGRAMS {
             self.datagrams.pop_front();
         }
     }
@@ -86,16 +89,16 @@
 
 impl Runtime<MemberIdentity> for &mut SwimRuntime {
     fn notify(&mut self, notification: Notification<'_, MemberIdentity>) {
-        let notice = match notification {
-            Notification::MemberUp(identity) => SwimNotice::Up(*identity),
-            Notification::MemberDown(identity) => SwimNotice::Down(*identity),
-            Notification::Rename(from, to) => SwimNotice::Renamed {
+        let swim_notification = match notification {
+            Notification::MemberUp(identity) => SwimNotification::Up(*identity),
+            Notification::MemberDown(identity) => SwimNotification::Down(*identity),
+            Notification::Rename(from, to) => SwimNotification::Renamed {
                 from: *from,
                 to: *to,
             },
             _ => return,
         };
-        self.notices.push(notice);
+        self.notifications.push(swim_notification);
     }
 
     fn send_to(&mut self, to: MemberIdentity, data: &[u8]) {
@@ -108,7 +111,7 @@
     fn submit_after(&mut self, event: Timer<MemberIdentity>, after: Duration) {
         self.last_serial += 1;
         let key = TimerKey {
-            at: self.now + after.as_nanos() as Nanos,
+            expires_at: self.now + after.as_nanos() as Nanos,
             serial: self.last_serial,
         };
         self.timers.insert(key, event);
--- a/crates/ivypitch-membership/tests/membership.rs
+++ b/crates/ivypitch-membership/tests/membership.rs
@@ -1,4 +1,5 @@
-//! A few members without a network between them: who is up, who is lost, who is incompatible.
+//! Membership over a simulated network: reachable, lost and incompatible members, and partition
+//! suspicion.
 
 use ivypitch_membership::{
     MemberAddress, MemberList, Membership, MembershipConfig, MembershipEvent, MembershipParams,
@@ -36,17 +37,17 @@
     })
 }
 
-struct Net {
+struct TestNetwork {
     now: Nanos,
-    /// By member; `None`: no process.
+    /// Running process of each member; `None`: none runs.
     members: Vec<Option<Membership>>,
-    /// Of each member.
+    /// Events in order of their occurrence, each with the member that reported it.
     events: Vec<(usize, MembershipEvent)>,
 }
 
-impl Net {
-    fn new(names: &[&str]) -> Net {
-        Net {
+impl TestNetwork {
+    fn new(names: &[&str]) -> TestNetwork {
+        TestNetwork {
             now: 0,
             members: (0..names.len())
                 .map(|i| Some(membership(names, process(i, 1), 9, 0)))
@@ -55,10 +56,10 @@
         }
     }
 
-    /// Each datagram arrives within the millisecond.
-    fn run(&mut self, span: Nanos) {
-        let until = self.now + span;
-        while self.now < until {
+    /// Runs the members for `duration`; each datagram arrives within one millisecond.
+    fn run(&mut self, duration: Nanos) {
+        let end = self.now + duration;
+        while self.now < end {
             self.now += MILLISECOND;
             for i in 0..self.members.len() {
                 let Some(member) = self.members[i].as_mut() else {
@@ -81,29 +82,36 @@
         }
     }
 
-    fn position(&self, by: usize, event: MembershipEvent) -> Option<usize> {
-        self.events.iter().position(|known| *known == (by, event))
+    fn position(&self, reporter: usize, event: MembershipEvent) -> Option<usize> {
+        self.events
+            .iter()
+            .position(|known| *known == (reporter, event))
     }
 }
 
 #[test]
-fn members_find_each_other_and_notice_a_loss_within_a_second() {
-    let mut net = Net::new(&["a", "b", "c", "d"]);
-    net.run(SECOND);
+fn members_find_each_other_and_detect_a_loss_within_a_second() {
+    let mut network = TestNetwork::new(&["a", "b", "c", "d"]);
+    network.run(SECOND);
     assert!(
-        net.members
+        network
+            .members
             .iter()
             .flatten()
             .all(|m| m.connectivity().reachable_members() == 4)
     );
-    net.members[2] = None;
-    net.run(SECOND);
-    for by in [0, 1, 3] {
+    network.members[2] = None;
+    network.run(SECOND);
+    for reporter in [0, 1, 3] {
         let down = MembershipEvent::MemberDown(process(2, 1));
-        assert!(net.position(by, down).is_some(), "{by}: {:?}", net.events);
+        assert!(
+            network.position(reporter, down).is_some(),
+            "{reporter}: {:?}",
+            network.events
+        );
     }
     assert!(
-        net.members[0]
+        network.members[0]
             .as_ref()
             .is_some_and(|m| m.connectivity().is_majority())
     );
@@ -111,31 +119,35 @@
 
 #[test]
 fn a_restarted_member_is_reported_lost_and_then_up_at_once() {
-    let mut net = Net::new(&["a", "b", "c"]);
-    net.run(SECOND);
-    net.members[1] = Some(membership(&["a", "b", "c"], process(1, 2), 4, net.now));
-    net.run(SECOND / 2);
-    for by in [0, 2] {
-        let down = net.position(by, MembershipEvent::MemberDown(process(1, 1)));
-        let up = net.position(by, MembershipEvent::MemberUp(process(1, 2)));
-        assert!(down.is_some() && down < up, "{by}: {:?}", net.events);
+    let mut network = TestNetwork::new(&["a", "b", "c"]);
+    network.run(SECOND);
+    network.members[1] = Some(membership(&["a", "b", "c"], process(1, 2), 4, network.now));
+    network.run(SECOND / 2);
+    for reporter in [0, 2] {
+        let down = network.position(reporter, MembershipEvent::MemberDown(process(1, 1)));
+        let up = network.position(reporter, MembershipEvent::MemberUp(process(1, 2)));
+        assert!(
+            down.is_some() && down < up,
+            "{reporter}: {:?}",
+            network.events
+        );
     }
 }
 
 #[test]
-fn a_member_that_hears_from_nobody_suspects_a_partition() {
-    let mut net = Net::new(&["a", "b", "c"]);
-    net.run(SECOND);
-    (net.members[1], net.members[2]) = (None, None);
-    net.run(SECOND);
-    let suspects = net.events.iter().any(|(by, event)| {
-        *by == 0
+fn a_member_that_receives_no_datagrams_suspects_a_partition() {
+    let mut network = TestNetwork::new(&["a", "b", "c"]);
+    network.run(SECOND);
+    (network.members[1], network.members[2]) = (None, None);
+    network.run(SECOND);
+    let has_suspected = network.events.iter().any(|(reporter, event)| {
+        *reporter == 0
             && matches!(event, MembershipEvent::PartitionSuspicionChanged(suspicion)
                 if *suspicion != PartitionSuspicion::None)
     });
-    assert!(suspects, "{:?}", net.events);
+    assert!(has_suspected, "{:?}", network.events);
     assert!(
-        !net.members[0]
+        !network.members[0]
             .as_ref()
             .is_some_and(|m| m.connectivity().is_majority())
     );
@@ -143,11 +155,11 @@
 
 #[test]
 fn a_member_with_another_list_is_reported_once_and_ignored() {
-    let mut net = Net::new(&["a", "b"]);
-    net.members[1] = Some(membership(&["a", "x"], process(1, 1), 4, 0));
-    net.run(2 * SECOND);
-    let incompatible = net.events.iter().filter(|(by, event)| {
-        *by == 0
+    let mut network = TestNetwork::new(&["a", "b"]);
+    network.members[1] = Some(membership(&["a", "x"], process(1, 1), 4, 0));
+    network.run(2 * SECOND);
+    let incompatible = network.events.iter().filter(|(reporter, event)| {
+        *reporter == 0
             && matches!(
                 event,
                 MembershipEvent::IncompatibleMember {
@@ -157,31 +169,39 @@
             )
     });
     assert_eq!(incompatible.count(), 1);
-    let reaches_it = |m: &Membership| m.is_reachable(MemberId(1));
-    assert!(!net.members[0].as_ref().is_some_and(reaches_it));
-    // Noise changes nothing.
-    for noise in [&b""[..], &[0xff; 40], &[0; 1500]] {
-        net.members[0].as_mut().unwrap().on_datagram(net.now, noise);
+    let reaches_incompatible_member = |m: &Membership| m.is_reachable(MemberId(1));
+    assert!(
+        !network.members[0]
+            .as_ref()
+            .is_some_and(reaches_incompatible_member)
+    );
+    // Datagrams that cannot be decoded are ignored.
+    for undecodable in [&b""[..], &[0xff; 40], &[0; 1500]] {
+        network.members[0]
+            .as_mut()
+            .unwrap()
+            .on_datagram(network.now, undecodable);
     }
 }
 
-/// At once, or one by one while others send to members that have not started.
+/// All members start at once, or one by one while running members send to members that have not
+/// started.
 #[test]
-fn a_large_fleet_is_complete_soon_however_its_members_start() {
+fn all_members_of_a_large_fleet_reach_each_other_at_any_start_interval() {
     let names: Vec<String> = (0..30).map(|i| format!("n{i}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    for gap in [0, 8, 40, 400] {
-        let mut net = Net::new(&names);
-        net.members.iter_mut().for_each(|member| *member = None);
+    for start_interval_ms in [0, 8, 40, 400] {
+        let mut network = TestNetwork::new(&names);
+        network.members.iter_mut().for_each(|member| *member = None);
         for i in 0..names.len() {
-            let incarnation = 1_796_171_261_574 + net.now / MILLISECOND;
+            let incarnation = 1_796_171_261_574 + network.now / MILLISECOND;
             let seed = 9 + i as u64;
-            let started = membership(&names, process(i, incarnation), seed, net.now);
-            net.members[i] = Some(started);
-            net.run(gap * MILLISECOND);
+            let started = membership(&names, process(i, incarnation), seed, network.now);
+            network.members[i] = Some(started);
+            network.run(start_interval_ms * MILLISECOND);
         }
-        net.run(8 * SECOND);
-        let reachable: Vec<u16> = net
+        network.run(8 * SECOND);
+        let reachable: Vec<u16> = network
             .members
             .iter()
             .flatten()
@@ -189,7 +209,7 @@
             .collect();
         assert!(
             reachable.iter().all(|&n| n == 30),
-            "started each {gap} ms: {reachable:?}"
+            "started every {start_interval_ms} ms: {reachable:?}"
         );
     }
 }
--- a/crates/ivypitch-membership/tests/recorded_messages.rs
+++ b/crates/ivypitch-membership/tests/recorded_messages.rs
@@ -1,5 +1,5 @@
-//! Bytes recorded at d1ac1c5; a rename must not change them. The identity that the members' datagrams carry, and the
-//! mark by which gateways of one list know each other.
+//! Compares encodings with bytes recorded at commit d1ac1c5, which a rename must not change: the
+//! identity in the members' datagrams, and the fingerprint of the member list.
 
 use ivypitch_membership::{MemberAddress, MemberIdentity, MemberList};
 use ivypitch_types::{Incarnation, MemberId};
@@ -11,7 +11,7 @@
 fn bytes(hex: &str) -> Vec<u8> {
     (0..hex.len())
         .step_by(2)
-        .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap())
+        .map(|start| u8::from_str_radix(&hex[start..start + 2], 16).unwrap())
         .collect()
 }
 
