--- a/crates/ivypitch-coordination/src/quota_lease.rs
+++ b/crates/ivypitch-coordination/src/quota_lease.rs
@@ -1,11 +1,13 @@
-//! Leases of one quota as one member sees them: the safety of quota sharing.
+//! Leases of one quota at one member: ensures that the members never exceed a shared quota.
 //!
-//! Each member owns a base allocation. It keeps a reserved minimum and may lease the rest to others for a limited time.
-//! At every instant each unit is usable by at most one member, whatever messages are lost, delayed, duplicated or
-//! reordered, and whichever processes crash; so all members together never use more than the quota.
+//! Each member owns a base allocation. It keeps a reserved minimum and may lease the rest to others
+//! for a limited time. At every instant each unit is usable by at most one member, whatever
+//! messages are lost, delayed, duplicated or reordered, and whichever processes crash. Hence all
+//! members together never use more than the quota.
 //!
-//! The holder counts a lease's duration from its request, which precedes the grant; the grantor counts from the grant,
-//! and longer by what two clocks may run apart. So the holder stops using a lease before the grantor takes it back.
+//! The holder counts a lease's duration from its request, which precedes the grant. The grantor
+//! counts from the grant, and longer by the maximum drift between two clocks. Hence the holder
+//! stops using a lease before the grantor takes it back.
 
 mod grantor;
 mod holder;
@@ -17,57 +19,60 @@
 use crate::config::QuotaLeaseConfig;
 use crate::message::RequestId;
 
-/// A clock that steps further than this at once may have been set or suspended: only so much counts as elapsed.
+/// Maximum time that one step of the clock counts as elapsed. A longer step may mean that the clock
+/// was set or the process suspended.
 const MAX_CLOCK_STEP: Nanos = SECOND;
 
-/// Names a lease that this member granted.
+/// Identifies a lease that this member granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GrantedLease {
     /// The process that holds it.
     pub holder: ProcessId,
-    /// Its id, given by the holder.
+    /// Id of the lease, assigned by the holder.
     pub lease: RequestId,
 }
 
-/// Names a lease that this member holds.
+/// Identifies a lease that this member holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HeldLease {
     /// The member that granted it.
     pub grantor: MemberId,
-    /// Its id, given by this member.
+    /// Id of the lease, assigned by this member.
     pub lease: RequestId,
 }
 
 /// A held lease that expires soon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ExpiringLease {
-    /// Which lease.
+    /// The lease.
     pub held: HeldLease,
-    /// Its units.
+    /// Units of the lease.
     pub units: u32,
 }
 
-/// Where the units are that differ from the base allocation.
+/// Units by which the usable units differ from the base allocation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeasedUnits {
-    /// Leased to others.
+    /// Units leased to other members.
     pub granted: u32,
-    /// Leased from others.
+    /// Units leased from other members.
     pub held: u32,
-    /// Not usable yet: after a restart, leases that the previous process granted may still be in use.
+    /// Own units that are not usable yet: after a restart, leases that the previous process granted
+    /// may still be in use.
     pub withheld: u32,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Granted {
+struct GrantedLeaseState {
     units: u32,
-    /// In elapsed time.
+    /// Expiry, in elapsed time.
     expires_at: Nanos,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Held {
+struct HeldLeaseState {
     units: u32,
+    /// Expiry, by this member's clock.
     expires_at: Nanos,
 }
 
@@ -75,20 +80,21 @@
 struct PendingRequest {
     grantor: MemberId,
     requested_at: Nanos,
-    /// The lease that it would extend.
+    /// The lease to extend; `None`: a new lease is requested.
     extends: Option<RequestId>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct SpentUnits {
-    /// In elapsed time.
-    at: Nanos,
+    /// Time of spending, in elapsed time.
+    spent_at: Nanos,
     units: u32,
 }
 
 /// One member's leases of one quota.
 ///
-/// Times are those of the member's own clock. Every entry point first brings the state up to the time it is given.
+/// Times are those of the member's own clock. Every entry point that takes the time first expires
+/// what has ended by then.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct QuotaLeases {
     member: MemberId,
@@ -97,28 +103,28 @@
     spend_window: Nanos,
     grantor_duration: Nanos,
     holder_duration: Nanos,
-    /// The latest time seen.
-    latest: Nanos,
-    /// Time that has certainly passed since the start, whatever the clock did.
+    /// The latest time that was passed in.
+    latest_time: Nanos,
+    /// Time that has certainly passed since the start, even if the clock was set.
     elapsed: Nanos,
-    /// In elapsed time: until then, leases granted by this member's previous process may be in use.
-    recovered_at: Nanos,
-    /// Removed when released and when expired.
-    granted: BTreeMap<GrantedLease, Granted>,
-    /// The latest request of each member: one that is not newer is a duplicate.
+    /// Until this elapsed time, leases granted by this member's previous process may be in use.
+    recovery_ends_at: Nanos,
+    /// Granted leases. Removed when released and when expired.
+    granted: BTreeMap<GrantedLease, GrantedLeaseState>,
+    /// Latest request of each member; a request that is not newer is a duplicate.
     latest_requests: BTreeMap<MemberId, (Incarnation, RequestId)>,
-    /// Removed when released and when expired.
-    held: BTreeMap<HeldLease, Held>,
-    /// Removed with the reply, and when a lease granted for it would have expired.
-    pending: BTreeMap<RequestId, PendingRequest>,
-    last_request: RequestId,
-    /// Units spent within the window, and units that changed hands within it.
-    spent: VecDeque<SpentUnits>,
+    /// Held leases. Removed when released and when expired.
+    held: BTreeMap<HeldLease, HeldLeaseState>,
+    /// Own requests. Removed on the reply, and when a lease granted for it would have expired.
+    pending_requests: BTreeMap<RequestId, PendingRequest>,
+    last_request_id: RequestId,
+    /// Units that were spent, or passed from one member to another, within the spend window.
+    spent_units: VecDeque<SpentUnits>,
     spent_in_window: u32,
 }
 
 impl QuotaLeases {
-    /// The leases of a process that starts `now`.
+    /// Creates the leases of a process that starts at `now`.
     pub fn new(member: MemberId, config: &QuotaLeaseConfig, now: Nanos) -> QuotaLeases {
         let base_units = config.base_units(member);
         let mut leases = QuotaLeases {
@@ -128,23 +134,23 @@
             spend_window: config.own_spend_window(),
             grantor_duration: config.grantor_duration(),
             holder_duration: config.holder_duration(),
-            latest: now,
+            latest_time: now,
             elapsed: 0,
-            recovered_at: config.grantor_duration(),
+            recovery_ends_at: config.grantor_duration(),
             granted: BTreeMap::new(),
             latest_requests: BTreeMap::new(),
             held: BTreeMap::new(),
-            pending: BTreeMap::new(),
-            last_request: RequestId(0),
-            spent: VecDeque::new(),
+            pending_requests: BTreeMap::new(),
+            last_request_id: RequestId(0),
+            spent_units: VecDeque::new(),
             spent_in_window: 0,
         };
-        // The previous process may have spent its whole allocation a moment ago.
+        // The previous process may have spent its whole allocation just before it ended.
         leases.record_spent(base_units);
         leases
     }
 
-    /// Units that belong to this member.
+    /// Base allocation of this member, in units.
     pub fn base_units(&self) -> u32 {
         self.base_units
     }
@@ -154,7 +160,7 @@
         self.reserved_units
     }
 
-    /// How the usable units differ from the base allocation.
+    /// Units by which the usable units differ from the base allocation.
     pub fn leased_units(&self) -> LeasedUnits {
         LeasedUnits {
             granted: self.granted_units(),
@@ -167,18 +173,19 @@
         }
     }
 
-    /// Units that this member may use, as of the latest time seen.
+    /// Units that this member may use, as of the latest time that was passed in.
     pub fn usable_units(&self) -> u32 {
         let leased = self.leased_units();
         self.base_units - leased.granted - leased.withheld + leased.held
     }
 
-    /// Usable units that were not spent within the window.
+    /// Usable units that were not spent within the spend window.
     pub fn unspent_units(&self) -> u32 {
         self.usable_units().saturating_sub(self.spent_in_window)
     }
 
-    /// Removes what has expired. To be called before decisions that read the state.
+    /// Advances the time to `now` and removes what has expired. Must be called before decisions
+    /// that read the state.
     pub fn advance(&mut self, now: Nanos) {
         let was_recovering = self.is_recovering();
         self.advance_clock(now);
@@ -192,7 +199,7 @@
         self.expire_spent();
     }
 
-    /// Spends units of the window if there are enough.
+    /// Spends units if enough are unspent within the spend window. Returns whether they were spent.
     pub fn try_spend(&mut self, now: Nanos, units: u32) -> bool {
         self.advance(now);
         let is_allowed = units <= self.unspent_units();
@@ -203,7 +210,7 @@
     }
 
     fn is_recovering(&self) -> bool {
-        self.elapsed < self.recovered_at
+        self.elapsed < self.recovery_ends_at
     }
 
     fn granted_units(&self) -> u32 {
@@ -215,12 +222,12 @@
     }
 
     fn advance_clock(&mut self, now: Nanos) {
-        let step = now.saturating_sub(self.latest);
+        let step = now.saturating_sub(self.latest_time);
         self.elapsed += step.min(MAX_CLOCK_STEP);
-        self.latest = self.latest.max(now);
+        self.latest_time = self.latest_time.max(now);
     }
 
-    /// Returns the units of the leases that have expired.
+    /// Removes expired granted leases and returns their units.
     fn expire_granted(&mut self) -> u32 {
         let elapsed = self.elapsed;
         let units_before = self.granted_units();
@@ -230,30 +237,30 @@
     }
 
     fn expire_held(&mut self) {
-        let latest = self.latest;
-        self.held.retain(|_, held| latest < held.expires_at);
+        let latest_time = self.latest_time;
+        self.held.retain(|_, held| latest_time < held.expires_at);
     }
 
     fn expire_requests(&mut self) {
-        let latest = self.latest;
+        let latest_time = self.latest_time;
         let holder_duration = self.holder_duration;
-        self.pending
-            .retain(|_, request| latest < request.requested_at + holder_duration);
+        self.pending_requests
+            .retain(|_, request| latest_time < request.requested_at + holder_duration);
     }
 
     fn expire_spent(&mut self) {
-        while let Some(oldest) = self.spent.front()
-            && oldest.at + self.spend_window <= self.elapsed
+        while let Some(oldest) = self.spent_units.front()
+            && oldest.spent_at + self.spend_window <= self.elapsed
         {
             self.spent_in_window -= oldest.units;
-            self.spent.pop_front();
+            self.spent_units.pop_front();
         }
     }
 
     fn record_spent(&mut self, units: u32) {
         if units > 0 && self.spend_window > 0 {
-            let at = self.elapsed;
-            self.spent.push_back(SpentUnits { at, units });
+            let spent_at = self.elapsed;
+            self.spent_units.push_back(SpentUnits { spent_at, units });
             self.spent_in_window += units;
         }
     }
--- a/crates/ivypitch-coordination/src/quota_lease/grantor.rs
+++ b/crates/ivypitch-coordination/src/quota_lease/grantor.rs
@@ -1,19 +1,20 @@
-//! Leases that this member grants.
+//! Grantor side of quota leases: the leases that this member grants.
 
 use ivypitch_types::{Nanos, ProcessId};
 
-use super::{Granted, GrantedLease, QuotaLeases};
+use super::{GrantedLease, GrantedLeaseState, QuotaLeases};
 use crate::message::{LeaseGrant, LeaseRequest, RequestId};
 
 impl QuotaLeases {
-    /// Units that could be leased out now if this member keeps so many for itself.
-    pub fn leasable_units(&self, keep: u32) -> u32 {
+    /// Units that this member can lease out now if it keeps `units_to_keep` for itself.
+    pub fn leasable_units(&self, units_to_keep: u32) -> u32 {
         if self.is_recovering() {
             return 0;
         }
         let own_units = self.base_units - self.granted_units();
-        let spare_units = own_units.saturating_sub(keep.max(self.reserved_units));
-        // A unit that was spent within the window is not leased out: its holder could spend it again.
+        let spare_units = own_units.saturating_sub(units_to_keep.max(self.reserved_units));
+        // A unit that was spent within the spend window is not leased out, because its holder could
+        // spend it again.
         if self.spend_window > 0 {
             spare_units.min(own_units.saturating_sub(self.spent_in_window))
         } else {
@@ -21,13 +22,13 @@
         }
     }
 
-    /// Answers a lease request. `None`: nothing is granted, or the request is a duplicate.
+    /// Handles a lease request. Returns `None` if nothing is granted or the request is a duplicate.
     pub fn on_request(
         &mut self,
         now: Nanos,
         from: ProcessId,
         request: LeaseRequest,
-        keep: u32,
+        units_to_keep: u32,
     ) -> Option<LeaseGrant> {
         self.advance(now);
         let newest = (from.incarnation, request.request);
@@ -47,15 +48,22 @@
             })
             .filter(|lease| self.granted.contains_key(lease));
         match extended {
-            Some(lease) => self.extend(lease, request.request, keep),
-            None => self.grant(from, request, keep),
+            Some(lease) => self.extend(lease, request.request, units_to_keep),
+            None => self.grant(from, request, units_to_keep),
         }
     }
 
-    /// Extends a lease unless this member needs all of it; then it expires as it would have.
-    fn extend(&mut self, lease: GrantedLease, request: RequestId, keep: u32) -> Option<LeaseGrant> {
+    /// Extends a lease unless this member needs all of its units; then it keeps its expiry.
+    fn extend(
+        &mut self,
+        lease: GrantedLease,
+        request: RequestId,
+        units_to_keep: u32,
+    ) -> Option<LeaseGrant> {
         let own_units = self.base_units - self.granted_units();
-        let missing_units = keep.max(self.reserved_units).saturating_sub(own_units);
+        let missing_units = units_to_keep
+            .max(self.reserved_units)
+            .saturating_sub(own_units);
         let expires_at = self.elapsed + self.grantor_duration;
         let granted = self.granted.get_mut(&lease)?;
         if missing_units >= granted.units {
@@ -69,8 +77,13 @@
         })
     }
 
-    fn grant(&mut self, holder: ProcessId, request: LeaseRequest, keep: u32) -> Option<LeaseGrant> {
-        let units = request.units.min(self.leasable_units(keep));
+    fn grant(
+        &mut self,
+        holder: ProcessId,
+        request: LeaseRequest,
+        units_to_keep: u32,
+    ) -> Option<LeaseGrant> {
+        let units = request.units.min(self.leasable_units(units_to_keep));
         if units == 0 {
             return None;
         }
@@ -79,7 +92,8 @@
             lease: request.request,
         };
         let expires_at = self.elapsed + self.grantor_duration;
-        self.granted.insert(lease, Granted { units, expires_at });
+        self.granted
+            .insert(lease, GrantedLeaseState { units, expires_at });
         Some(LeaseGrant {
             request: request.request,
             lease: request.request,
@@ -87,7 +101,7 @@
         })
     }
 
-    /// The holder no longer uses this lease.
+    /// Handles that the holder no longer uses a lease.
     pub fn on_release(&mut self, now: Nanos, from: ProcessId, lease: RequestId) {
         self.advance(now);
         let lease = GrantedLease {
@@ -99,7 +113,7 @@
         }
     }
 
-    /// Leases to revoke, the largest first, until so many units would return.
+    /// Chooses leases to revoke, the largest first, until at least `units` would be returned.
     pub fn leases_to_revoke(&self, units: u32) -> Vec<GrantedLease> {
         let mut by_size: Vec<(u32, GrantedLease)> = self
             .granted
--- a/crates/ivypitch-coordination/src/quota_rebalancing.rs
+++ b/crates/ivypitch-coordination/src/quota_rebalancing.rs
@@ -1,7 +1,8 @@
-//! How one member's part of a quota follows its demand: whom it asks for how much, and what it gives back.
+//! Rebalancing of a quota: adapts the leases of one member to its demand.
 //!
-//! A member requests leases when its expected demand exceeds what it may use, grants what it does not need itself, and
-//! releases what it no longer needs. All of it is paced, so that a healed partition causes no burst of messages.
+//! A member requests leases when its expected demand exceeds its usable units, grants units that it
+//! does not need itself, and releases units that it no longer needs. All of it is rate-limited, so
+//! that a healed partition causes no burst of messages.
 
 use std::collections::BTreeMap;
 
@@ -13,107 +14,107 @@
 use crate::message::{LeaseGrant, LeaseRequest, QuotaMessage, RequestId};
 use crate::quota_lease::QuotaLeases;
 
-/// How often [`QuotaRebalancer::rebalance`] is to be called.
+/// Time between two calls of [`QuotaRebalancer::rebalance`].
 pub(crate) const REBALANCE_INTERVAL: Nanos = SECOND / 20;
-/// Time constant of the average over recorded demand.
-const DEMAND_SMOOTHING: Nanos = SECOND / 4;
-/// Demand is expected to grow to this multiple of what was measured.
-const DEMAND_HEADROOM: f64 = 1.15;
-/// Demand that falls counts as before for so long.
-const DEMAND_PEAK_HOLD: Nanos = SECOND / 2;
-/// Requests for new leases that are awaited at once.
+/// Time constant of the moving average of the recorded demand.
+const DEMAND_TIME_CONSTANT: Nanos = SECOND / 4;
+/// Factor by which the expected demand exceeds the measured demand, to allow for growth.
+const DEMAND_HEADROOM_FACTOR: f64 = 1.15;
+/// Time for which a peak of the demand still counts after the demand has fallen.
+const DEMAND_PEAK_HOLD_TIME: Nanos = SECOND / 2;
+/// Maximum number of requests for new leases that await a reply at the same time.
 const MAX_AWAITED_REQUESTS: usize = 24;
-/// A member is asked again for a new lease no sooner than this.
-const REQUEST_INTERVAL: Nanos = SECOND / 5;
-/// A lease is extended once this fraction of its duration is left.
-const EXTEND_AT_FRACTION: f64 = 0.4;
+/// Minimum time between two requests for new leases to the same member.
+const MIN_REQUEST_INTERVAL: Nanos = SECOND / 5;
+/// A lease is extended once at most this fraction of its duration remains.
+const EXTEND_AT_REMAINING_FRACTION: f64 = 0.4;
 /// Surplus units are released once they amount to this fraction of the base allocation.
 const MIN_RELEASE_FRACTION: f64 = 0.25;
-/// What a grantor keeps above its own demand, as a fraction of its base allocation: its next statements are not to wait
-/// for a revocation.
-const KEEP_FRACTION: f64 = 0.05;
+/// Units that a grantor keeps beyond its own demand, as a fraction of its base allocation, so that
+/// its next statements do not wait for a revocation.
+const KEPT_MARGIN_FRACTION: f64 = 0.05;
 
-/// A message for another member, about the quota of the rebalancer that wrote it.
+/// A message to another member about the rebalancer's quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct OutgoingQuotaMessage {
     pub(crate) to: MemberId,
     pub(crate) message: QuotaMessage,
 }
 
-/// What is known of a member as a grantor.
+/// State of another member as a grantor.
 #[derive(Clone, Copy, Debug, Default)]
 struct Offer {
     leasable_units: u32,
-    /// When it may be asked again.
+    /// Earliest time of the next request to it.
     next_request_at: Nanos,
 }
 
-/// Demand for a quota's units, used or not.
+/// Estimate of the demand for a quota's units, whether they were available or not.
 #[derive(Clone, Copy, Debug)]
 struct DemandEstimate {
     /// Units recorded since the last measurement.
-    recorded: f64,
+    recorded_units: f64,
     measured_at: Nanos,
-    /// Units over the demand window, smoothed; or the level that was reported.
-    current: f64,
-    /// The highest of late.
-    peak: f64,
+    /// Smoothed units per demand window, or the level that was set.
+    current_units: f64,
+    /// Peak of `current_units` within [`DEMAND_PEAK_HOLD_TIME`].
+    peak_units: f64,
     peak_at: Nanos,
 }
 
 impl DemandEstimate {
     fn new(now: Nanos) -> DemandEstimate {
         DemandEstimate {
-            recorded: 0.0,
+            recorded_units: 0.0,
             measured_at: now,
-            current: 0.0,
-            peak: 0.0,
+            current_units: 0.0,
+            peak_units: 0.0,
             peak_at: now,
         }
     }
 
     fn set_level(&mut self, now: Nanos, units: f64) {
-        self.current = units;
+        self.current_units = units;
         self.update_peak(now);
     }
 
-    /// Folds what was recorded into the average.
+    /// Adds the recorded units to the moving average.
     fn measure(&mut self, now: Nanos, window: Nanos) {
         let elapsed = now.saturating_sub(self.measured_at);
         if elapsed < REBALANCE_INTERVAL / 2 || window == 0 {
             return;
         }
-        let measured = self.recorded * window as f64 / elapsed as f64;
-        let weight = (elapsed as f64 / DEMAND_SMOOTHING as f64).min(1.0);
-        self.current += (measured - self.current) * weight;
-        self.recorded = 0.0;
+        let measured_units = self.recorded_units * window as f64 / elapsed as f64;
+        let weight = (elapsed as f64 / DEMAND_TIME_CONSTANT as f64).min(1.0);
+        self.current_units += (measured_units - self.current_units) * weight;
+        self.recorded_units = 0.0;
         self.measured_at = now;
         self.update_peak(now);
     }
 
     fn update_peak(&mut self, now: Nanos) {
-        if self.current >= self.peak || now >= self.peak_at + DEMAND_PEAK_HOLD {
-            self.peak = self.current;
+        if self.current_units >= self.peak_units || now >= self.peak_at + DEMAND_PEAK_HOLD_TIME {
+            self.peak_units = self.current_units;
             self.peak_at = now;
         }
     }
 
     fn expected_units(&self) -> u32 {
-        (self.peak * DEMAND_HEADROOM)
+        (self.peak_units * DEMAND_HEADROOM_FACTOR)
             .ceil()
             .min(f64::from(u32::MAX / 4)) as u32
     }
 }
 
-/// One quota as one member sees it: its leases and its demand.
+/// Leases and demand of one quota at one member.
 pub(crate) struct QuotaRebalancer {
     leases: QuotaLeases,
     lease_duration: Nanos,
     demand_window: Nanos,
     demand: DemandEstimate,
-    /// By grantor.
+    /// Offers by grantor.
     offers: BTreeMap<MemberId, Offer>,
-    /// When held leases may be released again.
+    /// Earliest time of the next release of held leases.
     next_release: Nanos,
 }
 
@@ -133,17 +134,17 @@
         &self.leases
     }
 
-    /// So many units would be used now, whether they are available or not.
+    /// Records that `units` are wanted now, whether they are available or not.
     pub(crate) fn record_demand(&mut self, units: f64) {
-        self.demand.recorded += units;
+        self.demand.recorded_units += units;
     }
 
-    /// The demand itself, where it is known as a level.
+    /// Sets the current demand, for a quota whose demand is known as a level.
     pub(crate) fn set_demand_level(&mut self, now: Nanos, units: f64) {
         self.demand.set_level(now, units);
     }
 
-    /// Units that this member is likely to use.
+    /// Units that this member is expected to use.
     pub(crate) fn expected_demand_units(&self) -> u32 {
         self.demand.expected_units()
     }
@@ -158,27 +159,29 @@
         self.leases.usable_units()
     }
 
-    /// What others may request from this member.
+    /// Units that other members may request from this member.
     pub(crate) fn leasable_units(&self) -> u32 {
         self.leases.leasable_units(self.units_to_keep())
     }
 
     fn units_to_keep(&self) -> u32 {
-        let margin = (f64::from(self.leases.base_units()) * KEEP_FRACTION) as u32;
-        self.expected_demand_units() + margin
+        let margin_units = (f64::from(self.leases.base_units()) * KEPT_MARGIN_FRACTION) as u32;
+        self.expected_demand_units() + margin_units
     }
 
-    /// A member announced what it could lease out.
+    /// Handles the announcement of the units that a member can lease out.
     pub(crate) fn on_offer(&mut self, member: MemberId, leasable_units: u32) {
         self.offers.entry(member).or_default().leasable_units = leasable_units;
     }
 
-    /// A member is gone, and its offer with it. Leases to and from it expire by themselves.
+    /// Removes the offer of a member that is no longer reachable. Leases to and from it expire by
+    /// themselves.
     pub(crate) fn on_member_down(&mut self, member: MemberId) {
         self.offers.remove(&member);
     }
 
-    /// Adapts the leases to the demand. `reachable`: the other members that are up, in order.
+    /// Adapts the leases to the demand. `reachable`: the other reachable members, in ascending
+    /// order.
     pub(crate) fn rebalance(
         &mut self,
         now: Nanos,
@@ -188,21 +191,21 @@
     ) {
         self.leases.advance(now);
         self.demand.measure(now, self.demand_window);
-        let demand = self.expected_demand_units();
-        let usable = self.leases.usable_units();
-        if demand > usable {
-            self.request_units(now, demand - usable, reachable, rng, outgoing);
-            self.revoke_own_units(demand, outgoing);
+        let demand_units = self.expected_demand_units();
+        let usable_units = self.leases.usable_units();
+        if demand_units > usable_units {
+            self.request_units(now, demand_units - usable_units, reachable, rng, outgoing);
+            self.revoke_own_units(demand_units, outgoing);
         }
-        let surplus = usable.saturating_sub(demand);
-        self.extend_leases(now, surplus, reachable, outgoing);
-        self.release_surplus(now, surplus, outgoing);
+        let surplus_units = usable_units.saturating_sub(demand_units);
+        self.extend_leases(now, surplus_units, reachable, outgoing);
+        self.release_surplus(now, surplus_units, outgoing);
     }
 
     fn request_units(
         &mut self,
         now: Nanos,
-        mut missing: u32,
+        mut missing_units: u32,
         reachable: &[MemberId],
         rng: &mut ChaCha8Rng,
         outgoing: &mut Vec<OutgoingQuotaMessage>,
@@ -210,28 +213,29 @@
         if reachable.is_empty() {
             return;
         }
-        for (grantor, offered) in self.grantors_by_offer(now, reachable, rng) {
-            if missing == 0 || self.leases.awaited_requests() >= MAX_AWAITED_REQUESTS {
+        for (grantor, offered_units) in self.grantors_by_offer(now, reachable, rng) {
+            if missing_units == 0 || self.leases.awaited_request_count() >= MAX_AWAITED_REQUESTS {
                 return;
             }
-            // A member that announced nothing is expected to have an even share.
-            let expected = if offered > 0 {
-                offered
+            // A member without an announced offer is assumed to have an even share to lease.
+            let expected_units = if offered_units > 0 {
+                offered_units
             } else {
                 self.leases.base_units()
             };
-            let units = missing.min(expected.max(1));
+            let units = missing_units.min(expected_units.max(1));
             let request = self.leases.request(now, grantor, units, None);
-            self.offers.entry(grantor).or_default().next_request_at = now + REQUEST_INTERVAL;
+            self.offers.entry(grantor).or_default().next_request_at = now + MIN_REQUEST_INTERVAL;
             outgoing.push(OutgoingQuotaMessage {
                 to: grantor,
                 message: QuotaMessage::Request(request),
             });
-            missing -= units;
+            missing_units -= units;
         }
     }
 
-    /// A random window of the members that may be asked now, with their offers, the largest offer first.
+    /// Returns the members that may be asked now out of a random window of the reachable ones, with
+    /// their offers, the largest offer first.
     fn grantors_by_offer(
         &self,
         now: Nanos,
@@ -250,16 +254,19 @@
         candidates.sort_unstable_by(|a, b| b.cmp(a));
         candidates
             .into_iter()
-            .map(|(offered, _, member)| (member, offered))
+            .map(|(offered_units, _, member)| (member, offered_units))
             .collect()
     }
 
-    /// Units of the base allocation return before any are needed from others: they need no lease.
-    fn revoke_own_units(&self, demand: u32, outgoing: &mut Vec<OutgoingQuotaMessage>) {
-        let base = self.leases.base_units();
-        let at_hand = base - self.leases.leased_units().granted;
-        let missing = demand.min(base).saturating_sub(at_hand);
-        for granted in self.leases.leases_to_revoke(missing) {
+    /// Revokes leases on units of the base allocation that this member needs itself: its own units
+    /// need no lease.
+    fn revoke_own_units(&self, demand_units: u32, outgoing: &mut Vec<OutgoingQuotaMessage>) {
+        let base_units = self.leases.base_units();
+        let available_base_units = base_units - self.leases.leased_units().granted;
+        let missing_units = demand_units
+            .min(base_units)
+            .saturating_sub(available_base_units);
+        for granted in self.leases.leases_to_revoke(missing_units) {
             outgoing.push(OutgoingQuotaMessage {
                 to: granted.holder.member,
                 message: QuotaMessage::Revoke(granted.lease),
@@ -270,14 +277,14 @@
     fn extend_leases(
         &mut self,
         now: Nanos,
-        mut surplus: u32,
+        mut surplus_units: u32,
         reachable: &[MemberId],
         outgoing: &mut Vec<OutgoingQuotaMessage>,
     ) {
-        let within = (self.lease_duration as f64 * EXTEND_AT_FRACTION) as Nanos;
+        let within = (self.lease_duration as f64 * EXTEND_AT_REMAINING_FRACTION) as Nanos;
         for expiring in self.leases.expiring_leases(within) {
-            if surplus >= expiring.units {
-                surplus -= expiring.units;
+            if surplus_units >= expiring.units {
+                surplus_units -= expiring.units;
                 continue;
             }
             let grantor = expiring.held.grantor;
@@ -295,19 +302,19 @@
     fn release_surplus(
         &mut self,
         now: Nanos,
-        surplus: u32,
+        surplus_units: u32,
         outgoing: &mut Vec<OutgoingQuotaMessage>,
     ) {
-        let held = self.leases.leased_units().held;
-        let base = f64::from(self.leases.base_units());
-        let min_release = (base * MIN_RELEASE_FRACTION).max(1.0) as u32;
-        if held == 0 || surplus < min_release || now < self.next_release {
+        let held_units = self.leases.leased_units().held;
+        let base_units = f64::from(self.leases.base_units());
+        let min_release = (base_units * MIN_RELEASE_FRACTION).max(1.0) as u32;
+        if held_units == 0 || surplus_units < min_release || now < self.next_release {
             return;
         }
         self.next_release = now + REBALANCE_INTERVAL * 2;
-        // At most half at a time.
-        let keep = held.saturating_sub(surplus.min(held.div_ceil(2)));
-        for released in self.leases.release_down_to(now, keep) {
+        // At most half of the held units are released at a time.
+        let units_to_keep = held_units.saturating_sub(surplus_units.min(held_units.div_ceil(2)));
+        for released in self.leases.release_down_to(now, units_to_keep) {
             outgoing.push(OutgoingQuotaMessage {
                 to: released.grantor,
                 message: QuotaMessage::Release(released.lease),
@@ -315,7 +322,7 @@
         }
     }
 
-    /// Acts on another member's message; returns the reply, if any.
+    /// Handles a message of another member and returns the reply, if any.
     pub(crate) fn on_message(
         &mut self,
         now: Nanos,
@@ -341,8 +348,8 @@
     }
 
     fn on_request(&mut self, now: Nanos, from: ProcessId, request: LeaseRequest) -> QuotaMessage {
-        let keep = self.units_to_keep();
-        match self.leases.on_request(now, from, request, keep) {
+        let units_to_keep = self.units_to_keep();
+        match self.leases.on_request(now, from, request, units_to_keep) {
             Some(grant) => QuotaMessage::Grant(grant),
             None => QuotaMessage::Reject {
                 request: request.request,
@@ -350,11 +357,11 @@
         }
     }
 
-    /// A grant that comes too late is released, so that the grantor need not wait for its expiry. The duplicate of one
-    /// that was taken must release nothing.
+    /// Releases a lease whose grant arrived too late, so that the grantor need not wait for its
+    /// expiry. A duplicate of an accepted grant must not release the lease.
     fn on_grant(&mut self, now: Nanos, from: ProcessId, grant: LeaseGrant) -> Option<QuotaMessage> {
-        let is_taken = self.leases.on_grant(now, from.member, grant);
-        if is_taken || self.leases.holds(from.member, grant.lease) {
+        let is_accepted = self.leases.on_grant(now, from.member, grant);
+        if is_accepted || self.leases.is_holding(from.member, grant.lease) {
             return None;
         }
         Some(QuotaMessage::Release(grant.lease))
@@ -364,6 +371,6 @@
         self.leases.on_rejection(request);
         let offer = self.offers.entry(from.member).or_default();
         offer.leasable_units = 0;
-        offer.next_request_at = now + REQUEST_INTERVAL;
+        offer.next_request_at = now + MIN_REQUEST_INTERVAL;
     }
 }
--- a/crates/ivypitch-coordination/src/shared_quotas.rs
+++ b/crates/ivypitch-coordination/src/shared_quotas.rs
@@ -1,4 +1,4 @@
-//! All shared quotas of one member.
+//! All shared quotas at one member.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 use crate::quota_rebalancing::{OutgoingQuotaMessage, QuotaRebalancer};
 use crate::view::QuotaView;
 
-/// Messages about quotas, by recipient.
+/// Outgoing messages about quotas, by recipient.
 #[derive(Default)]
 pub(crate) struct QuotaOutbox {
     by_member: BTreeMap<MemberId, Vec<QuotaEnvelope>>,
@@ -27,10 +27,10 @@
     }
 }
 
-/// A change of the fraction of a quota that this member may use.
+/// A change of this member's quota share: the fraction of a quota that it may use.
 pub(crate) struct ShareChange {
     pub(crate) quota: QuotaIndex,
-    /// 0 to 1.
+    /// The new share, 0 to 1.
     pub(crate) share: f64,
 }
 
@@ -38,7 +38,7 @@
     name: String,
     total_units: u32,
     rebalancer: QuotaRebalancer,
-    /// What was last reported; none at first.
+    /// The share that was last reported; `None` before the first report.
     reported_share: Option<f64>,
 }
 
@@ -64,16 +64,21 @@
     }
 }
 
+/// The shared quotas of one member.
 pub(crate) struct SharedQuotas {
     quotas: Vec<SharedQuota>,
 }
 
 impl SharedQuotas {
-    pub(crate) fn new(me: MemberId, configs: &[SharedQuotaConfig], now: Nanos) -> SharedQuotas {
+    pub(crate) fn new(
+        own_member: MemberId,
+        configs: &[SharedQuotaConfig],
+        now: Nanos,
+    ) -> SharedQuotas {
         let quota = |config: &SharedQuotaConfig| SharedQuota {
             name: config.name.clone(),
             total_units: config.leases.total_units,
-            rebalancer: QuotaRebalancer::new(me, config, now),
+            rebalancer: QuotaRebalancer::new(own_member, config, now),
             reported_share: None,
         };
         SharedQuotas {
@@ -103,11 +108,11 @@
             .map_or(0, |quota| quota.total_units)
     }
 
-    /// What others may request, for the first `max` quotas.
-    pub(crate) fn leasable_units(&self, max: usize) -> Vec<u32> {
+    /// Units that other members may request, for the first `max_quotas` quotas.
+    pub(crate) fn leasable_units(&self, max_quotas: usize) -> Vec<u32> {
         self.quotas
             .iter()
-            .take(max)
+            .take(max_quotas)
             .map(|quota| quota.rebalancer.leasable_units())
             .collect()
     }
@@ -162,7 +167,7 @@
         outbox
     }
 
-    /// The shares that have changed since the last call.
+    /// Returns the shares that have changed since the last call.
     pub(crate) fn take_changed_shares(&mut self) -> Vec<ShareChange> {
         let mut changes = Vec::new();
         for (i, quota) in self.quotas.iter_mut().enumerate() {
@@ -176,7 +181,7 @@
         changes
     }
 
-    /// Name and share of each quota, for a log line.
+    /// Formats the name and share of each quota for a log line.
     pub(crate) fn describe_shares(&self) -> String {
         let described: Vec<String> = self
             .quotas
--- a/crates/ivypitch-coordination/tests/quota_lease_model.rs
+++ b/crates/ivypitch-coordination/tests/quota_lease_model.rs
@@ -1,6 +1,7 @@
-//! Exhaustive model check of the real quota leases: request, grant, extend, release, revoke, crash and restart among three
-//! members, one of them with a slow clock and one with a fast one. Messages arrive in any order, any number of times, or
-//! never. At every instant all members together use no more than the quota; without any one of the guards they do not.
+//! Exhaustive model check of the production quota leases: request, grant, extend, release, revoke,
+//! crash and restart among three members, one of them with a slow clock and one with a fast clock.
+//! Messages arrive in any order, any number of times, or never. At every instant all members
+//! together use no more than the quota; with any one of the guards disabled they exceed it.
 
 use std::collections::BTreeSet;
 
@@ -12,29 +13,32 @@
 use test_case::test_case;
 
 const MEMBERS: usize = 3;
-/// Local time that passes in a tick: clocks run half as fast again and half as slow as the middle one.
-const RATES: [u64; MEMBERS] = [1, 2, 3];
+/// Local time that passes in a tick, by member: the clocks run at 0.5, 1 and 1.5 times the rate of
+/// the middle one.
+const CLOCK_RATES: [u64; MEMBERS] = [1, 2, 3];
+/// Number of ticks that the model runs for.
 const TICKS: u64 = 5;
-/// Of the middle clock.
+/// Lease duration by the middle clock.
 const LEASE_DURATION: u64 = 4;
 
+/// The guard that a model disables, if any.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Without {
-    Nothing,
-    /// Clocks are taken to run alike.
-    Drift,
+enum DisabledGuard {
+    None,
+    /// Leases assume that all clocks run at the same rate.
+    ClockDrift,
     /// The holder counts a lease's duration from the grant.
     RequestTime,
-    /// A message for a process is taken by its successor.
+    /// A message to a process is accepted by its successor.
     Incarnation,
-    /// A process that restarted uses its whole base allocation at once.
+    /// A restarted process uses its whole base allocation immediately.
     Recovery,
     /// A duplicate of a grant is answered with a release.
-    Duplicates,
+    DuplicateGrants,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-enum Content {
+enum MessageContent {
     Request(LeaseRequest),
     Grant(LeaseGrant),
     Release(RequestId),
@@ -45,14 +49,14 @@
 struct Message {
     from: ProcessId,
     to: ProcessId,
-    content: Content,
+    content: MessageContent,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     members: Vec<Option<QuotaLeases>>,
     incarnations: Vec<u64>,
-    /// All that was ever sent: any of it may arrive now, again, or never.
+    /// All messages ever sent: each may arrive now, again later, or never.
     messages: BTreeSet<Message>,
     tick: u64,
     requests: u8,
@@ -65,7 +69,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Action {
     Tick,
-    Request { by: usize, of: usize },
+    Request { by: usize, grantor: usize },
     Extend { by: usize },
     Release { by: usize },
     Revoke { by: usize },
@@ -75,12 +79,12 @@
 }
 
 struct Fleet {
-    without: Without,
+    disabled_guard: DisabledGuard,
 }
 
 impl Fleet {
     fn config(&self) -> QuotaLeaseConfig {
-        let max_clock_drift = if self.without == Without::Drift {
+        let max_clock_drift = if self.disabled_guard == DisabledGuard::ClockDrift {
             0.0
         } else {
             0.5
@@ -95,60 +99,62 @@
         }
     }
 
-    fn now(&self, state: &State, m: usize) -> u64 {
-        100 + state.tick * RATES[m]
+    fn now(&self, state: &State, member: usize) -> u64 {
+        100 + state.tick * CLOCK_RATES[member]
     }
 
-    fn process(&self, state: &State, m: usize) -> ProcessId {
+    fn process(&self, state: &State, member: usize) -> ProcessId {
         ProcessId {
-            member: member(m),
-            incarnation: Incarnation(state.incarnations[m]),
+            member: member_id(member),
+            incarnation: Incarnation(state.incarnations[member]),
         }
     }
 
     /// `None`: the message cannot arrive in this model.
     fn deliver(&self, last: &State, state: &mut State, message: Message) -> Option<()> {
         let Message { from, to, content } = message;
-        let m = to.member.as_usize();
-        let me = self.process(last, m);
-        let leases = state.members[m].as_mut()?;
+        let member = to.member.as_usize();
+        let receiver = self.process(last, member);
+        let leases = state.members[member].as_mut()?;
         let reply = match content {
-            Content::Request(request) => leases
-                .on_request(self.now(last, m), from, request, 0)
-                .map(Content::Grant),
-            Content::Grant(mut grant) => {
-                if self.without == Without::RequestTime && grant.lease == grant.request {
-                    // Requested now, as far as its expiry goes.
-                    if leases.holds(from.member, grant.lease)
+            MessageContent::Request(request) => leases
+                .on_request(self.now(last, member), from, request, 0)
+                .map(MessageContent::Grant),
+            MessageContent::Grant(mut grant) => {
+                if self.disabled_guard == DisabledGuard::RequestTime && grant.lease == grant.request
+                {
+                    // Replaces the request by one made now, from which the expiry of the lease is
+                    // counted.
+                    if leases.is_holding(from.member, grant.lease)
                         || !leases.is_requesting_from(from.member)
                     {
                         return None;
                     }
-                    let again = leases.request(self.now(last, m), from.member, 1, None);
+                    let new_request = leases.request(self.now(last, member), from.member, 1, None);
                     grant = LeaseGrant {
-                        request: again.request,
-                        lease: again.request,
+                        request: new_request.request,
+                        lease: new_request.request,
                         ..grant
                     };
                 }
-                let taken = leases.on_grant(self.now(last, m), from.member, grant);
-                let releases = match self.without {
-                    Without::Duplicates => !taken,
-                    _ => !taken && !leases.holds(from.member, grant.lease),
+                let is_accepted = leases.on_grant(self.now(last, member), from.member, grant);
+                let must_release = match self.disabled_guard {
+                    DisabledGuard::DuplicateGrants => !is_accepted,
+                    _ => !is_accepted && !leases.is_holding(from.member, grant.lease),
                 };
-                releases.then_some(Content::Release(grant.lease))
+                must_release.then_some(MessageContent::Release(grant.lease))
             }
-            Content::Release(lease) => {
-                leases.on_release(self.now(last, m), from, lease);
+            MessageContent::Release(lease) => {
+                leases.on_release(self.now(last, member), from, lease);
                 None
             }
-            Content::Revoke(lease) => leases
-                .on_revoke(self.now(last, m), from.member, lease)
-                .then_some(Content::Release(lease)),
+            MessageContent::Revoke(lease) => leases
+                .on_revoke(self.now(last, member), from.member, lease)
+                .then_some(MessageContent::Release(lease)),
         };
         if let Some(content) = reply {
             state.messages.insert(Message {
-                from: me,
+                from: receiver,
                 to: from,
                 content,
             });
@@ -157,8 +163,8 @@
     }
 }
 
-fn member(m: usize) -> MemberId {
-    MemberId(m as u16)
+fn member_id(member: usize) -> MemberId {
+    MemberId(member as u16)
 }
 
 impl Model for Fleet {
@@ -166,14 +172,14 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        // They started long ago.
-        let recovered = |m: usize| {
-            let mut leases = QuotaLeases::new(member(m), &self.config(), 0);
+        // All members started long ago and have recovered.
+        let recovered_leases = |member: usize| {
+            let mut leases = QuotaLeases::new(member_id(member), &self.config(), 0);
             leases.advance(100);
             Some(leases)
         };
         vec![State {
-            members: (0..MEMBERS).map(recovered).collect(),
+            members: (0..MEMBERS).map(recovered_leases).collect(),
             incarnations: vec![1; MEMBERS],
             messages: BTreeSet::new(),
             tick: 0,
@@ -189,35 +195,38 @@
         if state.tick < TICKS {
             actions.push(Action::Tick);
         }
-        for m in 0..MEMBERS {
-            let Some(leases) = &state.members[m] else {
-                actions.push(Action::Restart(m));
+        for member in 0..MEMBERS {
+            let Some(leases) = &state.members[member] else {
+                actions.push(Action::Restart(member));
                 continue;
             };
             if state.crashes < 1 {
-                actions.push(Action::Crash(m));
+                actions.push(Action::Crash(member));
             }
             let LeasedUnits { granted, held, .. } = leases.leased_units();
             if state.requests < 2 {
-                // Of one whose clock runs faster: it is the sooner to take its units back.
-                actions.extend((m + 1..MEMBERS).map(|of| Action::Request { by: m, of }));
+                // The grantor always has a faster clock, so that it takes its units back earlier.
+                actions.extend((member + 1..MEMBERS).map(|grantor| Action::Request {
+                    by: member,
+                    grantor,
+                }));
             }
             if state.extensions < 1 && held > 0 {
-                actions.push(Action::Extend { by: m });
+                actions.push(Action::Extend { by: member });
             }
             if state.releases < 1 && held > 0 {
-                actions.push(Action::Release { by: m });
+                actions.push(Action::Release { by: member });
             }
             if state.revocations < 1 && granted > 0 {
-                actions.push(Action::Revoke { by: m });
+                actions.push(Action::Revoke { by: member });
             }
         }
         for &message in &state.messages {
             let to = message.to.member.as_usize();
-            let is_there = state.members[to].is_some()
+            let can_receive = state.members[to].is_some()
                 && (state.incarnations[to] == message.to.incarnation.0
-                    || self.without == Without::Incarnation);
-            if is_there {
+                    || self.disabled_guard == DisabledGuard::Incarnation);
+            if can_receive {
                 actions.push(Action::Deliver(message));
             }
         }
@@ -225,34 +234,34 @@
 
     fn next_state(&self, last: &State, action: Action) -> Option<State> {
         let mut state = last.clone();
-        let now = |m: usize| self.now(last, m);
+        let now = |member: usize| self.now(last, member);
         match action {
             Action::Tick => state.tick += 1,
-            Action::Crash(m) => {
-                state.members[m] = None;
+            Action::Crash(member) => {
+                state.members[member] = None;
                 state.crashes += 1;
             }
-            Action::Restart(m) => {
-                let config = match self.without {
-                    Without::Recovery => QuotaLeaseConfig {
+            Action::Restart(member) => {
+                let config = match self.disabled_guard {
+                    DisabledGuard::Recovery => QuotaLeaseConfig {
                         lease_duration: 0,
                         max_clock_drift: 0.0,
                         ..self.config()
                     },
                     _ => self.config(),
                 };
-                let started_at = now(m).saturating_sub(1);
-                let mut leases = QuotaLeases::new(member(m), &config, started_at);
-                leases.advance(now(m));
-                state.members[m] = Some(leases);
-                state.incarnations[m] += 1;
+                let started_at = now(member).saturating_sub(1);
+                let mut leases = QuotaLeases::new(member_id(member), &config, started_at);
+                leases.advance(now(member));
+                state.members[member] = Some(leases);
+                state.incarnations[member] += 1;
             }
-            Action::Request { by, of } => {
+            Action::Request { by, grantor } => {
                 let from = self.process(last, by);
-                let to = self.process(last, of);
+                let to = self.process(last, grantor);
                 let leases = state.members[by].as_mut()?;
-                let request = leases.request(now(by), member(of), 1, None);
-                let content = Content::Request(request);
+                let request = leases.request(now(by), member_id(grantor), 1, None);
+                let content = MessageContent::Request(request);
                 state.messages.insert(Message { from, to, content });
                 state.requests += 1;
             }
@@ -264,7 +273,7 @@
                 let HeldLease { grantor, lease } = expiring.held;
                 let request = leases.request(now(by), grantor, expiring.units, Some(lease));
                 let to = self.process(last, grantor.as_usize());
-                let content = Content::Request(request);
+                let content = MessageContent::Request(request);
                 state.messages.insert(Message { from, to, content });
                 state.extensions += 1;
             }
@@ -274,7 +283,7 @@
                 let released = state.members[by].as_mut()?.release_down_to(now(by), 0);
                 for HeldLease { grantor, lease } in released {
                     let to = self.process(last, grantor.as_usize());
-                    let content = Content::Release(lease);
+                    let content = MessageContent::Release(lease);
                     state.messages.insert(Message { from, to, content });
                 }
             }
@@ -283,20 +292,20 @@
                 let from = self.process(last, by);
                 for granted in state.members[by].as_ref()?.leases_to_revoke(6) {
                     let to = granted.holder;
-                    let content = Content::Revoke(granted.lease);
+                    let content = MessageContent::Revoke(granted.lease);
                     state.messages.insert(Message { from, to, content });
                 }
             }
             Action::Deliver(message) => self.deliver(last, &mut state, message)?,
         }
-        for m in 0..MEMBERS {
-            let now = self.now(&state, m);
-            if let Some(leases) = &mut state.members[m] {
+        for member in 0..MEMBERS {
+            let now = self.now(&state, member);
+            if let Some(leases) = &mut state.members[member] {
                 leases.advance(now);
             }
         }
-        if self.without != Without::Incarnation {
-            // What is for a process that is gone is taken by nobody.
+        if self.disabled_guard != DisabledGuard::Incarnation {
+            // Messages to a process that has ended are dropped.
             let incarnations = state.incarnations.clone();
             state.messages.retain(|message| {
                 incarnations[message.to.member.as_usize()] == message.to.incarnation.0
@@ -316,7 +325,7 @@
                 usable.sum::<u32>() <= 6
             }),
             Property::always(
-                "nobody may use less than its reserved minimum",
+                "no member may use less than its reserved minimum",
                 |_, state: &State| {
                     let mut members = state.members.iter().flatten();
                     members.all(|leases| leases.usable_units() >= leases.reserved_units())
@@ -333,9 +342,9 @@
 const WITHIN_QUOTA: &str = "all members together use no more than the quota";
 
 #[test]
-fn with_all_guards_the_quota_holds_in_every_state() {
+fn with_all_guards_the_quota_is_kept_in_every_state() {
     let checker = Fleet {
-        without: Without::Nothing,
+        disabled_guard: DisabledGuard::None,
     }
     .checker()
     .threads(4)
@@ -346,14 +355,14 @@
     checker.assert_properties();
 }
 
-#[test_case(Without::Drift)]
-#[test_case(Without::RequestTime)]
-#[test_case(Without::Incarnation)]
-#[test_case(Without::Recovery)]
-#[test_case(Without::Duplicates)]
-fn without_a_guard_the_quota_is_exceeded(without: Without) {
+#[test_case(DisabledGuard::ClockDrift)]
+#[test_case(DisabledGuard::RequestTime)]
+#[test_case(DisabledGuard::Incarnation)]
+#[test_case(DisabledGuard::Recovery)]
+#[test_case(DisabledGuard::DuplicateGrants)]
+fn with_one_guard_disabled_the_quota_is_exceeded(disabled_guard: DisabledGuard) {
     let fails = HasDiscoveries::AnyFailures;
-    let checker = Fleet { without }
+    let checker = Fleet { disabled_guard }
         .checker()
         .threads(4)
         .finish_when(fails)
@@ -365,5 +374,8 @@
         checker.unique_state_count(),
         path.clone().map(|path| path.into_actions())
     );
-    assert!(path.is_some(), "{without:?} guards against nothing");
+    assert!(
+        path.is_some(),
+        "disabling {disabled_guard:?} violates nothing"
+    );
 }
