--- a/crates/ivypitch-coordination/benches/observation_table.rs
+++ b/crates/ivypitch-coordination/benches/observation_table.rs
@@ -1,5 +1,6 @@
-//! The table of observations by engine and member against a plain ordered map: an observation arrives, all observations
-//! of an engine are summed, all engines are evaluated.
+//! Compares the table of observations by engine and member with a plain ordered map: insertion of
+//! an observation and the sum over all observations of an engine; measures the evaluation of all
+//! engines on the table.
 
 use std::collections::BTreeMap;
 use std::hint::black_box;
@@ -33,7 +34,7 @@
         })
 }
 
-fn nothing_new(version: u32) -> StoredObservation {
+fn empty_observation(version: u32) -> StoredObservation {
     StoredObservation {
         version,
         observation: HealthObservation::default(),
@@ -41,7 +42,7 @@
     }
 }
 
-fn observation_table(c: &mut Criterion) {
+fn observation_table(criterion: &mut Criterion) {
     let mut table = ObservationTable::new(usize::from(MEMBERS), 200, NOW - 50 * SECOND);
     let mut map: BTreeMap<(u64, MemberId), StoredObservation> = BTreeMap::new();
     for (engine, member, observation) in observations() {
@@ -54,31 +55,37 @@
         map.len()
     );
     let mut version = 1000;
-    c.bench_function("an observation arrives, table", |b| {
-        b.iter(|| {
+    criterion.bench_function("an observation arrives, table", |bencher| {
+        bencher.iter(|| {
             version += 1;
-            table.insert_if_newer(black_box(40), black_box(MemberId(17)), nothing_new(version))
+            table.insert_if_newer(
+                black_box(40),
+                black_box(MemberId(17)),
+                empty_observation(version),
+            )
         })
     });
-    c.bench_function("an observation arrives, plain map", |b| {
-        b.iter(|| {
+    criterion.bench_function("an observation arrives, plain map", |bencher| {
+        bencher.iter(|| {
             version += 1;
             let key = (black_box(40), black_box(MemberId(17)));
-            map.insert(key, nothing_new(version))
+            map.insert(key, empty_observation(version))
         })
     });
     let sum = |observations: &mut dyn Iterator<Item = HealthObservation>| {
-        observations.map(|o| u32::from(o.failures)).sum::<u32>()
+        observations
+            .map(|observation| u32::from(observation.failures))
+            .sum::<u32>()
     };
-    c.bench_function("all observations of an engine, table", |b| {
-        b.iter(|| {
+    criterion.bench_function("all observations of an engine, table", |bencher| {
+        bencher.iter(|| {
             sum(&mut table
-                .fresh(black_box(41), NOW)
+                .fresh_observations(black_box(41), NOW)
                 .map(|fresh| fresh.observation))
         })
     });
-    c.bench_function("all observations of an engine, plain map", |b| {
-        b.iter(|| {
+    criterion.bench_function("all observations of an engine, plain map", |bencher| {
+        bencher.iter(|| {
             let engine = black_box(41);
             let fresh = map
                 .range((engine, MemberId(0))..(engine + 1, MemberId(0)))
@@ -86,11 +93,11 @@
             sum(&mut fresh.map(|(_, stored)| stored.observation))
         })
     });
-    let zones: Vec<u16> = (0..MEMBERS).map(|m| m % 3).collect();
+    let zones: Vec<u16> = (0..MEMBERS).map(|member| member % 3).collect();
     let ready: Vec<u64> = (0..ENGINES).collect();
     let mut consensus = OutlierConsensus::default();
-    c.bench_function("80 engines evaluated by 300 members", |b| {
-        b.iter(|| consensus.evaluate(NOW, &table, &zones, black_box(&ready)))
+    criterion.bench_function("80 engines evaluated by 300 members", |bencher| {
+        bencher.iter(|| consensus.evaluate(NOW, &table, &zones, black_box(&ready)))
     });
 }
 
--- a/crates/ivypitch-coordination/src/coordinator.rs
+++ b/crates/ivypitch-coordination/src/coordinator.rs
@@ -1,7 +1,7 @@
-//! All that one gateway shares with the others, as one state machine.
+//! The coordination of one gateway with the others, as one state machine.
 //!
-//! The driver tells it the time, which members are up and what arrives; what is to be sent and done comes out through
-//! [`CoordinationOutput`].
+//! The driver passes in the time, membership changes and received messages, and carries out the
+//! actions that the coordinator requests through [`CoordinationOutput`].
 
 use ivypitch_types::{Incarnation, MILLISECOND, MemberId, Nanos, ProcessId, SECOND};
 use rand::SeedableRng;
@@ -20,51 +20,53 @@
 use crate::shared_quotas::{QuotaOutbox, SharedQuotas};
 use crate::view::{CoordinationView, FleetReach};
 
-/// How often engine health is evaluated.
-const EVALUATION_INTERVAL: Nanos = SECOND / 20;
-/// Quotas whose leasable units are announced in each gossip datagram, so that it stays within its size.
+/// Time between two evaluations of engine health.
+const HEALTH_EVALUATION_INTERVAL: Nanos = SECOND / 20;
+/// Maximum number of quotas whose leasable units a gossip datagram announces, which bounds its
+/// size.
 const MAX_ANNOUNCED_QUOTAS: usize = 64;
-/// Quota messages in one message on a link.
-const MAX_QUOTA_MESSAGES: usize = 64;
+/// Maximum number of quota messages in one message on a link.
+const MAX_MESSAGES_PER_QUOTA_BATCH: usize = 64;
 
-/// What a coordinator starts with.
+/// Parameters of a new [`Coordinator`].
 pub struct CoordinatorParams {
-    /// This process.
+    /// The process that the coordinator runs in.
     pub process: ProcessId,
-    /// The zone of each member, in the order of the member list.
+    /// Zone of each member, in the order of the member list.
     pub zones: Vec<u16>,
-    /// The configuration, the same at every member.
+    /// Configuration, the same at every member.
     pub config: CoordinationConfig,
-    /// The number of the last endpoint event that is known.
+    /// Number of the last known endpoint event.
     pub last_event: u64,
-    /// For random choices; the same at every member, so that they agree on who probes.
+    /// Seed of random choices; the same at every member, so that all agree on which members probe
+    /// an engine.
     pub seed: u64,
-    /// The time.
+    /// Current time.
     pub now: Nanos,
 }
 
-/// One gateway's quota leases, engine health, gossip and relay of endpoint events.
+/// Quota leases, engine health, gossip and endpoint event relay of one gateway.
 pub struct Coordinator {
-    me: ProcessId,
-    /// By member: the process that is reachable.
-    processes: Vec<Option<Incarnation>>,
-    /// The other members that are reachable, in order.
-    reachable: Vec<MemberId>,
+    own_process: ProcessId,
+    /// By member: the incarnation of its reachable process, if any.
+    reachable_incarnations: Vec<Option<Incarnation>>,
+    /// The other reachable members, in ascending order.
+    reachable_members: Vec<MemberId>,
     reach: FleetReach,
     quotas: SharedQuotas,
     health: EngineHealthMonitor,
     gossip: Gossiper,
     relay: EventRelay,
     next_rebalance: Nanos,
-    next_evaluation: Nanos,
+    next_health_evaluation: Nanos,
     rng: ChaCha8Rng,
 }
 
 impl Coordinator {
-    /// A coordinator that has heard from nobody.
+    /// Creates a coordinator that reaches no other member yet.
     pub fn new(params: CoordinatorParams) -> Coordinator {
         let CoordinatorParams {
-            process: me,
+            process: own_process,
             zones,
             config,
             last_event,
@@ -77,93 +79,97 @@
             max_bytes: config.max_event_bytes,
         };
         Coordinator {
-            me,
-            processes: vec![None; members],
-            reachable: Vec::new(),
+            own_process,
+            reachable_incarnations: vec![None; members],
+            reachable_members: Vec::new(),
             reach: if members > 1 {
                 FleetReach::Isolated
             } else {
                 FleetReach::Majority
             },
-            quotas: SharedQuotas::new(me.member, &config.quotas, now),
-            health: EngineHealthMonitor::new(me, zones, config.max_engines, seed, now),
-            gossip: Gossiper::new(me, members, config.gossip_bytes_per_second, now),
+            quotas: SharedQuotas::new(own_process.member, &config.quotas, now),
+            health: EngineHealthMonitor::new(own_process, zones, config.max_engines, seed, now),
+            gossip: Gossiper::new(own_process, members, config.gossip_bytes_per_second, now),
             relay: EventRelay::new(last_event, retention, now),
             next_rebalance: now,
-            next_evaluation: now,
-            rng: ChaCha8Rng::seed_from_u64(seed ^ (u64::from(me.member.0) << 40)),
+            next_health_evaluation: now,
+            rng: ChaCha8Rng::seed_from_u64(seed ^ (u64::from(own_process.member.0) << 40)),
         }
     }
 
     // Membership.
 
-    /// A process of another member is reachable.
+    /// Handles that a process of another member has become reachable.
     pub fn on_member_up(
         &mut self,
         now: Nanos,
         process: ProcessId,
-        out: &mut dyn CoordinationOutput,
+        output: &mut dyn CoordinationOutput,
     ) {
         let ProcessId {
             member,
             incarnation,
         } = process;
-        if member == self.me.member {
+        if member == self.own_process.member {
             return;
         }
-        let Some(entry) = self.processes.get_mut(member.as_usize()) else {
+        let Some(entry) = self.reachable_incarnations.get_mut(member.as_usize()) else {
             return;
         };
         let previous = entry.replace(incarnation);
         if previous.is_some_and(|previous| previous != incarnation) {
-            self.forget_offers(member);
+            self.forget_announcements(member);
         }
-        // Another process of that member counts the versions of its observations anew.
+        // A new process of a member numbers its observations from 1 again.
         if self
             .gossip
             .known_version(member)
             .is_some_and(|known| known.observer.incarnation != incarnation)
         {
-            self.health.forget_member(member);
+            self.health.clear_member(member);
         }
-        self.on_reachable_changed(now, out);
+        self.on_reachable_members_changed(now, output);
     }
 
-    /// A process of another member is no longer reachable.
+    /// Handles that a process of another member is no longer reachable.
     pub fn on_member_down(
         &mut self,
         now: Nanos,
         process: ProcessId,
-        out: &mut dyn CoordinationOutput,
+        output: &mut dyn CoordinationOutput,
     ) {
         if self.reachable_process(process.member) != Some(process) {
             return;
         }
-        self.processes[process.member.as_usize()] = None;
-        self.forget_offers(process.member);
-        self.on_reachable_changed(now, out);
+        self.reachable_incarnations[process.member.as_usize()] = None;
+        self.forget_announcements(process.member);
+        self.on_reachable_members_changed(now, output);
     }
 
     fn reachable_process(&self, member: MemberId) -> Option<ProcessId> {
-        let incarnation = self.processes.get(member.as_usize()).copied().flatten()?;
+        let incarnation = self
+            .reachable_incarnations
+            .get(member.as_usize())
+            .copied()
+            .flatten()?;
         Some(ProcessId {
             member,
             incarnation,
         })
     }
 
-    fn forget_offers(&mut self, member: MemberId) {
+    fn forget_announcements(&mut self, member: MemberId) {
         self.quotas.on_member_down(member);
         self.relay.on_member_down(member);
     }
 
-    fn on_reachable_changed(&mut self, now: Nanos, out: &mut dyn CoordinationOutput) {
-        self.reachable = (0..self.processes.len())
-            .filter(|&i| self.processes[i].is_some())
+    fn on_reachable_members_changed(&mut self, now: Nanos, output: &mut dyn CoordinationOutput) {
+        self.reachable_members = (0..self.reachable_incarnations.len())
+            .filter(|&i| self.reachable_incarnations[i].is_some())
             .map(|i| MemberId(i as u16))
             .collect();
-        let reachable = self.reachable_members();
-        let members = self.processes.len();
+        let reachable = self.reachable_member_count();
+        let members = self.reachable_incarnations.len();
         let reach = if 2 * reachable > members {
             FleetReach::Majority
         } else if reachable == 1 {
@@ -173,7 +179,7 @@
         };
         if reach != self.reach {
             self.reach = reach;
-            out.log(&format!(
+            output.log(&format!(
                 "fleet reach changed: reach={} reachable={reachable} members={members} quota_shares=\"{}\"",
                 reach.as_str(),
                 self.quotas.describe_shares(),
@@ -182,103 +188,106 @@
         self.next_rebalance = self.next_rebalance.min(now + REBALANCE_INTERVAL);
     }
 
-    /// Including this one.
-    fn reachable_members(&self) -> usize {
-        self.reachable.len() + 1
+    /// Number of reachable members, including this one.
+    fn reachable_member_count(&self) -> usize {
+        self.reachable_members.len() + 1
     }
 
     // Quotas.
 
-    /// So many units of a quota would be used now, whether they are available or not.
+    /// Records that `units` of a quota are wanted now, whether they are available or not.
     pub fn record_demand(&mut self, quota: QuotaIndex, units: f64) {
         if let Some(rebalancer) = self.quotas.rebalancer_mut(quota) {
             rebalancer.record_demand(units);
         }
     }
 
-    /// The demand for a quota as a level, where units are occupied and released instead of spent.
+    /// Sets the current demand for a quota whose units are occupied and released instead of spent.
     pub fn set_demand_level(&mut self, now: Nanos, quota: QuotaIndex, units: f64) {
         if let Some(rebalancer) = self.quotas.rebalancer_mut(quota) {
             rebalancer.set_demand_level(now, units);
         }
     }
 
-    /// Spends units of a quota with a spend window, if there are enough. An unknown quota is unlimited.
+    /// Spends units of a quota with a spend window if enough are unspent. An unknown quota is
+    /// unlimited.
     pub fn try_spend(&mut self, now: Nanos, quota: QuotaIndex, units: u32) -> bool {
         self.quotas
             .rebalancer_mut(quota)
             .is_none_or(|rebalancer| rebalancer.try_spend(now, units))
     }
 
-    /// Units of a quota that this member may use at `now`.
+    /// Units of a quota that this member may use at `now`, after expiring leases.
     pub fn usable_units_at(&mut self, now: Nanos, quota: QuotaIndex) -> u32 {
         self.quotas
             .rebalancer_mut(quota)
             .map_or(0, |rebalancer| rebalancer.usable_units_at(now))
     }
 
-    /// Units of a quota that this member could use when it last changed.
+    /// Units of a quota that this member could use when its leases were last updated.
     pub fn usable_units(&self, quota: QuotaIndex) -> u32 {
         self.quotas.usable_units(quota)
     }
 
-    /// Units of a whole quota, over all members.
+    /// Total units of a quota, over all members.
     pub fn total_units(&self, quota: QuotaIndex) -> u32 {
         self.quotas.total_units(quota)
     }
 
-    fn rebalance(&mut self, now: Nanos, out: &mut dyn CoordinationOutput) {
-        let outbox = self.quotas.rebalance(now, &self.reachable, &mut self.rng);
-        self.send_quota_messages(outbox, out);
-        self.report_shares(out);
+    fn rebalance(&mut self, now: Nanos, output: &mut dyn CoordinationOutput) {
+        let outbox = self
+            .quotas
+            .rebalance(now, &self.reachable_members, &mut self.rng);
+        self.send_quota_messages(outbox, output);
+        self.report_changed_shares(output);
     }
 
-    fn send_quota_messages(&self, outbox: QuotaOutbox, out: &mut dyn CoordinationOutput) {
+    fn send_quota_messages(&self, outbox: QuotaOutbox, output: &mut dyn CoordinationOutput) {
         for (member, messages) in outbox.into_messages() {
             let Some(process) = self.reachable_process(member) else {
                 continue;
             };
-            for messages in messages.chunks(MAX_QUOTA_MESSAGES) {
+            for messages in messages.chunks(MAX_MESSAGES_PER_QUOTA_BATCH) {
                 let message = CoordinationMessage::Quotas {
                     to: process.incarnation,
                     messages: messages.to_vec(),
                 };
-                out.send(member, message);
+                output.send(member, message);
             }
         }
     }
 
-    fn report_shares(&mut self, out: &mut dyn CoordinationOutput) {
+    fn report_changed_shares(&mut self, output: &mut dyn CoordinationOutput) {
         for change in self.quotas.take_changed_shares() {
-            out.on_quota_share_changed(change.quota, change.share);
+            output.on_quota_share_changed(change.quota, change.share);
         }
     }
 
     // Engine health.
 
-    /// The engines that are ready according to the endpoint list.
+    /// Replaces the set of engines that are ready according to the endpoint list.
     pub fn set_ready_engines(&mut self, engines: &[EngineNumber]) {
         self.health.set_ready_engines(engines);
     }
 
-    /// An attempt of this gateway has ended.
+    /// Handles the end of an attempt of this gateway.
     pub fn on_attempt_ended(&mut self, now: Nanos, engine: EngineNumber, health: AttemptHealth) {
         if let Some(update) = self.health.on_attempt_ended(now, engine, health) {
             self.gossip.on_new_observation(now, update, now);
         }
     }
 
-    fn evaluate_health(&mut self, now: Nanos, out: &mut dyn CoordinationOutput) {
-        self.next_evaluation = now + EVALUATION_INTERVAL;
-        let reachable = self.reachable_members();
-        let ejected_before = self.health.ejected_engines();
+    fn evaluate_health(&mut self, now: Nanos, output: &mut dyn CoordinationOutput) {
+        self.next_health_evaluation = now + HEALTH_EVALUATION_INTERVAL;
+        let reachable = self.reachable_member_count();
+        let previously_ejected = self.health.ejected_engine_count();
         for change in self.health.evaluate(now, reachable) {
-            out.on_outlier_status(change.engine, change.status);
+            output.on_outlier_status(change.engine, change.status);
         }
-        let ejected = self.health.ejected_engines();
-        if ejected != ejected_before {
-            let engines = self.health.ready_engines();
-            out.log(&format!(
+        let ejected = self.health.ejected_engine_count();
+        if ejected != previously_ejected {
+            let engines = self.health.ready_engine_count();
+            output.log(&format!(
                 "ejected engines changed: ejected={ejected} engines={engines} reachable={reachable}"
             ));
         }
@@ -286,18 +295,19 @@
 
     // Endpoint events.
 
-    /// The event source said something, an event or not.
+    /// Handles any input from the event source, which shows that it is alive.
     pub fn on_event_source_activity(&mut self, now: Nanos) {
-        self.relay.on_source_heard(now);
+        self.relay.on_source_activity(now);
     }
 
-    /// The gateway has taken an event of the endpoint list.
+    /// Handles an endpoint event that the gateway has applied.
     pub fn on_endpoint_event(&mut self, now: Nanos, number: u64, line: &[u8]) {
-        if number > self.relay.last() {
+        if number > self.relay.last_number() {
             let line = line.to_vec();
             self.relay.on_event(EndpointEvent { number, line });
-            // Others may not hear the source: they are to learn at once that there is an event.
-            self.gossip.expedite(now);
+            // Members without a connection to the source must learn at once that there is a new
+            // event.
+            self.gossip.on_announcement_changed(now);
         }
     }
 
@@ -305,41 +315,41 @@
         &mut self,
         now: Nanos,
         events: Vec<EndpointEvent>,
-        out: &mut dyn CoordinationOutput,
+        output: &mut dyn CoordinationOutput,
     ) {
         for event in events {
             if self.relay.on_relayed_event(event.clone()) {
-                self.gossip.expedite(now);
-                out.on_endpoint_event(event.number, &event.line);
+                self.gossip.on_announcement_changed(now);
+                output.on_endpoint_event(event.number, &event.line);
             }
         }
     }
 
     // Messages.
 
-    /// A message arrived on the link from another member.
+    /// Handles a message that arrived on the link from another member.
     pub fn on_message(
         &mut self,
         now: Nanos,
         from: MemberId,
         message: CoordinationMessage,
-        out: &mut dyn CoordinationOutput,
+        output: &mut dyn CoordinationOutput,
     ) {
         let Some(from) = self.reachable_process(from) else {
             return;
         };
         match message {
-            CoordinationMessage::Quotas { to, messages } if to == self.me.incarnation => {
-                self.on_quota_messages(now, from, messages, out);
+            CoordinationMessage::Quotas { to, messages } if to == self.own_process.incarnation => {
+                self.on_quota_messages(now, from, messages, output);
             }
             CoordinationMessage::Quotas { .. } => {}
             CoordinationMessage::FetchEvents(after) => {
                 let events = self.relay.events_after(after);
                 if !events.is_empty() {
-                    out.send(from.member, CoordinationMessage::Events(events));
+                    output.send(from.member, CoordinationMessage::Events(events));
                 }
             }
-            CoordinationMessage::Events(events) => self.on_relayed_events(now, events, out),
+            CoordinationMessage::Events(events) => self.on_relayed_events(now, events, output),
         }
     }
 
@@ -348,22 +358,24 @@
         now: Nanos,
         from: ProcessId,
         messages: Vec<QuotaEnvelope>,
-        out: &mut dyn CoordinationOutput,
+        output: &mut dyn CoordinationOutput,
     ) {
         let outbox = self.quotas.on_messages(now, from, messages);
-        self.send_quota_messages(outbox, out);
-        self.report_shares(out);
+        self.send_quota_messages(outbox, output);
+        self.report_changed_shares(output);
     }
 
-    /// A gossip datagram arrived.
+    /// Handles a gossip datagram.
     pub fn on_gossip(
         &mut self,
         now: Nanos,
         gossip: GossipMessage,
-        out: &mut dyn CoordinationOutput,
+        output: &mut dyn CoordinationOutput,
     ) {
         let from = gossip.sender();
-        if from.member == self.me.member || self.reachable_process(from.member) != Some(from) {
+        if from.member == self.own_process.member
+            || self.reachable_process(from.member) != Some(from)
+        {
             return;
         }
         let Some(delay) = self.gossip.transit_delay(now, from, gossip.sent_at_ms()) else {
@@ -388,23 +400,26 @@
             }
             GossipMessage::Digest { buckets, .. } => {
                 if let Some(versions) = self.gossip.on_digest(now, &buckets) {
-                    out.send_gossip(from.member, versions);
+                    output.send_gossip(from.member, versions);
                 }
             }
             GossipMessage::Versions { known, .. } => {
                 let replies = self.gossip.on_versions(now, &known, self.health.table());
                 for reply in replies {
-                    out.send_gossip(from.member, reply);
+                    output.send_gossip(from.member, reply);
                 }
             }
         }
-        self.next_evaluation = self.next_evaluation.min(now + EVALUATION_INTERVAL);
+        self.next_health_evaluation = self
+            .next_health_evaluation
+            .min(now + HEALTH_EVALUATION_INTERVAL);
     }
 
     fn on_observation_update(&mut self, now: Nanos, delay: Nanos, update: ObservationUpdate) {
-        // Of a process that is not reachable nothing is taken: it is gone, or its successor speaks for itself.
+        // Observations of an unreachable process are ignored: it has ended, or its successor
+        // reports its own.
         let observer = update.observer;
-        if observer.member == self.me.member
+        if observer.member == self.own_process.member
             || self.reachable_process(observer.member) != Some(observer)
         {
             return;
@@ -421,7 +436,7 @@
 
     // Time.
 
-    /// When [`Coordinator::on_timer`] is due.
+    /// The time at which [`Coordinator::on_timer`] must be called next.
     pub fn next_timer(&self) -> Nanos {
         let rebalance = if self.quotas.is_empty() {
             Nanos::MAX
@@ -429,39 +444,40 @@
             self.next_rebalance
         };
         rebalance
-            .min(self.next_evaluation)
+            .min(self.next_health_evaluation)
             .min(self.gossip.next_timer())
             .min(self.relay.next_fetch())
     }
 
-    /// Does what is due. To be called at [`Coordinator::next_timer`]; earlier calls do no harm.
-    pub fn on_timer(&mut self, now: Nanos, out: &mut dyn CoordinationOutput) {
+    /// Runs the periodic work whose time has come. Must be called at [`Coordinator::next_timer`];
+    /// earlier calls do no harm.
+    pub fn on_timer(&mut self, now: Nanos, output: &mut dyn CoordinationOutput) {
         if now >= self.next_rebalance {
             self.next_rebalance = now + REBALANCE_INTERVAL;
-            self.rebalance(now, out);
+            self.rebalance(now, output);
         }
-        if now >= self.next_evaluation {
-            self.evaluate_health(now, out);
+        if now >= self.next_health_evaluation {
+            self.evaluate_health(now, output);
         }
         if now >= self.gossip.next_timer() {
-            self.send_gossip(now, out);
+            self.send_gossip(now, output);
         }
         if let Some(member) = self.relay.member_to_fetch_from(now) {
-            let after = self.relay.last();
-            out.send(member, CoordinationMessage::FetchEvents(after));
+            let after = self.relay.last_number();
+            output.send(member, CoordinationMessage::FetchEvents(after));
         }
     }
 
-    fn send_gossip(&mut self, now: Nanos, out: &mut dyn CoordinationOutput) {
+    fn send_gossip(&mut self, now: Nanos, output: &mut dyn CoordinationOutput) {
         let announcement = Announcement {
-            last_event: self.relay.last(),
+            last_event: self.relay.last_number(),
             leasable_units: self.quotas.leasable_units(MAX_ANNOUNCED_QUOTAS),
         };
-        let outgoing = self
-            .gossip
-            .on_timer(now, &self.reachable, &announcement, &mut self.rng);
+        let outgoing =
+            self.gossip
+                .on_timer(now, &self.reachable_members, &announcement, &mut self.rng);
         for datagram in outgoing {
-            out.send_gossip(datagram.to, datagram.message);
+            output.send_gossip(datagram.to, datagram.message);
         }
     }
 
@@ -470,17 +486,17 @@
     /// This member's view of the shared state.
     pub fn view(&self, now: Nanos) -> CoordinationView {
         CoordinationView {
-            member: self.me.member,
-            incarnation: self.me.incarnation,
+            member: self.own_process.member,
+            incarnation: self.own_process.incarnation,
             reach: self.reach,
-            reachable: self.reachable.clone(),
-            last_event: self.relay.last(),
+            reachable: self.reachable_members.clone(),
+            last_event: self.relay.last_number(),
             is_event_source_silent: self.relay.is_source_silent(now),
             quotas: self.quotas.views(),
             engines: self.health.views(now),
             sent_bytes: 0,
             late_datagrams: self.gossip.late_datagrams(),
-            relayed_events: self.relay.relayed(),
+            relayed_events: self.relay.relayed_count(),
         }
     }
 }
--- a/crates/ivypitch-coordination/src/engine_health.rs
+++ b/crates/ivypitch-coordination/src/engine_health.rs
@@ -1,4 +1,5 @@
-//! Engine health as one member sees it: its own observations, those of all, and what follows for each engine.
+//! Engine health at one member: records its own observations, collects those of all members, and
+//! derives the status of each engine.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::Hasher;
@@ -15,49 +16,52 @@
 use crate::outlier_consensus::{OutlierConsensus, OutlierDecision, is_prober, unit_interval};
 use crate::view::{EngineHealthView, MemberObservationView};
 
-/// Own outcomes of which an observation consists.
-const MAX_OWN_OUTCOMES: usize = 3;
-/// A member reports on an engine no more often.
-const REPORT_INTERVAL: Nanos = SECOND / 10;
-/// Once so many others have reported the same of an engine, one more need not.
-const ENOUGH_REPORTS: usize = 8;
-/// An engine that has recovered is used again by all members within this span, by each from a moment of its own.
-const RETURN_SPREAD: Nanos = 2 * SECOND;
-/// Makes the moments of return independent of the choice of probers.
-const RETURN_HASH_SALT: u64 = 0x7e7;
+/// Maximum number of own attempt outcomes that an observation counts.
+const MAX_OUTCOMES_PER_OBSERVATION: usize = 3;
+/// Minimum time between two reports of a member on one engine.
+const MIN_REPORT_INTERVAL: Nanos = SECOND / 10;
+/// A report is omitted once this many other members have reported the same about the engine.
+const MAX_AGREEING_REPORTERS: usize = 8;
+/// The members readmit a recovered engine at different times, all within this time.
+const READMISSION_SPREAD: Nanos = 2 * SECOND;
+/// Makes the readmission times independent of the selection of probers.
+const READMISSION_HASH_SALT: u64 = 0x7e7;
 
 #[derive(Clone, Copy)]
-struct OwnOutcome {
-    at: Nanos,
+struct AttemptOutcome {
+    ended_at: Nanos,
     health: AttemptHealth,
 }
 
-/// This member's outcomes on one engine, and what it reported last.
+/// Recent outcomes of this member's attempts on one engine, and its last report on it.
 #[derive(Default)]
-struct OwnOutcomes {
-    /// Removed when too many and when older than an observation counts.
-    latest: VecDeque<OwnOutcome>,
-    reported_at: Nanos,
-    reported: HealthObservation,
+struct EngineRecord {
+    /// Outcomes are removed beyond [`MAX_OUTCOMES_PER_OBSERVATION`] and after [`OBSERVATION_TTL`].
+    recent_outcomes: VecDeque<AttemptOutcome>,
+    last_report_at: Nanos,
+    last_reported: HealthObservation,
 }
 
-impl OwnOutcomes {
+impl EngineRecord {
     fn push(&mut self, now: Nanos, health: AttemptHealth) {
-        self.latest.push_back(OwnOutcome { at: now, health });
-        while self.latest.len() > MAX_OWN_OUTCOMES
+        self.recent_outcomes.push_back(AttemptOutcome {
+            ended_at: now,
+            health,
+        });
+        while self.recent_outcomes.len() > MAX_OUTCOMES_PER_OBSERVATION
             || self
-                .latest
+                .recent_outcomes
                 .front()
-                .is_some_and(|outcome| outcome.at + OBSERVATION_TTL < now)
+                .is_some_and(|outcome| outcome.ended_at + OBSERVATION_TTL < now)
         {
-            self.latest.pop_front();
+            self.recent_outcomes.pop_front();
         }
     }
 
     fn observation(&self) -> HealthObservation {
         let count = |health: AttemptHealth| {
             let same = self
-                .latest
+                .recent_outcomes
                 .iter()
                 .filter(|outcome| outcome.health == health);
             same.count() as u8
@@ -70,24 +74,25 @@
     }
 }
 
+/// Engine health at one member.
 pub(crate) struct EngineHealthMonitor {
-    me: ProcessId,
-    /// Of each member.
+    own_process: ProcessId,
+    /// Zone of each member.
     zones: Vec<u16>,
-    /// The same at all members.
+    /// Seed of the random choices, the same at all members.
     seed: u64,
     table: ObservationTable,
     consensus: OutlierConsensus,
-    own: BTreeMap<EngineNumber, OwnOutcomes>,
+    own_records: BTreeMap<EngineNumber, EngineRecord>,
     own_version: u32,
     ready_engines: Vec<EngineNumber>,
     statuses: BTreeMap<EngineNumber, OutlierStatus>,
-    /// When this member uses engines again that have recovered.
-    return_at: BTreeMap<EngineNumber, Nanos>,
+    /// Times at which this member readmits engines that have recovered.
+    readmit_at: BTreeMap<EngineNumber, Nanos>,
     decisions: Vec<OutlierDecision>,
 }
 
-/// A status that is different from the one before.
+/// An engine status that differs from the previous one.
 pub(crate) struct StatusChange {
     pub(crate) engine: EngineNumber,
     pub(crate) status: OutlierStatus,
@@ -95,23 +100,23 @@
 
 impl EngineHealthMonitor {
     pub(crate) fn new(
-        me: ProcessId,
+        own_process: ProcessId,
         zones: Vec<u16>,
         max_engines: usize,
         seed: u64,
         now: Nanos,
     ) -> EngineHealthMonitor {
         EngineHealthMonitor {
-            me,
+            own_process,
             seed,
             table: ObservationTable::new(zones.len(), max_engines, now),
             zones,
             consensus: OutlierConsensus::default(),
-            own: BTreeMap::new(),
+            own_records: BTreeMap::new(),
             own_version: 0,
             ready_engines: Vec::new(),
             statuses: BTreeMap::new(),
-            return_at: BTreeMap::new(),
+            readmit_at: BTreeMap::new(),
             decisions: Vec::new(),
         }
     }
@@ -120,11 +125,11 @@
         &self.table
     }
 
-    pub(crate) fn ejected_engines(&self) -> usize {
+    pub(crate) fn ejected_engine_count(&self) -> usize {
         self.consensus.ejected().len()
     }
 
-    pub(crate) fn ready_engines(&self) -> usize {
+    pub(crate) fn ready_engine_count(&self) -> usize {
         self.ready_engines.len()
     }
 
@@ -132,16 +137,16 @@
         self.ready_engines = engines.to_vec();
         let is_ready = |engine: EngineNumber| engines.contains(&engine);
         self.table.retain_engines(is_ready);
-        self.own.retain(|&engine, _| is_ready(engine));
+        self.own_records.retain(|&engine, _| is_ready(engine));
         self.statuses.retain(|&engine, _| is_ready(engine));
-        self.return_at.retain(|&engine, _| is_ready(engine));
+        self.readmit_at.retain(|&engine, _| is_ready(engine));
     }
 
-    pub(crate) fn forget_member(&mut self, member: MemberId) {
-        self.table.forget_member(member);
+    pub(crate) fn clear_member(&mut self, member: MemberId) {
+        self.table.clear_member(member);
     }
 
-    /// An own attempt has ended. Returns the observation to be reported, if any.
+    /// Records the outcome of an own attempt. Returns the observation to be reported, if any.
     pub(crate) fn on_attempt_ended(
         &mut self,
         now: Nanos,
@@ -151,11 +156,11 @@
         if !self.ready_engines.contains(&engine) {
             return None;
         }
-        let own = self.own.entry(engine).or_default();
-        own.push(now, health);
-        let observation = own.observation();
-        let last_reported = own.reported;
-        if now < own.reported_at + REPORT_INTERVAL
+        let record = self.own_records.entry(engine).or_default();
+        record.push(now, health);
+        let observation = record.observation();
+        let last_reported = record.last_reported;
+        if now < record.last_report_at + MIN_REPORT_INTERVAL
             || !self.is_worth_reporting(now, engine, health, observation, last_reported)
         {
             return None;
@@ -169,9 +174,9 @@
         engine: EngineNumber,
         observation: HealthObservation,
     ) -> ObservationUpdate {
-        let own = self.own.entry(engine).or_default();
-        own.reported_at = now;
-        own.reported = observation;
+        let record = self.own_records.entry(engine).or_default();
+        record.last_report_at = now;
+        record.last_reported = observation;
         self.own_version += 1;
         let version = self.own_version;
         let stored = StoredObservation {
@@ -179,9 +184,10 @@
             observation,
             observed_at: now,
         };
-        self.table.insert_if_newer(engine, self.me.member, stored);
+        self.table
+            .insert_if_newer(engine, self.own_process.member, stored);
         ObservationUpdate {
-            observer: self.me,
+            observer: self.own_process,
             engine,
             version,
             age_ms: 0,
@@ -189,7 +195,8 @@
         }
     }
 
-    /// A fault is reported at once, a success only where somebody finds fault. Neither is once enough others agree.
+    /// A fault is reported at once, a success only for an engine that has a reported fault. Neither
+    /// is reported if enough other members have reported the same.
     fn is_worth_reporting(
         &self,
         now: Nanos,
@@ -198,28 +205,29 @@
         observation: HealthObservation,
         last_reported: HealthObservation,
     ) -> bool {
-        let mut accusers = 0;
-        let mut defenders = 0;
-        for other in self.table.fresh(engine, now) {
-            if other.member != self.me.member {
-                accusers += usize::from(other.observation.is_negative());
-                defenders += usize::from(other.observation.is_positive());
+        let mut failure_reporters = 0;
+        let mut success_reporters = 0;
+        for other in self.table.fresh_observations(engine, now) {
+            if other.member != self.own_process.member {
+                failure_reporters += usize::from(other.observation.has_mostly_failed());
+                success_reporters += usize::from(other.observation.has_mostly_succeeded());
             }
         }
         let has_reported_fault = last_reported.failures + last_reported.unreachable > 0;
         match health {
             AttemptHealth::Success => {
-                (accusers > 0 || has_reported_fault) && defenders < ENOUGH_REPORTS
+                (failure_reporters > 0 || has_reported_fault)
+                    && success_reporters < MAX_AGREEING_REPORTERS
             }
-            // One fault among many successes says nothing about the engine.
+            // One fault among many successes does not indicate a fault of the engine.
             AttemptHealth::Failure | AttemptHealth::Unreachable => {
                 let faults = observation.failures + observation.unreachable;
-                accusers < ENOUGH_REPORTS && faults >= observation.successes / 2
+                failure_reporters < MAX_AGREEING_REPORTERS && faults >= observation.successes / 2
             }
         }
     }
 
-    /// Another member's observation has arrived. True: it is new.
+    /// Stores an observation of another member. Returns whether it is newer than the stored one.
     pub(crate) fn on_update(&mut self, update: &ObservationUpdate, observed_at: Nanos) -> bool {
         if !self.ready_engines.contains(&update.engine) {
             return false;
@@ -233,7 +241,8 @@
             .insert_if_newer(update.engine, update.observer.member, stored)
     }
 
-    /// Evaluates all ready engines; returns the statuses that have changed. `reachable_members` counts this one too.
+    /// Evaluates all ready engines and returns the statuses that have changed. `reachable_members`
+    /// includes this member.
     pub(crate) fn evaluate(&mut self, now: Nanos, reachable_members: usize) -> Vec<StatusChange> {
         self.decisions =
             self.consensus
@@ -260,18 +269,19 @@
         reachable_members: usize,
     ) -> OutlierStatus {
         let engine = decision.engine;
-        let member = self.me.member;
+        let member = self.own_process.member;
         let has_recovered = previous.is_ejected && !decision.is_ejected;
-        if has_recovered && !self.return_at.contains_key(&engine) {
-            // Not all members at once, when all learn of it.
-            self.return_at
-                .insert(engine, now + self.return_delay(engine));
+        if has_recovered && !self.readmit_at.contains_key(&engine) {
+            // All members learn of the recovery together; they must not readmit the engine at the
+            // same time.
+            self.readmit_at
+                .insert(engine, now + self.readmission_delay(engine));
         }
-        let is_return_due = self.return_at.get(&engine).is_some_and(|&at| now >= at);
-        if decision.is_ejected || is_return_due {
-            self.return_at.remove(&engine);
+        let can_be_readmitted = self.readmit_at.get(&engine).is_some_and(|&at| now >= at);
+        if decision.is_ejected || can_be_readmitted {
+            self.readmit_at.remove(&engine);
         }
-        let is_ejected = decision.is_ejected || self.return_at.contains_key(&engine);
+        let is_ejected = decision.is_ejected || self.readmit_at.contains_key(&engine);
         let is_probing =
             decision.is_ejected && is_prober(now, engine, member, reachable_members, self.seed);
         OutlierStatus {
@@ -281,17 +291,17 @@
         }
     }
 
-    fn return_delay(&self, engine: EngineNumber) -> Nanos {
-        let mut hasher = SipHasher13::new_with_keys(engine, self.seed ^ RETURN_HASH_SALT);
-        hasher.write_u16(self.me.member.0);
-        (RETURN_SPREAD as f64 * unit_interval(hasher.finish())) as Nanos
+    fn readmission_delay(&self, engine: EngineNumber) -> Nanos {
+        let mut hasher = SipHasher13::new_with_keys(engine, self.seed ^ READMISSION_HASH_SALT);
+        hasher.write_u16(self.own_process.member.0);
+        (READMISSION_SPREAD as f64 * unit_interval(hasher.finish())) as Nanos
     }
 
-    /// The engines that any member speaks about.
+    /// Views of the engines with at least one fresh observation by a member that is not faulty.
     pub(crate) fn views(&self, now: Nanos) -> Vec<EngineHealthView> {
         self.decisions
             .iter()
-            .filter(|decision| decision.members > 0)
+            .filter(|decision| decision.reporting_members > 0)
             .map(|decision| self.view(now, decision))
             .collect()
     }
@@ -307,7 +317,7 @@
             outcomes: decision.outcomes,
             observations: self
                 .table
-                .fresh(decision.engine, now)
+                .fresh_observations(decision.engine, now)
                 .map(|fresh| MemberObservationView {
                     member: fresh.member,
                     age_ms: age_ms(&fresh),
--- a/crates/ivypitch-coordination/src/gossip.rs
+++ b/crates/ivypitch-coordination/src/gossip.rs
@@ -1,11 +1,13 @@
-//! Gossip of health observations, in bounded bandwidth.
+//! Gossip of health observations with bounded bandwidth.
 //!
-//! A new observation goes out at once to a few random members, and from each of them again, often enough that all but a
-//! few members receive it (rumor mongering). Digests of the known versions, exchanged with random members, repair what
-//! was missed (anti-entropy). Both after Demers et al., "Epidemic Algorithms for Replicated Database Maintenance".
+//! A new observation is sent at once to a few random members, each of which forwards it, often
+//! enough that all but a few members receive it (rumor mongering). Digests of the known versions,
+//! exchanged with random members, repair missed observations (anti-entropy). Both follow Demers et
+//! al., "Epidemic Algorithms for Replicated Database Maintenance".
 //!
-//! An observation travels with its age. The receiver adds the time in transit, measured against the sender's fastest
-//! datagram: one that was delayed for long is not taken for new.
+//! An observation carries its age. The receiver adds the time in transit, measured against the
+//! sender's fastest datagram, so that an observation that was delayed for long does not count as
+//! new.
 
 mod known_versions;
 mod repair;
@@ -20,37 +22,42 @@
 
 use crate::message::{GossipMessage, KnownVersion, ObservationUpdate};
 use crate::observations::ObservationTable;
-use known_versions::{BUCKETS, KnownVersions};
+use known_versions::{BUCKET_COUNT, KnownVersions};
 use transit_delay::TransitDelays;
 
-/// Members that each round of updates goes to.
+/// Number of members that each round of updates is sent to.
 const FANOUT: usize = 3;
-/// A new observation waits so long for others to go with it.
-const UPDATE_DELAY: Nanos = 20 * MILLISECOND;
-/// Rounds of updates start no closer together.
-const ROUND_INTERVAL: Nanos = 50 * MILLISECOND;
-/// Mean time between digests.
-const ANTI_ENTROPY_INTERVAL: Nanos = SECOND;
-/// Size of a datagram's content.
-const MAX_DATAGRAM_BYTES: usize = 1100;
-/// An update on the wire, on average.
-const UPDATE_BYTES: usize = 24;
-const MAX_UPDATES_PER_DATAGRAM: usize = MAX_DATAGRAM_BYTES / UPDATE_BYTES;
-/// A known version on the wire, on average.
-const KNOWN_VERSION_BYTES: usize = 14;
-const MAX_KNOWN_VERSIONS_PER_DATAGRAM: usize = MAX_DATAGRAM_BYTES / KNOWN_VERSION_BYTES;
-/// What else is in an update datagram, on average.
-const UPDATE_HEADER_BYTES: usize = 24;
-const LEASABLE_UNITS_BYTES: usize = 3;
-const DIGEST_BYTES: usize = 4 * BUCKETS;
-/// Updates that wait to be sent again; beyond it the oldest are dropped.
+/// Delay of a new observation, so that others can be sent in the same datagram.
+const UPDATE_BATCHING_DELAY: Nanos = 20 * MILLISECOND;
+/// Minimum time between the starts of two rounds of updates.
+const MIN_ROUND_INTERVAL: Nanos = 50 * MILLISECOND;
+/// Mean time between two digests.
+const MEAN_ANTI_ENTROPY_INTERVAL: Nanos = SECOND;
+/// Maximum size of a datagram's content.
+const MAX_DATAGRAM_CONTENT_BYTES: usize = 1100;
+/// Mean encoded size of an update.
+const MEAN_UPDATE_BYTES: usize = 24;
+/// Maximum number of updates in one datagram.
+const MAX_UPDATES_PER_DATAGRAM: usize = MAX_DATAGRAM_CONTENT_BYTES / MEAN_UPDATE_BYTES;
+/// Mean encoded size of a known version.
+const MEAN_KNOWN_VERSION_BYTES: usize = 14;
+/// Maximum number of known versions in one datagram.
+const MAX_KNOWN_VERSIONS_PER_DATAGRAM: usize =
+    MAX_DATAGRAM_CONTENT_BYTES / MEAN_KNOWN_VERSION_BYTES;
+/// Mean encoded size of the other fields of an update datagram.
+const MEAN_UPDATE_HEADER_BYTES: usize = 24;
+/// Mean encoded size of the leasable units of one quota.
+const MEAN_LEASABLE_UNITS_BYTES: usize = 3;
+/// Size of a digest's hashes, of 4 bytes each.
+const DIGEST_BYTES: usize = 4 * BUCKET_COUNT;
+/// Maximum number of updates that wait to be sent; beyond it the oldest are dropped.
 const MAX_PENDING_UPDATES: usize = 4096;
 
-/// What goes out with every datagram of updates.
+/// Content of every update datagram besides the updates.
 pub(crate) struct Announcement {
-    /// The number of the last endpoint event.
+    /// Number of the last endpoint event.
     pub(crate) last_event: u64,
-    /// Units that could be leased out, by quota.
+    /// Units that this member can lease out, by quota.
     pub(crate) leasable_units: Vec<u32>,
 }
 
@@ -60,15 +67,15 @@
     pub(crate) message: GossipMessage,
 }
 
-/// An update that still goes out.
+/// An update that has transmissions left.
 struct PendingUpdate {
     update: ObservationUpdate,
-    /// When the observation was made, by this member's clock.
+    /// Time of the observation, by this member's clock.
     observed_at: Nanos,
     transmissions_left: u32,
 }
 
-/// A token bucket of one second's bytes.
+/// A token bucket that holds the bytes of one second.
 struct ByteBudget {
     available: f64,
     bytes_per_second: f64,
@@ -92,39 +99,40 @@
     }
 }
 
-/// One member's part in the gossip.
+/// The gossip of one member.
 pub(crate) struct Gossiper {
-    me: ProcessId,
+    own_process: ProcessId,
     started_at: Nanos,
-    members: usize,
-    /// The newest last. Removed once sent often enough, and from the front beyond the limit.
+    member_count: usize,
+    /// In order of arrival. An update is removed when it has no transmissions left; the oldest are
+    /// dropped beyond the limit.
     pending: VecDeque<PendingUpdate>,
-    versions: KnownVersions,
+    known_versions: KnownVersions,
     transit_delays: TransitDelays,
     next_round: Nanos,
     last_round: Nanos,
     next_anti_entropy: Nanos,
-    budget: ByteBudget,
+    byte_budget: ByteBudget,
 }
 
 impl Gossiper {
     pub(crate) fn new(
-        me: ProcessId,
-        members: usize,
+        own_process: ProcessId,
+        member_count: usize,
         bytes_per_second: f64,
         now: Nanos,
     ) -> Gossiper {
         Gossiper {
-            me,
+            own_process,
             started_at: now,
-            members,
+            member_count,
             pending: VecDeque::new(),
-            versions: KnownVersions::default(),
+            known_versions: KnownVersions::default(),
             transit_delays: TransitDelays::default(),
             next_round: Nanos::MAX,
             last_round: 0,
-            next_anti_entropy: now + ANTI_ENTROPY_INTERVAL,
-            budget: ByteBudget {
+            next_anti_entropy: now + MEAN_ANTI_ENTROPY_INTERVAL,
+            byte_budget: ByteBudget {
                 available: bytes_per_second,
                 bytes_per_second,
                 refilled_at: now,
@@ -132,25 +140,25 @@
         }
     }
 
-    /// Datagrams that arrived too late to be used.
+    /// Number of datagrams that arrived too late to be used.
     pub(crate) fn late_datagrams(&self) -> u64 {
         self.transit_delays.late_datagrams()
     }
 
-    /// The version known of the latest process of a member.
+    /// Known version of the latest process of a member.
     pub(crate) fn known_version(&self, member: MemberId) -> Option<KnownVersion> {
-        self.versions.get(member)
+        self.known_versions.get(member)
     }
 
-    /// A new observation, of this member or another: it goes on.
+    /// Queues a new observation, of this member or another, for sending.
     pub(crate) fn on_new_observation(
         &mut self,
         now: Nanos,
         update: ObservationUpdate,
         observed_at: Nanos,
     ) {
-        self.versions.record(update.observer, update.version);
-        // An older observation of the same engine by the same member need not travel any more.
+        self.known_versions.record(update.observer, update.version);
+        // The new observation supersedes an older one of the same engine by the same member.
         self.pending.retain(|pending| {
             (pending.update.observer, pending.update.engine) != (update.observer, update.engine)
         });
@@ -162,16 +170,18 @@
         if self.pending.len() > MAX_PENDING_UPDATES {
             self.pending.pop_front();
         }
-        let soon = (now + UPDATE_DELAY).max(self.last_round + ROUND_INTERVAL);
-        self.next_round = self.next_round.min(soon);
+        let earliest_round =
+            (now + UPDATE_BATCHING_DELAY).max(self.last_round + MIN_ROUND_INTERVAL);
+        self.next_round = self.next_round.min(earliest_round);
     }
 
-    /// The announcement has changed: the next round starts soon.
-    pub(crate) fn expedite(&mut self, now: Nanos) {
-        self.next_round = self.next_round.min(now + UPDATE_DELAY);
+    /// Starts the next round soon, because the announcement has changed.
+    pub(crate) fn on_announcement_changed(&mut self, now: Nanos) {
+        self.next_round = self.next_round.min(now + UPDATE_BATCHING_DELAY);
     }
 
-    /// How much longer a datagram was in transit than the fastest of its sender. `None`: it is to be ignored.
+    /// The datagram's time in transit beyond that of the fastest of its sender. `None`: it must be
+    /// ignored.
     pub(crate) fn transit_delay(
         &mut self,
         now: Nanos,
@@ -181,50 +191,58 @@
         self.transit_delays.on_datagram(now, from, sent_at_ms)
     }
 
-    /// A member has filled gaps here.
+    /// Handles the versions up to which a repair by another member is complete.
     pub(crate) fn on_repaired(&mut self, complete_up_to: &[KnownVersion]) {
-        self.versions.on_repaired(complete_up_to);
+        self.known_versions.on_repaired(complete_up_to);
     }
 
-    /// The reply to a digest: what is known here of the buckets that differ.
+    /// Returns the reply to a digest: this member's known versions in the buckets that differ.
     pub(crate) fn on_digest(&self, now: Nanos, buckets: &[u32]) -> Option<GossipMessage> {
-        let mut known = self.versions.differing(buckets)?;
+        let mut known = self.known_versions.versions_in_differing_buckets(buckets)?;
         known.truncate(MAX_KNOWN_VERSIONS_PER_DATAGRAM);
         Some(self.versions_message(now, known))
     }
 
-    /// The replies to another member's versions: what it lacks, and, if it knows more of some, what is known here.
+    /// Returns the replies to another member's versions: the observations that it lacks and, if it
+    /// has newer versions, this member's known versions.
     pub(crate) fn on_versions(
         &self,
         now: Nanos,
-        theirs: &[KnownVersion],
+        peer_versions: &[KnownVersion],
         table: &ObservationTable,
     ) -> Vec<GossipMessage> {
         let mut replies = Vec::new();
-        let behind = self.versions.newer_than(theirs);
+        let behind = self.known_versions.peer_versions_behind(peer_versions);
         if !behind.is_empty() {
-            let repair = repair::repair(now, &behind, table, &self.versions);
+            let repair = repair::build_repair(now, &behind, table, &self.known_versions);
             replies.push(GossipMessage::Update {
                 sent_at_ms: self.clock_ms(now),
-                from: self.me,
+                from: self.own_process,
                 last_event: 0,
                 leasable_units: Vec::new(),
                 updates: repair.updates,
                 complete_up_to: repair.complete_up_to,
             });
         }
-        if self.versions.is_behind(theirs) {
-            replies.push(self.versions_message(now, self.versions.of_same_observers(theirs)));
+        if self.known_versions.is_behind(peer_versions) {
+            replies.push(
+                self.versions_message(
+                    now,
+                    self.known_versions
+                        .own_versions_of_same_observers(peer_versions),
+                ),
+            );
         }
         replies
     }
 
-    /// When [`Gossiper::on_timer`] is due.
+    /// The time at which [`Gossiper::on_timer`] must be called next.
     pub(crate) fn next_timer(&self) -> Nanos {
         self.next_round.min(self.next_anti_entropy)
     }
 
-    /// What goes out now. `reachable`: the other members that are up, in order.
+    /// Returns the datagrams to send now. `reachable`: the other reachable members, in ascending
+    /// order.
     pub(crate) fn on_timer(
         &mut self,
         now: Nanos,
@@ -232,7 +250,7 @@
         announcement: &Announcement,
         rng: &mut ChaCha8Rng,
     ) -> Vec<OutgoingGossip> {
-        self.budget.refill(now);
+        self.byte_budget.refill(now);
         let mut outgoing = Vec::new();
         if now >= self.next_round {
             self.start_round(now, reachable, announcement, rng, &mut outgoing);
@@ -253,12 +271,12 @@
     ) {
         self.next_round = Nanos::MAX;
         self.last_round = now;
-        for to in random_members(reachable, FANOUT, rng) {
+        for to in choose_random_members(reachable, FANOUT, rng) {
             let updates = self.next_updates(now);
-            let size = UPDATE_HEADER_BYTES
-                + announcement.leasable_units.len() * LEASABLE_UNITS_BYTES
-                + updates.len() * UPDATE_BYTES;
-            if !self.budget.try_take(size) {
+            let size = MEAN_UPDATE_HEADER_BYTES
+                + announcement.leasable_units.len() * MEAN_LEASABLE_UNITS_BYTES
+                + updates.len() * MEAN_UPDATE_BYTES;
+            if !self.byte_budget.try_take(size) {
                 break;
             }
             let message = self.update_message(now, announcement, updates);
@@ -267,7 +285,7 @@
         self.pending
             .retain(|pending| pending.transmissions_left > 0);
         if !self.pending.is_empty() {
-            self.next_round = now + ROUND_INTERVAL;
+            self.next_round = now + MIN_ROUND_INTERVAL;
         }
     }
 
@@ -279,29 +297,29 @@
         rng: &mut ChaCha8Rng,
         outgoing: &mut Vec<OutgoingGossip>,
     ) {
-        let jitter = rng.random_range(0..ANTI_ENTROPY_INTERVAL);
-        self.next_anti_entropy = now + ANTI_ENTROPY_INTERVAL / 2 + jitter;
-        let Some(to) = random_members(reachable, 1, rng).pop() else {
+        let jitter = rng.random_range(0..MEAN_ANTI_ENTROPY_INTERVAL);
+        self.next_anti_entropy = now + MEAN_ANTI_ENTROPY_INTERVAL / 2 + jitter;
+        let Some(to) = choose_random_members(reachable, 1, rng).pop() else {
             return;
         };
-        if !self.budget.try_take(DIGEST_BYTES) {
+        if !self.byte_budget.try_take(DIGEST_BYTES) {
             return;
         }
         let digest = GossipMessage::Digest {
             sent_at_ms: self.clock_ms(now),
-            from: self.me,
-            buckets: self.versions.digest(),
+            from: self.own_process,
+            buckets: self.known_versions.digest(),
         };
         outgoing.push(OutgoingGossip {
             to,
             message: digest,
         });
-        // The announcement goes out in quiet times too.
+        // The announcement is also sent when there are no updates.
         let message = self.update_message(now, announcement, Vec::new());
         outgoing.push(OutgoingGossip { to, message });
     }
 
-    /// The updates that were sent least, each counted as sent.
+    /// Returns the updates with the most transmissions left, and counts one transmission of each.
     fn next_updates(&mut self, now: Nanos) -> Vec<ObservationUpdate> {
         let mut least_sent_first: Vec<usize> = (0..self.pending.len()).collect();
         least_sent_first.sort_by_key(|&i| Reverse(self.pending[i].transmissions_left));
@@ -321,11 +339,11 @@
         updates
     }
 
-    /// How often each member that receives an update sends it: enough for all but one in some thousands to receive it
-    /// with one datagram in twenty lost.
+    /// Number of times that each member sends an update: enough that all members but one in some
+    /// thousands receive it when one datagram in twenty is lost.
     fn transmissions(&self) -> u32 {
-        let doublings = (self.members.max(2) as f64).log2();
-        (0.75 * doublings).ceil() as u32 + 1
+        let log2_member_count = (self.member_count.max(2) as f64).log2();
+        (0.75 * log2_member_count).ceil() as u32 + 1
     }
 
     fn update_message(
@@ -336,7 +354,7 @@
     ) -> GossipMessage {
         GossipMessage::Update {
             sent_at_ms: self.clock_ms(now),
-            from: self.me,
+            from: self.own_process,
             last_event: announcement.last_event,
             leasable_units: announcement.leasable_units.clone(),
             updates,
@@ -347,7 +365,7 @@
     fn versions_message(&self, now: Nanos, known: Vec<KnownVersion>) -> GossipMessage {
         GossipMessage::Versions {
             sent_at_ms: self.clock_ms(now),
-            from: self.me,
+            from: self.own_process,
             known,
         }
     }
@@ -357,13 +375,17 @@
     }
 }
 
-/// The age of an observation as it goes on the wire.
+/// Age of an observation in milliseconds, as it is encoded.
 fn age_ms(now: Nanos, observed_at: Nanos) -> u32 {
     (now.saturating_sub(observed_at) / MILLISECOND).min(u64::from(u32::MAX)) as u32
 }
 
-/// So many different members, drawn at random.
-fn random_members(reachable: &[MemberId], count: usize, rng: &mut ChaCha8Rng) -> Vec<MemberId> {
+/// Chooses up to `count` different members at random.
+fn choose_random_members(
+    reachable: &[MemberId],
+    count: usize,
+    rng: &mut ChaCha8Rng,
+) -> Vec<MemberId> {
     let mut chosen = Vec::with_capacity(count);
     while chosen.len() < count.min(reachable.len()) {
         let member = reachable[rng.random_range(0..reachable.len())];
--- a/crates/ivypitch-coordination/src/gossip/known_versions.rs
+++ b/crates/ivypitch-coordination/src/gossip/known_versions.rs
@@ -1,4 +1,4 @@
-//! Which observations of each member are known: what anti-entropy compares.
+//! Versions of the known observations of each member, which anti-entropy compares.
 
 use std::collections::BTreeMap;
 use std::hash::Hasher;
@@ -8,11 +8,11 @@
 
 use crate::message::KnownVersion;
 
-/// Parts that the members are divided into in a digest.
-pub(super) const BUCKETS: usize = 16;
+/// Number of buckets that a digest divides the members into.
+pub(super) const BUCKET_COUNT: usize = 16;
 
-fn bucket(member: MemberId) -> usize {
-    member.as_usize() % BUCKETS
+fn bucket_of(member: MemberId) -> usize {
+    member.as_usize() % BUCKET_COUNT
 }
 
 /// For each member, the version up to which its observations are known without a gap.
@@ -26,22 +26,23 @@
         self.by_member.get(&member).copied()
     }
 
-    /// An observation arrived. One that is missing before it leaves a gap, which anti-entropy repairs.
+    /// Records a received observation. A missing earlier observation leaves a gap, which
+    /// anti-entropy repairs.
     pub(super) fn record(&mut self, observer: ProcessId, version: u32) {
-        let nothing = KnownVersion {
+        let initial = KnownVersion {
             observer,
             version: 0,
         };
-        let known = self.by_member.entry(observer.member).or_insert(nothing);
+        let known = self.by_member.entry(observer.member).or_insert(initial);
         if known.observer != observer {
-            *known = nothing;
+            *known = initial;
         }
         if version == known.version + 1 {
             known.version = version;
         }
     }
 
-    /// Everything up to these versions has arrived or is superseded.
+    /// Records that all observations up to these versions have arrived or are superseded.
     pub(super) fn on_repaired(&mut self, complete_up_to: &[KnownVersion]) {
         for complete in complete_up_to {
             let known = self
@@ -56,55 +57,62 @@
         }
     }
 
-    /// A hash of the versions in each bucket, independent of their order.
+    /// Returns a hash of the versions in each bucket, independent of their order.
     pub(super) fn digest(&self) -> Vec<u32> {
-        let mut buckets = vec![0u32; BUCKETS];
+        let mut buckets = vec![0u32; BUCKET_COUNT];
         for (&member, known) in &self.by_member {
             let mut hasher = SipHasher13::new();
             hasher.write_u16(member.0);
             hasher.write_u64(known.observer.incarnation.0);
             hasher.write_u32(known.version);
-            buckets[bucket(member)] ^= hasher.finish() as u32;
+            buckets[bucket_of(member)] ^= hasher.finish() as u32;
         }
         buckets
     }
 
-    /// The versions in the buckets whose hashes differ from these; `None`: all are equal.
-    pub(super) fn differing(&self, theirs: &[u32]) -> Option<Vec<KnownVersion>> {
-        let own = self.digest();
-        if theirs == own {
+    /// Returns the versions in the buckets whose hashes differ from those of a peer. `None`: all
+    /// hashes are equal.
+    pub(super) fn versions_in_differing_buckets(
+        &self,
+        peer_digest: &[u32],
+    ) -> Option<Vec<KnownVersion>> {
+        let own_digest = self.digest();
+        if peer_digest == own_digest {
             return None;
         }
         let differs = |known: &&KnownVersion| {
-            let bucket = bucket(known.observer.member);
-            theirs.get(bucket) != own.get(bucket)
+            let bucket = bucket_of(known.observer.member);
+            peer_digest.get(bucket) != own_digest.get(bucket)
         };
         Some(self.by_member.values().filter(differs).copied().collect())
     }
 
-    /// The observers of which another member knows less, with the versions that it knows.
-    pub(super) fn newer_than(&self, theirs: &[KnownVersion]) -> Vec<KnownVersion> {
-        let mut newer = Vec::new();
+    /// Returns the observers of which a peer has an older version, with the peer's versions.
+    pub(super) fn peer_versions_behind(&self, peer_versions: &[KnownVersion]) -> Vec<KnownVersion> {
+        let mut behind = Vec::new();
         for known in self.by_member.values() {
             let member = known.observer.member;
-            let Some(other) = theirs.iter().find(|other| other.observer.member == member) else {
+            let Some(other) = peer_versions
+                .iter()
+                .find(|other| other.observer.member == member)
+            else {
                 continue;
             };
             let is_same_process = other.observer == known.observer;
             let version = if is_same_process { other.version } else { 0 };
             if version < known.version {
-                newer.push(KnownVersion {
+                behind.push(KnownVersion {
                     observer: known.observer,
                     version,
                 });
             }
         }
-        newer
+        behind
     }
 
-    /// Whether another member knows more of any observer.
-    pub(super) fn is_behind(&self, theirs: &[KnownVersion]) -> bool {
-        theirs.iter().any(|other| {
+    /// Whether a peer has a newer version of any observer.
+    pub(super) fn is_behind(&self, peer_versions: &[KnownVersion]) -> bool {
+        peer_versions.iter().any(|other| {
             let Some(own) = self.by_member.get(&other.observer.member) else {
                 return true;
             };
@@ -113,15 +121,18 @@
         })
     }
 
-    /// What is known of these same observers.
-    pub(super) fn of_same_observers(&self, theirs: &[KnownVersion]) -> Vec<KnownVersion> {
+    /// Returns this member's versions of the observers in a peer's versions.
+    pub(super) fn own_versions_of_same_observers(
+        &self,
+        peer_versions: &[KnownVersion],
+    ) -> Vec<KnownVersion> {
         let own_version = |observer: ProcessId| {
             self.by_member
                 .get(&observer.member)
                 .filter(|own| own.observer == observer)
                 .map_or(0, |own| own.version)
         };
-        theirs
+        peer_versions
             .iter()
             .map(|other| KnownVersion {
                 observer: other.observer,
--- a/crates/ivypitch-coordination/src/gossip/repair.rs
+++ b/crates/ivypitch-coordination/src/gossip/repair.rs
@@ -1,4 +1,4 @@
-//! The observations that another member lacks.
+//! Repair of gaps: the observations that another member lacks.
 
 use ivypitch_types::Nanos;
 
@@ -7,27 +7,30 @@
 use crate::message::{KnownVersion, ObservationUpdate};
 use crate::observations::{OBSERVATION_TTL, ObservationTable};
 
-/// Members whose observations are repaired by one datagram, so that it stays within its size.
+/// Maximum number of members whose observations one datagram repairs, which bounds its size.
 const MAX_REPAIRED_MEMBERS: usize = 16;
+/// Maximum number of updates in one datagram, which bounds its size.
 const MAX_REPAIRED_UPDATES: usize = 40;
 
-/// The content of a datagram that fills gaps.
+/// Content of a datagram that repairs gaps.
 pub(super) struct Repair {
     pub(super) updates: Vec<ObservationUpdate>,
-    /// The members whose observations are all among the updates. The others are repaired after a later digest.
+    /// Versions of the members whose missing observations are all among the updates. The other
+    /// members are repaired after a later digest.
     pub(super) complete_up_to: Vec<KnownVersion>,
 }
 
-/// As many observations after the versions in `behind` as go into one datagram.
-pub(super) fn repair(
+/// Collects the observations after the versions in `versions_behind`, as many as fit into one
+/// datagram.
+pub(super) fn build_repair(
     now: Nanos,
-    behind: &[KnownVersion],
+    versions_behind: &[KnownVersion],
     table: &ObservationTable,
     versions: &KnownVersions,
 ) -> Repair {
     let mut updates = Vec::new();
     let mut complete_up_to = Vec::new();
-    for known in behind.iter().take(MAX_REPAIRED_MEMBERS) {
+    for known in versions_behind.iter().take(MAX_REPAIRED_MEMBERS) {
         let updates_before = updates.len();
         push_updates_after(now, *known, table, &mut updates);
         if updates.len() > MAX_REPAIRED_UPDATES {
--- a/crates/ivypitch-coordination/src/lib.rs
+++ b/crates/ivypitch-coordination/src/lib.rs
@@ -1,9 +1,10 @@
-//! What the gateways of a fleet decide together: how shared quotas are divided, which engines are outliers, and how
-//! endpoint events reach gateways that cannot hear their source.
+//! Coordination of the gateways of a fleet: division of shared quotas, detection of outlier
+//! engines, and relay of endpoint events to gateways without a connection to the event source.
 //!
-//! [`Coordinator`] is a state machine without I/O, clock or threads; its driver brings messages and the time and carries
-//! out what it asks for through [`CoordinationOutput`]. Whatever messages are lost, delayed, duplicated or reordered and
-//! whichever processes restart, the members together never exceed a quota. A member that reaches nobody keeps its
+//! [`Coordinator`] is a state machine without I/O, clock or threads. Its driver passes in messages
+//! and the time, and carries out the actions that it requests through [`CoordinationOutput`]. The
+//! members together never exceed a quota, whatever messages are lost, delayed, duplicated or
+//! reordered and whichever processes restart. A member that reaches no other member keeps its
 //! reserved minimum and its own observations.
 
 #![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used)]
--- a/crates/ivypitch-coordination/src/message.rs
+++ b/crates/ivypitch-coordination/src/message.rs
@@ -1,35 +1,37 @@
-//! Messages between coordinators. They are encoded by position: fields and variants may be renamed, never reordered.
+//! Messages between coordinators. They are encoded by position: fields and variants may be renamed,
+//! never reordered.
 
 use ivypitch_types::{Incarnation, ProcessId};
 use serde::{Deserialize, Serialize};
 
 use crate::observations::{EngineNumber, HealthObservation};
 
-/// Version of the messages in this module. Members with another version do not talk to each other.
+/// Version of the messages in this module. Members with different versions do not communicate.
 pub const PROTOCOL_VERSION: u16 = 1;
 
-/// Numbers the lease requests of one process. A lease is identified by the request that it was first granted for.
+/// Number of a lease request, unique in its process. A lease is identified by the request that it
+/// was first granted for.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct RequestId(pub u32);
 
-/// Asks a member for a lease, or for more time on one.
+/// Requests a new lease from a member, or the extension of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// This request.
+    /// Number of this request.
     pub request: RequestId,
-    /// Units asked for.
+    /// Requested units.
     pub units: u32,
-    /// The lease that is to be extended; `None` asks for a new one.
+    /// The lease to extend; `None` requests a new one.
     pub extends: Option<RequestId>,
 }
 
 /// The positive reply to a [`LeaseRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// The request that is answered.
+    /// The request that this message answers.
     pub request: RequestId,
     /// The lease that was extended, or the request's own id for a new lease.
     pub lease: RequestId,
@@ -40,18 +42,19 @@
 /// A message about the leases of one quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum QuotaMessage {
-    /// To the grantor: asks for units.
+    /// To the grantor: requests units.
     Request(LeaseRequest),
-    /// To the holder: units are leased to it.
+    /// To the holder: grants it a lease.
     Grant(LeaseGrant),
-    /// To the holder: nothing is available now.
+    /// To the holder: no units are available now.
     Reject {
-        /// The request that is answered.
+        /// The request that this message answers.
         request: RequestId,
     },
     /// To the grantor: the holder no longer uses this lease.
     Release(RequestId),
-    /// To the holder: the grantor needs the units of this lease. The lease expires anyway if this message is lost.
+    /// To the holder: the grantor needs the units of this lease back. If this message is lost, the
+    /// lease still expires.
     Revoke(RequestId),
 }
 
@@ -60,16 +63,16 @@
 pub struct QuotaEnvelope {
     /// Position of the quota in the configuration.
     pub quota: u16,
-    /// What is said about it.
+    /// The message.
     pub message: QuotaMessage,
 }
 
 /// An event of the endpoint list as its source wrote it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointEvent {
-    /// Events are numbered without gaps.
+    /// Number of the event; events are numbered without gaps.
     pub number: u64,
-    /// The event's text.
+    /// Text of the event.
     pub line: Vec<u8>,
 }
 
@@ -78,75 +81,77 @@
 pub enum CoordinationMessage {
     /// Messages about quotas.
     Quotas {
-        /// The process that they are for: its successor must not act on them.
+        /// The receiving process: its successor must not act on the messages.
         to: Incarnation,
-        /// In the order in which they were written.
+        /// The messages, in the order in which they were written.
         messages: Vec<QuotaEnvelope>,
     },
-    /// Asks for the endpoint events after this number.
+    /// Requests the endpoint events after this number.
     FetchEvents(u64),
-    /// Endpoint events in the order of their numbers.
+    /// Endpoint events in ascending order of their numbers.
     Events(Vec<EndpointEvent>),
 }
 
-/// A member's observation of an engine, as it travels.
+/// A member's observation of an engine, as it is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ObservationUpdate {
     /// The process that made the observation.
     pub observer: ProcessId,
-    /// The engine observed.
+    /// The observed engine.
     pub engine: EngineNumber,
-    /// Counts the observer's observations.
+    /// Number of the observation among those of the observer.
     pub version: u32,
-    /// Age when the datagram was sent, in milliseconds.
+    /// Age at the time of sending, in milliseconds.
     pub age_ms: u32,
-    /// What was observed.
+    /// The observation.
     pub observation: HealthObservation,
 }
 
-/// Up to this version, every observation of a process is known here or superseded by a later one of the same engine.
+/// The version up to which every observation of a process is known or superseded by a later one of
+/// the same engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownVersion {
     /// The process that made the observations.
     pub observer: ProcessId,
-    /// The version, inclusive.
+    /// The last such version, inclusive.
     pub version: u32,
 }
 
-/// A gossip datagram. `sent_at_ms` is by the sender's own clock.
+/// A gossip datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GossipMessage {
-    /// New observations, and what the sender has to offer.
+    /// New observations, and the sender's progress and leasable units.
     Update {
-        /// When it was sent, in milliseconds.
+        /// Time of sending, in milliseconds of the sender's own clock.
         sent_at_ms: u64,
-        /// Who sent it.
+        /// The process that sent it.
         from: ProcessId,
-        /// The last endpoint event that the sender has; 0: not stated.
+        /// Number of the sender's last endpoint event; 0: not stated.
         last_event: u64,
-        /// Units that the sender could lease out, by quota.
+        /// Units that the sender can lease out, by quota.
         leasable_units: Vec<u32>,
-        /// Observations of any member.
+        /// Observations by any members.
         updates: Vec<ObservationUpdate>,
-        /// For these members, everything up to the version is among the updates or superseded.
+        /// Versions of members up to which all missing observations are among the updates or
+        /// superseded.
         complete_up_to: Vec<KnownVersion>,
     },
-    /// Hashes over the versions that the sender knows, one for each bucket of members.
+    /// Hashes of the versions that the sender knows, one for each bucket of members.
     Digest {
-        /// When it was sent, in milliseconds.
+        /// Time of sending, in milliseconds of the sender's own clock.
         sent_at_ms: u64,
-        /// Who sent it.
+        /// The process that sent it.
         from: ProcessId,
         /// The hash of each bucket.
         buckets: Vec<u32>,
     },
-    /// The versions that the sender knows of members in buckets that differ.
+    /// The versions that the sender knows of the members in differing buckets.
     Versions {
-        /// When it was sent, in milliseconds.
+        /// Time of sending, in milliseconds of the sender's own clock.
         sent_at_ms: u64,
-        /// Who sent it.
+        /// The process that sent it.
         from: ProcessId,
-        /// Versions by member.
+        /// The known versions of the members.
         known: Vec<KnownVersion>,
     },
 }
@@ -161,7 +166,7 @@
         }
     }
 
-    /// When it was sent, in milliseconds of the sender's own clock.
+    /// The time at which it was sent, in milliseconds of the sender's own clock.
     pub fn sent_at_ms(&self) -> u64 {
         match self {
             GossipMessage::Update { sent_at_ms, .. }
--- a/crates/ivypitch-coordination/src/output.rs
+++ b/crates/ivypitch-coordination/src/output.rs
@@ -1,4 +1,4 @@
-//! What the coordinator asks of its driver.
+//! Interface through which the coordinator requests actions from its driver.
 
 use ivypitch_scheduler::OutlierStatus;
 use ivypitch_types::MemberId;
@@ -7,17 +7,18 @@
 use crate::message::{CoordinationMessage, GossipMessage};
 use crate::observations::EngineNumber;
 
-/// What the coordinator asks of its driver.
+/// Actions that the coordinator requests from its driver.
 pub trait CoordinationOutput {
-    /// Sends a message over the link to this member, if there is one.
+    /// Sends a message over the link to this member, if there is a link.
     fn send(&mut self, to: MemberId, message: CoordinationMessage);
     /// Sends a gossip datagram to this member.
     fn send_gossip(&mut self, to: MemberId, gossip: GossipMessage);
-    /// From now on this member may use the fraction `share` of the quota, 0 to 1.
+    /// Sets this member's quota share: the fraction of the quota that it may use from now on, 0 to
+    /// 1.
     fn on_quota_share_changed(&mut self, quota: QuotaIndex, share: f64);
-    /// What the fleet thinks of an engine has changed.
+    /// Applies the changed outlier status of an engine.
     fn on_outlier_status(&mut self, engine: EngineNumber, status: OutlierStatus);
-    /// Another member relayed the next event of the endpoint list.
+    /// Applies the next event of the endpoint list, which another member relayed.
     fn on_endpoint_event(&mut self, number: u64, line: &[u8]);
     /// Writes a line to the log.
     fn log(&mut self, line: &str);
--- a/crates/ivypitch-coordination/src/view.rs
+++ b/crates/ivypitch-coordination/src/view.rs
@@ -1,27 +1,28 @@
-//! One member's view of the shared state, as `SHOW FLEET` prints it in JSON. Keys and variant texts are part of that
-//! interface and keep their names.
+//! One member's view of the shared state, as `SHOW FLEET` prints it in JSON. The serialized keys
+//! and variant names are part of that interface and must not change.
 
 use ivypitch_types::{Incarnation, MemberId};
 use serde::Serialize;
 
 use crate::observations::{EngineNumber, HealthObservation};
 
-/// How much of the fleet a member can reach.
+/// Part of the fleet that a member can reach.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum FleetReach {
-    /// More than half of the members.
+    /// More than half of the members, including this one.
     #[serde(rename = "Most")]
     Majority,
-    /// Some: their reports count as long as they are fresh.
+    /// Some other members, but no majority. Their observations count as long as they are fresh.
     #[serde(rename = "Few")]
     Minority,
-    /// None: own observations, and the base allocation once leases have expired.
+    /// No other member. The member uses its own observations and, once its leases have expired, its
+    /// base allocation.
     #[serde(rename = "Alone")]
     Isolated,
 }
 
 impl FleetReach {
-    /// As it stands in log lines.
+    /// Name of the variant in log lines.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             FleetReach::Majority => "majority",
@@ -31,92 +32,93 @@
     }
 }
 
-/// All that one member shares with the others.
+/// One member's view of the shared state.
 #[derive(Clone, Debug, Serialize)]
 pub struct CoordinationView {
     /// This member.
     #[serde(rename = "place")]
     pub member: MemberId,
-    /// Its process.
+    /// Incarnation of its process.
     #[serde(rename = "birth")]
     pub incarnation: Incarnation,
-    /// How much of the fleet it can reach.
+    /// Part of the fleet that it can reach.
     #[serde(rename = "hearing")]
     pub reach: FleetReach,
     /// The other members that it can reach.
     #[serde(rename = "heard")]
     pub reachable: Vec<MemberId>,
-    /// The number of the last endpoint event.
+    /// Number of the last endpoint event.
     #[serde(rename = "journal")]
     pub last_event: u64,
     /// Whether the event source is silent.
     #[serde(rename = "journal_silent")]
     pub is_event_source_silent: bool,
-    /// By quota.
+    /// The shared quotas.
     #[serde(rename = "bounds")]
     pub quotas: Vec<QuotaView>,
-    /// The engines that any member speaks about.
+    /// The engines with at least one fresh observation by a member that is not faulty.
     pub engines: Vec<EngineHealthView>,
-    /// Always 0: the bytes sent are counted by the driver, which knows what its datagrams take.
+    /// Bytes sent. The coordinator reports 0; the driver, which knows the size of its datagrams,
+    /// counts them.
     pub sent_bytes: u64,
-    /// Gossip datagrams that arrived too late to be used.
+    /// Number of gossip datagrams that arrived too late to be used.
     #[serde(rename = "late")]
     pub late_datagrams: u64,
-    /// Endpoint events that other members relayed.
+    /// Number of endpoint events that other members relayed.
     #[serde(rename = "events_by_members")]
     pub relayed_events: u64,
 }
 
-/// One quota.
+/// View of one quota.
 #[derive(Clone, Debug, Serialize)]
 pub struct QuotaView {
-    /// Its name.
+    /// Name of the quota.
     pub name: String,
-    /// Units over all members.
+    /// Total units, over all members.
     #[serde(rename = "units")]
     pub total_units: u32,
-    /// Units that belong to this member.
+    /// Base allocation of this member.
     #[serde(rename = "home")]
     pub base_units: u32,
-    /// Units that it never leases out.
+    /// Part of the base allocation that this member never leases out.
     #[serde(rename = "floor")]
     pub reserved_units: u32,
-    /// Units that it may use now.
+    /// Units that this member may use now.
     #[serde(rename = "held")]
     pub usable_units: u32,
-    /// Units leased to others.
+    /// Units leased to other members.
     #[serde(rename = "lent")]
     pub granted_units: u32,
-    /// Units leased from others.
+    /// Units leased from other members.
     #[serde(rename = "borrowed")]
     pub held_units: u32,
     /// Own units that are not usable yet after a restart.
     #[serde(rename = "away")]
     pub withheld_units: u32,
-    /// Units that it is likely to use.
+    /// Units that this member is expected to use.
     #[serde(rename = "need")]
     pub expected_demand_units: u32,
 }
 
-/// One engine.
+/// View of one engine's health.
 #[derive(Clone, Debug, Serialize)]
 pub struct EngineHealthView {
-    /// The number that all members know it by.
+    /// Number of the engine, the same at all members.
     pub engine: EngineNumber,
-    /// No statements are sent to it, but for probes.
+    /// Whether no statements except probes are sent to it.
     #[serde(rename = "out")]
     pub is_ejected: bool,
-    /// This member probes it now.
+    /// Whether this member probes it now.
     #[serde(rename = "tries")]
     pub is_probing: bool,
-    /// Members of most zones cannot connect to it.
+    /// Whether members of most zones cannot connect to it.
     #[serde(rename = "unreached")]
     pub is_unreachable: bool,
-    /// Failures, weighted by age.
+    /// Number of failures, weighted by age.
     pub failures: f64,
-    /// Outcomes, weighted by age.
+    /// Number of outcomes, weighted by age.
     pub outcomes: f64,
-    /// What each member observed.
+    /// Fresh observations, by member.
     #[serde(rename = "by")]
     pub observations: Vec<MemberObservationView>,
 }
@@ -124,11 +126,11 @@
 /// One member's observation of an engine.
 #[derive(Clone, Debug, Serialize)]
 pub struct MemberObservationView {
-    /// Who made it.
+    /// The member that made it.
     pub member: MemberId,
-    /// How old it is.
+    /// Age in milliseconds.
     pub age_ms: u32,
-    /// What was observed.
+    /// The observation.
     #[serde(rename = "sight")]
     pub observation: HealthObservation,
 }
--- a/crates/ivypitch-coordination/tests/observations.rs
+++ b/crates/ivypitch-coordination/tests/observations.rs
@@ -1,5 +1,5 @@
-//! Observations may arrive in any order, any number of times and from anybody; few members can say little against an
-//! engine; endpoint events are taken in order.
+//! Health observations are accepted in any order and any number of times; a single member cannot
+//! eject an engine; endpoint events are accepted in order.
 
 use ivypitch_coordination::{
     EndpointEvent, EventRelay, HealthObservation, MAX_EJECTED_FRACTION, OBSERVATION_TTL,
@@ -45,7 +45,7 @@
     }
 }
 
-/// Observations of engine 7, all a tenth of a second old.
+/// A table with observations of engine 7, all a tenth of a second old.
 fn table_of(observations: &[(u16, HealthObservation)]) -> ObservationTable {
     let mut table = table(10);
     for &(member, observation) in observations {
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn observations_in_any_order_and_any_number_of_times_make_the_same_table() {
+fn observations_in_any_order_and_any_number_of_times_give_the_same_table() {
     for seed in 0..200 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut observations: Vec<(u64, u16, StoredObservation)> = Vec::new();
@@ -83,43 +83,47 @@
             }
             table
         };
-        let once = fill(&observations);
-        let mut often = [
+        let filled_once = fill(&observations);
+        let mut repeated = [
             observations.clone(),
             observations.clone(),
             observations.clone(),
         ]
         .concat();
-        often.shuffle(&mut rng);
-        let other = fill(&often);
+        repeated.shuffle(&mut rng);
+        let filled_repeatedly = fill(&repeated);
         for engine in 0..4 {
             let all = |table: &ObservationTable| {
                 (0..6)
                     .map(|m| table.get(engine, MemberId(m)))
                     .collect::<Vec<_>>()
             };
-            assert_eq!(all(&once), all(&other), "seed {seed}");
+            assert_eq!(all(&filled_once), all(&filled_repeatedly), "seed {seed}");
         }
     }
 }
 
 #[test_case(&[(0, 3)], &[], false; "one member cannot eject it")]
-#[test_case(&[(0, 3), (1, 3)], &[], false; "nor can two")]
-#[test_case(&[(0, 2), (1, 2), (2, 2)], &[], true; "three members can")]
-#[test_case(&[(0, 2), (1, 2), (2, 2)], &[3, 4, 5, 6, 7, 8], false; "but not against six that it serves")]
+#[test_case(&[(0, 3), (1, 3)], &[], false; "two members cannot eject it")]
+#[test_case(&[(0, 2), (1, 2), (2, 2)], &[], true; "three members can eject it")]
+#[test_case(&[(0, 2), (1, 2), (2, 2)], &[3, 4, 5, 6, 7, 8], false; "three members cannot eject it against six that it serves")]
 #[test_case(&[(0, 2), (1, 2), (2, 2), (3, 2), (4, 2), (5, 2)], &[6], true; "one member that it serves cannot keep it in use")]
 fn an_engine_is_ejected_by_several_members_only(
-    accusers: &[(u16, u8)],
-    defenders: &[u16],
-    ejected: bool,
+    failure_reporters: &[(u16, u8)],
+    success_reporters: &[u16],
+    is_ejection_expected: bool,
 ) {
-    let accused = accusers
+    let failure_observations = failure_reporters
         .iter()
         .map(|&(member, count)| (member, failures(count)));
-    let observations: Vec<_> = accused
-        .chain(defenders.iter().map(|&member| (member, successes(3))))
+    let observations: Vec<_> = failure_observations
+        .chain(
+            success_reporters
+                .iter()
+                .map(|&member| (member, successes(3))),
+        )
         .collect();
-    assert_eq!(is_ejected(&observations), ejected);
+    assert_eq!(is_ejected(&observations), is_ejection_expected);
 }
 
 #[test]
@@ -128,22 +132,23 @@
         unreachable: 2,
         ..HealthObservation::default()
     };
-    // Members 0, 3, 6 .. are in the first zone; the other zones are served.
+    // Members 0, 3, 6 .. are in the first zone; the engine serves members of the other zones.
     let mut observations: Vec<(u16, HealthObservation)> =
         (0..30).step_by(3).map(|m| (m, unreachable)).collect();
     observations.extend([(1, successes(2)), (2, successes(2)), (4, successes(2))]);
     assert!(!is_ejected(&observations));
     let observations: Vec<(u16, HealthObservation)> = (0..12).map(|m| (m, unreachable)).collect();
-    assert!(is_ejected(&observations), "nobody reaches it");
+    assert!(is_ejected(&observations), "no member reaches it");
 }
 
 #[test]
-fn members_that_find_fault_with_all_engines_are_ignored() {
+fn members_that_report_failures_of_all_engines_are_ignored() {
     let mut table = table(10);
     for engine in 0..6 {
         let version = engine as u32 + 1;
         for member in 0..3 {
-            // Three faulty members, and four that are served by all.
+            // Three faulty members report failures of all engines; all engines serve the four
+            // others.
             let observation = stored(version, failures(3), NOW - SECOND / 10);
             table.insert_if_newer(engine, MemberId(member), observation);
         }
@@ -177,12 +182,12 @@
     assert_eq!(
         ejected(consensus.evaluate(NOW + OBSERVATION_TTL, &table, &zones(), &ready)),
         0,
-        "all are forgotten"
+        "all observations have expired"
     );
 }
 
 #[test]
-fn few_members_probe_an_ejected_engine_and_not_always_the_same() {
+fn few_members_probe_an_ejected_engine_and_they_change() {
     let probers = |second: u64| {
         (0..300)
             .filter(|&m| is_prober(second * SECOND, 7, MemberId(m), 300, 1))
@@ -205,7 +210,7 @@
 }
 
 #[test]
-fn events_are_taken_in_the_order_of_their_numbers_whoever_relays_them() {
+fn events_are_accepted_in_the_order_of_their_numbers_from_any_sender() {
     let limits = RetentionLimits {
         max_events: 3,
         max_bytes: 1000,
@@ -215,11 +220,11 @@
     assert_eq!(
         relay.member_to_fetch_from(SECOND / 10),
         None,
-        "the source spoke a moment ago"
+        "the source was active recently"
     );
     assert_eq!(relay.member_to_fetch_from(SECOND), Some(MemberId(2)));
     relay.on_event(event(6, b"six"));
-    assert_eq!(relay.last(), 4, "never with a gap");
+    assert_eq!(relay.last_number(), 4, "an event after a gap was accepted");
     for (number, line) in [
         (5, b"five"),
         (6, b"six "),
@@ -229,14 +234,15 @@
     ] {
         relay.on_event(event(number, line));
     }
-    assert_eq!(relay.last(), 8);
-    // Three are retained: a member that is further behind gets nothing, and asks another.
+    assert_eq!(relay.last_number(), 8);
+    // Three events are retained: a member that is further behind gets none, and fetches from
+    // another member.
     let numbers = |events: Vec<EndpointEvent>| events.iter().map(|e| e.number).collect::<Vec<_>>();
     assert_eq!(numbers(relay.events_after(5)), [6, 7, 8]);
     assert!(relay.events_after(4).is_empty());
     assert_eq!(
         relay.member_to_fetch_from(2 * SECOND),
         None,
-        "nobody is ahead"
+        "no member is ahead"
     );
 }
--- a/crates/ivypitch-coordination/tests/recorded_messages.rs
+++ b/crates/ivypitch-coordination/tests/recorded_messages.rs
@@ -1,5 +1,6 @@
-//! Bytes and JSON recorded at d1ac1c5; a rename must not change them. Every message of what gateways share, on links and
-//! in datagrams, and the view that `SHOW FLEET` and `ivypitch fleet` give out.
+//! Compares encodings with bytes and JSON recorded at commit d1ac1c5, which a rename must not
+//! change: every coordination message on links and in datagrams, and the view that `SHOW FLEET` and
+//! `ivypitch fleet` return.
 
 use ivypitch_coordination::{
     CoordinationMessage, CoordinationView, EndpointEvent, EngineHealthView, FleetReach,
@@ -17,11 +18,14 @@
 fn bytes(hex: &str) -> Vec<u8> {
     (0..hex.len())
         .step_by(2)
-        .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap())
+        .map(|start| u8::from_str_radix(&hex[start..start + 2], 16).unwrap())
         .collect()
 }
 
-fn keeps<T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug>(value: T, recorded: &str) {
+fn assert_encoding<T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug>(
+    value: T,
+    recorded: &str,
+) {
     assert_eq!(
         hex(&postcard::to_allocvec(&value).unwrap()),
         recorded,
@@ -87,15 +91,15 @@
         envelope(4, QuotaMessage::Release(RequestId(5))),
         envelope(500, QuotaMessage::Revoke(RequestId(6))),
     ];
-    keeps(
+    assert_encoding(
         CoordinationMessage::Quotas {
             to: FROM.incarnation,
             messages,
         },
         "00fbd095ffbc3106000001c80100010002c9010182010201038301ca01030204040305f4030406",
     );
-    keeps(CoordinationMessage::FetchEvents(1 << 33), "018080808020");
-    keeps(
+    assert_encoding(CoordinationMessage::FetchEvents(1 << 33), "018080808020");
+    assert_encoding(
         CoordinationMessage::Events(vec![event(1, b"line"), event(2, b"")]),
         "020201046c696e650200",
     );
@@ -124,7 +128,7 @@
         },
     ];
     let (from, sent_at_ms) = (FROM, 987_654_321);
-    keeps(
+    assert_encoding(
         GossipMessage::Update {
             sent_at_ms,
             from,
@@ -135,7 +139,7 @@
         },
         "00b1d1f9d603ac02fbd095ffbc310c0200900301ac02fbd095ffbc31c5c684f8def92a8101b71701c80302ac02fbd095ffbc318301010203",
     );
-    keeps(
+    assert_encoding(
         GossipMessage::Digest {
             sent_at_ms,
             from,
@@ -143,7 +147,7 @@
         },
         "01b1d1f9d603ac02fbd095ffbc310207ffffffff0f",
     );
-    keeps(
+    assert_encoding(
         GossipMessage::Versions {
             sent_at_ms,
             from,
