--- a/crates/ivypitch-coordination/src/coordinator.rs
+++ b/crates/ivypitch-coordination/src/coordinator.rs
@@ -99,7 +99,7 @@
 
     // Membership.
 
-    /// Handles that a process of another member has become reachable.
+    /// Marks a process of another member as reachable.
     pub fn on_member_up(
         &mut self,
         now: Nanos,
@@ -131,7 +131,7 @@
         self.on_reachable_members_changed(now, output);
     }
 
-    /// Handles that a process of another member is no longer reachable.
+    /// Marks a process of another member as no longer reachable.
     pub fn on_member_down(
         &mut self,
         now: Nanos,
@@ -305,8 +305,7 @@
         if number > self.relay.last_number() {
             let line = line.to_vec();
             self.relay.on_event(EndpointEvent { number, line });
-            // Members without a connection to the source must learn at once that there is a new
-            // event.
+            // Members without a connection to the source must be notified of a new event at once.
             self.gossip.on_announcement_changed(now);
         }
     }
--- a/crates/ivypitch-coordination/src/gossip.rs
+++ b/crates/ivypitch-coordination/src/gossip.rs
@@ -6,8 +6,7 @@
 //! al., "Epidemic Algorithms for Replicated Database Maintenance".
 //!
 //! An observation carries its age. The receiver adds the time in transit, measured against the
-//! sender's fastest datagram, so that an observation that was delayed for long does not count as
-//! new.
+//! sender's fastest datagram, so that an observation with a long delay does not count as new.
 
 mod known_versions;
 mod repair;
--- a/crates/ivypitch-coordination/src/outlier_consensus.rs
+++ b/crates/ivypitch-coordination/src/outlier_consensus.rs
@@ -63,7 +63,7 @@
     pub reporting_members: usize,
     /// Whether members of most zones cannot connect to it.
     pub is_unreachable: bool,
-    /// Whether several members used it successfully of late.
+    /// Whether several members used it successfully within the lifetime of observations.
     pub is_confirmed_healthy: bool,
 }
 
--- a/crates/ivypitch-coordination/src/quota_lease.rs
+++ b/crates/ivypitch-coordination/src/quota_lease.rs
@@ -93,8 +93,8 @@
 
 /// One member's leases of one quota.
 ///
-/// Times are those of the member's own clock. Every entry point that takes the time first expires
-/// what has ended by then.
+/// Times are those of the member's own clock. Every entry point that takes the time first advances
+/// the state to it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct QuotaLeases {
     member: MemberId,
@@ -184,8 +184,8 @@
         self.usable_units().saturating_sub(self.spent_in_window)
     }
 
-    /// Advances the time to `now` and removes what has expired. Must be called before decisions
-    /// that read the state.
+    /// Advances the time to `now` and removes expired leases, requests and spent units. Must be
+    /// called before decisions that read the state.
     pub fn advance(&mut self, now: Nanos) {
         let was_recovering = self.is_recovering();
         self.advance_clock(now);
--- a/crates/ivypitch-coordination/src/quota_lease/grantor.rs
+++ b/crates/ivypitch-coordination/src/quota_lease/grantor.rs
@@ -101,7 +101,7 @@
         })
     }
 
-    /// Handles that the holder no longer uses a lease.
+    /// Removes a lease that the holder no longer uses.
     pub fn on_release(&mut self, now: Nanos, from: ProcessId, lease: RequestId) {
         self.advance(now);
         let lease = GrantedLease {
--- a/crates/ivypitch-coordination/src/quota_lease/holder.rs
+++ b/crates/ivypitch-coordination/src/quota_lease/holder.rs
@@ -5,7 +5,7 @@
 use super::{ExpiringLease, HeldLease, HeldLeaseState, PendingRequest, QuotaLeases};
 use crate::message::{LeaseGrant, LeaseRequest, RequestId};
 
-/// Time within which a reachable grantor replies.
+/// Time within which a reply of a reachable grantor is expected.
 const RESPONSE_TIMEOUT: Nanos = SECOND * 3 / 10;
 
 impl QuotaLeases {
@@ -105,7 +105,7 @@
         is_held
     }
 
-    /// Handles that the grantor rejected a request.
+    /// Removes a request that the grantor rejected.
     pub fn on_rejection(&mut self, request: RequestId) {
         self.pending_requests.remove(&request);
     }
@@ -115,13 +115,14 @@
         self.held.contains_key(&HeldLease { grantor, lease })
     }
 
-    /// Returns the held leases that expire within `within` and that no pending request extends.
-    pub fn expiring_leases(&self, within: Nanos) -> Vec<ExpiringLease> {
+    /// Returns the held leases that expire within `max_remaining` and that no pending request
+    /// extends.
+    pub fn expiring_leases(&self, max_remaining: Nanos) -> Vec<ExpiringLease> {
         let expiring = self
             .held
             .iter()
             .filter(|(lease, held)| {
-                held.expires_at <= self.latest_time + within && !self.is_extending(**lease)
+                held.expires_at <= self.latest_time + max_remaining && !self.is_extending(**lease)
             })
             .map(|(&lease, held)| ExpiringLease {
                 held: lease,
--- a/crates/ivypitch-coordination/src/quota_rebalancing.rs
+++ b/crates/ivypitch-coordination/src/quota_rebalancing.rs
@@ -281,8 +281,8 @@
         reachable: &[MemberId],
         outgoing: &mut Vec<OutgoingQuotaMessage>,
     ) {
-        let within = (self.lease_duration as f64 * EXTEND_AT_REMAINING_FRACTION) as Nanos;
-        for expiring in self.leases.expiring_leases(within) {
+        let max_remaining = (self.lease_duration as f64 * EXTEND_AT_REMAINING_FRACTION) as Nanos;
+        for expiring in self.leases.expiring_leases(max_remaining) {
             if surplus_units >= expiring.units {
                 surplus_units -= expiring.units;
                 continue;
--- a/crates/ivypitch-membership/src/status.rs
+++ b/crates/ivypitch-membership/src/status.rs
@@ -19,7 +19,7 @@
 }
 
 impl MemberState {
-    /// Whether there is a suspicion that it may still refute.
+    /// Whether the member is suspected and may still refute the suspicion.
     pub fn is_suspected(self) -> bool {
         self == MemberState::Suspected
     }
@@ -37,7 +37,7 @@
     pub state: MemberState,
     /// Incarnation of the process that the state belongs to.
     pub incarnation: Incarnation,
-    /// Time of the last change of the state.
+    /// Time since which the member has been in this state.
     pub since: Nanos,
     /// Protocol version of the process.
     pub protocol_version: u16,
