--- a/crates/ivypitch-ownership/src/arrival.rs
+++ b/crates/ivypitch-ownership/src/arrival.rs
@@ -2,7 +2,7 @@
 
 use ivypitch_types::Nanos;
 
-use crate::lookup_answer::Location;
+use crate::lookup_reply::Location;
 use crate::message::{FinalAnswer, StatementId, StatementRecord, StatementSpec};
 use crate::output::{ArrivalDecision, Output};
 use crate::ownership::Ownership;
@@ -34,15 +34,15 @@
         let mut epoch_number = 0;
         if let Some(statement) = self.statements.get(id) {
             epoch_number = statement.epoch.number;
-            if let Some(decision) = self.join_known_statement(&arrival) {
+            if let Some(decision) = self.decide_from_statement(&arrival) {
                 return decision;
             }
-            self.statements.forget(id);
+            self.statements.remove(id);
         }
         let record = self.vote_log.get(now, id);
         if let Some(record) = record.filter(StatementRecord::has_content) {
             epoch_number = epoch_number.max(record.epoch.number + 1);
-            if let Some(decision) = self.follow_record(now, &arrival, &record, out) {
+            if let Some(decision) = self.decide_from_record(now, &arrival, &record, out) {
                 return decision;
             }
         }
@@ -67,7 +67,7 @@
     }
 
     /// By what this gateway does for the statement. `None`: it starts afresh.
-    fn join_known_statement(&mut self, arrival: &Arrival) -> Option<ArrivalDecision> {
+    fn decide_from_statement(&mut self, arrival: &Arrival) -> Option<ArrivalDecision> {
         let statement = self.statements.get_mut(arrival.id)?;
         let state = statement.state();
         if state != StatementState::Closed && statement.spec.digest != arrival.spec.digest {
@@ -91,7 +91,7 @@
     }
 
     /// By what this member knows as a voter. `None`: it starts afresh.
-    fn follow_record(
+    fn decide_from_record(
         &mut self,
         now: Nanos,
         arrival: &Arrival,
@@ -118,10 +118,10 @@
                 self.request_takeover(now, id, record.epoch.number + 1, out);
                 Some(ArrivalDecision::Wait)
             }
-            Location::Over(answer) if !arrival.spec.is_idempotent => {
+            Location::Ended(answer) if !arrival.spec.is_idempotent => {
                 Some(ArrivalDecision::Answer(answer))
             }
-            Location::Over(_) | Location::Nowhere => None,
+            Location::Ended(_) | Location::NotOwned => None,
         }
     }
 
--- a/crates/ivypitch-ownership/src/attempt_grant.rs
+++ b/crates/ivypitch-ownership/src/attempt_grant.rs
@@ -5,12 +5,12 @@
 use ivypitch_types::{MemberId, Nanos};
 
 use crate::config::NoQuorumPolicy;
-use crate::lookup_answer::Location;
+use crate::lookup_reply::Location;
 use crate::message::{AttemptGrant, Epoch, FinalAnswer, Message, StatementId, StatementRecord};
 use crate::output::{GrantDecision, GrantDenial, Output};
 use crate::ownership::Ownership;
 use crate::statement::{PendingGrant, Statement, StatementState};
-use crate::vote_log::VoteRefusal;
+use crate::vote_log::VoteDenial;
 
 /// A voter's answer to a [`Message::GrantRequest`].
 pub(crate) struct GrantVote {
@@ -25,15 +25,15 @@
 enum Vote {
     Granted,
     /// With what it knows that forbids the attempt, if it said so.
-    Refused(Option<StatementRecord>),
+    Denied(Option<StatementRecord>),
 }
 
-impl From<Result<(), VoteRefusal>> for Vote {
-    fn from(result: Result<(), VoteRefusal>) -> Vote {
+impl From<Result<(), VoteDenial>> for Vote {
+    fn from(result: Result<(), VoteDenial>) -> Vote {
         match result {
             Ok(()) => Vote::Granted,
-            Err(VoteRefusal::Conflict(record)) => Vote::Refused(Some(*record)),
-            Err(VoteRefusal::Abstained | VoteRefusal::Full) => Vote::Refused(None),
+            Err(VoteDenial::Conflict(record)) => Vote::Denied(Some(*record)),
+            Err(VoteDenial::Abstained | VoteDenial::Full) => Vote::Denied(None),
         }
     }
 }
@@ -53,7 +53,7 @@
         now: Nanos,
         id: StatementId,
         attempt: u32,
-        engine: u64,
+        engine_hash: u64,
         out: &mut dyn Output,
     ) -> GrantDecision {
         let Some(statement) = self.statements.get_mut(id) else {
@@ -62,7 +62,7 @@
         let grant = AttemptGrant {
             epoch: statement.epoch,
             attempt,
-            engine,
+            engine_hash,
             never_ran: false,
         };
         if statement.spec.is_idempotent {
@@ -81,7 +81,7 @@
             grant,
             requested_at: now,
             granted_by: BTreeSet::new(),
-            refused_by: BTreeMap::new(),
+            denied_by: BTreeMap::new(),
         });
         self.request_votes(now, &record, grant, out);
         self.statements
@@ -128,8 +128,8 @@
             .vote_on_grant(now, record, grant, &self.voters);
         let conflict = match result {
             Ok(()) => None,
-            Err(VoteRefusal::Conflict(known)) => Some(*known),
-            Err(VoteRefusal::Abstained | VoteRefusal::Full) => {
+            Err(VoteDenial::Conflict(known)) => Some(*known),
+            Err(VoteDenial::Abstained | VoteDenial::Full) => {
                 let epoch = grant.epoch;
                 out.send(from, Message::Abstention { id, epoch });
                 return;
@@ -161,7 +161,7 @@
         }
         let counted = match vote.conflict {
             None => Vote::Granted,
-            Some(record) => Vote::Refused(Some(record)),
+            Some(record) => Vote::Denied(Some(record)),
         };
         self.count_vote(id, vote.voter, counted);
         self.on_votes_changed(now, id, out);
@@ -181,7 +181,7 @@
             .get(id)
             .is_some_and(|statement| statement.epoch == epoch && statement.pending_grant.is_some());
         if is_awaited {
-            self.count_vote(id, from, Vote::Refused(None));
+            self.count_vote(id, from, Vote::Denied(None));
             self.on_votes_changed(now, id, out);
         }
     }
@@ -211,7 +211,7 @@
         out: &mut dyn Output,
     ) {
         for voter in self.voters.voters_of(record.id) {
-            if voter == self.this_member() {
+            if voter == self.own_member() {
                 let result = self
                     .vote_log
                     .vote_on_grant(now, record, grant, &self.voters);
@@ -220,7 +220,7 @@
                 let record = record.clone();
                 out.send(voter, Message::GrantRequest { record, grant });
             } else {
-                self.count_vote(record.id, voter, Vote::Refused(None));
+                self.count_vote(record.id, voter, Vote::Denied(None));
             }
         }
     }
@@ -237,8 +237,8 @@
             Vote::Granted => {
                 pending.granted_by.insert(voter);
             }
-            Vote::Refused(record) => {
-                pending.refused_by.insert(voter, record);
+            Vote::Denied(record) => {
+                pending.denied_by.insert(voter, record);
             }
         }
     }
@@ -268,11 +268,11 @@
             }
             return GrantDecision::Granted;
         }
-        let unanswered = self.voters.count() - granted - pending.refused_by.len();
-        let is_hopeless = granted + unanswered < quorum;
+        let unanswered = self.voters.voters_per_statement() - granted - pending.denied_by.len();
+        let is_quorum_unreachable = granted + unanswered < quorum;
         let requested_at = pending.requested_at;
         let is_timed_out = now >= requested_at + self.config.grant_timeout;
-        if !is_hopeless && !is_expired && !is_timed_out {
+        if !is_quorum_unreachable && !is_expired && !is_timed_out {
             return GrantDecision::Pending;
         }
         if !is_expired && self.can_expect_quorum(id) {
@@ -289,15 +289,15 @@
             return GrantDecision::Pending;
         };
         let failed = FailedVote {
-            conflicts: pending.refused_by.values().flatten().cloned().collect(),
+            conflicts: pending.denied_by.values().flatten().cloned().collect(),
             has_all_answers: unanswered == 0,
         };
-        let unused = AttemptGrant {
+        let unused_grant = AttemptGrant {
             never_ran: true,
             ..pending.grant
         };
         statement.pending_grant = None;
-        statement.grants.push(unused);
+        statement.grants.push(unused_grant);
         self.on_vote_failed(now, id, failed, out)
     }
 
@@ -313,7 +313,7 @@
         let voters = self.voters.voters_of(id);
         let awaited = voters.iter().filter(|&&voter| {
             let has_answered =
-                pending.granted_by.contains(&voter) || pending.refused_by.contains_key(&voter);
+                pending.granted_by.contains(&voter) || pending.denied_by.contains_key(&voter);
             !has_answered && self.members.is_healthy(voter)
         });
         pending.granted_by.len() + awaited.count() >= self.voters.quorum()
@@ -334,13 +334,13 @@
         let strongest = failed
             .conflicts
             .into_iter()
-            .filter(|record| is_news_to(statement, record))
+            .filter(|record| has_unknown_facts(statement, record))
             .max_by_key(|record| (record.end.is_some(), record.epoch));
         let Some(record) = strongest else {
             return self.on_no_quorum(now, failed.has_all_answers);
         };
         self.counters.owned_elsewhere += 1;
-        statement.submitter_waits();
+        statement.move_submitter_to_waiters();
         let digest = statement.spec.digest;
         self.follow_conflict(now, id, digest, &record, out);
         GrantDecision::Denied(GrantDenial::OwnedElsewhere)
@@ -353,12 +353,12 @@
         }
         // Voters that are connected and do not answer may be the first sign of a partition: the statement's client may
         // come from beyond it.
-        let is_provably_unsent = has_all_answers && self.is_first_arrival(now);
+        let is_provably_unsent = has_all_answers && self.is_provably_first_arrival(now);
         GrantDecision::Denied(GrantDenial::NoQuorum { is_provably_unsent })
     }
 
     /// No client that comes now can have been at a gateway that is lost, as far as this one can know.
-    fn is_first_arrival(&self, now: Nanos) -> bool {
+    fn is_provably_first_arrival(&self, now: Nanos) -> bool {
         let window = self.config.max_statement_timeout + self.config.retention;
         now >= self.started_at + window && self.members.has_been_stable_for(now, window)
     }
@@ -378,7 +378,7 @@
         }
         match self.locate(record) {
             Location::At(member) => self.follow(now, id, member, out),
-            Location::Over(answer) => {
+            Location::Ended(answer) => {
                 self.answer_waiters(id, &answer, out);
                 let state = if answer == FinalAnswer::Aborted {
                     StatementState::Unknown
@@ -387,7 +387,7 @@
                 };
                 self.statements.transition(id, state);
             }
-            Location::Orphaned | Location::Nowhere => {
+            Location::Orphaned | Location::NotOwned => {
                 self.statements.transition(id, StatementState::Orphaned);
                 self.request_takeover(now, id, record.epoch.number + 1, out);
             }
@@ -396,7 +396,7 @@
 }
 
 /// The record says more of the statement than its owner knows.
-fn is_news_to(statement: &Statement, record: &StatementRecord) -> bool {
+fn has_unknown_facts(statement: &Statement, record: &StatementRecord) -> bool {
     let is_known = |grant: &AttemptGrant| {
         grant.never_ran
             || statement
--- a/crates/ivypitch-ownership/src/completion.rs
+++ b/crates/ivypitch-ownership/src/completion.rs
@@ -36,7 +36,7 @@
             return None;
         }
         let is_idempotent = statement.spec.is_idempotent;
-        let has_other_voters = self.voters.count() > 1;
+        let has_other_voters = self.voters.voters_per_statement() > 1;
         match answer {
             FinalAnswer::Rejected { retry_after_ms } if !is_idempotent && has_other_voters => {
                 self.defer_rejection(now, id, retry_after_ms, out)
@@ -112,7 +112,7 @@
         let candidates = self.lookup_candidates(id);
         let statement = self.statements.get_mut(id)?;
         let submitter = statement.submitter;
-        statement.submitter_waits();
+        statement.move_submitter_to_waiters();
         statement.pending_grant = None;
         statement.lookup.candidates = candidates;
         statement.lookup.is_before_abort = true;
@@ -136,7 +136,7 @@
     ) -> Option<u64> {
         let statement = self.statements.get_mut(id)?;
         let submitter = statement.submitter;
-        statement.submitter_waits();
+        statement.move_submitter_to_waiters();
         statement.takeover.rejection = Some(PendingRejection { retry_after_ms });
         let epoch_number = statement.epoch.number + 1;
         self.statements.transition(id, StatementState::Orphaned);
@@ -177,7 +177,7 @@
             self.updates.cancel(id);
         }
         if end == StatementEnd::Rejected && !ended.is_known_to_voters {
-            self.statements.forget(id);
+            self.statements.remove(id);
         }
     }
 
@@ -188,7 +188,7 @@
         ended: &EndedStatement,
     ) -> StatementEnd {
         let completed = StatementEnd::Completed {
-            rows_at: self.members.this(),
+            cached_at: self.members.own_process(),
         };
         let (state, end) = match answer {
             FinalAnswer::Rows(pages) => {
--- a/crates/ivypitch-ownership/src/config.rs
+++ b/crates/ivypitch-ownership/src/config.rs
@@ -18,7 +18,7 @@
     /// Voters of each statement.
     pub voters_per_statement: usize,
     /// How many of them are notified of idempotent statements, which need no grant.
-    pub voters_of_idempotent_statements: usize,
+    pub voters_per_idempotent_statement: usize,
     /// An attempt that finds no quorum within this time is denied, unless voters that are connected and not suspected have
     /// still to answer: those are waited for until [`Self::grant_validity`] ends.
     pub grant_timeout: Nanos,
@@ -50,7 +50,7 @@
     fn default() -> OwnershipConfig {
         OwnershipConfig {
             voters_per_statement: 5,
-            voters_of_idempotent_statements: 3,
+            voters_per_idempotent_statement: 3,
             grant_timeout: 100 * MILLISECOND,
             grant_validity: 400 * MILLISECOND,
             takeover_stagger: 120 * MILLISECOND,
--- a/crates/ivypitch-ownership/src/handoff.rs
+++ b/crates/ivypitch-ownership/src/handoff.rs
@@ -32,7 +32,7 @@
     }
 
     fn hand_off_statement(&mut self, now: Nanos, id: StatementId, out: &mut dyn Output) -> bool {
-        let Some(successor) = self.successor(id) else {
+        let Some(successor) = self.choose_successor(id) else {
             return false;
         };
         let Some(statement) = self.statements.get_mut(id) else {
@@ -42,20 +42,20 @@
             return false;
         }
         let record = statement.record(now, id);
-        statement.submitter_waits();
+        statement.move_submitter_to_waiters();
         out.send(successor, Message::Handoff(record));
         self.statements
             .transition(id, StatementState::OwnedElsewhere);
         if let Some(statement) = self.statements.get_mut(id) {
-            statement.lookup.asked = successor;
+            statement.lookup.asked_member = successor;
         }
         // The successor is asked once it has had the time to take over.
-        let ask_at = now + self.config.follow_interval / 2;
-        self.statements.set_timer(id, ask_at);
+        let lookup_at = now + self.config.follow_interval / 2;
+        self.statements.set_timer(id, lookup_at);
         true
     }
 
-    fn successor(&self, id: StatementId) -> Option<MemberId> {
+    fn choose_successor(&self, id: StatementId) -> Option<MemberId> {
         self.other_voters(id)
             .into_iter()
             .find(|&voter| self.members.is_connected(voter))
--- a/crates/ivypitch-ownership/src/lookup.rs
+++ b/crates/ivypitch-ownership/src/lookup.rs
@@ -2,7 +2,7 @@
 
 use ivypitch_types::{MemberId, Nanos};
 
-use crate::lookup_answer::Location;
+use crate::lookup_reply::Location;
 use crate::message::{FinalAnswer, LookupAnswer, Message, StatementId};
 use crate::output::Output;
 use crate::ownership::Ownership;
@@ -11,7 +11,7 @@
 /// So often the voters are asked anew at once; after that with a growing pause.
 const MAX_IMMEDIATE_RETRIES: u32 = 2;
 /// The longest pause, in lookup timeouts.
-const MAX_RETRY_PAUSE_TIMEOUTS: u32 = 10;
+const MAX_RETRY_BACKOFF_TIMEOUTS: u32 = 10;
 
 impl Ownership {
     /// The statement's voters that are connected, the next one to ask last.
@@ -34,7 +34,7 @@
         let Some(statement) = self.statements.get_mut(id) else {
             return;
         };
-        statement.lookup.asked = member;
+        statement.lookup.asked_member = member;
         statement.lookup.request_id = Some(request_id);
         // What the owner reports overrides a rejection here.
         statement.takeover.rejection = None;
@@ -61,7 +61,7 @@
             self.on_lookup_exhausted(now, id, out);
             return;
         };
-        statement.lookup.asked = voter;
+        statement.lookup.asked_member = voter;
         statement.lookup.request_id = Some(request_id);
         let digest = statement.spec.digest;
         self.statements
@@ -113,8 +113,8 @@
         let Some(statement) = self.statements.get_mut(id) else {
             return;
         };
-        statement.tries += 1;
-        let tries = statement.tries;
+        statement.rounds += 1;
+        let rounds = statement.rounds;
         if statement.waiters.is_empty() || now >= statement.deadline {
             self.statements.transition(id, StatementState::Closed);
             return;
@@ -128,13 +128,14 @@
             return;
         }
         self.statements.transition(id, StatementState::LookingUp);
-        if tries <= MAX_IMMEDIATE_RETRIES {
+        if rounds <= MAX_IMMEDIATE_RETRIES {
             self.ask_next_voter(now, id, out);
             return;
         }
         // Two voters that each name the other would otherwise be asked in turn without an end.
-        let pause = self.config.lookup_timeout * u64::from(tries.min(MAX_RETRY_PAUSE_TIMEOUTS));
-        self.statements.set_timer(id, now + pause);
+        let backoff =
+            self.config.lookup_timeout * u64::from(rounds.min(MAX_RETRY_BACKOFF_TIMEOUTS));
+        self.statements.set_timer(id, now + backoff);
     }
 
     /// A voter, or the member that acts for the statement, has answered.
@@ -160,7 +161,7 @@
         match answer {
             LookupAnswer::Unknown if is_looking_up => self.ask_next_voter(now, id, out),
             LookupAnswer::Unknown => self.look_up_again(now, id, out),
-            LookupAnswer::HeldBy(member) => self.on_held_by(now, id, member, out),
+            LookupAnswer::LocatedAt(member) => self.on_owner_reported(now, id, member, out),
             // An idempotent statement runs anew rather than being told that its rows are gone.
             LookupAnswer::Final(FinalAnswer::CompletedWithoutRows | FinalAnswer::Aborted)
                 if is_idempotent =>
@@ -170,20 +171,26 @@
                 self.ask_next_voter(now, id, out);
             }
             LookupAnswer::Final(answer) => {
-                statement.submitter_waits();
+                statement.move_submitter_to_waiters();
                 self.answer_waiters(id, &answer, out);
                 self.statements.transition(id, StatementState::Closed);
             }
         }
     }
 
-    fn on_held_by(&mut self, now: Nanos, id: StatementId, member: MemberId, out: &mut dyn Output) {
-        let is_other = member != self.this_member() && self.members.is_connected(member);
+    fn on_owner_reported(
+        &mut self,
+        now: Nanos,
+        id: StatementId,
+        member: MemberId,
+        out: &mut dyn Output,
+    ) {
+        let is_other = member != self.own_member() && self.members.is_connected(member);
         let Some(statement) = self.statements.get_mut(id) else {
             return;
         };
         if is_other {
-            statement.submitter_waits();
+            statement.move_submitter_to_waiters();
             self.follow(now, id, member, out);
             return;
         }
@@ -195,8 +202,8 @@
         }
         // That member is lost and the voter does not know yet: it is asked again, after the others.
         if statement.state() == StatementState::LookingUp && now < statement.deadline {
-            statement.tries += 1;
-            let asked = statement.lookup.asked;
+            statement.rounds += 1;
+            let asked = statement.lookup.asked_member;
             statement.lookup.candidates.insert(0, asked);
         }
         self.statements
@@ -225,7 +232,7 @@
         let Some(statement) = self.statements.get(id) else {
             return;
         };
-        let owner = statement.lookup.asked;
+        let owner = statement.lookup.asked_member;
         if statement.waiters.is_empty() {
             self.statements.transition(id, StatementState::Closed);
         } else if self.members.is_connected(owner) {
@@ -238,7 +245,8 @@
     /// Clients here that waited for a lost member's answer ask anew.
     pub(crate) fn stop_following(&mut self, now: Nanos, member: MemberId, out: &mut dyn Output) {
         let is_following = |statement: &Statement| {
-            statement.state() == StatementState::OwnedElsewhere && statement.lookup.asked == member
+            statement.state() == StatementState::OwnedElsewhere
+                && statement.lookup.asked_member == member
         };
         let following: Vec<StatementId> = self
             .statements
--- a/crates/ivypitch-ownership/src/lookup_answer.rs
+++ b/crates/ivypitch-ownership/src/lookup_reply.rs
@@ -14,11 +14,11 @@
     /// That member acts for it or has its result.
     At(MemberId),
     /// It is over and nobody who is connected knows more.
-    Over(FinalAnswer),
+    Ended(FinalAnswer),
     /// The process that acted for it is not connected.
     Orphaned,
     /// It has no owner, or this process has forgotten that it was the owner.
-    Nowhere,
+    NotOwned,
 }
 
 /// Another gateway asks what became of a statement.
@@ -37,7 +37,7 @@
         request: LookupRequest,
         out: &mut dyn Output,
     ) {
-        if let Some(answer) = self.look_up(now, &request, out) {
+        if let Some(answer) = self.answer_lookup(now, &request, out) {
             let reply = Message::LookupReply {
                 request_id: request.request_id,
                 id: request.id,
@@ -47,7 +47,7 @@
         }
     }
 
-    fn look_up(
+    fn answer_lookup(
         &mut self,
         now: Nanos,
         request: &LookupRequest,
@@ -61,13 +61,13 @@
             if statement.spec.digest != request.digest {
                 return Some(LookupAnswer::Final(FinalAnswer::IdReused));
             }
-            return self.look_up_statement(now, request, out);
+            return self.answer_from_statement(now, request, out);
         }
-        self.look_up_record(now, request, out)
+        self.answer_from_record(now, request, out)
     }
 
     /// By what this gateway does for the statement; `None`: the answer follows.
-    fn look_up_statement(
+    fn answer_from_statement(
         &mut self,
         now: Nanos,
         request: &LookupRequest,
@@ -78,7 +78,9 @@
         let state = statement.state();
         match state {
             StatementState::LookingUp => Some(LookupAnswer::Unknown),
-            StatementState::OwnedElsewhere => Some(LookupAnswer::HeldBy(statement.lookup.asked)),
+            StatementState::OwnedElsewhere => {
+                Some(LookupAnswer::LocatedAt(statement.lookup.asked_member))
+            }
             StatementState::Owned
             | StatementState::Replicated
             | StatementState::Orphaned
@@ -111,7 +113,7 @@
     }
 
     /// By what this member knows as a voter; `None`: the statement is taken over and the answer follows.
-    fn look_up_record(
+    fn answer_from_record(
         &mut self,
         now: Nanos,
         request: &LookupRequest,
@@ -126,9 +128,9 @@
             return Some(LookupAnswer::Final(FinalAnswer::IdReused));
         }
         match self.locate(&record) {
-            Location::At(member) => Some(LookupAnswer::HeldBy(member)),
-            Location::Over(answer) => Some(LookupAnswer::Final(answer)),
-            Location::Nowhere => Some(LookupAnswer::Unknown),
+            Location::At(member) => Some(LookupAnswer::LocatedAt(member)),
+            Location::Ended(answer) => Some(LookupAnswer::Final(answer)),
+            Location::NotOwned => Some(LookupAnswer::Unknown),
             Location::Orphaned => {
                 let spec = record.spec?;
                 let mut statement = self.new_statement(now, spec, StatementState::LookingUp);
@@ -166,24 +168,24 @@
     /// Where a statement is, by what a voter knows of it.
     pub(crate) fn locate(&self, record: &StatementRecord) -> Location {
         match record.end {
-            Some(StatementEnd::Completed { rows_at }) => {
-                let is_here = rows_at.member == self.this_member();
-                if !is_here && self.members.is_process_connected(rows_at) {
-                    Location::At(rows_at.member)
+            Some(StatementEnd::Completed { cached_at }) => {
+                let is_here = cached_at.member == self.own_member();
+                if !is_here && self.members.is_process_connected(cached_at) {
+                    Location::At(cached_at.member)
                 } else {
-                    Location::Over(FinalAnswer::CompletedWithoutRows)
+                    Location::Ended(FinalAnswer::CompletedWithoutRows)
                 }
             }
-            Some(StatementEnd::Aborted) => Location::Over(FinalAnswer::Aborted),
-            Some(StatementEnd::Rejected) => Location::Nowhere,
+            Some(StatementEnd::Aborted) => Location::Ended(FinalAnswer::Aborted),
+            Some(StatementEnd::Rejected) => Location::NotOwned,
             None => self.locate_owner(record),
         }
     }
 
     fn locate_owner(&self, record: &StatementRecord) -> Location {
         let owner = record.epoch.process;
-        if owner == self.members.this() {
-            Location::Nowhere
+        if owner == self.members.own_process() {
+            Location::NotOwned
         } else if self.members.is_process_connected(owner) {
             Location::At(owner.member)
         } else {
--- a/crates/ivypitch-ownership/src/members.rs
+++ b/crates/ivypitch-ownership/src/members.rs
@@ -5,10 +5,10 @@
 use ivypitch_types::{Incarnation, MemberId, Nanos, ProcessId, SECOND};
 
 /// Clients of a lost member may come for this long before its loss counts no more.
-const MAX_DOUBT_AFTER_LOSS: Nanos = 5 * SECOND;
+const MAX_LOOKUP_WINDOW_AFTER_LOSS: Nanos = 5 * SECOND;
 
 pub(crate) struct Members {
-    this: ProcessId,
+    own_process: ProcessId,
     /// Incarnations of the members that are connected, by member id.
     connected: Vec<Option<Incarnation>>,
     suspected: BTreeSet<MemberId>,
@@ -17,22 +17,22 @@
 }
 
 impl Members {
-    pub(crate) fn new(this: ProcessId, count: usize) -> Members {
+    pub(crate) fn new(own_process: ProcessId, count: usize) -> Members {
         Members {
-            this,
+            own_process,
             connected: vec![None; count],
             suspected: BTreeSet::new(),
             last_loss: None,
         }
     }
 
-    pub(crate) fn this(&self) -> ProcessId {
-        self.this
+    pub(crate) fn own_process(&self) -> ProcessId {
+        self.own_process
     }
 
     pub(crate) fn is_process_connected(&self, process: ProcessId) -> bool {
-        if process.member == self.this.member {
-            return process == self.this;
+        if process.member == self.own_process.member {
+            return process == self.own_process;
         }
         self.connected
             .get(process.member.as_usize())
@@ -40,7 +40,7 @@
     }
 
     pub(crate) fn is_connected(&self, member: MemberId) -> bool {
-        member == self.this.member
+        member == self.own_process.member
             || self
                 .connected
                 .get(member.as_usize())
@@ -84,7 +84,7 @@
 
     /// A member may have been lost whose statements are not known here yet.
     pub(crate) fn has_recent_loss(&self, now: Nanos, max_statement_timeout: Nanos) -> bool {
-        let window = max_statement_timeout.min(MAX_DOUBT_AFTER_LOSS);
+        let window = max_statement_timeout.min(MAX_LOOKUP_WINDOW_AFTER_LOSS);
         self.is_any_suspected() || self.last_loss.is_some_and(|at| now < at + window)
     }
 
--- a/crates/ivypitch-ownership/src/message.rs
+++ b/crates/ivypitch-ownership/src/message.rs
@@ -48,7 +48,7 @@
     /// Number of the attempt within the epoch.
     pub attempt: u32,
     /// The engine's id as a number, the same at every gateway.
-    pub engine: u64,
+    pub engine_hash: u64,
     /// The attempt is proved never to have run.
     pub never_ran: bool,
 }
@@ -66,7 +66,7 @@
     /// It completed.
     Completed {
         /// The process that has its rows, as long as they are cached.
-        rows_at: ProcessId,
+        cached_at: ProcessId,
     },
     /// It may have run; nobody knows more.
     Aborted,
@@ -107,7 +107,7 @@
     /// Nothing is known of the statement.
     Unknown,
     /// That member acts for it or has its result.
-    HeldBy(MemberId),
+    LocatedAt(MemberId),
     /// How it ended.
     Final(FinalAnswer),
 }
@@ -165,7 +165,7 @@
         /// The epoch that was asked for.
         epoch: Epoch,
         /// The voter lets no lower epoch act from now on.
-        promised: bool,
+        is_promised: bool,
         /// What the voter knows of the statement, if anything.
         record: Option<StatementRecord>,
     },
--- a/crates/ivypitch-ownership/src/output.rs
+++ b/crates/ivypitch-ownership/src/output.rs
@@ -21,7 +21,7 @@
         id: StatementId,
         spec: &StatementSpec,
         remaining: Nanos,
-        engine: Option<u64>,
+        engine_hash: Option<u64>,
     );
     /// Answers a client that waits here.
     fn answer(&mut self, waiter_token: u64, answer: &FinalAnswer);
--- a/crates/ivypitch-ownership/src/ownership.rs
+++ b/crates/ivypitch-ownership/src/ownership.rs
@@ -6,11 +6,11 @@
 
 use crate::attempt_grant::GrantVote;
 use crate::config::OwnershipConfig;
-use crate::lookup_answer::LookupRequest;
+use crate::lookup_reply::LookupRequest;
 use crate::members::Members;
 use crate::message::{Epoch, Message, StatementEnd, StatementId, StatementRecord, StatementSpec};
 use crate::output::{Output, OwnershipCounters, OwnershipSizes};
-use crate::recent_ends::RecentEnds;
+use crate::recent_completions::RecentCompletions;
 use crate::result_cache::ResultCache;
 use crate::state_transfer::StateTransfers;
 use crate::statement::{Statement, StatementState};
@@ -33,7 +33,7 @@
     pub(crate) vote_log: VoteLog,
     pub(crate) statements: StatementTable,
     pub(crate) members: Members,
-    pub(crate) recent_ends: RecentEnds,
+    pub(crate) recent_completions: RecentCompletions,
     pub(crate) updates: PendingUpdates,
     pub(crate) transfers: StateTransfers,
     pub(crate) counters: OwnershipCounters,
@@ -43,15 +43,20 @@
 
 impl Ownership {
     /// For the process `this`, which starts now. `zones` of all members, by member id.
-    pub fn new(this: ProcessId, zones: Vec<u16>, config: OwnershipConfig, now: Nanos) -> Ownership {
+    pub fn new(
+        own_process: ProcessId,
+        zones: Vec<u16>,
+        config: OwnershipConfig,
+        now: Nanos,
+    ) -> Ownership {
         let member_count = zones.len();
         let results = ResultCache::new(config.result_cache_bytes_per_tenant);
         Ownership {
             voters: VoterAssignment::new(zones, config.voters_per_statement),
-            vote_log: VoteLog::new(this.member, now, VoteLogConfig::from(&config)),
+            vote_log: VoteLog::new(own_process.member, now, VoteLogConfig::from(&config)),
             statements: StatementTable::new(results),
-            members: Members::new(this, member_count),
-            recent_ends: RecentEnds::default(),
+            members: Members::new(own_process, member_count),
+            recent_completions: RecentCompletions::default(),
             updates: PendingUpdates::new(),
             transfers: StateTransfers::new(member_count),
             counters: OwnershipCounters::default(),
@@ -123,13 +128,13 @@
             Message::TakeoverReply {
                 id,
                 epoch,
-                promised,
+                is_promised,
                 record,
             } => {
                 let vote = TakeoverVote {
                     voter: from,
                     epoch,
-                    promised,
+                    is_promised,
                     record,
                 };
                 self.on_takeover_vote(now, id, vote, out);
@@ -170,21 +175,21 @@
     pub fn next_timer(&self) -> Nanos {
         self.statements
             .next_timer()
-            .min(self.updates.due())
+            .min(self.updates.next_send_at())
             .min(self.vote_log.next_expiry())
-            .min(self.transfers.next_due())
+            .min(self.transfers.next_send_at())
     }
 
     /// Does all that is due.
     pub fn on_timer(&mut self, now: Nanos, out: &mut dyn Output) {
         self.fire_statement_timers(now, out);
-        self.send_due_updates(now, out);
-        self.send_due_transfers(now, out);
+        self.on_update_timer(now, out);
+        self.on_transfer_timer(now, out);
         self.evict_expired(now);
     }
 
     pub(crate) fn fire_statement_timers(&mut self, now: Nanos, out: &mut dyn Output) {
-        while let Some(id) = self.statements.pop_due(now) {
+        while let Some(id) = self.statements.pop_expired(now) {
             self.on_statement_timer(now, id, out);
         }
     }
@@ -216,7 +221,7 @@
             | StatementState::Closed
             | StatementState::Unknown => {
                 if now >= expires_at {
-                    self.statements.forget(id);
+                    self.statements.remove(id);
                 }
             }
         }
@@ -226,10 +231,10 @@
     pub(crate) fn evict_expired(&mut self, now: Nanos) {
         let max_entries = self.config.max_entries;
         self.vote_log.evict_expired(now);
-        while let Some(id) = self.recent_ends.pop_expired(now, max_entries) {
+        while let Some(id) = self.recent_completions.pop_expired(now, max_entries) {
             self.vote_log.drop_request(id);
         }
-        self.statements.evict_closed(max_entries);
+        self.statements.evict_ended(max_entries);
     }
 
     pub(crate) fn apply_records(&mut self, now: Nanos, records: &[StatementRecord]) {
@@ -241,19 +246,19 @@
     pub(crate) fn apply_record(&mut self, now: Nanos, record: &StatementRecord) {
         self.vote_log.apply(now, record);
         if matches!(record.end, Some(StatementEnd::Completed { .. })) {
-            self.recent_ends.insert(now, record.id);
+            self.recent_completions.insert(now, record.id);
         }
     }
 
-    pub(crate) fn this_member(&self) -> MemberId {
-        self.members.this().member
+    pub(crate) fn own_member(&self) -> MemberId {
+        self.members.own_process().member
     }
 
     /// An epoch under which this process acts.
     pub(crate) fn own_epoch(&self, number: u32) -> Epoch {
         Epoch {
             number,
-            process: self.members.this(),
+            process: self.members.own_process(),
         }
     }
 
@@ -278,7 +283,7 @@
     /// The statement's voters other than this member.
     pub(crate) fn other_voters(&self, id: StatementId) -> Vec<MemberId> {
         let mut voters = self.voters.voters_of(id);
-        voters.retain(|&voter| voter != self.this_member());
+        voters.retain(|&voter| voter != self.own_member());
         voters
     }
 
--- a/crates/ivypitch-ownership/src/recent_ends.rs
+++ b/crates/ivypitch-ownership/src/recent_completions.rs
@@ -7,16 +7,16 @@
 use crate::message::StatementId;
 
 /// An engine keeps the rows of a statement that completed for about this long.
-const ROWS_AT_ENGINE: Nanos = 1_500 * MILLISECOND;
+const ENGINE_RESULT_RETENTION: Nanos = 1_500 * MILLISECOND;
 
 #[derive(Default)]
-pub(crate) struct RecentEnds {
+pub(crate) struct RecentCompletions {
     reported_at: BTreeMap<StatementId, Nanos>,
     /// The same, the oldest first. A statement whose end is reported again is in it twice.
     by_age: VecDeque<(Nanos, StatementId)>,
 }
 
-impl RecentEnds {
+impl RecentCompletions {
     pub(crate) fn insert(&mut self, now: Nanos, id: StatementId) {
         self.reported_at.insert(id, now);
         self.by_age.push_back((now, id));
@@ -26,15 +26,15 @@
     pub(crate) fn contains(&self, now: Nanos, id: StatementId) -> bool {
         self.reported_at
             .get(&id)
-            .is_some_and(|&at| now < at + ROWS_AT_ENGINE)
+            .is_some_and(|&at| now < at + ENGINE_RESULT_RETENTION)
     }
 
     /// Removes and returns one statement whose rows no engine has any more, or the oldest one beyond `max_entries`.
     pub(crate) fn pop_expired(&mut self, now: Nanos, max_entries: usize) -> Option<StatementId> {
-        let oldest_kept = now.saturating_sub(ROWS_AT_ENGINE);
+        let oldest_retained = now.saturating_sub(ENGINE_RESULT_RETENTION);
         loop {
             let &(at, id) = self.by_age.front()?;
-            if at >= oldest_kept && self.by_age.len() <= max_entries {
+            if at >= oldest_retained && self.by_age.len() <= max_entries {
                 return None;
             }
             self.by_age.pop_front();
--- a/crates/ivypitch-ownership/src/result_cache.rs
+++ b/crates/ivypitch-ownership/src/result_cache.rs
@@ -73,9 +73,9 @@
         }
         self.last_sequence += 1;
         let sequence = self.last_sequence;
-        let of_tenant = self.tenants.entry(tenant).or_default();
-        of_tenant.by_age.insert(sequence, id);
-        of_tenant.bytes += bytes;
+        let tenant_results = self.tenants.entry(tenant).or_default();
+        tenant_results.by_age.insert(sequence, id);
+        tenant_results.bytes += bytes;
         let result = CachedResult {
             tenant,
             pages,
@@ -94,26 +94,26 @@
         let Some(result) = self.results.remove(&id) else {
             return;
         };
-        if let Some(of_tenant) = self.tenants.get_mut(&result.tenant) {
-            of_tenant.by_age.remove(&result.sequence);
-            of_tenant.bytes -= result_bytes(&result.pages);
+        if let Some(tenant_results) = self.tenants.get_mut(&result.tenant) {
+            tenant_results.by_age.remove(&result.sequence);
+            tenant_results.bytes -= result_bytes(&result.pages);
         }
     }
 
     fn oldest_if_over_budget(&self, tenant: u16, added_bytes: usize) -> Option<StatementId> {
-        let of_tenant = self.tenants.get(&tenant)?;
-        if of_tenant.bytes + added_bytes <= self.max_bytes_per_tenant {
+        let tenant_results = self.tenants.get(&tenant)?;
+        if tenant_results.bytes + added_bytes <= self.max_bytes_per_tenant {
             return None;
         }
-        let (_, &oldest) = of_tenant.by_age.first_key_value()?;
+        let (_, &oldest) = tenant_results.by_age.first_key_value()?;
         Some(oldest)
     }
 }
 
 fn result_bytes(pages: &Pages) -> usize {
-    let of_pages: usize = pages
+    let page_bytes: usize = pages
         .iter()
         .map(|page| page.len() + PAGE_OVERHEAD_BYTES)
         .sum();
-    ENTRY_OVERHEAD_BYTES + of_pages
+    ENTRY_OVERHEAD_BYTES + page_bytes
 }
--- a/crates/ivypitch-ownership/src/state_transfer.rs
+++ b/crates/ivypitch-ownership/src/state_transfer.rs
@@ -10,9 +10,9 @@
 use crate::updates::MAX_RECORDS_PER_MESSAGE;
 
 /// A member that came up gets its transfer this long after a grant is valid; what it got sooner would not count.
-const FIRST_TRANSFER_SLACK: Nanos = 50 * MILLISECOND;
+const FIRST_TRANSFER_MARGIN: Nanos = 50 * MILLISECOND;
 /// A member whose own log is not complete transfers again after this time, if it has learned more.
-const RETRY_INTERVAL: Nanos = 400 * MILLISECOND;
+const TRANSFER_RETRY_INTERVAL: Nanos = 400 * MILLISECOND;
 /// A member that is lost this soon after a transfer may not have read it.
 const TRANSFER_LOSS_WINDOW: Nanos = 2 * SECOND;
 
@@ -24,7 +24,7 @@
 }
 
 struct PendingTransfer {
-    due: Nanos,
+    send_at: Nanos,
     /// Until when the member may need transfers.
     expires_at: Nanos,
     incarnation: Incarnation,
@@ -46,10 +46,10 @@
         }
     }
 
-    pub(crate) fn next_due(&self) -> Nanos {
+    pub(crate) fn next_send_at(&self) -> Nanos {
         self.pending
             .values()
-            .map(|transfer| transfer.due)
+            .map(|transfer| transfer.send_at)
             .min()
             .unwrap_or(Nanos::MAX)
     }
@@ -69,10 +69,10 @@
             .is_some_and(|transfer| transfer.incarnation == process.incarnation)
     }
 
-    fn due(&self, now: Nanos) -> Vec<MemberId> {
+    fn members_to_send(&self, now: Nanos) -> Vec<MemberId> {
         self.pending
             .iter()
-            .filter(|(_, transfer)| transfer.due <= now)
+            .filter(|(_, transfer)| transfer.send_at <= now)
             .map(|(&member, _)| member)
             .collect()
     }
@@ -88,28 +88,28 @@
         let Some(transfer) = self.pending.get_mut(&member) else {
             return false;
         };
-        let has_news = transfer.sent_revision != Some(revision);
+        let has_new_records = transfer.sent_revision != Some(revision);
         transfer.sent_revision = Some(revision);
         let incarnation = transfer.incarnation;
         if *completeness != VoteLogCompleteness::Complete && now < transfer.expires_at {
-            transfer.due = now + RETRY_INTERVAL;
+            transfer.send_at = now + TRANSFER_RETRY_INTERVAL;
         } else {
             self.pending.remove(&member);
         }
-        if has_news && let Some(completed) = self.completed.get_mut(member.as_usize()) {
+        if has_new_records && let Some(completed) = self.completed.get_mut(member.as_usize()) {
             *completed = Some(CompletedTransfer {
                 incarnation,
                 sent_at: now,
             });
         }
-        has_news
+        has_new_records
     }
 }
 
 impl Ownership {
     /// A process of another member is connected.
     pub fn on_member_up(&mut self, now: Nanos, process: ProcessId) {
-        if process.member == self.this_member() {
+        if process.member == self.own_member() {
             return;
         }
         self.members.on_up(process);
@@ -122,7 +122,7 @@
         let relearning_time =
             config.max_statement_timeout + config.retention + config.grant_validity;
         let transfer = PendingTransfer {
-            due: now + config.grant_validity + FIRST_TRANSFER_SLACK,
+            send_at: now + config.grant_validity + FIRST_TRANSFER_MARGIN,
             expires_at: now + relearning_time,
             incarnation: process.incarnation,
             sent_revision: None,
@@ -142,14 +142,14 @@
 
     /// Transfers to each member that came up lately all that it may have voted on. A member that restarted lately
     /// itself transfers again as it learns more.
-    pub(crate) fn send_due_transfers(&mut self, now: Nanos, out: &mut dyn Output) {
-        let due = self.transfers.due(now);
-        if due.is_empty() {
+    pub(crate) fn on_transfer_timer(&mut self, now: Nanos, out: &mut dyn Output) {
+        let members = self.transfers.members_to_send(now);
+        if members.is_empty() {
             return;
         }
         let completeness = self.vote_log.completeness(now);
         let revision = self.vote_log.revision();
-        for member in due {
+        for member in members {
             if self.transfers.advance(now, member, &completeness, revision) {
                 self.transfer_state(now, member, &completeness, out);
             }
--- a/crates/ivypitch-ownership/src/statement.rs
+++ b/crates/ivypitch-ownership/src/statement.rs
@@ -90,7 +90,7 @@
     pub(crate) requested_at: Nanos,
     pub(crate) granted_by: BTreeSet<MemberId>,
     /// With what the voter knows that forbids the attempt, if it said so.
-    pub(crate) refused_by: BTreeMap<MemberId, Option<StatementRecord>>,
+    pub(crate) denied_by: BTreeMap<MemberId, Option<StatementRecord>>,
 }
 
 /// Whom this gateway asks about the statement.
@@ -98,7 +98,7 @@
     /// Voters that are still to be asked, the next one last.
     pub(crate) candidates: Vec<MemberId>,
     /// Who was asked last, or acts for the statement.
-    pub(crate) asked: MemberId,
+    pub(crate) asked_member: MemberId,
     /// Of the last request, if there was one.
     pub(crate) request_id: Option<u64>,
     /// This gateway can't say how its own attempt ended: where no voter knows more, its clients are told so.
@@ -134,7 +134,7 @@
     pub(crate) lookup: LookupProgress,
     pub(crate) takeover: TakeoverProgress,
     /// Lookups or takeovers that were started over.
-    pub(crate) tries: u32,
+    pub(crate) rounds: u32,
     /// Voters have been notified of it.
     pub(crate) is_known_to_voters: bool,
     /// When its timer fires, if one is set.
@@ -163,12 +163,12 @@
             waiters: Vec::new(),
             lookup: LookupProgress {
                 candidates: Vec::new(),
-                asked: epoch.process.member,
+                asked_member: epoch.process.member,
                 request_id: None,
                 is_before_abort: false,
             },
             takeover: TakeoverProgress::default(),
-            tries: 0,
+            rounds: 0,
             is_known_to_voters: false,
             timer: None,
             expires_at,
@@ -213,7 +213,7 @@
     }
 
     /// The client that submitted the statement waits from now on like all others.
-    pub(crate) fn submitter_waits(&mut self) {
+    pub(crate) fn move_submitter_to_waiters(&mut self) {
         if let Some(submitter) = self.submitter.take() {
             self.waiters.push(Waiter::Local(submitter));
         }
--- a/crates/ivypitch-ownership/src/statement_table.rs
+++ b/crates/ivypitch-ownership/src/statement_table.rs
@@ -14,7 +14,7 @@
     /// One timer for each statement, the earliest first.
     timers: BTreeSet<(Nanos, StatementId)>,
     /// Statements that are over, the oldest first; beyond the table's bound they are forgotten before their time.
-    closed: VecDeque<StatementId>,
+    ended: VecDeque<StatementId>,
     pub(crate) results: ResultCache,
 }
 
@@ -23,7 +23,7 @@
         StatementTable {
             statements: BTreeMap::new(),
             timers: BTreeSet::new(),
-            closed: VecDeque::new(),
+            ended: VecDeque::new(),
             results,
         }
     }
@@ -59,7 +59,7 @@
         self.set_timer(id, expires_at);
     }
 
-    pub(crate) fn forget(&mut self, id: StatementId) {
+    pub(crate) fn remove(&mut self, id: StatementId) {
         if let Some(statement) = self.statements.remove(&id) {
             self.cancel_timer(id, statement.timer);
             self.results.remove(id);
@@ -87,7 +87,7 @@
     }
 
     /// The next statement whose timer has fired; it has none set afterwards.
-    pub(crate) fn pop_due(&mut self, now: Nanos) -> Option<StatementId> {
+    pub(crate) fn pop_expired(&mut self, now: Nanos) -> Option<StatementId> {
         let &(at, id) = self.timers.first().filter(|(at, _)| *at <= now)?;
         self.timers.remove(&(at, id));
         if let Some(statement) = self.statements.get_mut(&id) {
@@ -104,19 +104,19 @@
         if statement.transition(to) && !to.is_open() {
             let expires_at = statement.expires_at;
             self.set_timer(id, expires_at);
-            self.closed.push_back(id);
+            self.ended.push_back(id);
         }
     }
 
     /// Forgets the oldest of the statements that are over, where there are more than `max_closed`. Their voters still
     /// know how they ended.
-    pub(crate) fn evict_closed(&mut self, max_closed: usize) {
-        while self.closed.len() > max_closed {
-            let Some(id) = self.closed.pop_front() else {
+    pub(crate) fn evict_ended(&mut self, max_ended: usize) {
+        while self.ended.len() > max_ended {
+            let Some(id) = self.ended.pop_front() else {
                 break;
             };
             if self.get(id).is_some_and(|statement| !statement.is_open()) {
-                self.forget(id);
+                self.remove(id);
             }
         }
     }
--- a/crates/ivypitch-ownership/src/takeover.rs
+++ b/crates/ivypitch-ownership/src/takeover.rs
@@ -2,22 +2,22 @@
 
 use ivypitch_types::{MemberId, Nanos, ProcessId};
 
-use crate::lookup_answer::Location;
+use crate::lookup_reply::Location;
 use crate::message::{Epoch, FinalAnswer, Message, StatementEnd, StatementId, StatementRecord};
 use crate::output::Output;
 use crate::ownership::Ownership;
 use crate::statement::StatementState;
-use crate::vote_log::VoteRefusal;
+use crate::vote_log::VoteDenial;
 
 /// The pause between tries grows up to this many takeover timeouts.
-const MAX_RETRY_PAUSE_TIMEOUTS: u32 = 4;
+const MAX_RETRY_BACKOFF_TIMEOUTS: u32 = 4;
 
 /// A voter's answer to a takeover.
 pub(crate) struct TakeoverVote {
     pub(crate) voter: MemberId,
     pub(crate) epoch: Epoch,
     /// It lets no lower epoch act.
-    pub(crate) promised: bool,
+    pub(crate) is_promised: bool,
     /// What it knows of the statement.
     pub(crate) record: Option<StatementRecord>,
 }
@@ -32,7 +32,7 @@
         let mut orphan_count = 0;
         let mut first_voter_count = 0;
         for id in self.vote_log.owned_by(process) {
-            let Some(rank) = self.orphan(now, id, process) else {
+            let Some(rank) = self.mark_orphaned(now, id, process) else {
                 continue;
             };
             orphan_count += 1;
@@ -49,7 +49,7 @@
     }
 
     /// Prepares to take a statement over, if it is in need of that. Returns this member's rank among its voters.
-    fn orphan(&mut self, now: Nanos, id: StatementId, lost: ProcessId) -> Option<usize> {
+    fn mark_orphaned(&mut self, now: Nanos, id: StatementId, lost: ProcessId) -> Option<usize> {
         let record = self.vote_log.get(now, id)?;
         if !self.is_orphaned_by(now, &record, lost) {
             return None;
@@ -81,9 +81,9 @@
     fn is_orphaned_by(&self, now: Nanos, record: &StatementRecord, lost: ProcessId) -> bool {
         match record.end {
             None => true,
-            Some(StatementEnd::Completed { rows_at }) => {
-                rows_at == lost
-                    && self.recent_ends.contains(now, record.id)
+            Some(StatementEnd::Completed { cached_at }) => {
+                cached_at == lost
+                    && self.recent_completions.contains(now, record.id)
                     && record.grants.iter().any(|grant| !grant.never_ran)
             }
             Some(StatementEnd::Aborted | StatementEnd::Rejected) => false,
@@ -92,10 +92,10 @@
 
     /// How many of the statement's connected voters come before this member.
     fn rank_among_connected(&self, id: StatementId) -> usize {
-        let this = self.this_member();
+        let own_member = self.own_member();
         self.connected_voters(id)
             .into_iter()
-            .take_while(|&voter| voter != this)
+            .take_while(|&voter| voter != own_member)
             .count()
     }
 
@@ -114,25 +114,26 @@
         statement.epoch = epoch;
         statement.takeover.promises.clear();
         // Lookups before the takeover do not count as tries.
-        statement.tries = if statement.state() == StatementState::TakingOver {
-            statement.tries + 1
+        statement.rounds = if statement.state() == StatementState::TakingOver {
+            statement.rounds + 1
         } else {
             1
         };
         // No longer than a grant is valid: after that a voter may have restarted and voted again, and its promise
         // counts no more.
-        let pause_timeouts = u64::from(statement.tries.min(MAX_RETRY_PAUSE_TIMEOUTS));
-        let pause = (self.config.takeover_timeout * pause_timeouts).min(self.config.grant_validity);
+        let backoff_timeouts = u64::from(statement.rounds.min(MAX_RETRY_BACKOFF_TIMEOUTS));
+        let backoff =
+            (self.config.takeover_timeout * backoff_timeouts).min(self.config.grant_validity);
         self.statements.transition(id, StatementState::TakingOver);
-        self.statements.set_timer(id, now + pause);
+        self.statements.set_timer(id, now + backoff);
         let voters = self.voters.voters_of(id);
-        let this = self.this_member();
-        for &voter in voters.iter().filter(|&&voter| voter != this) {
+        let own_member = self.own_member();
+        for &voter in voters.iter().filter(|&&voter| voter != own_member) {
             if self.members.is_connected(voter) {
                 out.send(voter, Message::TakeoverRequest { id, epoch });
             }
         }
-        if voters.contains(&this) {
+        if voters.contains(&own_member) {
             self.vote_for_own_takeover(now, id, epoch, out);
         }
     }
@@ -144,17 +145,17 @@
         epoch: Epoch,
         out: &mut dyn Output,
     ) {
-        let voter = self.this_member();
+        let voter = self.own_member();
         let result = self.vote_log.vote_on_takeover(now, id, epoch, &self.voters);
-        let (promised, record) = match result {
+        let (is_promised, record) = match result {
             Ok(record) => (true, record),
-            Err(VoteRefusal::Conflict(record)) => (false, Some(*record)),
-            Err(VoteRefusal::Abstained | VoteRefusal::Full) => return,
+            Err(VoteDenial::Conflict(record)) => (false, Some(*record)),
+            Err(VoteDenial::Abstained | VoteDenial::Full) => return,
         };
         let vote = TakeoverVote {
             voter,
             epoch,
-            promised,
+            is_promised,
             record,
         };
         self.on_takeover_vote(now, id, vote, out);
@@ -170,13 +171,13 @@
         out: &mut dyn Output,
     ) {
         let result = self.vote_log.vote_on_takeover(now, id, epoch, &self.voters);
-        let (promised, record) = match result {
+        let (is_promised, record) = match result {
             Ok(record) => {
                 self.on_superseded(now, id, epoch, out);
                 (true, record)
             }
-            Err(VoteRefusal::Conflict(record)) => (false, Some(*record)),
-            Err(VoteRefusal::Abstained | VoteRefusal::Full) => {
+            Err(VoteDenial::Conflict(record)) => (false, Some(*record)),
+            Err(VoteDenial::Abstained | VoteDenial::Full) => {
                 out.send(from, Message::Abstention { id, epoch });
                 return;
             }
@@ -184,7 +185,7 @@
         let reply = Message::TakeoverReply {
             id,
             epoch,
-            promised,
+            is_promised,
             record,
         };
         out.send(from, reply);
@@ -238,9 +239,9 @@
         if statement.state() != StatementState::TakingOver || statement.epoch != vote.epoch {
             return;
         }
-        if !vote.promised {
+        if !vote.is_promised {
             if let Some(record) = vote.record {
-                self.on_takeover_refused(now, id, &record, out);
+                self.on_takeover_denied(now, id, &record, out);
             }
             return;
         }
@@ -251,7 +252,7 @@
         }
     }
 
-    fn on_takeover_refused(
+    fn on_takeover_denied(
         &mut self,
         now: Nanos,
         id: StatementId,
@@ -259,7 +260,7 @@
         out: &mut dyn Output,
     ) {
         match self.locate(record) {
-            Location::At(member) if member != self.this_member() => {
+            Location::At(member) if member != self.own_member() => {
                 self.follow_or_close(now, id, member, out);
             }
             // The takeover of a process that is lost too: the next try goes over it.
@@ -276,8 +277,8 @@
         let Some(statement) = self.statements.get(id) else {
             return;
         };
-        let promised = self.vote_log.get(now, id);
-        let next_number = promised.map_or(0, |record| record.epoch.number + 1);
+        let known = self.vote_log.get(now, id);
+        let next_number = known.map_or(0, |record| record.epoch.number + 1);
         let epoch_number = statement.epoch.number.max(next_number);
         self.request_takeover(now, id, epoch_number, out);
     }
--- a/crates/ivypitch-ownership/src/takeover_outcome.rs
+++ b/crates/ivypitch-ownership/src/takeover_outcome.rs
@@ -18,10 +18,10 @@
 const MIN_POLL_TIME: Nanos = SECOND;
 
 /// What a takeover found.
-struct TakenOver {
+struct TakeoverFindings {
     end: Option<StatementEnd>,
     /// The last attempt that may have run.
-    dispatched: Option<AttemptGrant>,
+    last_dispatched: Option<AttemptGrant>,
     rejection: Option<PendingRejection>,
     spec: StatementSpec,
     remaining: Nanos,
@@ -35,19 +35,19 @@
         let Some(statement) = self.statements.get_mut(id) else {
             return;
         };
-        let found = merge_promises(now, statement, max_statement_timeout);
-        match found.end {
-            Some(StatementEnd::Completed { rows_at }) => {
-                self.take_over_completed(now, id, &found, rows_at, out);
+        let findings = merge_promises(now, statement, max_statement_timeout);
+        match findings.end {
+            Some(StatementEnd::Completed { cached_at }) => {
+                self.take_over_completed(now, id, &findings, cached_at, out);
             }
-            Some(StatementEnd::Aborted) if !found.spec.is_idempotent => {
+            Some(StatementEnd::Aborted) if !findings.spec.is_idempotent => {
                 self.answer_waiters(id, &FinalAnswer::Aborted, out);
                 self.statements.transition(id, StatementState::Unknown);
             }
-            None if found.dispatched.is_some() && found.is_wanted() => {
-                self.poll_engine(id, &found, out);
+            None if findings.last_dispatched.is_some() && findings.has_interested_client() => {
+                self.poll_engine(id, &findings, out);
             }
-            _ => self.take_over_undispatched(now, id, &found, out),
+            _ => self.take_over_undispatched(now, id, &findings, out),
         }
     }
 
@@ -56,18 +56,18 @@
         &mut self,
         now: Nanos,
         id: StatementId,
-        found: &TakenOver,
-        rows_at: ProcessId,
+        findings: &TakeoverFindings,
+        cached_at: ProcessId,
         out: &mut dyn Output,
     ) {
-        if self.members.is_process_connected(rows_at) {
-            if found.has_waiters && rows_at.member != self.this_member() {
-                self.follow(now, id, rows_at.member, out);
+        if self.members.is_process_connected(cached_at) {
+            if findings.has_waiters && cached_at.member != self.own_member() {
+                self.follow(now, id, cached_at.member, out);
             } else {
                 self.statements.transition(id, StatementState::Closed);
             }
-        } else if found.dispatched.is_some() && found.is_wanted() {
-            self.poll_engine(id, found, out);
+        } else if findings.last_dispatched.is_some() && findings.has_interested_client() {
+            self.poll_engine(id, findings, out);
         } else {
             self.answer_waiters(id, &FinalAnswer::CompletedWithoutRows, out);
             self.statements.transition(id, StatementState::Cached);
@@ -75,13 +75,13 @@
     }
 
     /// An attempt may be running, or has just ended: its engine is polled for it and nothing is started.
-    fn poll_engine(&mut self, id: StatementId, found: &TakenOver, out: &mut dyn Output) {
+    fn poll_engine(&mut self, id: StatementId, findings: &TakeoverFindings, out: &mut dyn Output) {
         self.counters.polled += 1;
         self.statements.transition(id, StatementState::TakenOver);
-        self.set_known_to_voters(id);
-        let remaining = found.remaining.max(MIN_POLL_TIME);
-        let engine = found.dispatched.map(|grant| grant.engine);
-        out.take_over(id, &found.spec, remaining, engine);
+        self.mark_known_to_voters(id);
+        let remaining = findings.remaining.max(MIN_POLL_TIME);
+        let engine_hash = findings.last_dispatched.map(|grant| grant.engine_hash);
+        out.take_over(id, &findings.spec, remaining, engine_hash);
     }
 
     /// No attempt is to be polled for. None was granted that may have run, and none can be any more, or the statement is
@@ -90,20 +90,20 @@
         &mut self,
         now: Nanos,
         id: StatementId,
-        found: &TakenOver,
+        findings: &TakeoverFindings,
         out: &mut dyn Output,
     ) {
-        if !found.is_wanted() {
+        if !findings.has_interested_client() {
             self.statements.transition(id, StatementState::Closed);
-        } else if let Some(PendingRejection { retry_after_ms }) = found.rejection {
+        } else if let Some(PendingRejection { retry_after_ms }) = findings.rejection {
             let answer = FinalAnswer::Rejected { retry_after_ms };
             self.answer_waiters(id, &answer, out);
             self.queue_update(now, id, Some(StatementEnd::Rejected));
-            self.set_known_to_voters(id);
+            self.mark_known_to_voters(id);
             self.statements.transition(id, StatementState::Closed);
-        } else if found.spec.is_idempotent || found.has_waiters {
+        } else if findings.spec.is_idempotent || findings.has_waiters {
             self.statements.transition(id, StatementState::Owned);
-            out.take_over(id, &found.spec, found.remaining, None);
+            out.take_over(id, &findings.spec, findings.remaining, None);
         } else {
             // A non-idempotent statement starts only once its client has come back: that one may have been told that
             // nothing ran, and then comes under another id.
@@ -111,16 +111,16 @@
         }
     }
 
-    fn set_known_to_voters(&mut self, id: StatementId) {
+    fn mark_known_to_voters(&mut self, id: StatementId) {
         if let Some(statement) = self.statements.get_mut(id) {
             statement.is_known_to_voters = true;
         }
     }
 }
 
-impl TakenOver {
+impl TakeoverFindings {
     /// Somebody waits for the statement, or its client may still come back in time.
-    fn is_wanted(&self) -> bool {
+    fn has_interested_client(&self) -> bool {
         self.remaining > 0 || self.has_waiters
     }
 }
@@ -130,14 +130,14 @@
     now: Nanos,
     statement: &mut Statement,
     max_statement_timeout: Nanos,
-) -> TakenOver {
+) -> TakeoverFindings {
     let promises = std::mem::take(&mut statement.takeover.promises);
     let records: Vec<StatementRecord> = promises.into_values().flatten().collect();
     statement.grants = merge_grants(&records, &statement.grants);
     let has_waiters = !statement.waiters.is_empty();
     let mut end = None;
     for record in records {
-        end = stronger_end(end, record.end);
+        end = merge_ends(end, record.end);
         let Some(spec) = record.spec else {
             continue;
         };
@@ -150,9 +150,9 @@
             statement.deadline = statement.deadline.max(deadline);
         }
     }
-    TakenOver {
+    TakeoverFindings {
         end,
-        dispatched: statement
+        last_dispatched: statement
             .grants
             .iter()
             .rev()
@@ -168,8 +168,8 @@
 /// All grants, by epoch and attempt. One that any voter knows never to have run did not.
 fn merge_grants(records: &[StatementRecord], own: &[AttemptGrant]) -> Vec<AttemptGrant> {
     let mut grants: BTreeMap<(Epoch, u32), AttemptGrant> = BTreeMap::new();
-    let of_voters = records.iter().flat_map(|record| &record.grants);
-    for grant in of_voters.chain(own) {
+    let voter_grants = records.iter().flat_map(|record| &record.grants);
+    for grant in voter_grants.chain(own) {
         let known = grants.entry((grant.epoch, grant.attempt)).or_insert(*grant);
         known.never_ran |= grant.never_ran;
     }
@@ -177,10 +177,7 @@
 }
 
 /// That a statement completed is a fact; of other ends the later one counts.
-fn stronger_end(
-    known: Option<StatementEnd>,
-    reported: Option<StatementEnd>,
-) -> Option<StatementEnd> {
+fn merge_ends(known: Option<StatementEnd>, reported: Option<StatementEnd>) -> Option<StatementEnd> {
     match (known, reported) {
         (Some(StatementEnd::Completed { .. }), _) | (_, None) => known,
         (_, reported) => reported,
--- a/crates/ivypitch-ownership/src/updates.rs
+++ b/crates/ivypitch-ownership/src/updates.rs
@@ -15,20 +15,20 @@
 pub(crate) struct PendingUpdates {
     /// With their end, where they have one.
     ends: BTreeMap<StatementId, Option<StatementEnd>>,
-    due: Nanos,
+    next_send_at: Nanos,
 }
 
 impl PendingUpdates {
     pub(crate) fn new() -> PendingUpdates {
         PendingUpdates {
             ends: BTreeMap::new(),
-            due: Nanos::MAX,
+            next_send_at: Nanos::MAX,
         }
     }
 
     /// When the next batch is to be sent; [`Nanos::MAX`] if there is none.
-    pub(crate) fn due(&self) -> Nanos {
-        self.due
+    pub(crate) fn next_send_at(&self) -> Nanos {
+        self.next_send_at
     }
 
     /// The statement's voters need not be notified any more.
@@ -36,16 +36,16 @@
         self.ends.remove(&id);
     }
 
-    fn add(&mut self, id: StatementId, end: Option<StatementEnd>, due: Nanos) {
+    fn add(&mut self, id: StatementId, end: Option<StatementEnd>, send_at: Nanos) {
         let known = self.ends.entry(id).or_default();
         *known = end.or(*known);
-        if self.due == Nanos::MAX {
-            self.due = due;
+        if self.next_send_at == Nanos::MAX {
+            self.next_send_at = send_at;
         }
     }
 
     fn take(&mut self) -> BTreeMap<StatementId, Option<StatementEnd>> {
-        self.due = Nanos::MAX;
+        self.next_send_at = Nanos::MAX;
         std::mem::take(&mut self.ends)
     }
 }
@@ -53,12 +53,12 @@
 impl Ownership {
     /// Notifies the statement's voters with the next batch.
     pub(crate) fn queue_update(&mut self, now: Nanos, id: StatementId, end: Option<StatementEnd>) {
-        let due = now + self.config.update_interval;
-        self.updates.add(id, end, due);
+        let send_at = now + self.config.update_interval;
+        self.updates.add(id, end, send_at);
     }
 
-    pub(crate) fn send_due_updates(&mut self, now: Nanos, out: &mut dyn Output) {
-        if now >= self.updates.due() {
+    pub(crate) fn on_update_timer(&mut self, now: Nanos, out: &mut dyn Output) {
+        if now >= self.updates.next_send_at() {
             self.send_updates(now, out);
         }
     }
@@ -67,11 +67,11 @@
     fn send_updates(&mut self, now: Nanos, out: &mut dyn Output) {
         let mut batches: BTreeMap<MemberId, Vec<StatementRecord>> = BTreeMap::new();
         for (id, end) in self.updates.take() {
-            let Some(record) = self.update_of(now, id, end) else {
+            let Some(record) = self.make_update(now, id, end) else {
                 continue;
             };
-            for voter in self.notified_voters(id) {
-                if voter == self.this_member() {
+            for voter in self.voters_to_notify(id) {
+                if voter == self.own_member() {
                     self.apply_record(now, &record);
                 } else if self.members.is_connected(voter) {
                     batches.entry(voter).or_default().push(record.clone());
@@ -86,7 +86,7 @@
     }
 
     /// What the statement's voters are told; `None` where they need not know of it.
-    fn update_of(
+    fn make_update(
         &mut self,
         now: Nanos,
         id: StatementId,
@@ -110,14 +110,14 @@
         Some(record)
     }
 
-    fn notified_voters(&self, id: StatementId) -> Vec<MemberId> {
+    fn voters_to_notify(&self, id: StatementId) -> Vec<MemberId> {
         let mut voters = self.voters.voters_of(id);
         let is_idempotent = self
             .statements
             .get(id)
             .is_some_and(|statement| statement.spec.is_idempotent);
         if is_idempotent {
-            voters.truncate(self.config.voters_of_idempotent_statements);
+            voters.truncate(self.config.voters_per_idempotent_statement);
         }
         voters
     }
--- a/crates/ivypitch-ownership/src/vote_log.rs
+++ b/crates/ivypitch-ownership/src/vote_log.rs
@@ -17,7 +17,7 @@
 
 /// Why a vote was not given.
 #[derive(Clone, Debug, PartialEq)]
-pub enum VoteRefusal {
+pub enum VoteDenial {
     /// This voter restarted lately.
     Abstained,
     /// Another process may act, or the statement has ended; what is known of it.
@@ -60,7 +60,7 @@
     max_entries: usize,
     retention: Nanos,
     /// Before this time the voter abstains on everything.
-    votes_from: Nanos,
+    abstains_until: Nanos,
     /// After this time it votes on everything.
     complete_from: Nanos,
     /// Members that transferred all they know since this voter started, and how complete that was.
@@ -72,15 +72,15 @@
 impl VoteLog {
     /// The empty log of a voter that starts now.
     pub fn new(member: MemberId, now: Nanos, config: VoteLogConfig) -> VoteLog {
-        let votes_from = now + config.grant_validity;
+        let abstains_until = now + config.grant_validity;
         VoteLog {
             member,
             entries: BTreeMap::new(),
             expiries: BTreeSet::new(),
             max_entries: config.max_entries,
             retention: config.retention,
-            votes_from,
-            complete_from: votes_from + config.max_statement_timeout + config.retention,
+            abstains_until,
+            complete_from: abstains_until + config.max_statement_timeout + config.retention,
             transferred_by: BTreeMap::new(),
             revision: 0,
         }
@@ -106,7 +106,7 @@
         from: MemberId,
         completeness: VoteLogCompleteness,
     ) {
-        if now >= self.votes_from && self.transferred_by.get(&from) != Some(&completeness) {
+        if now >= self.abstains_until && self.transferred_by.get(&from) != Some(&completeness) {
             self.transferred_by.insert(from, completeness);
             self.revision += 1;
         }
@@ -138,32 +138,34 @@
 
     /// Whether the votes that this voter gave before it restarted are known again: of every quorum that it was part
     /// of, a member that knows of it has transferred it.
-    pub fn may_vote(&self, now: Nanos, id: StatementId, assignment: &VoterAssignment) -> bool {
+    pub fn can_vote(&self, now: Nanos, id: StatementId, assignment: &VoterAssignment) -> bool {
         if now >= self.complete_from {
             return true;
         }
-        if now < self.votes_from || self.transferred_by.is_empty() {
+        if now < self.abstains_until || self.transferred_by.is_empty() {
             return false;
         }
         let voters = assignment.voters_of(id);
-        let needed = assignment.count() - assignment.quorum() + 1;
-        let sources = voters
+        let required_sources = assignment.voters_per_statement() - assignment.quorum() + 1;
+        let source_count = voters
             .iter()
-            .filter(|&&voter| voter != self.member && self.can_rely_on(voter, &voters, needed))
+            .filter(|&&voter| {
+                voter != self.member && self.can_rely_on(voter, &voters, required_sources)
+            })
             .count();
-        sources >= needed
+        source_count >= required_sources
     }
 
-    fn can_rely_on(&self, source: MemberId, voters: &[MemberId], needed: usize) -> bool {
+    fn can_rely_on(&self, source: MemberId, voters: &[MemberId], required_sources: usize) -> bool {
         match self.transferred_by.get(&source) {
             Some(VoteLogCompleteness::Complete) => true,
             // The source restarted lately too: it knows what enough of the other voters had transferred to it.
             Some(VoteLogCompleteness::RestoredFrom(members)) => {
-                let its_sources = voters
+                let source_count = voters
                     .iter()
                     .filter(|&voter| *voter != source && members.contains(voter))
                     .count();
-                its_sources >= needed
+                source_count >= required_sources
             }
             None => false,
         }
@@ -182,14 +184,14 @@
             let is_current = self
                 .entries
                 .get(&record.id)
-                .is_some_and(|entry| entry.promised <= record.epoch && entry.end.is_none());
+                .is_some_and(|entry| entry.promised_epoch <= record.epoch && entry.end.is_none());
             if is_current {
                 self.remove(record.id);
             }
             return;
         }
         if let Some(entry) = self.merge(now, record) {
-            entry.promised = entry.promised.max(record.epoch);
+            entry.promised_epoch = entry.promised_epoch.max(record.epoch);
         }
     }
 
@@ -200,15 +202,15 @@
         record: &StatementRecord,
         grant: AttemptGrant,
         assignment: &VoterAssignment,
-    ) -> Result<(), VoteRefusal> {
-        if !self.may_vote(now, record.id, assignment) {
-            return Err(VoteRefusal::Abstained);
+    ) -> Result<(), VoteDenial> {
+        if !self.can_vote(now, record.id, assignment) {
+            return Err(VoteDenial::Abstained);
         }
         if let Some(entry) = self.entries.get(&record.id)
             && entry.forbids_grant(record, &grant)
         {
             let known = entry.record(now, record.id);
-            return Err(VoteRefusal::Conflict(Box::new(known)));
+            return Err(VoteDenial::Conflict(Box::new(known)));
         }
         let granted = StatementRecord {
             grants: [record.grants.as_slice(), &[grant]].concat(),
@@ -216,7 +218,7 @@
         };
         match self.merge(now, &granted) {
             Some(_) => Ok(()),
-            None => Err(VoteRefusal::Full),
+            None => Err(VoteDenial::Full),
         }
     }
 
@@ -227,15 +229,15 @@
         id: StatementId,
         epoch: Epoch,
         assignment: &VoterAssignment,
-    ) -> Result<Option<StatementRecord>, VoteRefusal> {
-        if !self.may_vote(now, id, assignment) {
-            return Err(VoteRefusal::Abstained);
+    ) -> Result<Option<StatementRecord>, VoteDenial> {
+        if !self.can_vote(now, id, assignment) {
+            return Err(VoteDenial::Abstained);
         }
         let known = self.get(now, id);
         if let Some(record) = &known
             && record.epoch >= epoch
         {
-            return Err(VoteRefusal::Conflict(Box::new(record.clone())));
+            return Err(VoteDenial::Conflict(Box::new(record.clone())));
         }
         let empty = StatementRecord {
             id,
@@ -244,8 +246,8 @@
             grants: Vec::new(),
             end: None,
         };
-        let entry = self.merge(now, &empty).ok_or(VoteRefusal::Full)?;
-        entry.promised = epoch;
+        let entry = self.merge(now, &empty).ok_or(VoteDenial::Full)?;
+        entry.promised_epoch = epoch;
         Ok(known)
     }
 
@@ -301,7 +303,7 @@
     pub fn owned_by(&self, process: ProcessId) -> Vec<StatementId> {
         self.entries
             .iter()
-            .filter(|(_, entry)| entry.promised.process == process)
+            .filter(|(_, entry)| entry.promised_epoch.process == process)
             .map(|(&id, _)| id)
             .collect()
     }
--- a/crates/ivypitch-ownership/src/vote_log_entry.rs
+++ b/crates/ivypitch-ownership/src/vote_log_entry.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct VoteLogEntry {
     /// Lower epochs get no grant.
-    pub(crate) promised: Epoch,
+    pub(crate) promised_epoch: Epoch,
     spec: Option<StatementSpec>,
     /// When its client's timeout ends.
     pub(crate) deadline: Nanos,
@@ -20,9 +20,9 @@
 }
 
 impl VoteLogEntry {
-    pub(crate) fn new(now: Nanos, promised: Epoch) -> VoteLogEntry {
+    pub(crate) fn new(now: Nanos, promised_epoch: Epoch) -> VoteLogEntry {
         VoteLogEntry {
-            promised,
+            promised_epoch,
             spec: None,
             deadline: now,
             grants: Vec::new(),
@@ -39,7 +39,7 @@
         });
         StatementRecord {
             id,
-            epoch: self.promised,
+            epoch: self.promised_epoch,
             spec,
             grants: self.grants.clone(),
             end: self.end,
@@ -84,7 +84,7 @@
             (None | Some(StatementEnd::Aborted), Some(end @ StatementEnd::Completed { .. })) => {
                 self.end = Some(end);
             }
-            (None, Some(end)) if record.epoch >= self.promised => self.end = Some(end),
+            (None, Some(end)) if record.epoch >= self.promised_epoch => self.end = Some(end),
             _ => {}
         }
     }
@@ -108,8 +108,13 @@
             .grants
             .iter()
             .filter(|known| !known.never_ran)
-            .any(|known| !record.grants.iter().any(|of| of.is_same_attempt(known)));
-        self.promised != grant.epoch
+            .any(|known| {
+                !record
+                    .grants
+                    .iter()
+                    .any(|granted| granted.is_same_attempt(known))
+            });
+        self.promised_epoch != grant.epoch
             || self.end.is_some()
             || is_other_statement
             || is_granted_twice
--- a/crates/ivypitch-ownership/src/voters.rs
+++ b/crates/ivypitch-ownership/src/voters.rs
@@ -18,7 +18,7 @@
 pub struct VoterAssignment {
     /// Zone of each member, by member id.
     zones: Vec<u16>,
-    count: usize,
+    voters_per_statement: usize,
     max_per_zone: usize,
     /// Assignments made lately, by the id's last bits.
     cache: RefCell<Vec<Option<CachedAssignment>>>,
@@ -33,29 +33,32 @@
 impl VoterAssignment {
     /// `zones` of all members, by member id. Each statement gets `count` voters, rounded down to an odd number, or fewer
     /// where there are fewer members. With three zones or more no zone holds a quorum; with two, both hold a voter.
-    pub fn new(zones: Vec<u16>, count: usize) -> VoterAssignment {
-        let count = round_down_to_odd(count.clamp(1, zones.len().max(1)));
+    pub fn new(zones: Vec<u16>, voters_per_statement: usize) -> VoterAssignment {
+        let voters_per_statement =
+            round_down_to_odd(voters_per_statement.clamp(1, zones.len().max(1)));
         let max_per_zone = match count_distinct(&zones) {
-            0 | 1 => count,
-            2 => (count / 2 + 1).min(count.saturating_sub(1)).max(1),
-            _ => (count / 2).max(1),
+            0 | 1 => voters_per_statement,
+            2 => (voters_per_statement / 2 + 1)
+                .min(voters_per_statement.saturating_sub(1))
+                .max(1),
+            _ => (voters_per_statement / 2).max(1),
         };
         VoterAssignment {
             zones,
-            count,
+            voters_per_statement,
             max_per_zone,
             cache: RefCell::new(vec![None; CACHE_ENTRIES]),
         }
     }
 
     /// Voters of each statement.
-    pub fn count(&self) -> usize {
-        self.count
+    pub fn voters_per_statement(&self) -> usize {
+        self.voters_per_statement
     }
 
     /// Votes that decide.
     pub fn quorum(&self) -> usize {
-        self.count / 2 + 1
+        self.voters_per_statement / 2 + 1
     }
 
     /// The voters of a statement, by falling rank.
@@ -77,22 +80,22 @@
 
     fn choose(&self, id: StatementId) -> Vec<MemberId> {
         let ranked = self.ranked_members(id);
-        let mut voters = Vec::with_capacity(self.count);
-        let mut used_zones: Vec<u16> = Vec::with_capacity(self.count);
+        let mut voters = Vec::with_capacity(self.voters_per_statement);
+        let mut used_zones: Vec<u16> = Vec::with_capacity(self.voters_per_statement);
         for &member in &ranked {
             let zone = self.zones[member.as_usize()];
-            let of_zone = used_zones.iter().filter(|&&used| used == zone).count();
-            if of_zone < self.max_per_zone {
+            let voters_in_zone = used_zones.iter().filter(|&&used| used == zone).count();
+            if voters_in_zone < self.max_per_zone {
                 used_zones.push(zone);
                 voters.push(member);
             }
-            if voters.len() == self.count {
+            if voters.len() == self.voters_per_statement {
                 return voters;
             }
         }
         // The zones are too uneven for the limit: filled up by rank alone.
         for &member in &ranked {
-            if voters.len() < self.count && !voters.contains(&member) {
+            if voters.len() < self.voters_per_statement && !voters.contains(&member) {
                 voters.push(member);
             }
         }
--- a/crates/ivypitch-ownership/tests/model.rs
+++ b/crates/ivypitch-ownership/tests/model.rs
@@ -17,8 +17,8 @@
 const LATER: u64 = 400;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Without {
-    Nothing,
+enum RemovedSafeguard {
+    None,
     /// A voter lets a lower epoch act after it has promised a higher one.
     Promise,
     /// One vote is enough.
@@ -41,13 +41,13 @@
     /// Voters that gave it the grant.
     votes: Vec<usize>,
     /// It polls an attempt, or has dispatched one.
-    done: bool,
+    is_done: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     vote_logs: Vec<VoteLog>,
-    alive: Vec<bool>,
+    is_alive: Vec<bool>,
     /// Processes that restarted, and who transferred their state to them.
     restarted: Vec<Option<Vec<usize>>>,
     /// By statement, then by member.
@@ -60,38 +60,38 @@
 enum Action {
     VoteOnGrant {
         statement: usize,
-        by: usize,
-        at: usize,
+        member: usize,
+        voter: usize,
     },
     Dispatch {
         statement: usize,
-        by: usize,
+        member: usize,
     },
     Crash(usize),
     Restart(usize),
     TransferState {
-        by: usize,
+        from: usize,
         to: usize,
     },
     RequestTakeover {
         statement: usize,
-        by: usize,
+        member: usize,
     },
     VoteOnTakeover {
         statement: usize,
-        by: usize,
-        at: usize,
+        member: usize,
+        voter: usize,
     },
     PollEngine {
         statement: usize,
-        by: usize,
+        member: usize,
     },
 }
 
 struct Fleet {
-    without: Without,
+    removed_safeguard: RemovedSafeguard,
     statements: usize,
-    losses: u8,
+    max_losses: u8,
     /// Only the member after the owner takes over.
     has_one_successor: bool,
 }
@@ -100,10 +100,10 @@
     7 + statement as StatementId
 }
 
-fn epoch(by: usize, owner: usize) -> Epoch {
+fn epoch(member: usize, owner: usize) -> Epoch {
     Epoch {
-        number: u32::from(by != owner) + by as u32 * u32::from(by != owner),
-        process: process(by as u16),
+        number: u32::from(member != owner) + member as u32 * u32::from(member != owner),
+        process: process(member as u16),
     }
 }
 
@@ -138,7 +138,7 @@
     }
 
     fn quorum(&self) -> usize {
-        if self.without == Without::Quorum {
+        if self.removed_safeguard == RemovedSafeguard::Quorum {
             1
         } else {
             self.voters().quorum()
@@ -151,11 +151,12 @@
 
     fn vote_log(&self, member: usize, is_restarted: bool) -> VoteLog {
         // After a restart it takes long until it needs to remember nothing.
-        let max_statement_timeout = if is_restarted && self.without != Without::Abstention {
-            1_000_000
-        } else {
-            0
-        };
+        let max_statement_timeout =
+            if is_restarted && self.removed_safeguard != RemovedSafeguard::Abstention {
+                1_000_000
+            } else {
+                0
+            };
         let config = VoteLogConfig {
             grant_validity: 0,
             max_statement_timeout,
@@ -166,7 +167,7 @@
     }
 
     fn now(&self) -> u64 {
-        if self.without == Without::Promise {
+        if self.removed_safeguard == RemovedSafeguard::Promise {
             LATER
         } else {
             NOW
@@ -182,7 +183,7 @@
         let actor = |statement: usize, m: usize| (m == self.owner(statement)).then(Actor::default);
         vec![State {
             vote_logs: (0..MEMBERS).map(|m| self.vote_log(m, false)).collect(),
-            alive: vec![true; MEMBERS],
+            is_alive: vec![true; MEMBERS],
             restarted: vec![None; MEMBERS],
             actors: (0..self.statements)
                 .map(|s| (0..MEMBERS).map(|m| actor(s, m)).collect())
@@ -194,45 +195,59 @@
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         for m in 0..MEMBERS {
-            if state.alive[m] && state.losses < self.losses {
+            if state.is_alive[m] && state.losses < self.max_losses {
                 actions.push(Action::Crash(m));
             }
-            if !state.alive[m] {
+            if !state.is_alive[m] {
                 actions.push(Action::Restart(m));
             }
-            if let Some(by) = &state.restarted[m] {
-                let knows = |b: usize| state.restarted[b].is_none() && state.alive[b] && b != m;
-                let sources = (0..MEMBERS).filter(|&b| knows(b) && !by.contains(&b));
-                actions.extend(sources.map(|b| Action::TransferState { by: b, to: m }));
+            if let Some(transferred_by) = &state.restarted[m] {
+                let has_votes = |source: usize| {
+                    state.restarted[source].is_none() && state.is_alive[source] && source != m
+                };
+                let sources = (0..MEMBERS)
+                    .filter(|&source| has_votes(source) && !transferred_by.contains(&source));
+                actions.extend(sources.map(|source| Action::TransferState {
+                    from: source,
+                    to: m,
+                }));
             }
         }
         for statement in 0..self.statements {
-            for by in (0..MEMBERS).filter(|&m| state.alive[m]) {
-                let Some(actor) = &state.actors[statement][by] else {
+            for member in (0..MEMBERS).filter(|&m| state.is_alive[m]) {
+                let Some(actor) = &state.actors[statement][member] else {
                     // Any member may take the owner for lost at any time.
-                    if !self.has_one_successor || by == (self.owner(statement) + 1) % MEMBERS {
-                        actions.push(Action::RequestTakeover { statement, by });
+                    if !self.has_one_successor || member == (self.owner(statement) + 1) % MEMBERS {
+                        actions.push(Action::RequestTakeover { statement, member });
                     }
                     continue;
                 };
-                if actor.done {
+                if actor.is_done {
                     continue;
                 }
-                let is_owner = by == self.owner(statement);
+                let is_owner = member == self.owner(statement);
                 let may_act = is_owner || actor.promises.len() >= self.quorum();
-                for at in (0..MEMBERS).filter(|&m| state.alive[m]) {
-                    if !is_owner && !may_act && !actor.promises.contains(&at) {
-                        actions.push(Action::VoteOnTakeover { statement, by, at });
+                for voter in (0..MEMBERS).filter(|&m| state.is_alive[m]) {
+                    if !is_owner && !may_act && !actor.promises.contains(&voter) {
+                        actions.push(Action::VoteOnTakeover {
+                            statement,
+                            member,
+                            voter,
+                        });
                     }
-                    if may_act && !actor.knows_grant && !actor.votes.contains(&at) {
-                        actions.push(Action::VoteOnGrant { statement, by, at });
+                    if may_act && !actor.knows_grant && !actor.votes.contains(&voter) {
+                        actions.push(Action::VoteOnGrant {
+                            statement,
+                            member,
+                            voter,
+                        });
                     }
                 }
                 if may_act && actor.knows_grant {
-                    actions.push(Action::PollEngine { statement, by });
+                    actions.push(Action::PollEngine { statement, member });
                 }
                 if may_act && actor.votes.len() >= self.quorum() {
-                    actions.push(Action::Dispatch { statement, by });
+                    actions.push(Action::Dispatch { statement, member });
                 }
             }
         }
@@ -243,96 +258,106 @@
         let voters = self.voters();
         match action {
             Action::Crash(m) => {
-                state.alive[m] = false;
+                state.is_alive[m] = false;
                 state.losses += 1;
                 for statement in 0..self.statements {
                     // What it acted for is forgotten with it.
                     if let Some(actor) = &mut state.actors[statement][m] {
-                        actor.done = true;
+                        actor.is_done = true;
                     }
                 }
             }
             Action::Restart(m) => {
-                state.alive[m] = true;
+                state.is_alive[m] = true;
                 state.vote_logs[m] = self.vote_log(m, true);
                 state.restarted[m] = Some(Vec::new());
             }
-            Action::TransferState { by, to } => {
+            Action::TransferState { from, to } => {
                 let records: Vec<StatementRecord> =
-                    state.vote_logs[by].records(self.now()).collect();
+                    state.vote_logs[from].records(self.now()).collect();
                 for record in &records {
                     state.vote_logs[to].apply(self.now(), record);
                 }
                 state.vote_logs[to].on_state_transferred(
                     self.now(),
-                    MemberId(by as u16),
+                    MemberId(from as u16),
                     VoteLogCompleteness::Complete,
                 );
-                state.restarted[to].as_mut()?.push(by);
+                state.restarted[to].as_mut()?.push(from);
                 // No process gets a transfer before a grant's validity after its start has passed: what its former self
                 // voted on, and has not been dispatched by now, never is.
-                if self.without != Without::GrantValidity {
-                    let awaits_vote = |actor: &&mut Actor| !actor.done && actor.votes.contains(&to);
+                if self.removed_safeguard != RemovedSafeguard::GrantValidity {
+                    let awaits_vote =
+                        |actor: &&mut Actor| !actor.is_done && actor.votes.contains(&to);
                     let all = state.actors.iter_mut().flatten().flatten();
-                    let before = |actor: &Actor| {
-                        last.restarted[to].as_ref().is_some_and(Vec::is_empty) && !actor.done
+                    let has_no_transfer = |actor: &Actor| {
+                        last.restarted[to].as_ref().is_some_and(Vec::is_empty) && !actor.is_done
                     };
                     all.filter(awaits_vote)
-                        .filter(|actor| before(actor))
-                        .for_each(|actor| actor.done = true);
+                        .filter(|actor| has_no_transfer(actor))
+                        .for_each(|actor| actor.is_done = true);
                 }
             }
-            Action::VoteOnGrant { statement, by, at } => {
-                let epoch = epoch(by, self.owner(statement));
+            Action::VoteOnGrant {
+                statement,
+                member,
+                voter,
+            } => {
+                let epoch = epoch(member, self.owner(statement));
                 let grant = AttemptGrant {
                     epoch,
                     attempt: 0,
-                    engine: 1,
+                    engine_hash: 1,
                     never_ran: false,
                 };
-                if self.without == Without::Promise {
+                if self.removed_safeguard == RemovedSafeguard::Promise {
                     // The vote log as it would be if it kept no promise.
-                    let known = state.vote_logs[at]
+                    let promised = state.vote_logs[voter]
                         .get(self.now(), id(statement))
                         .map(|record| record.epoch);
-                    if known.is_none_or(|held| held > epoch) {
-                        state.actors[statement][by].as_mut()?.votes.push(at);
+                    if promised.is_none_or(|promised| promised > epoch) {
+                        state.actors[statement][member].as_mut()?.votes.push(voter);
                         return Some(state);
                     }
                 }
                 let mut record = record_of(statement, epoch);
-                if self.without == Without::KnownGrants {
+                if self.removed_safeguard == RemovedSafeguard::KnownGrants {
                     // It passes on what it learned and dispatches all the same.
-                    record.grants = state.vote_logs[at]
+                    record.grants = state.vote_logs[voter]
                         .get(self.now(), id(statement))
                         .map_or(Vec::new(), |known| known.grants);
                 }
-                state.vote_logs[at]
+                state.vote_logs[voter]
                     .vote_on_grant(self.now(), &record, grant, &voters)
                     .ok()?;
-                state.actors[statement][by].as_mut()?.votes.push(at);
+                state.actors[statement][member].as_mut()?.votes.push(voter);
             }
-            Action::Dispatch { statement, by } => {
+            Action::Dispatch { statement, member } => {
                 state.dispatched[statement] += 1;
-                state.actors[statement][by].as_mut()?.done = true;
+                state.actors[statement][member].as_mut()?.is_done = true;
             }
-            Action::RequestTakeover { statement, by } => {
-                state.actors[statement][by] = Some(Actor::default());
+            Action::RequestTakeover { statement, member } => {
+                state.actors[statement][member] = Some(Actor::default());
             }
-            Action::VoteOnTakeover { statement, by, at } => {
-                let epoch = epoch(by, self.owner(statement));
-                let record = state.vote_logs[at]
+            Action::VoteOnTakeover {
+                statement,
+                member,
+                voter,
+            } => {
+                let epoch = epoch(member, self.owner(statement));
+                let record = state.vote_logs[voter]
                     .vote_on_takeover(self.now(), id(statement), epoch, &voters)
                     .ok()?;
-                let actor = state.actors[statement][by].as_mut()?;
-                actor.promises.push(at);
+                let actor = state.actors[statement][member].as_mut()?;
+                actor.promises.push(voter);
                 actor.promises.sort_unstable();
                 let granted =
                     record.is_some_and(|record| record.grants.iter().any(|grant| !grant.never_ran));
-                actor.knows_grant |= granted && self.without != Without::KnownGrants;
+                actor.knows_grant |=
+                    granted && self.removed_safeguard != RemovedSafeguard::KnownGrants;
             }
-            Action::PollEngine { statement, by } => {
-                state.actors[statement][by].as_mut()?.done = true;
+            Action::PollEngine { statement, member } => {
+                state.actors[statement][member].as_mut()?.is_done = true;
             }
         }
         Some(state)
@@ -345,20 +370,20 @@
             }),
             Property::sometimes("a takeover completes", |model: &Fleet, state: &State| {
                 let has_taken_over = |statement: usize, m: usize, a: &Actor| {
-                    m != model.owner(statement) && a.done && state.alive[m]
+                    m != model.owner(statement) && a.is_done && state.is_alive[m]
                 };
-                let ended = |(statement, all): (usize, &Vec<Option<Actor>>)| {
+                let has_completed_takeover = |(statement, all): (usize, &Vec<Option<Actor>>)| {
                     all.iter()
                         .enumerate()
                         .any(|(m, a)| a.as_ref().is_some_and(|a| has_taken_over(statement, m, a)))
                 };
-                state.losses > 0 && state.actors.iter().enumerate().any(ended)
+                state.losses > 0 && state.actors.iter().enumerate().any(has_completed_takeover)
             }),
         ]
     }
 }
 
-fn explored(fleet: Fleet) -> (Option<usize>, usize) {
+fn explore(fleet: Fleet) -> (Option<usize>, usize) {
     let checker = fleet.checker().threads(2).spawn_bfs().join();
     let path = checker
         .discovery("never dispatched twice")
@@ -373,9 +398,9 @@
 #[test]
 fn with_all_safeguards_no_statement_is_dispatched_twice() {
     let fleet = Fleet {
-        without: Without::Nothing,
+        removed_safeguard: RemovedSafeguard::None,
         statements: 1,
-        losses: 2,
+        max_losses: 2,
         has_one_successor: false,
     };
     let checker = fleet.checker().threads(2).spawn_bfs().join();
@@ -383,19 +408,22 @@
     checker.assert_properties();
 }
 
-#[test_case(Without::Promise)]
-#[test_case(Without::Quorum)]
-#[test_case(Without::KnownGrants)]
-#[test_case(Without::Abstention)]
-#[test_case(Without::GrantValidity)]
-fn without_one_safeguard_a_statement_is_dispatched_twice(without: Without) {
-    let (shortest, _) = explored(Fleet {
-        without,
+#[test_case(RemovedSafeguard::Promise)]
+#[test_case(RemovedSafeguard::Quorum)]
+#[test_case(RemovedSafeguard::KnownGrants)]
+#[test_case(RemovedSafeguard::Abstention)]
+#[test_case(RemovedSafeguard::GrantValidity)]
+fn without_one_safeguard_a_statement_is_dispatched_twice(removed_safeguard: RemovedSafeguard) {
+    let (shortest, _) = explore(Fleet {
+        removed_safeguard,
         statements: 1,
-        losses: 2,
+        max_losses: 2,
         has_one_successor: false,
     });
-    assert!(shortest.is_some(), "{without:?} safeguards nothing");
+    assert!(
+        shortest.is_some(),
+        "no statement is dispatched twice without {removed_safeguard:?}"
+    );
 }
 
 /// Two statements of two owners and one loss, exhaustively: 9,236,867 states, a minute on six cores. With two losses
@@ -405,9 +433,9 @@
 #[ignore = "takes a minute; run with --ignored"]
 fn with_all_safeguards_neither_of_two_statements_is_dispatched_twice() {
     let fleet = Fleet {
-        without: Without::Nothing,
+        removed_safeguard: RemovedSafeguard::None,
         statements: 2,
-        losses: 1,
+        max_losses: 1,
         has_one_successor: true,
     };
     let checker = fleet.checker().threads(6).spawn_bfs().join();
@@ -429,49 +457,49 @@
             retention: 500,
             max_entries: 100,
         };
-        let mut mixed = VoteLog::new(MemberId(0), 0, config);
-        let mut alone = VoteLog::new(MemberId(0), 0, config);
+        let mut shared_log = VoteLog::new(MemberId(0), 0, config);
+        let mut isolated_log = VoteLog::new(MemberId(0), 0, config);
         for step in 0..300u64 {
             let now = step * 10;
             let statement = rng.random_range(0..3);
-            let (by, number) = (rng.random_range(0..3u16), rng.random_range(0..3));
+            let (member, number) = (rng.random_range(0..3u16), rng.random_range(0..3));
             let epoch = Epoch {
                 number,
-                process: process(by),
+                process: process(member),
             };
             let grant = AttemptGrant {
                 epoch,
                 attempt: rng.random_range(0..2),
-                engine: 1,
+                engine_hash: 1,
                 never_ran: rng.random_bool(0.1),
             };
-            let mut news = record_of(statement, epoch);
+            let mut record = record_of(statement, epoch);
             if rng.random_bool(0.3) {
-                news.grants.push(grant);
+                record.grants.push(grant);
             }
             let ends = [
                 StatementEnd::Aborted,
                 StatementEnd::Rejected,
                 StatementEnd::Completed {
-                    rows_at: process(by),
+                    cached_at: process(member),
                 },
             ];
-            news.end = rng.random_bool(0.1).then(|| ends[rng.random_range(0..3)]);
-            let what = rng.random_range(0..6);
-            let ask = |log: &mut VoteLog| match what {
-                0 => format!("{:?}", log.vote_on_grant(now, &news, grant, &voters)),
+            record.end = rng.random_bool(0.1).then(|| ends[rng.random_range(0..3)]);
+            let operation = rng.random_range(0..6);
+            let apply_operation = |log: &mut VoteLog| match operation {
+                0 => format!("{:?}", log.vote_on_grant(now, &record, grant, &voters)),
                 1 => format!(
                     "{:?}",
                     log.vote_on_takeover(now, id(statement), epoch, &voters)
                 ),
                 2 => {
-                    log.apply(now, &news);
+                    log.apply(now, &record);
                     String::new()
                 }
                 3 => format!("{:?}", log.get(now, id(statement))),
                 // These concern all statements alike.
                 4 => {
-                    log.on_state_transferred(now, MemberId(by), VoteLogCompleteness::Complete);
+                    log.on_state_transferred(now, MemberId(member), VoteLogCompleteness::Complete);
                     String::new()
                 }
                 _ => {
@@ -479,12 +507,16 @@
                     String::new()
                 }
             };
-            let answer = ask(&mut mixed);
-            if statement == 0 || what >= 4 {
-                assert_eq!(answer, ask(&mut alone), "seed {seed}, step {step}");
+            let answer = apply_operation(&mut shared_log);
+            if statement == 0 || operation >= 4 {
+                assert_eq!(
+                    answer,
+                    apply_operation(&mut isolated_log),
+                    "seed {seed}, step {step}"
+                );
                 assert_eq!(
-                    mixed.get(now, id(0)),
-                    alone.get(now, id(0)),
+                    shared_log.get(now, id(0)),
+                    isolated_log.get(now, id(0)),
                     "seed {seed}, step {step}"
                 );
             }
--- a/crates/ivypitch-ownership/tests/recorded_messages.rs
+++ b/crates/ivypitch-ownership/tests/recorded_messages.rs
@@ -34,7 +34,7 @@
 const GRANT: AttemptGrant = AttemptGrant {
     epoch: EPOCH,
     attempt: 5,
-    engine: 0xabcd_ef01_2345,
+    engine_hash: 0xabcd_ef01_2345,
     never_ran: true,
 };
 
@@ -88,7 +88,7 @@
 
 fn recorded_votes_and_updates() -> Vec<Recorded> {
     let completed = StatementEnd::Completed {
-        rows_at: process(4, 77),
+        cached_at: process(4, 77),
     };
     let (id, epoch, grant) = (ID, EPOCH, GRANT);
     vec![
@@ -137,7 +137,7 @@
             Message::TakeoverReply {
                 id,
                 epoch,
-                promised: true,
+                is_promised: true,
                 record: None,
             },
             "04e6aa919aa3a40407ac02fbd095ffbc310100",
@@ -146,7 +146,7 @@
             Message::TakeoverReply {
                 id,
                 epoch,
-                promised: false,
+                is_promised: false,
                 record: Some(empty_record(None)),
             },
             "04e6aa919aa3a40407ac02fbd095ffbc31000109010203000000",
@@ -174,7 +174,7 @@
             "078201e6aa919aa3a40400",
         ),
         (
-            lookup_reply(LookupAnswer::HeldBy(MemberId(513))),
+            lookup_reply(LookupAnswer::LocatedAt(MemberId(513))),
             "078201e6aa919aa3a404018104",
         ),
         (
--- a/crates/ivypitch-ownership/tests/rows_of_lost_gateway.rs
+++ b/crates/ivypitch-ownership/tests/results_of_lost_gateway.rs
@@ -25,9 +25,9 @@
     }
 }
 
-#[test_case(1_499, 1; "while the engine may have them it is polled for them")]
-#[test_case(1_501, 0; "later its client is told that it completed")]
-fn rows_of_lost_gateway_are_fetched_while_engine_may_have_them(after_ms: Nanos, orphaned: u64) {
+#[test_case(1_499, 1; "engine may have rows and is polled")]
+#[test_case(1_501, 0; "client is told of completion without rows")]
+fn rows_of_lost_gateway_are_polled_while_engine_may_have_them(after_ms: Nanos, orphaned: u64) {
     let mut ownership =
         Ownership::new(process(1, 11), vec![0, 1, 2], OwnershipConfig::default(), 0);
     ownership.on_member_up(SECOND, process(0, 10));
@@ -47,7 +47,7 @@
     let grant = AttemptGrant {
         epoch,
         attempt: 0,
-        engine: 1,
+        engine_hash: 1,
         never_ran: false,
     };
     let dispatched = StatementRecord {
@@ -58,9 +58,9 @@
         end: None,
     };
     let end = Some(StatementEnd::Completed {
-        rows_at: process(0, 10),
+        cached_at: process(0, 10),
     });
-    let ended = StatementRecord {
+    let completed = StatementRecord {
         spec: None,
         end,
         ..dispatched.clone()
@@ -74,11 +74,11 @@
     ownership.on_message(
         3 * SECOND,
         MemberId(0),
-        Message::Update(vec![ended]),
+        Message::Update(vec![completed]),
         &mut IgnoredOutput,
     );
-    let lost = 3 * SECOND + after_ms * MILLISECOND;
-    ownership.on_member_down(lost, process(0, 10), &mut IgnoredOutput);
+    let lost_at = 3 * SECOND + after_ms * MILLISECOND;
+    ownership.on_member_down(lost_at, process(0, 10), &mut IgnoredOutput);
     assert_eq!(ownership.counters().orphaned, orphaned);
     let arrival = Arrival {
         id: ID,
@@ -86,10 +86,10 @@
         is_worth_lookup: true,
         waiter_token: 1,
     };
-    let arrived = ownership.on_arrival(lost, arrival, &mut IgnoredOutput);
+    let decision = ownership.on_arrival(lost_at, arrival, &mut IgnoredOutput);
     assert_eq!(
-        arrived == ArrivalDecision::Answer(FinalAnswer::CompletedWithoutRows),
+        decision == ArrivalDecision::Answer(FinalAnswer::CompletedWithoutRows),
         orphaned == 0,
-        "{arrived:?}"
+        "{decision:?}"
     );
 }
--- a/crates/ivypitch-ownership/tests/single_gateway/late_votes.rs
+++ b/crates/ivypitch-ownership/tests/single_gateway/late_votes.rs
@@ -8,10 +8,10 @@
 const ENGINE: u64 = 3;
 
 /// A gateway that has asked its voters for their votes on a load's first attempt.
-fn gateway_that_asked_for_votes(out: &mut Recorder) -> Ownership {
+fn gateway_with_requested_votes(out: &mut Recorder) -> Ownership {
     let mut ownership = gateway();
-    let arrived = ownership.on_arrival(START, arrival(false), out);
-    assert_eq!(arrived, ArrivalDecision::Proceed);
+    let decision = ownership.on_arrival(START, arrival(false), out);
+    assert_eq!(decision, ArrivalDecision::Proceed);
     let decision = ownership.request_attempt(START, ID, 0, ENGINE, out);
     assert_eq!(decision, GrantDecision::Pending);
     ownership
@@ -22,7 +22,7 @@
         Message::GrantRequest { grant, .. } => Some(*grant),
         _ => None,
     });
-    requests.next_back().expect("voters are asked")
+    requests.next_back().expect("no vote was requested")
 }
 
 fn vote(ownership: &mut Ownership, now: Nanos, voter: u16, out: &mut Recorder) {
@@ -36,21 +36,21 @@
 
 /// Guards against "may have run" of a load that was never dispatched, from gateways whose machines are busy.
 #[test]
-fn votes_of_members_that_are_not_suspected_are_waited_for_as_long_as_a_grant_is_valid() {
+fn votes_of_healthy_members_are_awaited_while_grant_is_valid() {
     let mut out = Recorder::default();
-    let mut ownership = gateway_that_asked_for_votes(&mut out);
-    let late = START + 350 * MILLISECOND;
-    run_timers(&mut ownership, late, &mut out);
+    let mut ownership = gateway_with_requested_votes(&mut out);
+    let before_expiry = START + 350 * MILLISECOND;
+    run_timers(&mut ownership, before_expiry, &mut out);
     assert_eq!(out.denied, []);
-    vote(&mut ownership, late, 2, &mut out);
-    vote(&mut ownership, late, 3, &mut out);
+    vote(&mut ownership, before_expiry, 2, &mut out);
+    vote(&mut ownership, before_expiry, 3, &mut out);
     assert_eq!((out.granted, out.denied), (vec![0], vec![]));
 }
 
 #[test]
-fn without_votes_an_attempt_is_denied_once_its_grant_would_not_be_valid() {
+fn attempt_without_votes_is_denied_once_grant_validity_ends() {
     let mut out = Recorder::default();
-    let mut ownership = gateway_that_asked_for_votes(&mut out);
+    let mut ownership = gateway_with_requested_votes(&mut out);
     run_timers(&mut ownership, START + 401 * MILLISECOND, &mut out);
     let denial = GrantDenial::NoQuorum {
         is_provably_unsent: false,
@@ -62,9 +62,9 @@
 }
 
 #[test]
-fn votes_of_members_that_are_suspected_are_not_waited_for_longer() {
+fn votes_of_suspected_members_are_not_awaited_beyond_grant_timeout() {
     let mut out = Recorder::default();
-    let mut ownership = gateway_that_asked_for_votes(&mut out);
+    let mut ownership = gateway_with_requested_votes(&mut out);
     for member in [0, 2, 3] {
         ownership.on_member_suspected(MemberId(member));
     }
@@ -78,9 +78,9 @@
 }
 
 #[test]
-fn votes_are_not_waited_for_once_their_members_are_lost() {
+fn votes_of_lost_members_are_not_awaited() {
     let mut out = Recorder::default();
-    let mut ownership = gateway_that_asked_for_votes(&mut out);
+    let mut ownership = gateway_with_requested_votes(&mut out);
     for member in [0, 2, 3] {
         ownership.on_member_down(START + 120 * MILLISECOND, process(member), &mut out);
     }
--- a/crates/ivypitch-ownership/tests/single_gateway/rejections.rs
+++ b/crates/ivypitch-ownership/tests/single_gateway/rejections.rs
@@ -7,10 +7,10 @@
 
 /// Member 1, to which a client came for a load that member 0 had dispatched. One voter knew that; then member 0 was lost
 /// and no voter that is left answers, so that this gateway goes on with the statement itself.
-fn gateway_that_goes_on_for_a_client_of_a_lost_one(out: &mut Recorder) -> (Ownership, Nanos) {
+fn gateway_continuing_statement_of_lost_member(out: &mut Recorder) -> (Ownership, Nanos) {
     let mut ownership = gateway();
-    let arrived = ownership.on_arrival(START, arrival(true), out);
-    assert_eq!(arrived, ArrivalDecision::Wait);
+    let decision = ownership.on_arrival(START, arrival(true), out);
+    assert_eq!(decision, ArrivalDecision::Wait);
     let lookup = out
         .sent
         .iter()
@@ -19,27 +19,30 @@
             Message::LookupRequest { request_id, .. } => Some((*to, *request_id)),
             _ => None,
         });
-    let (voter, request_id) = lookup.expect("a voter is asked");
-    let answer = LookupAnswer::HeldBy(MemberId(0));
+    let (voter, request_id) = lookup.expect("no voter was asked");
+    let answer = LookupAnswer::LocatedAt(MemberId(0));
     let reply = Message::LookupReply {
         request_id,
         id: ID,
         answer,
     };
     ownership.on_message(START + MILLISECOND, voter, reply, out);
-    let lost = START + 100 * MILLISECOND;
-    ownership.on_member_down(lost, process(0), out);
-    let exhausted = lost + SECOND;
-    run_timers(&mut ownership, exhausted, out);
-    assert_eq!(out.taken_over, 1, "it goes on with the statement");
-    (ownership, exhausted)
+    let lost_at = START + 100 * MILLISECOND;
+    ownership.on_member_down(lost_at, process(0), out);
+    let lookup_exhausted_at = lost_at + SECOND;
+    run_timers(&mut ownership, lookup_exhausted_at, out);
+    assert_eq!(
+        out.taken_over, 1,
+        "the gateway does not continue the statement"
+    );
+    (ownership, lookup_exhausted_at)
 }
 
 /// Guards against "the statement did not run" of a load that runs at an engine.
 #[test]
-fn a_rejection_without_a_quorum_is_told_as_may_have_run() {
+fn rejection_without_quorum_is_answered_as_aborted() {
     let mut out = Recorder::default();
-    let (mut ownership, now) = gateway_that_goes_on_for_a_client_of_a_lost_one(&mut out);
+    let (mut ownership, now) = gateway_continuing_statement_of_lost_member(&mut out);
     let rejected = FinalAnswer::Rejected {
         retry_after_ms: 2000,
     };
@@ -50,9 +53,9 @@
 }
 
 #[test]
-fn a_rejection_is_told_once_a_quorum_has_sealed_it() {
+fn rejection_is_answered_once_quorum_promises_new_epoch() {
     let mut out = Recorder::default();
-    let (mut ownership, now) = gateway_that_goes_on_for_a_client_of_a_lost_one(&mut out);
+    let (mut ownership, now) = gateway_continuing_statement_of_lost_member(&mut out);
     let rejected = FinalAnswer::Rejected {
         retry_after_ms: 2000,
     };
@@ -65,12 +68,12 @@
             Message::TakeoverRequest { epoch, .. } => Some(*epoch),
             _ => None,
         });
-    let epoch = takeover.expect("voters are asked to seal it");
+    let epoch = takeover.expect("no vote on a new epoch was requested");
     for voter in [2, 3] {
         let reply = Message::TakeoverReply {
             id: ID,
             epoch,
-            promised: true,
+            is_promised: true,
             record: None,
         };
         ownership.on_message(now + MILLISECOND, MemberId(voter), reply, &mut out);
