--- a/crates/ivypitch-ownership/src/config.rs
+++ b/crates/ivypitch-ownership/src/config.rs
@@ -1,48 +1,50 @@
-//! Settings of a gateway's ownership decisions.
+//! Configuration of statement ownership.
 
 use ivypitch_types::{MILLISECOND, Nanos, SECOND};
 
-/// What becomes of a non-idempotent statement whose attempt finds no quorum.
+/// How a non-idempotent statement is handled if no quorum grants its attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoQuorumPolicy {
-    /// It is rejected at once.
+    /// It is rejected immediately.
     Reject,
-    /// It is dispatched as if there were no peers, and never taken over. If its client reaches the other side of a
-    /// partition meanwhile, that side knows nothing of it.
+    /// It is dispatched as if there were no other gateways, and is never taken over. If its client
+    /// reaches the other side of a partition meanwhile, that side does not know the statement.
     ProceedAlone,
 }
 
-/// Settings that must be the same at all gateways of a fleet, except for the sizes.
+/// Configuration of ownership. Must be the same at all gateways of a fleet, except for the sizes.
 #[derive(Clone, Debug)]
 pub struct OwnershipConfig {
-    /// Voters of each statement.
+    /// Number of voters of each statement.
     pub voters_per_statement: usize,
-    /// How many of them are notified of idempotent statements, which need no grant.
+    /// Number of those voters that are notified of idempotent statements, which need no grant.
     pub voters_per_idempotent_statement: usize,
-    /// An attempt that finds no quorum within this time is denied, unless voters that are connected and not suspected have
-    /// still to answer: those are waited for until [`Self::grant_validity`] ends.
+    /// Time after which an attempt without a quorum is denied, unless votes are missing from
+    /// connected voters that are not suspected: those are awaited until [`Self::grant_validity`]
+    /// ends.
     pub grant_timeout: Nanos,
-    /// A grant is used within this time after its votes were requested, or not at all.
+    /// Time after the vote request within which a grant must be used; afterwards it is void.
     pub grant_validity: Nanos,
-    /// Each voter waits this much longer than the one ranked before it before it takes an orphaned statement over.
+    /// Delay by which each voter takes over an orphaned statement later than the voter ranked
+    /// before it.
     pub takeover_stagger: Nanos,
-    /// A takeover without a quorum is tried again after this time; later tries wait longer.
+    /// Backoff before a takeover without a quorum is retried; it grows with each retry.
     pub takeover_timeout: Nanos,
-    /// A voter that was asked about a statement answers within this time, or the next one is asked.
+    /// Time that a voter has to answer a lookup before the next voter is asked.
     pub lookup_timeout: Nanos,
-    /// The gateway that acts for a statement is asked for its result again after this time.
+    /// Interval at which a statement's owner is asked again for its result.
     pub follow_interval: Nanos,
-    /// Updates to voters are collected for this time.
+    /// Time over which updates to voters are batched.
     pub update_interval: Nanos,
-    /// No client waits longer for a statement.
+    /// Longest timeout of any statement.
     pub max_statement_timeout: Nanos,
-    /// How long after its timeout a statement's client may come back.
+    /// How long after its timeout a statement's client may return.
     pub retention: Nanos,
-    /// What happens without a quorum.
+    /// How attempts without a quorum are handled.
     pub no_quorum_policy: NoQuorumPolicy,
-    /// Results that are cached for the clients of one tenant, in bytes.
+    /// Maximum size of the cached results of one tenant, in bytes.
     pub result_cache_bytes_per_tenant: usize,
-    /// Bound of the vote log, and of the statements that are remembered after their end.
+    /// Maximum number of statements in the vote log, and of ended statements that are kept.
     pub max_entries: usize,
 }
 
--- a/crates/ivypitch-ownership/src/lib.rs
+++ b/crates/ivypitch-ownership/src/lib.rs
@@ -1,11 +1,12 @@
-//! Who may act for a statement that is in flight somewhere in the fleet.
+//! Ownership of the statements in flight in a fleet of gateways.
 //!
-//! When its gateway is lost exactly one other takes the statement over: it keeps the attempt at its engine alive, fetches
-//! the result, and has it ready for the client that comes back. A non-idempotent statement is never dispatched twice.
+//! When a gateway is lost, exactly one other takes each of its statements over: it keeps the
+//! attempt at the engine alive, fetches the result and caches it for the client's return. A
+//! non-idempotent statement is never dispatched twice.
 //!
-//! The crate decides and does nothing else: no I/O, no clock, no threads. The caller brings messages and the time to
-//! [`Ownership`], and carries out what comes back through [`Output`]. `docs/ownership.md` states the promises, the
-//! alternatives, and why nothing runs twice.
+//! The crate only decides: no I/O, no clock, no threads. The caller passes messages and the time to
+//! [`Ownership`] and carries out what it gets through [`Output`]. `docs/ownership.md` describes the
+//! guarantees, the alternatives, and why no statement runs twice.
 
 #![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used)]
 
--- a/crates/ivypitch-ownership/src/message.rs
+++ b/crates/ivypitch-ownership/src/message.rs
@@ -1,60 +1,61 @@
-//! Messages between gateways. Durations travel as what remains of them, because no clock is shared.
+//! Messages between gateways. Times are sent as remaining durations, because clocks are not shared.
 //!
-//! The encoding goes by position: fields and variants may be renamed, never reordered.
+//! The encoding is positional: fields and variants may be renamed but not reordered.
 
 use ivypitch_types::{MemberId, ProcessId};
 use serde::{Deserialize, Serialize};
 
-/// Version of these messages. Members of different versions do not talk to each other.
+/// Version of these messages. Members of different versions do not communicate.
 pub const VERSION: u16 = 1;
 
-/// Identifies a statement. The client chooses it and sends the same one however often it comes back.
+/// Id of a statement, chosen by the client and sent again on each return.
 pub type StatementId = u64;
 
-/// Names who may act for a statement. Every takeover makes a higher epoch.
+/// Identifies the owner of a statement. Every takeover uses a higher epoch.
 #[derive(
     Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default, Serialize, Deserialize,
 )]
 pub struct Epoch {
-    /// How often ownership has moved, roughly; it decides before the process does.
+    /// Approximate number of ownership changes; compared before `process`.
     pub number: u32,
-    /// The process that acts under this epoch.
+    /// The process that owns the statement in this epoch.
     pub process: ProcessId,
 }
 
 /// What a gateway needs to run a statement.
 #[derive(Clone, PartialEq, Eq, Hash, Debug, Serialize, Deserialize)]
 pub struct StatementSpec {
-    /// Of all that the client sent under the id, except its timeout: with another digest it is another statement.
+    /// Digest of everything that the client sent under the id except its timeout. A different
+    /// digest means a different statement.
     pub digest: u64,
     /// Index of the workload.
     pub workload: u16,
     /// Index of the tenant.
     pub tenant: u16,
-    /// Running it twice has the same effect as running it once.
+    /// Whether running the statement twice has the same effect as running it once.
     pub is_idempotent: bool,
-    /// What remains of its client's timeout, in milliseconds.
+    /// Remaining time of the client's timeout, in milliseconds.
     pub remaining_ms: u32,
-    /// The request as the client sent it, with all its fields; empty where it need not travel again.
+    /// The request as the client sent it, with all its fields; empty if it need not be sent again.
     #[serde(with = "serde_bytes")]
     pub request: Vec<u8>,
 }
 
-/// Permission to dispatch one attempt. Once given it is never taken back.
+/// Permission to dispatch one attempt. A grant is never revoked.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Serialize, Deserialize)]
 pub struct AttemptGrant {
-    /// Under which it was given.
+    /// The epoch in which the grant was given.
     pub epoch: Epoch,
     /// Number of the attempt within the epoch.
     pub attempt: u32,
-    /// The engine's id as a number, the same at every gateway.
+    /// Hash of the engine's id, the same at every gateway.
     pub engine_hash: u64,
-    /// The attempt is proved never to have run.
+    /// Whether the attempt is proved never to have run.
     pub never_ran: bool,
 }
 
 impl AttemptGrant {
-    /// Whether both permit the same attempt.
+    /// Whether both grants permit the same attempt.
     pub fn is_same_attempt(&self, other: &AttemptGrant) -> bool {
         self.epoch == other.epoch && self.attempt == other.attempt
     }
@@ -65,66 +66,66 @@
 pub enum StatementEnd {
     /// It completed.
     Completed {
-        /// The process that has its rows, as long as they are cached.
+        /// The process that caches its rows.
         cached_at: ProcessId,
     },
-    /// It may have run; nobody knows more.
+    /// It may have run; its outcome is unknown.
     Aborted,
     /// It had no effect.
     Rejected,
 }
 
-/// What a voter knows of a statement.
+/// A voter's record of a statement.
 #[derive(Clone, PartialEq, Eq, Hash, Debug, Serialize, Deserialize)]
 pub struct StatementRecord {
-    /// Which statement.
+    /// The statement's id.
     pub id: StatementId,
-    /// Who may act for it.
+    /// Epoch of the statement's owner, or of the takeover that the voter promised last.
     pub epoch: Epoch,
-    /// What is needed to run it, where that is known.
+    /// The data needed to run the statement, if known.
     pub spec: Option<StatementSpec>,
     /// All attempts that were granted.
     pub grants: Vec<AttemptGrant>,
-    /// How it ended, if it has.
+    /// How the statement ended, if it has.
     pub end: Option<StatementEnd>,
 }
 
 impl StatementRecord {
-    /// The record says more than that somebody voted on the id.
+    /// Whether the record says more than that a member voted on the id.
     pub(crate) fn has_content(&self) -> bool {
         self.spec.is_some() || self.end.is_some()
     }
 
-    /// The record is of another statement under the same id.
+    /// Whether the record is of another statement with the same id.
     pub(crate) fn contradicts(&self, digest: u64) -> bool {
         self.spec.as_ref().is_some_and(|spec| spec.digest != digest)
     }
 }
 
-/// Answers a [`Message::LookupRequest`].
+/// Answer to a [`Message::LookupRequest`].
 #[derive(Clone, PartialEq, Eq, Hash, Debug, Serialize, Deserialize)]
 pub enum LookupAnswer {
-    /// Nothing is known of the statement.
+    /// The statement is not known.
     Unknown,
-    /// That member acts for it or has its result.
+    /// The member owns the statement or has its result.
     LocatedAt(MemberId),
-    /// How it ended.
+    /// The statement has ended.
     Final(FinalAnswer),
 }
 
-/// What a client is told in the end.
+/// A client's final answer.
 #[derive(Clone, PartialEq, Eq, Hash, Debug, Serialize, Deserialize)]
 pub enum FinalAnswer {
-    /// All pages of its rows.
+    /// All pages of the result.
     Rows(Vec<serde_bytes::ByteBuf>),
-    /// It completed; its rows are no longer cached.
+    /// The statement completed; its rows are no longer cached.
     CompletedWithoutRows,
-    /// Nothing ran, and nothing of it will.
+    /// The statement did not run and will not run.
     Rejected {
-        /// When the client may try again, in milliseconds from now.
+        /// Time after which the client may retry, in milliseconds.
         retry_after_ms: u32,
     },
-    /// It may have run; nobody knows more.
+    /// The statement may have run; its outcome is unknown.
     Aborted,
     /// Another statement is known under this id.
     IdReused,
@@ -133,83 +134,83 @@
 /// A message from one gateway to another.
 #[derive(Clone, PartialEq, Eq, Hash, Debug, Serialize, Deserialize)]
 pub enum Message {
-    /// News that need no answer: idempotent statements, ends, attempts that never ran.
+    /// Records that need no reply: idempotent statements, ends, attempts that never ran.
     Update(Vec<StatementRecord>),
-    /// Asks for a vote on one attempt.
+    /// Requests a vote on one attempt.
     GrantRequest {
-        /// The statement, as its owner knows it.
+        /// The statement as its owner knows it.
         record: StatementRecord,
-        /// What is to be granted.
+        /// The requested grant.
         grant: AttemptGrant,
     },
     /// The vote on a [`Message::GrantRequest`].
     GrantReply {
-        /// Which statement.
+        /// The statement's id.
         id: StatementId,
-        /// The grant that was asked for.
+        /// The requested grant.
         grant: AttemptGrant,
-        /// `None`: granted. Otherwise what the voter knows that forbids it.
+        /// `None` if granted, else the voter's record that forbids the grant.
         conflict: Option<StatementRecord>,
     },
-    /// Asks for a vote on acting for a statement under a new epoch.
+    /// Requests a vote on owning a statement under a new epoch.
     TakeoverRequest {
-        /// Which statement.
+        /// The statement's id.
         id: StatementId,
         /// The new epoch.
         epoch: Epoch,
     },
     /// The vote on a [`Message::TakeoverRequest`].
     TakeoverReply {
-        /// Which statement.
+        /// The statement's id.
         id: StatementId,
-        /// The epoch that was asked for.
+        /// The requested epoch.
         epoch: Epoch,
-        /// The voter lets no lower epoch act from now on.
+        /// Whether the voter promises to grant nothing to lower epochs from now on.
         is_promised: bool,
-        /// What the voter knows of the statement, if anything.
+        /// The voter's record of the statement, if it has one.
         record: Option<StatementRecord>,
     },
-    /// The voter restarted lately and can't vote on the id yet.
+    /// The voter restarted recently and can't vote on the id yet.
     Abstention {
-        /// Which statement.
+        /// The statement's id.
         id: StatementId,
         /// The epoch of the request.
         epoch: Epoch,
     },
-    /// Asks what became of a statement whose client came back.
+    /// Asks for the end of a statement whose client returned.
     LookupRequest {
-        /// Which statement.
+        /// The statement's id.
         id: StatementId,
-        /// Digest of what the client sent.
+        /// Digest of the client's request.
         digest: u64,
         /// Returned with the reply.
         request_id: u64,
     },
-    /// Answers a [`Message::LookupRequest`], at once or when the statement ends.
+    /// Answers a [`Message::LookupRequest`], immediately or when the statement ends.
     LookupReply {
-        /// Of the request.
+        /// Id of the request.
         request_id: u64,
-        /// Which statement.
+        /// The statement's id.
         id: StatementId,
-        /// What is known.
+        /// What the sender knows.
         answer: LookupAnswer,
     },
-    /// The sender shuts down; the receiver takes the statement over now.
+    /// The sender shuts down; the receiver takes the statement over immediately.
     Handoff(StatementRecord),
-    /// What the sender knows of statements on which the receiver votes.
+    /// The sender's records of statements on which the receiver votes.
     StateTransfer {
         /// One part of the records.
         records: Vec<StatementRecord>,
-        /// Set in the last part: how complete the sender's vote log is.
+        /// Set in the last part: completeness of the sender's vote log.
         completeness: Option<VoteLogCompleteness>,
     },
 }
 
-/// How much a member remembers of the votes that were given.
+/// Completeness of a member's vote log.
 #[derive(Clone, PartialEq, Eq, Hash, Debug, Serialize, Deserialize)]
 pub enum VoteLogCompleteness {
-    /// All that may still matter.
+    /// The log contains all votes that may still matter.
     Complete,
-    /// It restarted lately and has what these members transferred since.
+    /// The member restarted recently and has the records that these members have transferred since.
     RestoredFrom(Vec<MemberId>),
 }
--- a/crates/ivypitch-ownership/src/output.rs
+++ b/crates/ivypitch-ownership/src/output.rs
@@ -1,12 +1,12 @@
-//! What the decisions return to their caller.
+//! Decisions returned to the caller.
 
 use ivypitch_types::{MemberId, Nanos};
 
 use crate::message::{FinalAnswer, Message, StatementId, StatementSpec};
 
-/// What the decisions ask of their caller, in the order in which it is to be carried out.
+/// Actions that the caller carries out, in the order of the calls.
 pub trait Output {
-    /// Sends a message to another member. It may be lost; nothing waits for it to arrive.
+    /// Sends a message to another member. Delivery is not guaranteed and is not awaited.
     fn send(&mut self, to: MemberId, message: Message);
     /// A quorum granted the attempt: it may be dispatched.
     fn on_attempt_granted(&mut self, id: StatementId, attempt: u32);
@@ -14,8 +14,9 @@
     fn on_attempt_denied(&mut self, id: StatementId, attempt: u32, denial: GrantDenial);
     /// No other gateway knows the statement: it proceeds as a new one.
     fn proceed(&mut self, id: StatementId);
-    /// This gateway acts for the statement from now on. `engine` is where an attempt may be running: that engine is
-    /// polled for it and nothing is started. `None` starts the statement.
+    /// This gateway owns the statement from now on. `engine_hash` names the engine where an attempt
+    /// may be running: that engine is polled and no attempt is started. `None` starts the
+    /// statement.
     fn take_over(
         &mut self,
         id: StatementId,
@@ -23,44 +24,45 @@
         remaining: Nanos,
         engine_hash: Option<u64>,
     );
-    /// Answers a client that waits here.
+    /// Answers a client that waits at this gateway.
     fn answer(&mut self, waiter_token: u64, answer: &FinalAnswer);
-    /// One line for the log.
+    /// Writes one line to the log.
     fn log(&mut self, line: &str);
 }
 
-/// What happens to a client's statement that has just arrived.
+/// Decision on a client's statement on its arrival.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ArrivalDecision {
-    /// It is new: it goes to the scheduler, and this gateway acts for it.
+    /// The statement is new: it goes to the scheduler, and this gateway owns it.
     Proceed,
     /// [`Output::answer`] or [`Output::proceed`] follows.
     Wait,
-    /// The client gets this at once.
+    /// The client gets this answer immediately.
     Answer(FinalAnswer),
 }
 
 /// Why an attempt was denied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GrantDenial {
-    /// No quorum of its voters can be reached, and [`NoQuorumPolicy::Reject`](crate::NoQuorumPolicy::Reject) holds.
+    /// No quorum of the statement's voters is reachable, and
+    /// [`NoQuorumPolicy::Reject`](crate::NoQuorumPolicy::Reject) is configured.
     NoQuorum {
-        /// Nobody else can have dispatched the statement. False where a member was lost lately, because the client may
-        /// have come from there.
+        /// Whether no other gateway can have dispatched the statement. False if a member was lost
+        /// recently, because the client may have come from that member.
         is_provably_unsent: bool,
     },
-    /// Another gateway acts for the statement; the client waits here for that one's answer.
+    /// Another gateway owns the statement; the client waits here for the owner's answer.
     OwnedElsewhere,
 }
 
 /// Whether an attempt may be dispatched.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GrantDecision {
-    /// Now.
+    /// It may be dispatched immediately.
     Granted,
     /// [`Output::on_attempt_granted`] or [`Output::on_attempt_denied`] follows.
     Pending,
-    /// Not at all.
+    /// It must not be dispatched.
     Denied(GrantDenial),
 }
 
@@ -69,28 +71,28 @@
 pub struct OwnershipCounters {
     /// Statements whose owner was lost or shut down.
     pub orphaned: u64,
-    /// Takeovers that a quorum allowed.
+    /// Takeovers that a quorum permitted.
     pub taken_over: u64,
-    /// Of these, statements with an attempt that may have been running.
+    /// Takeovers of statements with an attempt that may have been running.
     pub polled: u64,
     /// Results of taken-over statements that were cached.
     pub cached: u64,
-    /// Ends that were delivered to clients that came back.
+    /// Answers delivered to clients that returned.
     pub delivered: u64,
-    /// Non-idempotent statements that may have run.
+    /// Non-idempotent statements that may have run and whose outcome is unknown.
     pub unknown: u64,
-    /// Attempts denied for want of a quorum.
+    /// Attempts denied because there was no quorum.
     pub no_quorum: u64,
-    /// Attempts denied because another gateway acts for the statement.
+    /// Attempts denied because another gateway owns the statement.
     pub owned_elsewhere: u64,
 }
 
 /// Sizes of the tables.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OwnershipSizes {
-    /// Statements that are not over.
+    /// Statements that have not ended.
     pub open_statements: usize,
-    /// Statements that this member remembers as a voter.
+    /// Statements in this member's vote log.
     pub vote_log_entries: usize,
     /// Bytes of cached results.
     pub cached_bytes: usize,
--- a/crates/ivypitch-ownership/src/ownership.rs
+++ b/crates/ivypitch-ownership/src/ownership.rs
@@ -1,6 +1,7 @@
-//! The facade: statements that this gateway acts for, waits for, or may have to take over.
+//! The entry point of the crate: the statements that this gateway owns, waits for, or may have to
+//! take over.
 //!
-//! The other modules add their part to [`Ownership`], one concern each.
+//! The other modules each add one concern to [`Ownership`].
 
 use ivypitch_types::{MILLISECOND, MemberId, Nanos, ProcessId, SECOND};
 
@@ -20,13 +21,13 @@
 use crate::vote_log::{VoteLog, VoteLogConfig};
 use crate::voters::VoterAssignment;
 
-/// A process that starts is connected to the other members within this time, or they are not there.
+/// Time within which a starting process connects to all reachable members.
 const JOIN_TIMEOUT: Nanos = SECOND;
 
-/// Decides who acts for a statement, as one gateway of a fleet.
+/// Decides which gateway owns a statement, as one member of the fleet.
 ///
-/// Every method that takes `now` must be called with times that never go backwards. Whatever follows from a call comes
-/// out through the [`Output`] before the call returns.
+/// The values of `now` must never decrease from one call to the next. All results of a call are
+/// passed to the [`Output`] before it returns.
 pub struct Ownership {
     pub(crate) config: OwnershipConfig,
     pub(crate) voters: VoterAssignment,
@@ -42,7 +43,8 @@
 }
 
 impl Ownership {
-    /// For the process `this`, which starts now. `zones` of all members, by member id.
+    /// Creates the state of process `own_process`, which starts now. `zones` lists the zones of all
+    /// members, by member id.
     pub fn new(
         own_process: ProcessId,
         zones: Vec<u16>,
@@ -66,12 +68,12 @@
         }
     }
 
-    /// Counts since the process started.
+    /// Events counted since the process started.
     pub fn counters(&self) -> OwnershipCounters {
         self.counters
     }
 
-    /// Sizes of the tables now.
+    /// Current sizes of the tables.
     pub fn sizes(&self) -> OwnershipSizes {
         let open_statements = self
             .statements
@@ -90,14 +92,15 @@
         self.statements.get(id).map(Statement::state)
     }
 
-    /// Whether the statement's attempt goes on after its client has gone: the client may come back to another gateway.
+    /// Whether the statement's attempt continues after its client has disconnected: the client may
+    /// return to another gateway.
     pub fn continues_without_client(&self, id: StatementId) -> bool {
         self.statements.get(id).is_some_and(|statement| {
             statement.is_owner() && (statement.is_known_to_voters || !statement.spec.is_idempotent)
         })
     }
 
-    /// A message from another member has arrived.
+    /// Handles a message from another member.
     pub fn on_message(
         &mut self,
         now: Nanos,
@@ -171,7 +174,7 @@
         }
     }
 
-    /// When [`Ownership::on_timer`] is to be called next; [`Nanos::MAX`] if there is nothing to wait for.
+    /// When [`Ownership::on_timer`] must be called next; [`Nanos::MAX`] if no timer is set.
     pub fn next_timer(&self) -> Nanos {
         self.statements
             .next_timer()
@@ -180,7 +183,7 @@
             .min(self.transfers.next_send_at())
     }
 
-    /// Does all that is due.
+    /// Handles all timers that have expired.
     pub fn on_timer(&mut self, now: Nanos, out: &mut dyn Output) {
         self.fire_statement_timers(now, out);
         self.on_update_timer(now, out);
@@ -210,7 +213,7 @@
             StatementState::OwnedElsewhere => self.on_follow_timer(now, id, out),
             StatementState::Owned | StatementState::Replicated | StatementState::TakenOver => {
                 if now >= expires_at {
-                    // Whatever became of it here, nobody can ask for it any more.
+                    // Whatever its outcome here, no client can ask for it any more.
                     self.statements.transition(id, StatementState::Closed);
                 } else {
                     self.statements.set_timer(id, expires_at);
@@ -227,7 +230,7 @@
         }
     }
 
-    /// Forgets what nobody can ask for any more, and what exceeds the tables' bounds.
+    /// Removes the entries that no client can ask for any more or that exceed the tables' bounds.
     pub(crate) fn evict_expired(&mut self, now: Nanos) {
         let max_entries = self.config.max_entries;
         self.vote_log.evict_expired(now);
@@ -254,7 +257,7 @@
         self.members.own_process().member
     }
 
-    /// An epoch under which this process acts.
+    /// An epoch in which this process is the owner.
     pub(crate) fn own_epoch(&self, number: u32) -> Epoch {
         Epoch {
             number,
@@ -262,7 +265,7 @@
         }
     }
 
-    /// A statement that is not in the table yet.
+    /// Creates a statement without adding it to the table.
     pub(crate) fn new_statement(
         &self,
         now: Nanos,
@@ -287,7 +290,7 @@
         voters
     }
 
-    /// The statement's voters that are connected, with this member if it is one.
+    /// The statement's connected voters, including this member if it is a voter.
     pub(crate) fn connected_voters(&self, id: StatementId) -> Vec<MemberId> {
         let mut voters = self.voters.voters_of(id);
         voters.retain(|&voter| self.members.is_connected(voter));
@@ -298,8 +301,8 @@
         self.connected_voters(id).len() >= self.voters.quorum()
     }
 
-    /// This process started a moment ago and is not connected to a quorum of the statement's voters yet. What arrives
-    /// now is looked up once it is.
+    /// Whether this process started recently and is not connected to a quorum of the statement's
+    /// voters yet. Statements that arrive now are looked up once it is.
     pub(crate) fn is_joining(&self, now: Nanos, id: StatementId) -> bool {
         now < self.started_at + JOIN_TIMEOUT && !self.has_quorum_connected(id)
     }
