--- a/crates/ivypitch-ownership/src/arrival.rs
+++ b/crates/ivypitch-ownership/src/arrival.rs
@@ -1,4 +1,4 @@
-//! Clients of this gateway: arriving with a statement, and leaving.
+//! Arrival and departure of the clients of this gateway.
 
 use ivypitch_types::Nanos;
 
@@ -8,21 +8,22 @@
 use crate::ownership::Ownership;
 use crate::statement::{StatementState, Waiter};
 
-/// A client's statement that has just arrived.
+/// A client's statement on its arrival.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// The id that the client gave it.
+    /// The id chosen by the client.
     pub id: StatementId,
-    /// The statement.
+    /// The statement's properties and request.
     pub spec: StatementSpec,
-    /// Whether it is expensive enough for asking the voters first whether it is known elsewhere.
+    /// Whether the statement is expensive enough to ask its voters first whether it is known
+    /// elsewhere.
     pub is_worth_lookup: bool,
-    /// Names the client in [`Output::answer`].
+    /// Identifies the client in [`Output::answer`].
     pub waiter_token: u64,
 }
 
 impl Ownership {
-    /// A client's statement has arrived, for the first time or again.
+    /// Handles a client's statement that arrives, for the first time or again.
     pub fn on_arrival(
         &mut self,
         now: Nanos,
@@ -56,7 +57,7 @@
         ArrivalDecision::Proceed
     }
 
-    /// A client no longer waits.
+    /// Handles a client that disconnected or whose timeout has ended.
     pub fn on_client_stopped_waiting(&mut self, id: StatementId, waiter_token: u64) {
         if let Some(statement) = self.statements.get_mut(id) {
             statement
@@ -66,7 +67,7 @@
         }
     }
 
-    /// By what this gateway does for the statement. `None`: it starts afresh.
+    /// Decides from this gateway's own state of the statement. `None`: the statement starts again.
     fn decide_from_statement(&mut self, arrival: &Arrival) -> Option<ArrivalDecision> {
         let statement = self.statements.get_mut(arrival.id)?;
         let state = statement.state();
@@ -90,7 +91,7 @@
         Some(ArrivalDecision::Answer(answer))
     }
 
-    /// By what this member knows as a voter. `None`: it starts afresh.
+    /// Decides from this member's vote log. `None`: the statement starts again.
     fn decide_from_record(
         &mut self,
         now: Nanos,
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Asks the statement's voters where it may be known to them alone.
+    /// Looks the statement up at its voters if only they may know it.
     fn look_up_if_needed(
         &mut self,
         now: Nanos,
--- a/crates/ivypitch-ownership/src/attempt_grant.rs
+++ b/crates/ivypitch-ownership/src/attempt_grant.rs
@@ -1,4 +1,5 @@
-//! Permission for one attempt of a non-idempotent statement: a quorum of its voters grants it before it is dispatched.
+//! Grants: a quorum of voters permits each attempt of a non-idempotent statement before it is
+//! dispatched.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,16 +16,16 @@
 /// A voter's answer to a [`Message::GrantRequest`].
 pub(crate) struct GrantVote {
     pub(crate) voter: MemberId,
-    /// What was asked for.
+    /// The requested grant.
     pub(crate) grant: AttemptGrant,
-    /// What the voter knows that forbids it.
+    /// The voter's record that forbids the grant.
     pub(crate) conflict: Option<StatementRecord>,
 }
 
-/// One vote, as it counts.
+/// A vote as it is counted.
 enum Vote {
     Granted,
-    /// With what it knows that forbids the attempt, if it said so.
+    /// With the voter's record that forbids the attempt, if it sent one.
     Denied(Option<StatementRecord>),
 }
 
@@ -38,16 +39,17 @@
     }
 }
 
-/// Votes that did not make a quorum.
+/// Result of a vote that did not reach a quorum.
 struct FailedVote {
     conflicts: Vec<StatementRecord>,
     has_all_answers: bool,
 }
 
 impl Ownership {
-    /// An attempt is about to be dispatched to `engine`; `attempt` numbers it within the statement.
+    /// Requests permission to dispatch an attempt to the engine; `attempt` numbers it within the
+    /// statement.
     ///
-    /// Idempotent statements, and statements that did not arrive here, are granted at once.
+    /// Idempotent statements, and statements that did not arrive here, are granted immediately.
     pub fn request_attempt(
         &mut self,
         now: Nanos,
@@ -70,7 +72,8 @@
             self.queue_update(now, id, None);
             return GrantDecision::Granted;
         }
-        // The scheduler retries such a statement only where every earlier attempt is proved never to have run.
+        // The scheduler retries such a statement only if every earlier attempt is proved never to
+        // have run.
         if statement.may_have_run() {
             self.answer_waiters(id, &FinalAnswer::Aborted, out);
             self.statements.transition(id, StatementState::Unknown);
@@ -89,11 +92,11 @@
         self.evaluate_votes(now, id, out)
     }
 
-    /// How an attempt ended; to be called before the scheduler hears of it.
+    /// Records how an attempt ended. Must be called before the scheduler handles that end.
     ///
-    /// Where this gateway no longer acts for the statement the call proves nothing: one that was handed off ends here
-    /// as never dispatched and goes on at its engine. A voter that took its grant as unused would let it be dispatched
-    /// again.
+    /// Ignored unless this gateway owns the statement: an attempt that was handed off ends here as
+    /// never dispatched but continues at its engine. A voter that recorded its grant as unused
+    /// would permit a second dispatch.
     pub fn on_attempt_ended(&mut self, now: Nanos, id: StatementId, attempt: u32, never_ran: bool) {
         let statement = self.statements.get_mut(id);
         let Some(statement) = statement.filter(|statement| statement.is_owner()) else {
@@ -113,7 +116,7 @@
         }
     }
 
-    /// Another gateway asks for this member's vote.
+    /// Votes on another gateway's attempt.
     pub(crate) fn on_grant_request(
         &mut self,
         now: Nanos,
@@ -143,7 +146,7 @@
         out.send(from, reply);
     }
 
-    /// A voter has answered.
+    /// Counts a voter's reply.
     pub(crate) fn on_grant_vote(
         &mut self,
         now: Nanos,
@@ -167,7 +170,7 @@
         self.on_votes_changed(now, id, out);
     }
 
-    /// A voter can't vote yet. Only a vote on an attempt is given up for that.
+    /// Counts a voter's abstention. Only a vote on an attempt is denied because of it.
     pub(crate) fn on_abstention(
         &mut self,
         now: Nanos,
@@ -186,7 +189,7 @@
         }
     }
 
-    /// More votes are known, or the time for them is over.
+    /// Evaluates the votes after a reply or after a timeout.
     pub(crate) fn on_votes_changed(&mut self, now: Nanos, id: StatementId, out: &mut dyn Output) {
         let Some(pending) = self
             .statements
@@ -276,7 +279,7 @@
             return GrantDecision::Pending;
         }
         if !is_expired && self.can_expect_quorum(id) {
-            // Voters that are there and slow: looked at again, in case they are suspected meanwhile.
+            // Some connected voters are slow. Checks again later, in case they become suspected.
             let expires_at = requested_at + self.config.grant_validity + 1;
             self.statements
                 .set_timer(id, expires_at.min(now + self.config.grant_timeout));
@@ -301,7 +304,7 @@
         self.on_vote_failed(now, id, failed, out)
     }
 
-    /// The votes that were given, with those of members that have not answered and are not suspected, make a quorum.
+    /// Whether the votes received, with those still expected from healthy members, make a quorum.
     fn can_expect_quorum(&self, id: StatementId) -> bool {
         let pending = self
             .statements
@@ -319,7 +322,8 @@
         pending.granted_by.len() + awaited.count() >= self.voters.quorum()
     }
 
-    /// No quorum: another gateway acts for the statement, it is over, or too few voters could be reached.
+    /// Handles a failed vote: another gateway owns the statement, it has ended, or too few voters
+    /// were reachable.
     fn on_vote_failed(
         &mut self,
         now: Nanos,
@@ -351,13 +355,14 @@
         if self.config.no_quorum_policy == NoQuorumPolicy::ProceedAlone {
             return GrantDecision::Granted;
         }
-        // Voters that are connected and do not answer may be the first sign of a partition: the statement's client may
-        // come from beyond it.
+        // Connected voters that do not answer may be the first sign of a partition, and the
+        // statement's client may come from its other side.
         let is_provably_unsent = has_all_answers && self.is_provably_first_arrival(now);
         GrantDecision::Denied(GrantDenial::NoQuorum { is_provably_unsent })
     }
 
-    /// No client that comes now can have been at a gateway that is lost, as far as this one can know.
+    /// Whether, as far as this gateway can know, no client that arrives now can have been at a lost
+    /// gateway.
     fn is_provably_first_arrival(&self, now: Nanos) -> bool {
         let window = self.config.max_statement_timeout + self.config.retention;
         now >= self.started_at + window && self.members.has_been_stable_for(now, window)
@@ -395,7 +400,7 @@
     }
 }
 
-/// The record says more of the statement than its owner knows.
+/// Whether the record contains facts that the statement's owner does not know.
 fn has_unknown_facts(statement: &Statement, record: &StatementRecord) -> bool {
     let is_known = |grant: &AttemptGrant| {
         grant.never_ran
--- a/crates/ivypitch-ownership/src/completion.rs
+++ b/crates/ivypitch-ownership/src/completion.rs
@@ -1,4 +1,4 @@
-//! The end of a statement for which this gateway acts.
+//! The end of a statement that this gateway owns.
 
 use ivypitch_types::Nanos;
 
@@ -8,7 +8,7 @@
 use crate::ownership::Ownership;
 use crate::statement::{PendingRejection, StatementState, Waiter};
 
-/// What the end of a statement depends on, beside its answer.
+/// Properties of the statement that determine how it ends.
 struct EndedStatement {
     tenant: u16,
     is_idempotent: bool,
@@ -19,11 +19,14 @@
 }
 
 impl Ownership {
-    /// The scheduler has answered the statement. Clients that wait beside the one that submitted it get the same.
+    /// Handles the scheduler's answer. Other clients that wait for the statement get the same
+    /// answer.
     ///
-    /// That nothing ran is said of a non-idempotent statement only once a quorum has sealed it, to whoever waits and to
-    /// the voters: its client may have come from another gateway that dispatched it. Until then nobody is answered;
-    /// returns the token of the client that submitted it, if there is one, and [`Output::answer`] follows.
+    /// A non-idempotent statement is reported as rejected, to clients and voters, only after a
+    /// quorum has promised a new epoch, which rules out any other dispatch: its client may have
+    /// come from another gateway that dispatched it. Until then no client is answered; returns the
+    /// token of the client that submitted the statement, if there is one, and [`Output::answer`]
+    /// follows.
     pub fn on_answered(
         &mut self,
         now: Nanos,
@@ -51,8 +54,8 @@
         }
     }
 
-    /// The engine of [`Output::take_over`] is not known here, so it can't be asked. An idempotent statement runs anew;
-    /// of any other nobody can say more.
+    /// The engine passed to [`Output::take_over`] is not known here, so it can't be polled. An
+    /// idempotent statement runs again; any other is aborted.
     pub fn on_engine_unknown(&mut self, now: Nanos, id: StatementId, out: &mut dyn Output) {
         let statement = self.statements.get(id);
         let Some(statement) = statement.filter(|statement| statement.is_owner()) else {
@@ -66,7 +69,7 @@
         }
     }
 
-    /// Gives the same answer to all that wait for the statement, here and at other gateways.
+    /// Sends the answer to all clients and gateways that wait for the statement.
     pub(crate) fn answer_waiters(
         &mut self,
         id: StatementId,
@@ -92,7 +95,8 @@
         }
     }
 
-    /// Its attempt may have run, and another gateway may have taken it over while this one was stopped or not heard.
+    /// Whether an attempt may have run and another gateway may have taken the statement over while
+    /// this process was stopped or unreachable.
     fn may_be_known_elsewhere(&self, now: Nanos, id: StatementId) -> bool {
         self.statements.get(id).is_some_and(|statement| {
             !statement.spec.is_idempotent
@@ -102,7 +106,8 @@
         })
     }
 
-    /// Asks the voters before clients are told that nobody can say. Returns the client that submitted the statement.
+    /// Asks the voters before clients are told that the outcome is unknown. Returns the token of
+    /// the client that submitted the statement.
     fn look_up_before_abort(
         &mut self,
         now: Nanos,
@@ -121,12 +126,13 @@
         submitter
     }
 
-    /// No voter knows more of an attempt that this gateway can't say the end of.
+    /// No voter knows how this gateway's attempt ended.
     pub(crate) fn abort_after_lookup(&mut self, now: Nanos, id: StatementId, out: &mut dyn Output) {
         self.end_statement(now, id, FinalAnswer::Aborted, out);
     }
 
-    /// Seals the statement before its rejection is answered. Returns the client that submitted it.
+    /// Requests a new epoch before the rejection is answered. Returns the token of the client that
+    /// submitted the statement.
     fn defer_rejection(
         &mut self,
         now: Nanos,
@@ -154,9 +160,9 @@
         let Some(statement) = self.statements.get_mut(id) else {
             return;
         };
-        // Where no grant that was used stands here, what became of the statement is known elsewhere if anywhere:
-        // whoever comes back has it looked up again, and does not get this answer until the statement is forgotten.
-        // Alone, without a quorum, a gateway dispatches all the same and under no grant.
+        // Without a used grant here, only other members can know the outcome: a client that returns
+        // triggers another lookup and does not get this answer until the statement expires. With
+        // `ProceedAlone`, attempts are dispatched without a quorum and without a grant.
         let may_have_run = self.config.no_quorum_policy == NoQuorumPolicy::ProceedAlone
             || statement.may_have_run();
         let ended = EndedStatement {
--- a/crates/ivypitch-ownership/src/handoff.rs
+++ b/crates/ivypitch-ownership/src/handoff.rs
@@ -1,4 +1,5 @@
-//! Graceful shutdown: what this gateway acts for goes to another one, with no pause in polling the engines.
+//! Graceful shutdown: the statements of this gateway go to other gateways, without a gap in polling
+//! their engines.
 
 use ivypitch_types::{MemberId, Nanos};
 
@@ -8,9 +9,9 @@
 use crate::statement::{Statement, StatementState};
 
 impl Ownership {
-    /// This gateway shuts down. Every statement with an attempt that may be running goes to the first of its voters that
-    /// is connected; clients here wait for that one's answer as long as this process lives. Returns the statements that
-    /// were handed off.
+    /// Hands off every statement with an attempt that may be running to the first of its connected
+    /// voters, because this gateway shuts down. Clients here wait for the new owner's answer while
+    /// this process lives. Returns the statements that were handed off.
     pub fn hand_off(&mut self, now: Nanos, out: &mut dyn Output) -> Vec<StatementId> {
         let has_attempt = |statement: &Statement| statement.is_owner() && statement.may_have_run();
         let candidates: Vec<StatementId> = self
@@ -49,7 +50,7 @@
         if let Some(statement) = self.statements.get_mut(id) {
             statement.lookup.asked_member = successor;
         }
-        // The successor is asked once it has had the time to take over.
+        // Leaves the new owner time for the takeover.
         let lookup_at = now + self.config.follow_interval / 2;
         self.statements.set_timer(id, lookup_at);
         true
@@ -61,7 +62,7 @@
             .find(|&voter| self.members.is_connected(voter))
     }
 
-    /// Another gateway shuts down and hands this statement off.
+    /// Takes over a statement that another gateway hands off as it shuts down.
     pub(crate) fn on_handoff(&mut self, now: Nanos, record: StatementRecord, out: &mut dyn Output) {
         let id = record.id;
         self.vote_log.apply(now, &record);
--- a/crates/ivypitch-ownership/src/lookup.rs
+++ b/crates/ivypitch-ownership/src/lookup.rs
@@ -1,4 +1,5 @@
-//! A client that returns: the voters of its statement are asked who acts for it, and that gateway for its end.
+//! Lookups for a client that returns: the statement's voters are asked for its owner, and the owner
+//! for its end.
 
 use ivypitch_types::{MemberId, Nanos};
 
@@ -8,13 +9,13 @@
 use crate::ownership::Ownership;
 use crate::statement::{Statement, StatementState};
 
-/// So often the voters are asked anew at once; after that with a growing pause.
+/// Repeated lookup rounds that start without backoff; later ones are delayed by a growing backoff.
 const MAX_IMMEDIATE_RETRIES: u32 = 2;
-/// The longest pause, in lookup timeouts.
+/// Maximum backoff before a lookup round, in lookup timeouts.
 const MAX_RETRY_BACKOFF_TIMEOUTS: u32 = 10;
 
 impl Ownership {
-    /// The statement's voters that are connected, the next one to ask last.
+    /// The statement's connected voters, in reverse order of asking.
     pub(crate) fn lookup_candidates(&self, id: StatementId) -> Vec<MemberId> {
         let mut candidates = self.other_voters(id);
         candidates.retain(|&voter| self.members.is_connected(voter));
@@ -22,7 +23,7 @@
         candidates
     }
 
-    /// The statement's clients here wait for the answer of the member that acts for it.
+    /// Lets the statement's clients here wait for the answer of its owner.
     pub(crate) fn follow(
         &mut self,
         now: Nanos,
@@ -36,7 +37,7 @@
         };
         statement.lookup.asked_member = member;
         statement.lookup.request_id = Some(request_id);
-        // What the owner reports overrides a rejection here.
+        // The owner's report overrides a rejection here.
         statement.takeover.rejection = None;
         let digest = statement.spec.digest;
         self.statements
@@ -74,7 +75,7 @@
         out.send(voter, request);
     }
 
-    /// No voter knows the statement.
+    /// Handles a lookup in which no voter knows the statement.
     fn on_lookup_exhausted(&mut self, now: Nanos, id: StatementId, out: &mut dyn Output) {
         let Some(statement) = self.statements.get(id) else {
             return;
@@ -87,8 +88,8 @@
             self.statements.transition(id, StatementState::Closed);
             return;
         }
-        // Dispatched under a grant before, and nobody knows its end: polled for under a new epoch, never dispatched
-        // again.
+        // An attempt was granted before and its end is unknown: it is polled under a new epoch and
+        // never dispatched again.
         if !statement.spec.is_idempotent && statement.may_have_run() {
             let epoch_number = statement.epoch.number + 1;
             self.statements.transition(id, StatementState::Orphaned);
@@ -106,7 +107,8 @@
         }
     }
 
-    /// The gateway that clients here waited for knows nothing or is lost: the voters are asked anew.
+    /// Asks the voters again: the owner that clients here waited for does not know the statement or
+    /// is lost.
     pub(crate) fn look_up_again(&mut self, now: Nanos, id: StatementId, out: &mut dyn Output) {
         let candidates = self.lookup_candidates(id);
         let record = self.vote_log.get(now, id);
@@ -132,13 +134,14 @@
             self.ask_next_voter(now, id, out);
             return;
         }
-        // Two voters that each name the other would otherwise be asked in turn without an end.
+        // Without a backoff, two voters that name each other as owner would be asked alternately
+        // without end.
         let backoff =
             self.config.lookup_timeout * u64::from(rounds.min(MAX_RETRY_BACKOFF_TIMEOUTS));
         self.statements.set_timer(id, now + backoff);
     }
 
-    /// A voter, or the member that acts for the statement, has answered.
+    /// Handles the answer of a voter or of the owner.
     pub(crate) fn on_lookup_reply(
         &mut self,
         now: Nanos,
@@ -162,7 +165,7 @@
             LookupAnswer::Unknown if is_looking_up => self.ask_next_voter(now, id, out),
             LookupAnswer::Unknown => self.look_up_again(now, id, out),
             LookupAnswer::LocatedAt(member) => self.on_owner_reported(now, id, member, out),
-            // An idempotent statement runs anew rather than being told that its rows are gone.
+            // An idempotent statement runs again if its rows are gone.
             LookupAnswer::Final(FinalAnswer::CompletedWithoutRows | FinalAnswer::Aborted)
                 if is_idempotent =>
             {
@@ -200,7 +203,8 @@
             self.ask_next_voter(now, id, out);
             return;
         }
-        // That member is lost and the voter does not know yet: it is asked again, after the others.
+        // That member is lost, but the voter does not know it yet: the voter is asked again after
+        // the others.
         if statement.state() == StatementState::LookingUp && now < statement.deadline {
             statement.rounds += 1;
             let asked = statement.lookup.asked_member;
@@ -210,7 +214,7 @@
             .set_timer(id, now + self.config.lookup_timeout);
     }
 
-    /// A voter has not answered, or the first one is to be asked.
+    /// Asks the next voter after a timeout, or the first one.
     pub(crate) fn on_lookup_timer(&mut self, now: Nanos, id: StatementId, out: &mut dyn Output) {
         if self.is_joining(now, id) {
             self.statements
@@ -221,13 +225,13 @@
         if let Some(statement) = self.statements.get_mut(id)
             && statement.lookup.request_id.is_none()
         {
-            // It arrived while this process joined.
+            // The statement arrived while this process was joining.
             statement.lookup.candidates = candidates;
         }
         self.ask_next_voter(now, id, out);
     }
 
-    /// The member that acts for the statement has not answered yet.
+    /// Handles an owner that has not answered within the follow interval.
     pub(crate) fn on_follow_timer(&mut self, now: Nanos, id: StatementId, out: &mut dyn Output) {
         let Some(statement) = self.statements.get(id) else {
             return;
@@ -242,7 +246,7 @@
         }
     }
 
-    /// Clients here that waited for a lost member's answer ask anew.
+    /// Looks up again the statements whose clients waited for a lost member's answer.
     pub(crate) fn stop_following(&mut self, now: Nanos, member: MemberId, out: &mut dyn Output) {
         let is_following = |statement: &Statement| {
             statement.state() == StatementState::OwnedElsewhere
--- a/crates/ivypitch-ownership/src/lookup_reply.rs
+++ b/crates/ivypitch-ownership/src/lookup_reply.rs
@@ -1,4 +1,4 @@
-//! Answers to gateways whose clients returned: what is known here of a statement, and where it is.
+//! Replies to lookups of other gateways: the known state of a statement and its location.
 
 use ivypitch_types::{MemberId, Nanos};
 
@@ -9,19 +9,19 @@
 use crate::ownership::Ownership;
 use crate::statement::{StatementState, Waiter};
 
-/// Where a statement is, by what a voter knows of it.
+/// Location of a statement according to a voter's record.
 pub(crate) enum Location {
-    /// That member acts for it or has its result.
+    /// The member owns the statement or has its result.
     At(MemberId),
-    /// It is over and nobody who is connected knows more.
+    /// The statement has ended and no connected member knows more.
     Ended(FinalAnswer),
-    /// The process that acted for it is not connected.
+    /// The owner's process is not connected.
     Orphaned,
-    /// It has no owner, or this process has forgotten that it was the owner.
+    /// The statement has no owner, or its owner is this process, which has forgotten it.
     NotOwned,
 }
 
-/// Another gateway asks what became of a statement.
+/// Another gateway's request for the end of a statement.
 pub(crate) struct LookupRequest {
     pub(crate) from: MemberId,
     pub(crate) id: StatementId,
@@ -30,7 +30,7 @@
 }
 
 impl Ownership {
-    /// Answers at once, or when the statement's end is known.
+    /// Replies immediately, or once the statement has ended.
     pub(crate) fn on_lookup_request(
         &mut self,
         now: Nanos,
@@ -66,7 +66,7 @@
         self.answer_from_record(now, request, out)
     }
 
-    /// By what this gateway does for the statement; `None`: the answer follows.
+    /// Answers from this gateway's own state of the statement. `None`: the reply follows later.
     fn answer_from_statement(
         &mut self,
         now: Nanos,
@@ -91,7 +91,8 @@
                     statement.waiters.push(waiter);
                 }
                 if state == StatementState::Orphaned {
-                    // Somebody waits for it: it is taken over without waiting for voters of a higher rank.
+                    // A client waits for the statement, so it is taken over without the stagger by
+                    // voter rank.
                     self.statements.set_timer(id, now);
                     self.fire_statement_timers(now, out);
                 }
@@ -112,7 +113,8 @@
         }
     }
 
-    /// By what this member knows as a voter; `None`: the statement is taken over and the answer follows.
+    /// Answers from this member's vote log. `None`: the statement is taken over and the reply
+    /// follows later.
     fn answer_from_record(
         &mut self,
         now: Nanos,
@@ -145,7 +147,7 @@
         }
     }
 
-    /// The end of a statement that is over here; `None` where it may as well run anew.
+    /// The answer of a statement that has ended here; `None` if it may run again.
     pub(crate) fn known_end(
         &self,
         id: StatementId,
@@ -165,7 +167,7 @@
         }
     }
 
-    /// Where a statement is, by what a voter knows of it.
+    /// Locates a statement by a voter's record.
     pub(crate) fn locate(&self, record: &StatementRecord) -> Location {
         match record.end {
             Some(StatementEnd::Completed { cached_at }) => {
--- a/crates/ivypitch-ownership/src/takeover.rs
+++ b/crates/ivypitch-ownership/src/takeover.rs
@@ -1,4 +1,4 @@
-//! Taking a statement over: a quorum of its voters lets this gateway act under a new epoch.
+//! Takeover: a quorum of a statement's voters lets this gateway own it in a new epoch.
 
 use ivypitch_types::{MemberId, Nanos, ProcessId};
 
@@ -9,21 +9,22 @@
 use crate::statement::StatementState;
 use crate::vote_log::VoteDenial;
 
-/// The pause between tries grows up to this many takeover timeouts.
+/// Maximum backoff before a takeover is retried, in takeover timeouts.
 const MAX_RETRY_BACKOFF_TIMEOUTS: u32 = 4;
 
-/// A voter's answer to a takeover.
+/// A voter's answer to a takeover request.
 pub(crate) struct TakeoverVote {
     pub(crate) voter: MemberId,
     pub(crate) epoch: Epoch,
-    /// It lets no lower epoch act.
+    /// Whether the voter promises to grant nothing to lower epochs.
     pub(crate) is_promised: bool,
-    /// What it knows of the statement.
+    /// The voter's record of the statement.
     pub(crate) record: Option<StatementRecord>,
 }
 
 impl Ownership {
-    /// A process is gone. What it acted for has no owner; the first of its voters that is connected takes it over.
+    /// Handles the loss of a process. The first connected voter of each of its statements takes the
+    /// statement over.
     pub fn on_member_down(&mut self, now: Nanos, process: ProcessId, out: &mut dyn Output) {
         if !self.members.on_down(now, process) {
             return;
@@ -48,7 +49,8 @@
         self.fire_statement_timers(now, out);
     }
 
-    /// Prepares to take a statement over, if it is in need of that. Returns this member's rank among its voters.
+    /// Prepares the takeover of a statement if it needs one. Returns this member's rank among its
+    /// connected voters.
     fn mark_orphaned(&mut self, now: Nanos, id: StatementId, lost: ProcessId) -> Option<usize> {
         let record = self.vote_log.get(now, id)?;
         if !self.is_orphaned_by(now, &record, lost) {
@@ -77,7 +79,8 @@
         Some(rank)
     }
 
-    /// The statement is open, or its rows were at the lost process and its engine may still have them.
+    /// Whether the statement is open, or its rows were cached at the lost process and its engine
+    /// may still have them.
     fn is_orphaned_by(&self, now: Nanos, record: &StatementRecord, lost: ProcessId) -> bool {
         match record.end {
             None => true,
@@ -90,7 +93,7 @@
         }
     }
 
-    /// How many of the statement's connected voters come before this member.
+    /// Number of the statement's connected voters that rank before this member.
     fn rank_among_connected(&self, id: StatementId) -> usize {
         let own_member = self.own_member();
         self.connected_voters(id)
@@ -99,7 +102,7 @@
             .count()
     }
 
-    /// Asks all voters of the statement to let this gateway act under a new epoch.
+    /// Requests votes from all of the statement's voters to own it in a new epoch.
     pub(crate) fn request_takeover(
         &mut self,
         now: Nanos,
@@ -113,14 +116,14 @@
         };
         statement.epoch = epoch;
         statement.takeover.promises.clear();
-        // Lookups before the takeover do not count as tries.
+        // Lookups before the takeover do not count as rounds.
         statement.rounds = if statement.state() == StatementState::TakingOver {
             statement.rounds + 1
         } else {
             1
         };
-        // No longer than a grant is valid: after that a voter may have restarted and voted again, and its promise
-        // counts no more.
+        // Limited to the grant validity: after that time a voter may have restarted and voted
+        // again, which voids its promise.
         let backoff_timeouts = u64::from(statement.rounds.min(MAX_RETRY_BACKOFF_TIMEOUTS));
         let backoff =
             (self.config.takeover_timeout * backoff_timeouts).min(self.config.grant_validity);
@@ -161,7 +164,7 @@
         self.on_takeover_vote(now, id, vote, out);
     }
 
-    /// Another gateway asks for this member's vote.
+    /// Votes on another gateway's takeover.
     pub(crate) fn on_takeover_request(
         &mut self,
         now: Nanos,
@@ -191,8 +194,9 @@
         out.send(from, reply);
     }
 
-    /// Another gateway may act. An attempt of this one goes on at its engine and its clients get the end, but no
-    /// further attempt is granted; a takeover of this one's own is over.
+    /// Another gateway may own the statement. An attempt of this gateway continues at its engine and
+    /// its clients get the answer, but no further attempt is granted. A takeover by this gateway
+    /// ends.
     fn on_superseded(&mut self, now: Nanos, id: StatementId, epoch: Epoch, out: &mut dyn Output) {
         let Some(statement) = self.statements.get(id) else {
             return;
@@ -224,7 +228,7 @@
         }
     }
 
-    /// A voter has answered.
+    /// Handles a voter's reply.
     pub(crate) fn on_takeover_vote(
         &mut self,
         now: Nanos,
@@ -263,7 +267,7 @@
             Location::At(member) if member != self.own_member() => {
                 self.follow_or_close(now, id, member, out);
             }
-            // The takeover of a process that is lost too: the next try goes over it.
+            // Promised to a process that is lost as well: the next round uses a higher epoch.
             _ => {
                 if let Some(statement) = self.statements.get_mut(id) {
                     statement.epoch.number = statement.epoch.number.max(record.epoch.number);
@@ -272,7 +276,7 @@
         }
     }
 
-    /// This member's turn has come.
+    /// Starts this member's takeover after its stagger.
     pub(crate) fn on_orphan_timer(&mut self, now: Nanos, id: StatementId, out: &mut dyn Output) {
         let Some(statement) = self.statements.get(id) else {
             return;
@@ -283,7 +287,7 @@
         self.request_takeover(now, id, epoch_number, out);
     }
 
-    /// No quorum has promised yet.
+    /// Handles a takeover round without a quorum.
     pub(crate) fn on_takeover_timer(&mut self, now: Nanos, id: StatementId, out: &mut dyn Output) {
         let has_quorum = self.has_quorum_connected(id);
         let Some(statement) = self.statements.get(id) else {
@@ -294,8 +298,8 @@
         let is_idempotent = statement.spec.is_idempotent;
         let epoch_number = statement.epoch.number + 1;
         if is_rejection_pending || (!is_late && !has_quorum) {
-            // Nobody may act for it now, or nobody can say that it did not run. Whoever waits is told so at once and may
-            // come back with the same id.
+            // No gateway can own it now, or none can exclude that it ran. Waiting clients get this
+            // answer immediately and may return with the same id.
             self.answer_waiters(id, &FinalAnswer::Aborted, out);
         }
         if is_rejection_pending {
--- a/crates/ivypitch-ownership/src/takeover_outcome.rs
+++ b/crates/ivypitch-ownership/src/takeover_outcome.rs
@@ -1,7 +1,7 @@
-//! What a takeover finds, and what follows from it.
+//! The findings of a takeover and their consequences.
 //!
-//! Quorums intersect, so the promises of one contain every grant that any quorum gave before. A statement with such a
-//! grant is polled for at its engine and never dispatched again.
+//! Quorums intersect, so the promises of one quorum contain every grant of any earlier quorum. A
+//! statement with such a grant is polled at its engine and never dispatched again.
 
 use std::collections::BTreeMap;
 
@@ -14,10 +14,10 @@
 use crate::ownership::Ownership;
 use crate::statement::{PendingRejection, Statement, StatementState};
 
-/// A statement that was taken over is polled for at least this long.
+/// Minimum time for which a taken-over statement is polled.
 const MIN_POLL_TIME: Nanos = SECOND;
 
-/// What a takeover found.
+/// Findings of a takeover.
 struct TakeoverFindings {
     end: Option<StatementEnd>,
     /// The last attempt that may have run.
@@ -29,7 +29,7 @@
 }
 
 impl Ownership {
-    /// A quorum lets this gateway act.
+    /// Acts on a takeover that a quorum has promised.
     pub(crate) fn complete_takeover(&mut self, now: Nanos, id: StatementId, out: &mut dyn Output) {
         let max_statement_timeout = self.config.max_statement_timeout;
         let Some(statement) = self.statements.get_mut(id) else {
@@ -51,7 +51,8 @@
         }
     }
 
-    /// The statement is over. Its rows may be at a connected process, or still at its engine.
+    /// Handles a statement that completed. Its rows may be at a connected process, or still at its
+    /// engine.
     fn take_over_completed(
         &mut self,
         now: Nanos,
@@ -74,7 +75,7 @@
         }
     }
 
-    /// An attempt may be running, or has just ended: its engine is polled for it and nothing is started.
+    /// Polls the engine of an attempt that may be running or has just ended; starts no attempt.
     fn poll_engine(&mut self, id: StatementId, findings: &TakeoverFindings, out: &mut dyn Output) {
         self.counters.polled += 1;
         self.statements.transition(id, StatementState::TakenOver);
@@ -84,8 +85,8 @@
         out.take_over(id, &findings.spec, remaining, engine_hash);
     }
 
-    /// No attempt is to be polled for. None was granted that may have run, and none can be any more, or the statement is
-    /// idempotent.
+    /// Handles a statement without an attempt to poll: none that may have run was granted and none
+    /// can be any more, or the statement is idempotent.
     fn take_over_undispatched(
         &mut self,
         now: Nanos,
@@ -105,8 +106,8 @@
             self.statements.transition(id, StatementState::Owned);
             out.take_over(id, &findings.spec, findings.remaining, None);
         } else {
-            // A non-idempotent statement starts only once its client has come back: that one may have been told that
-            // nothing ran, and then comes under another id.
+            // A non-idempotent statement starts only once its client has returned: the client may
+            // have been told that nothing ran, and then sends the statement under another id.
             self.statements.transition(id, StatementState::Closed);
         }
     }
@@ -119,13 +120,13 @@
 }
 
 impl TakeoverFindings {
-    /// Somebody waits for the statement, or its client may still come back in time.
+    /// Whether a client or gateway waits for the statement, or its client may still return in time.
     fn has_interested_client(&self) -> bool {
         self.remaining > 0 || self.has_waiters
     }
 }
 
-/// Learns from the promises of a quorum: every grant that any quorum gave is among them.
+/// Merges the promises of a quorum, which contain every grant that any quorum gave.
 fn merge_promises(
     now: Nanos,
     statement: &mut Statement,
@@ -165,7 +166,8 @@
     }
 }
 
-/// All grants, by epoch and attempt. One that any voter knows never to have run did not.
+/// Merges all grants by epoch and attempt. An attempt did not run if any voter knows that it never
+/// ran.
 fn merge_grants(records: &[StatementRecord], own: &[AttemptGrant]) -> Vec<AttemptGrant> {
     let mut grants: BTreeMap<(Epoch, u32), AttemptGrant> = BTreeMap::new();
     let voter_grants = records.iter().flat_map(|record| &record.grants);
@@ -176,7 +178,7 @@
     grants.into_values().collect()
 }
 
-/// That a statement completed is a fact; of other ends the later one counts.
+/// Completion is a fact and overrides other ends; of those, the later one counts.
 fn merge_ends(known: Option<StatementEnd>, reported: Option<StatementEnd>) -> Option<StatementEnd> {
     match (known, reported) {
         (Some(StatementEnd::Completed { .. }), _) | (_, None) => known,
