--- a/crates/ivypitch-ownership/src/members.rs
+++ b/crates/ivypitch-ownership/src/members.rs
@@ -1,18 +1,19 @@
-//! Which processes this gateway is connected to.
+//! Connectivity of the other members' processes.
 
 use std::collections::BTreeSet;
 
 use ivypitch_types::{Incarnation, MemberId, Nanos, ProcessId, SECOND};
 
-/// Clients of a lost member may come for this long before its loss counts no more.
+/// Maximum time after a loss during which new statements are looked up, because they may come from
+/// the lost member's clients.
 const MAX_LOOKUP_WINDOW_AFTER_LOSS: Nanos = 5 * SECOND;
 
 pub(crate) struct Members {
     own_process: ProcessId,
-    /// Incarnations of the members that are connected, by member id.
+    /// Incarnations of the connected members, by member id.
     connected: Vec<Option<Incarnation>>,
     suspected: BTreeSet<MemberId>,
-    /// When the last loss was noticed.
+    /// When the last loss was detected.
     last_loss: Option<Nanos>,
 }
 
@@ -47,7 +48,7 @@
                 .is_some_and(Option::is_some)
     }
 
-    /// It is connected and not suspected.
+    /// Whether the member is connected and not suspected.
     pub(crate) fn is_healthy(&self, member: MemberId) -> bool {
         self.is_connected(member) && !self.suspected.contains(&member)
     }
@@ -82,13 +83,13 @@
         self.suspected.remove(&member);
     }
 
-    /// A member may have been lost whose statements are not known here yet.
+    /// Whether a member may have been lost whose statements are not known here yet.
     pub(crate) fn has_recent_loss(&self, now: Nanos, max_statement_timeout: Nanos) -> bool {
         let window = max_statement_timeout.min(MAX_LOOKUP_WINDOW_AFTER_LOSS);
         self.is_any_suspected() || self.last_loss.is_some_and(|at| now < at + window)
     }
 
-    /// No member was lost within the last `window`, and none is suspected.
+    /// Whether no member was lost within the last `window` and none is suspected.
     pub(crate) fn has_been_stable_for(&self, now: Nanos, window: Nanos) -> bool {
         self.last_loss.is_none_or(|at| now >= at + window) && !self.is_any_suspected()
     }
--- a/crates/ivypitch-ownership/src/recent_completions.rs
+++ b/crates/ivypitch-ownership/src/recent_completions.rs
@@ -1,4 +1,4 @@
-//! Statements that completed so lately that their rows may still be at an engine.
+//! Statements that completed so recently that their engine may still have the rows.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,13 +6,13 @@
 
 use crate::message::StatementId;
 
-/// An engine keeps the rows of a statement that completed for about this long.
+/// Approximate time for which an engine keeps the rows of a completed statement.
 const ENGINE_RESULT_RETENTION: Nanos = 1_500 * MILLISECOND;
 
 #[derive(Default)]
 pub(crate) struct RecentCompletions {
     reported_at: BTreeMap<StatementId, Nanos>,
-    /// The same, the oldest first. A statement whose end is reported again is in it twice.
+    /// The same entries, oldest first. A statement whose end is reported again is in it twice.
     by_age: VecDeque<(Nanos, StatementId)>,
 }
 
@@ -22,14 +22,15 @@
         self.by_age.push_back((now, id));
     }
 
-    /// The statement's engine may still have its rows.
+    /// Whether the statement's engine may still have its rows.
     pub(crate) fn contains(&self, now: Nanos, id: StatementId) -> bool {
         self.reported_at
             .get(&id)
             .is_some_and(|&at| now < at + ENGINE_RESULT_RETENTION)
     }
 
-    /// Removes and returns one statement whose rows no engine has any more, or the oldest one beyond `max_entries`.
+    /// Removes and returns one statement whose rows no engine has any more, or the oldest one
+    /// beyond `max_entries`.
     pub(crate) fn pop_expired(&mut self, now: Nanos, max_entries: usize) -> Option<StatementId> {
         let oldest_retained = now.saturating_sub(ENGINE_RESULT_RETENTION);
         loop {
--- a/crates/ivypitch-ownership/src/result_cache.rs
+++ b/crates/ivypitch-ownership/src/result_cache.rs
@@ -1,15 +1,16 @@
-//! Results cached for clients that come back. Every tenant has its own budget in bytes, so that its results evict only
-//! each other; the oldest go first.
+//! Results cached for clients that return. Every tenant has its own budget in bytes, so that its
+//! results evict only each other, oldest first.
 
 use std::collections::BTreeMap;
 
 use crate::message::StatementId;
 
-/// A result's pages, as they came from the engine.
+/// A result's pages as received from the engine.
 pub type Pages = Vec<serde_bytes::ByteBuf>;
 
-/// Memory of a cached result beside its pages.
+/// Memory of a cached result in addition to its pages.
 const ENTRY_OVERHEAD_BYTES: usize = 128;
+/// Memory of a cached page in addition to its contents.
 const PAGE_OVERHEAD_BYTES: usize = 24;
 
 struct CachedResult {
@@ -20,14 +21,15 @@
 
 #[derive(Default)]
 struct TenantResults {
-    /// By sequence number, so the oldest comes first.
+    /// By sequence number, oldest first.
     by_age: BTreeMap<u64, StatementId>,
     bytes: usize,
 }
 
-/// Cached results by statement, bounded by tenant.
+/// Cached results by statement, bounded per tenant.
 pub struct ResultCache {
-    /// An entry leaves when its statement is forgotten or newer results of its tenant need the space.
+    /// Entries are removed when their statement is removed or newer results of the tenant need the
+    /// space.
     results: BTreeMap<StatementId, CachedResult>,
     tenants: BTreeMap<u16, TenantResults>,
     max_bytes_per_tenant: usize,
@@ -35,7 +37,7 @@
 }
 
 impl ResultCache {
-    /// An empty cache that holds up to `max_bytes_per_tenant` for each tenant.
+    /// Creates an empty cache that holds up to `max_bytes_per_tenant` for each tenant.
     pub fn new(max_bytes_per_tenant: usize) -> ResultCache {
         ResultCache {
             results: BTreeMap::new(),
@@ -50,18 +52,18 @@
         self.results.len()
     }
 
-    /// Whether nothing is cached.
+    /// Whether the cache is empty.
     pub fn is_empty(&self) -> bool {
         self.results.is_empty()
     }
 
-    /// Bytes of all cached results, with their overhead.
+    /// Bytes of all cached results, including overhead.
     pub fn bytes(&self) -> usize {
         self.tenants.values().map(|tenant| tenant.bytes).sum()
     }
 
-    /// Caches a result and evicts older ones of the same tenant as needed. A result that is larger than the tenant's
-    /// whole budget is not cached.
+    /// Caches a result and evicts older ones of the same tenant as needed. A result larger than the
+    /// tenant's whole budget is not cached.
     pub fn insert(&mut self, id: StatementId, tenant: u16, pages: Pages) {
         self.remove(id);
         let bytes = result_bytes(&pages);
@@ -89,7 +91,7 @@
         self.results.get(&id).map(|result| &result.pages)
     }
 
-    /// Drops a result.
+    /// Removes a result.
     pub fn remove(&mut self, id: StatementId) {
         let Some(result) = self.results.remove(&id) else {
             return;
--- a/crates/ivypitch-ownership/src/state_transfer.rs
+++ b/crates/ivypitch-ownership/src/state_transfer.rs
@@ -1,4 +1,5 @@
-//! A member that restarted relearns the votes of its former process: every other member transfers what it knows.
+//! State transfer: every other member sends its vote log to a member that restarted and lost its
+//! votes.
 
 use std::collections::BTreeMap;
 
@@ -9,17 +10,19 @@
 use crate::ownership::Ownership;
 use crate::updates::MAX_RECORDS_PER_MESSAGE;
 
-/// A member that came up gets its transfer this long after a grant is valid; what it got sooner would not count.
+/// Delay of a new member's first transfer beyond the grant validity. An earlier transfer would not
+/// count.
 const FIRST_TRANSFER_MARGIN: Nanos = 50 * MILLISECOND;
-/// A member whose own log is not complete transfers again after this time, if it has learned more.
+/// Interval after which a member with an incomplete vote log transfers again if it has learned
+/// more.
 const TRANSFER_RETRY_INTERVAL: Nanos = 400 * MILLISECOND;
-/// A member that is lost this soon after a transfer may not have read it.
+/// A member lost within this time after a transfer may not have read it.
 const TRANSFER_LOSS_WINDOW: Nanos = 2 * SECOND;
 
-/// Transfers to members that came up lately.
+/// Transfers to members that connected recently.
 pub(crate) struct StateTransfers {
     pending: BTreeMap<MemberId, PendingTransfer>,
-    /// By member id: the last process that got a transfer.
+    /// The last process that got a transfer, by member id.
     completed: Vec<Option<CompletedTransfer>>,
 }
 
@@ -77,7 +80,8 @@
             .collect()
     }
 
-    /// Plans the transfer after the one that is due now. Returns whether there is anything new to send now.
+    /// Schedules the transfer after the current one. Returns whether there are new records to send
+    /// now.
     fn advance(
         &mut self,
         now: Nanos,
@@ -107,13 +111,13 @@
 }
 
 impl Ownership {
-    /// A process of another member is connected.
+    /// Handles a newly connected process of another member.
     pub fn on_member_up(&mut self, now: Nanos, process: ProcessId) {
         if process.member == self.own_member() {
             return;
         }
         self.members.on_up(process);
-        // A process that was away and is back has forgotten nothing.
+        // A process that reconnects has kept its votes.
         if self.transfers.has_completed(process) {
             return;
         }
@@ -130,18 +134,18 @@
         self.transfers.pending.insert(process.member, transfer);
     }
 
-    /// A member has not been heard for a while and may be lost.
+    /// Handles a member that has been unreachable for a while and may be lost.
     pub fn on_member_suspected(&mut self, member: MemberId) {
         self.members.on_suspected(member);
     }
 
-    /// A member that was suspected is there.
+    /// Handles a suspected member that is reachable again.
     pub fn on_suspicion_cleared(&mut self, member: MemberId) {
         self.members.on_suspicion_cleared(member);
     }
 
-    /// Transfers to each member that came up lately all that it may have voted on. A member that restarted lately
-    /// itself transfers again as it learns more.
+    /// Sends each recently connected member all records that it may have voted on. A member that
+    /// restarted recently itself transfers again as it learns more.
     pub(crate) fn on_transfer_timer(&mut self, now: Nanos, out: &mut dyn Output) {
         let members = self.transfers.members_to_send(now);
         if members.is_empty() {
--- a/crates/ivypitch-ownership/src/statement.rs
+++ b/crates/ivypitch-ownership/src/statement.rs
@@ -1,4 +1,4 @@
-//! One statement: its state, the allowed moves between states, and what is known of it here.
+//! One statement: its state, the permitted state transitions, and the data known here.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,35 +6,35 @@
 
 use crate::message::{AttemptGrant, Epoch, StatementId, StatementRecord, StatementSpec};
 
-/// What this gateway has to do with a statement.
+/// State of a statement at this gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StatementState {
-    /// A client came; voters are asked whether the statement is known.
+    /// A client arrived; voters are asked whether the statement is known.
     LookingUp,
-    /// This gateway acts for it; no attempt is granted under its epoch.
+    /// This gateway owns it; no quorum has granted an attempt in its epoch.
     Owned,
-    /// This gateway acts for it, and a quorum holds the grant of an attempt.
+    /// This gateway owns it, and a quorum has recorded the grant of an attempt.
     Replicated,
-    /// Its owner was lost; this gateway may be the one to take it over.
+    /// Its owner was lost or shut down; this gateway may take it over.
     Orphaned,
-    /// This gateway asks for votes to act for it.
+    /// This gateway requests votes to own it.
     TakingOver,
-    /// Taken over: this gateway acts for an attempt that another one dispatched.
+    /// Taken over: this gateway owns an attempt that another one dispatched.
     TakenOver,
-    /// Another gateway acts for it; clients here wait for that one's answer.
+    /// Another gateway owns it; clients here wait for the owner's answer.
     OwnedElsewhere,
-    /// Its end is known here, with its rows as long as they are cached.
+    /// Its end is known here; its rows may be cached.
     Cached,
-    /// A client that came back has been given the end.
+    /// A client that returned has received the answer.
     Delivered,
-    /// Over, or another gateway's.
+    /// It has ended or another gateway owns it; no answer is kept here.
     Closed,
-    /// An attempt may have run and nobody can say more.
+    /// An attempt may have run; its outcome is unknown.
     Unknown,
 }
 
 impl StatementState {
-    /// The statement has not ended as far as this gateway knows.
+    /// Whether the statement has not ended as far as this gateway knows.
     pub(crate) fn is_open(self) -> bool {
         match self {
             Self::LookingUp
@@ -48,7 +48,7 @@
         }
     }
 
-    /// This gateway acts for the statement.
+    /// Whether this gateway owns the statement.
     pub(crate) fn is_owner(self) -> bool {
         matches!(self, Self::Owned | Self::Replicated | Self::TakenOver)
     }
@@ -75,10 +75,10 @@
     }
 }
 
-/// Who waits for a statement's answer.
+/// A client or gateway that waits for a statement's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Waiter {
-    /// A client of this gateway, by the token that it arrived with.
+    /// A client of this gateway, by the token from its arrival.
     Local(u64),
     /// Another gateway that sent a lookup.
     Remote { member: MemberId, request_id: u64 },
@@ -89,28 +89,30 @@
     pub(crate) grant: AttemptGrant,
     pub(crate) requested_at: Nanos,
     pub(crate) granted_by: BTreeSet<MemberId>,
-    /// With what the voter knows that forbids the attempt, if it said so.
+    /// With the voter's record that forbids the attempt, if it sent one.
     pub(crate) denied_by: BTreeMap<MemberId, Option<StatementRecord>>,
 }
 
-/// Whom this gateway asks about the statement.
+/// Progress of asking other members about the statement.
 pub(crate) struct LookupProgress {
-    /// Voters that are still to be asked, the next one last.
+    /// Voters still to be asked, in reverse order.
     pub(crate) candidates: Vec<MemberId>,
-    /// Who was asked last, or acts for the statement.
+    /// The member that was asked last, or the owner.
     pub(crate) asked_member: MemberId,
-    /// Of the last request, if there was one.
+    /// Id of the last request, if there was one.
     pub(crate) request_id: Option<u64>,
-    /// This gateway can't say how its own attempt ended: where no voter knows more, its clients are told so.
+    /// This gateway does not know how its own attempt ended: its clients get that answer if no
+    /// voter knows more.
     pub(crate) is_before_abort: bool,
 }
 
-/// Collecting votes to act for the statement.
+/// Votes collected to own the statement.
 #[derive(Default)]
 pub(crate) struct TakeoverProgress {
-    /// Voters that let no lower epoch act, with what they know.
+    /// Voters that grant nothing to lower epochs any more, with their records.
     pub(crate) promises: BTreeMap<MemberId, Option<StatementRecord>>,
-    /// The statement was rejected here; the client is told once it is sealed that nobody else has dispatched it.
+    /// The rejection of the statement here; the client gets it once a quorum rules out a dispatch
+    /// by any other gateway.
     pub(crate) rejection: Option<PendingRejection>,
 }
 
@@ -122,20 +124,20 @@
 
 pub(crate) struct Statement {
     state: StatementState,
-    /// Under which this gateway acts, or asks to.
+    /// The epoch in which this gateway owns the statement, or requests to.
     pub(crate) epoch: Epoch,
     pub(crate) spec: StatementSpec,
     pub(crate) deadline: Nanos,
     pub(crate) grants: Vec<AttemptGrant>,
     pub(crate) pending_grant: Option<PendingGrant>,
-    /// The client whose statement is on its way to the scheduler here.
+    /// Token of the client whose statement goes to this gateway's scheduler.
     pub(crate) submitter: Option<u64>,
     pub(crate) waiters: Vec<Waiter>,
     pub(crate) lookup: LookupProgress,
     pub(crate) takeover: TakeoverProgress,
-    /// Lookups or takeovers that were started over.
+    /// Takeover rounds, or repeated lookup rounds; determines the backoff.
     pub(crate) rounds: u32,
-    /// Voters have been notified of it.
+    /// Whether voters have been notified of the statement.
     pub(crate) is_known_to_voters: bool,
     /// When its timer fires, if one is set.
     pub(crate) timer: Option<Nanos>,
@@ -144,7 +146,7 @@
 }
 
 impl Statement {
-    /// A statement that is met here for the first time. `epoch` names this process as its owner.
+    /// Creates a statement that is new to this gateway. `epoch` names this process as its owner.
     pub(crate) fn new(
         state: StatementState,
         epoch: Epoch,
@@ -187,8 +189,8 @@
         self.state.is_owner()
     }
 
-    /// The only function that changes a statement's state. Returns whether the move is allowed; one that is not leaves
-    /// the statement as it is.
+    /// The only function that changes a statement's state. Returns whether the transition is
+    /// permitted; if not, the statement is unchanged.
     pub(crate) fn transition(&mut self, to: StatementState) -> bool {
         let is_allowed = self.state.can_become(to);
         debug_assert!(is_allowed, "{:?} -> {to:?}", self.state);
@@ -202,29 +204,29 @@
         is_allowed
     }
 
-    /// An attempt was granted that may have run.
+    /// Whether a granted attempt may have run.
     pub(crate) fn may_have_run(&self) -> bool {
         self.grants.iter().any(|grant| !grant.never_ran)
     }
 
-    /// What remains of its client's timeout.
+    /// Remaining time of the client's timeout.
     pub(crate) fn remaining(&self, now: Nanos) -> Nanos {
         self.deadline.saturating_sub(now)
     }
 
-    /// The client that submitted the statement waits from now on like all others.
+    /// Moves the client that submitted the statement to the waiting clients.
     pub(crate) fn move_submitter_to_waiters(&mut self) {
         if let Some(submitter) = self.submitter.take() {
             self.waiters.push(Waiter::Local(submitter));
         }
     }
 
-    /// The statement with its request, for another member.
+    /// The statement's record with its request, for another member.
     pub(crate) fn record(&self, now: Nanos, id: StatementId) -> StatementRecord {
         self.record_with_request(now, id, self.spec.request.clone())
     }
 
-    /// The statement for a member that has its request already.
+    /// The statement's record for a member that already has the request.
     pub(crate) fn record_without_request(&self, now: Nanos, id: StatementId) -> StatementRecord {
         self.record_with_request(now, id, Vec::new())
     }
--- a/crates/ivypitch-ownership/src/statement_table.rs
+++ b/crates/ivypitch-ownership/src/statement_table.rs
@@ -9,11 +9,12 @@
 use crate::statement::{Statement, StatementState};
 
 pub(crate) struct StatementTable {
-    /// A statement leaves when no client can ask for it any more.
+    /// Statements are removed when no client can ask for them any more.
     statements: BTreeMap<StatementId, Statement>,
-    /// One timer for each statement, the earliest first.
+    /// One timer for each statement, earliest first.
     timers: BTreeSet<(Nanos, StatementId)>,
-    /// Statements that are over, the oldest first; beyond the table's bound they are forgotten before their time.
+    /// Ended statements, oldest first; those beyond the table's bound are removed before they
+    /// expire.
     ended: VecDeque<StatementId>,
     pub(crate) results: ResultCache,
 }
@@ -42,14 +43,14 @@
             .map(|(&id, statement)| (id, statement))
     }
 
-    /// Whether this gateway acts for the statement, or asks to.
+    /// Whether this gateway owns the statement, or requests to.
     pub(crate) fn is_owned_or_being_taken_over(&self, id: StatementId) -> bool {
         self.get(id).is_some_and(|statement| {
             statement.is_owner() || statement.state() == StatementState::TakingOver
         })
     }
 
-    /// Adds a statement, in place of what was known under its id.
+    /// Adds a statement and replaces any other with the same id.
     pub(crate) fn insert(&mut self, id: StatementId, statement: Statement) {
         let expires_at = statement.expires_at;
         if let Some(replaced) = self.statements.insert(id, statement) {
@@ -86,7 +87,7 @@
         self.timers.first().map_or(Nanos::MAX, |&(at, _)| at)
     }
 
-    /// The next statement whose timer has fired; it has none set afterwards.
+    /// Takes out the next expired timer and returns its statement, which then has no timer.
     pub(crate) fn pop_expired(&mut self, now: Nanos) -> Option<StatementId> {
         let &(at, id) = self.timers.first().filter(|(at, _)| *at <= now)?;
         self.timers.remove(&(at, id));
@@ -96,7 +97,7 @@
         Some(id)
     }
 
-    /// Moves a statement to another state. One that is over then waits to be forgotten.
+    /// Changes a statement's state. An ended statement is kept until it expires.
     pub(crate) fn transition(&mut self, id: StatementId, to: StatementState) {
         let Some(statement) = self.statements.get_mut(&id) else {
             return;
@@ -108,8 +109,8 @@
         }
     }
 
-    /// Forgets the oldest of the statements that are over, where there are more than `max_closed`. Their voters still
-    /// know how they ended.
+    /// Removes the oldest ended statements beyond `max_closed`. Their voters still know how they
+    /// ended.
     pub(crate) fn evict_ended(&mut self, max_ended: usize) {
         while self.ended.len() > max_ended {
             let Some(id) = self.ended.pop_front() else {
--- a/crates/ivypitch-ownership/src/updates.rs
+++ b/crates/ivypitch-ownership/src/updates.rs
@@ -1,4 +1,4 @@
-//! Updates to voters, collected and sent in batches.
+//! Updates to voters, sent in batches.
 
 use std::collections::BTreeMap;
 
@@ -8,12 +8,12 @@
 use crate::output::Output;
 use crate::ownership::Ownership;
 
-/// Records of one message at most.
+/// Maximum number of records in one message.
 pub(crate) const MAX_RECORDS_PER_MESSAGE: usize = 64;
 
-/// Statements whose voters are to be notified.
+/// Statements whose voters must be notified.
 pub(crate) struct PendingUpdates {
-    /// With their end, where they have one.
+    /// Statements with their ends, if they have ended.
     ends: BTreeMap<StatementId, Option<StatementEnd>>,
     next_send_at: Nanos,
 }
@@ -26,12 +26,12 @@
         }
     }
 
-    /// When the next batch is to be sent; [`Nanos::MAX`] if there is none.
+    /// When the next batch is sent; [`Nanos::MAX`] if there is none.
     pub(crate) fn next_send_at(&self) -> Nanos {
         self.next_send_at
     }
 
-    /// The statement's voters need not be notified any more.
+    /// Removes the statement from the next batch.
     pub(crate) fn cancel(&mut self, id: StatementId) {
         self.ends.remove(&id);
     }
@@ -51,7 +51,7 @@
 }
 
 impl Ownership {
-    /// Notifies the statement's voters with the next batch.
+    /// Adds the statement to the next batch of updates to its voters.
     pub(crate) fn queue_update(&mut self, now: Nanos, id: StatementId, end: Option<StatementEnd>) {
         let send_at = now + self.config.update_interval;
         self.updates.add(id, end, send_at);
@@ -85,7 +85,7 @@
         }
     }
 
-    /// What the statement's voters are told; `None` where they need not know of it.
+    /// The record sent to the statement's voters; `None` if they need not know the statement.
     fn make_update(
         &mut self,
         now: Nanos,
--- a/crates/ivypitch-ownership/src/vote_log.rs
+++ b/crates/ivypitch-ownership/src/vote_log.rs
@@ -1,8 +1,8 @@
-//! What a member remembers as a voter: a register for each statement.
+//! A member's memory as a voter: one register per statement.
 //!
-//! A voter gives its vote to one epoch at a time and never takes a grant back. One that restarted has forgotten its
-//! votes; it abstains until other members have transferred all that it may have voted on, or until nothing of that
-//! time can still be open.
+//! A voter votes for one epoch at a time and never revokes a grant. After a restart it has lost its
+//! votes; it abstains until other members have transferred every record that it may have voted on,
+//! or until no statement of that time can still be open.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,24 +18,24 @@
 /// Why a vote was not given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum VoteDenial {
-    /// This voter restarted lately.
+    /// The voter restarted recently.
     Abstained,
-    /// Another process may act, or the statement has ended; what is known of it.
+    /// Another process may own the statement, or it has ended; contains the voter's record.
     Conflict(Box<StatementRecord>),
-    /// No space for another statement.
+    /// There is no space for another statement.
     Full,
 }
 
-/// Limits of a [`VoteLog`].
+/// Configuration of a [`VoteLog`].
 #[derive(Clone, Copy, Debug)]
 pub struct VoteLogConfig {
-    /// No grant is used later than this after its votes were requested.
+    /// Time after the vote request within which a grant must be used.
     pub grant_validity: Nanos,
-    /// No client waits longer for a statement.
+    /// Longest timeout of any statement.
     pub max_statement_timeout: Nanos,
-    /// How long after its timeout a statement's client may come back.
+    /// How long after its timeout a statement's client may return.
     pub retention: Nanos,
-    /// Bound of the statements that are remembered.
+    /// Maximum number of statements in the log.
     pub max_entries: usize,
 }
 
@@ -50,27 +50,28 @@
     }
 }
 
-/// The register of one voter.
+/// The log of one voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct VoteLog {
     member: MemberId,
-    /// An entry leaves once its statement's client can't come back any more.
+    /// Entries are removed once the statement's client can't return any more.
     entries: BTreeMap<StatementId, VoteLogEntry>,
     expiries: BTreeSet<(Nanos, StatementId)>,
     max_entries: usize,
     retention: Nanos,
-    /// Before this time the voter abstains on everything.
+    /// Until this time the voter abstains on everything.
     abstains_until: Nanos,
-    /// After this time it votes on everything.
+    /// From this time on it votes on everything.
     complete_from: Nanos,
-    /// Members that transferred all they know since this voter started, and how complete that was.
+    /// Members that transferred all their records since this voter started, and the completeness of
+    /// those.
     transferred_by: BTreeMap<MemberId, VoteLogCompleteness>,
     /// Counts changes of `transferred_by`.
     revision: u64,
 }
 
 impl VoteLog {
-    /// The empty log of a voter that starts now.
+    /// Creates the empty log of a voter that starts now.
     pub fn new(member: MemberId, now: Nanos, config: VoteLogConfig) -> VoteLog {
         let abstains_until = now + config.grant_validity;
         VoteLog {
@@ -86,20 +87,20 @@
         }
     }
 
-    /// Number of statements that are remembered.
+    /// Number of statements in the log.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Whether the log is empty.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// A member has transferred all that this voter may have voted on.
+    /// Records that a member has transferred all that this voter may have voted on.
     ///
-    /// What was transferred while a grant with a vote of this voter's former process could still find its quorum
-    /// counts for nothing: the sender may not have known of that grant yet.
+    /// A transfer is ignored while a grant with a vote of this voter's former process can still
+    /// reach its quorum: the sender may not have known of that grant yet.
     pub fn on_state_transferred(
         &mut self,
         now: Nanos,
@@ -112,22 +113,22 @@
         }
     }
 
-    /// Rises whenever this voter has been given back more of what it forgot. What it transferred to others before is
-    /// then less complete than what it could transfer now.
+    /// Increases whenever this voter regains more of its lost votes. Its earlier transfers to
+    /// others are then less complete than a new one would be.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Another process runs as that member now.
+    /// Handles a new process of the member.
     pub fn on_member_replaced(&mut self, member: MemberId) {
-        // What the former process transferred from a complete log stays true.
+        // A former process's transfer from a complete log stays valid.
         if let Some(VoteLogCompleteness::RestoredFrom(_)) = self.transferred_by.get(&member) {
             self.transferred_by.remove(&member);
             self.revision += 1;
         }
     }
 
-    /// How much of the votes of its former process this voter knows.
+    /// How much of its former process's votes this voter knows.
     pub fn completeness(&self, now: Nanos) -> VoteLogCompleteness {
         if now >= self.complete_from {
             VoteLogCompleteness::Complete
@@ -136,8 +137,8 @@
         }
     }
 
-    /// Whether the votes that this voter gave before it restarted are known again: of every quorum that it was part
-    /// of, a member that knows of it has transferred it.
+    /// Whether the votes that this voter gave before its restart are known again: for every quorum
+    /// that it was part of, a member that knows of that quorum has transferred its records.
     pub fn can_vote(&self, now: Nanos, id: StatementId, assignment: &VoterAssignment) -> bool {
         if now >= self.complete_from {
             return true;
@@ -159,7 +160,8 @@
     fn can_rely_on(&self, source: MemberId, voters: &[MemberId], required_sources: usize) -> bool {
         match self.transferred_by.get(&source) {
             Some(VoteLogCompleteness::Complete) => true,
-            // The source restarted lately too: it knows what enough of the other voters had transferred to it.
+            // The source restarted recently too: it knows the votes if enough other voters
+            // transferred theirs to it.
             Some(VoteLogCompleteness::RestoredFrom(members)) => {
                 let source_count = voters
                     .iter()
@@ -171,16 +173,15 @@
         }
     }
 
-    /// What is known of a statement.
+    /// The record of a statement.
     pub fn get(&self, now: Nanos, id: StatementId) -> Option<StatementRecord> {
         Some(self.entries.get(&id)?.record(now, id))
     }
 
-    /// Takes in news that need no vote. From an epoch that a higher one has superseded the facts are kept, and nothing
-    /// else.
+    /// Applies a record that needs no vote. From a superseded epoch only facts are kept.
     pub fn apply(&mut self, now: Nanos, record: &StatementRecord) {
         if record.end == Some(StatementEnd::Rejected) {
-            // It had no effect: whoever comes with the id next starts afresh.
+            // The statement had no effect: it starts again on its next arrival.
             let is_current = self
                 .entries
                 .get(&record.id)
@@ -195,7 +196,7 @@
         }
     }
 
-    /// Votes on dispatching one attempt under the epoch of `grant`.
+    /// Votes on dispatching one attempt in the epoch of `grant`.
     pub fn vote_on_grant(
         &mut self,
         now: Nanos,
@@ -222,7 +223,8 @@
         }
     }
 
-    /// Votes on a takeover. Once given, no lower epoch gets a grant here. Returns what was known before.
+    /// Votes on a takeover. After that, no lower epoch gets a grant here. Returns the record before
+    /// the vote.
     pub fn vote_on_takeover(
         &mut self,
         now: Nanos,
@@ -251,7 +253,8 @@
         Ok(known)
     }
 
-    /// Adds the record to what is known, and returns that; `None` where there is no space for another statement.
+    /// Merges the record into its entry and returns the entry; `None` if there is no space for
+    /// another statement.
     fn merge(&mut self, now: Nanos, record: &StatementRecord) -> Option<&mut VoteLogEntry> {
         let id = record.id;
         if !self.entries.contains_key(&id) {
@@ -272,21 +275,21 @@
         Some(entry)
     }
 
-    /// Nobody can need to ask the statement's engine again.
+    /// Drops the request, which is no longer needed to poll the statement's engine.
     pub fn drop_request(&mut self, id: StatementId) {
         if let Some(entry) = self.entries.get_mut(&id) {
             entry.drop_request();
         }
     }
 
-    /// Forgets a statement.
+    /// Removes a statement.
     pub fn remove(&mut self, id: StatementId) {
         if let Some(entry) = self.entries.remove(&id) {
             self.expiries.remove(&(entry.expires_at, id));
         }
     }
 
-    /// Forgets the statements that no client can ask for any more.
+    /// Removes the statements that no client can ask for any more.
     pub fn evict_expired(&mut self, now: Nanos) {
         while let Some(&(at, id)) = self.expiries.first().filter(|(at, _)| *at <= now) {
             self.expiries.remove(&(at, id));
@@ -294,12 +297,12 @@
         }
     }
 
-    /// When the next statement expires; [`Nanos::MAX`] if none will.
+    /// When the next statement expires; [`Nanos::MAX`] if the log is empty.
     pub fn next_expiry(&self) -> Nanos {
         self.expiries.first().map_or(Nanos::MAX, |&(at, _)| at)
     }
 
-    /// The statements for which this process may act.
+    /// The statements that this process may own.
     pub fn owned_by(&self, process: ProcessId) -> Vec<StatementId> {
         self.entries
             .iter()
@@ -308,7 +311,7 @@
             .collect()
     }
 
-    /// All that is known, by statement.
+    /// All records, ordered by statement.
     pub fn records(&self, now: Nanos) -> impl Iterator<Item = StatementRecord> {
         self.entries
             .iter()
--- a/crates/ivypitch-ownership/src/vote_log_entry.rs
+++ b/crates/ivypitch-ownership/src/vote_log_entry.rs
@@ -1,4 +1,4 @@
-//! What a voter remembers of one statement.
+//! A voter's entry for one statement.
 
 use ivypitch_types::{MILLISECOND, Nanos};
 
@@ -58,7 +58,7 @@
         }
         self.grants.sort_unstable();
         self.merge_end(record);
-        // Of a completed statement the request is needed as long as its engine may still have the rows.
+        // A completed statement's request is needed as long as its engine may still have the rows.
         let is_over_without_rows = self
             .end
             .is_some_and(|end| !matches!(end, StatementEnd::Completed { .. }));
@@ -80,7 +80,7 @@
 
     fn merge_end(&mut self, record: &StatementRecord) {
         match (self.end, record.end) {
-            // That it completed is a fact, whoever reports it; no other end overrides it.
+            // Completion is a fact, whichever member reports it; no other end overrides it.
             (None | Some(StatementEnd::Aborted), Some(end @ StatementEnd::Completed { .. })) => {
                 self.end = Some(end);
             }
@@ -95,15 +95,16 @@
         }
     }
 
-    /// Whether the voter must refuse the grant; `record` is what its owner knows.
+    /// Whether the voter must deny the grant; `record` is the requester's knowledge of the
+    /// statement.
     pub(crate) fn forbids_grant(&self, record: &StatementRecord, grant: &AttemptGrant) -> bool {
         let is_other_statement = match (&self.spec, &record.spec) {
             (Some(known), Some(asked)) => known.digest != asked.digest,
             _ => false,
         };
-        // The same attempt was granted before, to a process that the asker has forgotten about.
+        // The same attempt was granted before, to a process that the requester no longer knows of.
         let is_granted_twice = self.grants.iter().any(|known| known.is_same_attempt(grant));
-        // The asker's takeover was answered before that grant was given.
+        // The voter gave that grant after it answered the requester's takeover.
         let has_unknown_grant = self
             .grants
             .iter()
--- a/crates/ivypitch-ownership/src/voters.rs
+++ b/crates/ivypitch-ownership/src/voters.rs
@@ -1,7 +1,7 @@
-//! Which members vote on a statement.
+//! Assignment of voters to statements.
 //!
-//! Rendezvous hashing of the statement's id over the whole member list, connected or not, so that all members name the
-//! same voters whatever they see of each other.
+//! Rendezvous hashing of the statement's id over the whole member list, connected or not, so that
+//! all members choose the same voters whatever their connectivity.
 
 use std::cell::RefCell;
 use std::hash::Hasher;
@@ -11,7 +11,8 @@
 
 use crate::message::StatementId;
 
-/// An id is looked up some ten times in its life, and choosing its voters walks the whole member list.
+/// Size of the assignment cache. The voters of an id are needed some ten times, and choosing them
+/// ranks the whole member list.
 const CACHE_ENTRIES: usize = 1024;
 
 /// Assigns voters to statements.
@@ -20,7 +21,7 @@
     zones: Vec<u16>,
     voters_per_statement: usize,
     max_per_zone: usize,
-    /// Assignments made lately, by the id's last bits.
+    /// Recent assignments, by the id's low bits.
     cache: RefCell<Vec<Option<CachedAssignment>>>,
 }
 
@@ -31,8 +32,9 @@
 }
 
 impl VoterAssignment {
-    /// `zones` of all members, by member id. Each statement gets `count` voters, rounded down to an odd number, or fewer
-    /// where there are fewer members. With three zones or more no zone holds a quorum; with two, both hold a voter.
+    /// `zones` lists the zones of all members, by member id. Each statement gets
+    /// `voters_per_statement` voters, rounded down to an odd number, or fewer if there are fewer
+    /// members. With three zones or more, no zone holds a quorum; with two, both hold a voter.
     pub fn new(zones: Vec<u16>, voters_per_statement: usize) -> VoterAssignment {
         let voters_per_statement =
             round_down_to_odd(voters_per_statement.clamp(1, zones.len().max(1)));
@@ -51,17 +53,17 @@
         }
     }
 
-    /// Voters of each statement.
+    /// Number of voters of each statement.
     pub fn voters_per_statement(&self) -> usize {
         self.voters_per_statement
     }
 
-    /// Votes that decide.
+    /// Number of votes that decide.
     pub fn quorum(&self) -> usize {
         self.voters_per_statement / 2 + 1
     }
 
-    /// The voters of a statement, by falling rank.
+    /// The voters of a statement, highest rank first.
     pub fn voters_of(&self, id: StatementId) -> Vec<MemberId> {
         let position = (id % CACHE_ENTRIES as u64) as usize;
         if let Some(cached) = &self.cache.borrow()[position]
@@ -93,7 +95,7 @@
                 return voters;
             }
         }
-        // The zones are too uneven for the limit: filled up by rank alone.
+        // The zones are too uneven for the limit: the rest is chosen by rank alone.
         for &member in &ranked {
             if voters.len() < self.voters_per_statement && !voters.contains(&member) {
                 voters.push(member);
