--- a/crates/ivypitch-ownership/tests/model.rs
+++ b/crates/ivypitch-ownership/tests/model.rs
@@ -1,7 +1,7 @@
-//! Grants, takeovers, restarts and owners that resume, explored exhaustively: three members that vote on each other's
-//! statements, with the real vote logs. Messages are votes that come in any order or never; an owner that is taken for
-//! lost may be dead, or stopped and running again at any later step. Each safeguard that is removed must let a
-//! statement be dispatched twice.
+//! Exhaustive exploration of grants, takeovers, restarts and owners that resume, with three members
+//! that vote on each other's statements and the real vote logs. Votes arrive in any order or never.
+//! An owner presumed lost may be dead, or stopped and running again at any later step. Without any
+//! one of the safeguards, some statement must be dispatched twice.
 
 use ivypitch_ownership::{
     AttemptGrant, Epoch, StatementEnd, StatementId, StatementRecord, StatementSpec, VoteLog,
@@ -12,33 +12,34 @@
 use test_case::test_case;
 
 const MEMBERS: usize = 3;
-/// Past the first votes of processes that started at 0, and past all that they may have forgotten.
+/// After the first votes of processes that started at 0, and after every vote that they may have
+/// lost.
 const NOW: u64 = 1_000;
 const LATER: u64 = 400;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RemovedSafeguard {
     None,
-    /// A voter lets a lower epoch act after it has promised a higher one.
+    /// A voter grants to a lower epoch after it has promised a higher one.
     Promise,
     /// One vote is enough.
     Quorum,
-    /// Whoever takes over ignores the grants that its voters know of.
+    /// The new owner ignores the grants that its voters know of.
     KnownGrants,
-    /// A voter that restarted votes at once.
+    /// A voter votes immediately after a restart.
     Abstention,
     /// A grant is used however long ago its votes were requested.
     GrantValidity,
 }
 
-/// One that may act for a statement: its owner, or a member that takes it over.
+/// A possible owner of a statement: its first owner, or a member that takes it over.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Default)]
 struct Actor {
-    /// Voters that let it act (the owner needs none).
+    /// Voters that promised its epoch (the first owner needs none).
     promises: Vec<usize>,
-    /// A voter told it of a grant that may have been used.
+    /// A voter reported a grant that may have been used.
     knows_grant: bool,
-    /// Voters that gave it the grant.
+    /// Voters that granted its attempt.
     votes: Vec<usize>,
     /// It polls an attempt, or has dispatched one.
     is_done: bool,
@@ -48,7 +49,7 @@
 struct State {
     vote_logs: Vec<VoteLog>,
     is_alive: Vec<bool>,
-    /// Processes that restarted, and who transferred their state to them.
+    /// For each restarted process, the members that transferred their state to it.
     restarted: Vec<Option<Vec<usize>>>,
     /// By statement, then by member.
     actors: Vec<Vec<Option<Actor>>>,
@@ -150,7 +151,7 @@
     }
 
     fn vote_log(&self, member: usize, is_restarted: bool) -> VoteLog {
-        // After a restart it takes long until it needs to remember nothing.
+        // After a restart, votes from before stay relevant for a long time.
         let max_statement_timeout =
             if is_restarted && self.removed_safeguard != RemovedSafeguard::Abstention {
                 1_000_000
@@ -216,7 +217,7 @@
         for statement in 0..self.statements {
             for member in (0..MEMBERS).filter(|&m| state.is_alive[m]) {
                 let Some(actor) = &state.actors[statement][member] else {
-                    // Any member may take the owner for lost at any time.
+                    // Any member may presume the owner lost at any time.
                     if !self.has_one_successor || member == (self.owner(statement) + 1) % MEMBERS {
                         actions.push(Action::RequestTakeover { statement, member });
                     }
@@ -261,7 +262,7 @@
                 state.is_alive[m] = false;
                 state.losses += 1;
                 for statement in 0..self.statements {
-                    // What it acted for is forgotten with it.
+                    // The crash ends what the member did as an owner.
                     if let Some(actor) = &mut state.actors[statement][m] {
                         actor.is_done = true;
                     }
@@ -284,8 +285,9 @@
                     VoteLogCompleteness::Complete,
                 );
                 state.restarted[to].as_mut()?.push(from);
-                // No process gets a transfer before a grant's validity after its start has passed: what its former self
-                // voted on, and has not been dispatched by now, never is.
+                // A process gets no transfer before the grant validity after its start has passed:
+                // attempts that its former process voted on and that are not dispatched by now
+                // never are.
                 if self.removed_safeguard != RemovedSafeguard::GrantValidity {
                     let awaits_vote =
                         |actor: &&mut Actor| !actor.is_done && actor.votes.contains(&to);
@@ -311,7 +313,7 @@
                     never_ran: false,
                 };
                 if self.removed_safeguard == RemovedSafeguard::Promise {
-                    // The vote log as it would be if it kept no promise.
+                    // Behaves like a vote log that keeps no promise.
                     let promised = state.vote_logs[voter]
                         .get(self.now(), id(statement))
                         .map(|record| record.epoch);
@@ -322,7 +324,7 @@
                 }
                 let mut record = record_of(statement, epoch);
                 if self.removed_safeguard == RemovedSafeguard::KnownGrants {
-                    // It passes on what it learned and dispatches all the same.
+                    // The new owner passes on the known grants and dispatches anyway.
                     record.grants = state.vote_logs[voter]
                         .get(self.now(), id(statement))
                         .map_or(Vec::new(), |known| known.grants);
@@ -426,9 +428,9 @@
     );
 }
 
-/// Two statements of two owners and one loss, exhaustively: 9,236,867 states, a minute on six cores. With two losses
-/// there are too many; [`votes_on_one_statement_do_not_depend_on_others`] lets the exploration of one statement stand
-/// for any number.
+/// Two statements of two owners and one loss: 9,236,867 states, a minute on six cores. With two
+/// losses there are too many states; [`votes_on_one_statement_do_not_depend_on_others`] shows that
+/// exploring one statement is enough for any number.
 #[test]
 #[ignore = "takes a minute; run with --ignored"]
 fn with_all_safeguards_neither_of_two_statements_is_dispatched_twice() {
@@ -443,8 +445,8 @@
     checker.assert_no_discovery("never dispatched twice");
 }
 
-/// What a vote log answers about one statement is the same whatever it is asked about others in between, as long as it
-/// has space: the runs of many statements are those of each alone, side by side.
+/// A vote log's answers about one statement do not depend on requests about others in between, as
+/// long as it has space: each statement behaves as if it were alone.
 #[test]
 fn votes_on_one_statement_do_not_depend_on_others() {
     use rand::{Rng, SeedableRng};
@@ -497,7 +499,7 @@
                     String::new()
                 }
                 3 => format!("{:?}", log.get(now, id(statement))),
-                // These concern all statements alike.
+                // These operations concern all statements.
                 4 => {
                     log.on_state_transferred(now, MemberId(member), VoteLogCompleteness::Complete);
                     String::new()
--- a/crates/ivypitch-ownership/tests/recorded_messages.rs
+++ b/crates/ivypitch-ownership/tests/recorded_messages.rs
@@ -1,5 +1,5 @@
-//! Bytes recorded at d1ac1c5; a rename must not change them. Every message about statements in flight, with every form
-//! of what it holds.
+//! Message bytes recorded at d1ac1c5, which a rename must not change: every message about
+//! statements in flight, with every variant of its contents.
 
 use ivypitch_ownership::{
     AttemptGrant, Epoch, FinalAnswer, LookupAnswer, Message, StatementEnd, StatementRecord,
--- a/crates/ivypitch-ownership/tests/results_of_lost_gateway.rs
+++ b/crates/ivypitch-ownership/tests/results_of_lost_gateway.rs
@@ -1,4 +1,5 @@
-//! A load has completed and the gateway with its rows is lost: for how long its engine is polled for them.
+//! How long an engine is polled for the rows of a completed load after the gateway that cached them
+//! is lost.
 
 use ivypitch_ownership::*;
 use ivypitch_types::{Incarnation, MILLISECOND, MemberId, Nanos, ProcessId, SECOND};
--- a/crates/ivypitch-ownership/tests/single_gateway/late_votes.rs
+++ b/crates/ivypitch-ownership/tests/single_gateway/late_votes.rs
@@ -1,4 +1,4 @@
-//! Votes on an attempt that come late: how long they are waited for.
+//! How long late votes on an attempt are awaited.
 
 use ivypitch_ownership::*;
 use ivypitch_types::{MILLISECOND, MemberId, Nanos, SECOND};
@@ -7,7 +7,7 @@
 
 const ENGINE: u64 = 3;
 
-/// A gateway that has asked its voters for their votes on a load's first attempt.
+/// A gateway that has requested votes on a load's first attempt.
 fn gateway_with_requested_votes(out: &mut Recorder) -> Ownership {
     let mut ownership = gateway();
     let decision = ownership.on_arrival(START, arrival(false), out);
@@ -34,7 +34,8 @@
     ownership.on_message(now, MemberId(voter), reply, out);
 }
 
-/// Guards against "may have run" of a load that was never dispatched, from gateways whose machines are busy.
+/// Guards against gateways on busy machines answering "may have run" for a load that was never
+/// dispatched.
 #[test]
 fn votes_of_healthy_members_are_awaited_while_grant_is_valid() {
     let mut out = Recorder::default();
--- a/crates/ivypitch-ownership/tests/single_gateway/main.rs
+++ b/crates/ivypitch-ownership/tests/single_gateway/main.rs
@@ -1,4 +1,4 @@
-//! One gateway among others that are played by the test: what it answers, and what it waits for.
+//! Tests of one gateway; the test plays the other gateways.
 
 mod late_votes;
 mod recorder;
--- a/crates/ivypitch-ownership/tests/single_gateway/recorder.rs
+++ b/crates/ivypitch-ownership/tests/single_gateway/recorder.rs
@@ -1,4 +1,4 @@
-//! What one gateway of five is asked and told, and what it asks for.
+//! Records the output of one gateway of five.
 
 use ivypitch_ownership::*;
 use ivypitch_types::{Incarnation, MemberId, Nanos, ProcessId, SECOND};
@@ -63,7 +63,7 @@
     }
 }
 
-/// Runs all timers that are due until `until`.
+/// Fires all timers that expire by `until`.
 pub fn run_timers(ownership: &mut Ownership, until: Nanos, out: &mut Recorder) {
     while ownership.next_timer() <= until {
         let now = ownership.next_timer();
@@ -71,7 +71,7 @@
     }
 }
 
-/// Member 1 of five in three zones, which is connected to all others.
+/// Member 1 of five in three zones, connected to all others.
 pub fn gateway() -> Ownership {
     let zones = (0..MEMBERS).map(|member| member % 3).collect();
     let mut ownership = Ownership::new(process(1), zones, OwnershipConfig::default(), 0);
--- a/crates/ivypitch-ownership/tests/single_gateway/rejections.rs
+++ b/crates/ivypitch-ownership/tests/single_gateway/rejections.rs
@@ -1,12 +1,14 @@
-//! Where a gateway rejects a statement that it went on with for a client that waits: who is told that nothing ran, and when.
+//! When, and to which clients, a gateway reports a rejection of a statement that it continued for a
+//! waiting client.
 
 use ivypitch_ownership::*;
 use ivypitch_types::{MILLISECOND, MemberId, Nanos, SECOND};
 
 use crate::recorder::*;
 
-/// Member 1, to which a client came for a load that member 0 had dispatched. One voter knew that; then member 0 was lost
-/// and no voter that is left answers, so that this gateway goes on with the statement itself.
+/// Member 1, whose client returned with a load that member 0 had dispatched. One voter knew that;
+/// then member 0 was lost and the remaining voters do not answer, so this gateway continues the
+/// statement itself.
 fn gateway_continuing_statement_of_lost_member(out: &mut Recorder) -> (Ownership, Nanos) {
     let mut ownership = gateway();
     let decision = ownership.on_arrival(START, arrival(true), out);
@@ -38,7 +40,7 @@
     (ownership, lookup_exhausted_at)
 }
 
-/// Guards against "the statement did not run" of a load that runs at an engine.
+/// Guards against answering "the statement did not run" for a load that runs at an engine.
 #[test]
 fn rejection_without_quorum_is_answered_as_aborted() {
     let mut out = Recorder::default();
