--- a/crates/ivypitch-ownership/src/completion.rs
+++ b/crates/ivypitch-ownership/src/completion.rs
@@ -161,8 +161,8 @@
             return;
         };
         // Without a used grant here, only other members can know the outcome: a client that returns
-        // triggers another lookup and does not get this answer until the statement expires. With
-        // `ProceedAlone`, attempts are dispatched without a quorum and without a grant.
+        // triggers another lookup instead of getting this answer for as long as the statement is
+        // kept. With `ProceedAlone`, attempts are dispatched without a quorum and without a grant.
         let may_have_run = self.config.no_quorum_policy == NoQuorumPolicy::ProceedAlone
             || statement.may_have_run();
         let ended = EndedStatement {
