--- a/crates/ivypitch-ownership/src/arrival.rs
+++ b/crates/ivypitch-ownership/src/arrival.rs
@@ -1,28 +1,29 @@
-//! Clients of this gateway: arriving with a statement, and leaving.
+//! Arrival and departure of the clients of this gateway.
 
 use ivypitch_types::Nanos;
 
-use crate::lookup_answer::Location;
+use crate::lookup_reply::Location;
 use crate::message::{FinalAnswer, StatementId, StatementRecord, StatementSpec};
 use crate::output::{ArrivalDecision, Output};
 use crate::ownership::Ownership;
 use crate::statement::{StatementState, Waiter};
 
-/// A client's statement that has just arrived.
+/// A client's statement on its arrival.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// The id that the client gave it.
+    /// The id chosen by the client.
     pub id: StatementId,
-    /// The statement.
+    /// The statement's properties and request.
     pub spec: StatementSpec,
-    /// Whether it is expensive enough for asking the voters first whether it is known elsewhere.
+    /// Whether the statement is expensive enough to ask its voters first whether it is known
+    /// elsewhere.
     pub is_worth_lookup: bool,
-    /// Names the client in [`Output::answer`].
+    /// Identifies the client in [`Output::answer`].
     pub waiter_token: u64,
 }
 
 impl Ownership {
-    /// A client's statement has arrived, for the first time or again.
+    /// Handles a client's statement that arrives, for the first time or again.
     pub fn on_arrival(
         &mut self,
         now: Nanos,
@@ -34,15 +35,15 @@
         let mut epoch_number = 0;
         if let Some(statement) = self.statements.get(id) {
             epoch_number = statement.epoch.number;
-            if let Some(decision) = self.join_known_statement(&arrival) {
+            if let Some(decision) = self.decide_from_statement(&arrival) {
                 return decision;
             }
-            self.statements.forget(id);
+            self.statements.remove(id);
         }
         let record = self.vote_log.get(now, id);
         if let Some(record) = record.filter(StatementRecord::has_content) {
             epoch_number = epoch_number.max(record.epoch.number + 1);
-            if let Some(decision) = self.follow_record(now, &arrival, &record, out) {
+            if let Some(decision) = self.decide_from_record(now, &arrival, &record, out) {
                 return decision;
             }
         }
@@ -56,7 +57,7 @@
         ArrivalDecision::Proceed
     }
 
-    /// A client no longer waits.
+    /// Handles a client that disconnected or whose timeout has ended.
     pub fn on_client_stopped_waiting(&mut self, id: StatementId, waiter_token: u64) {
         if let Some(statement) = self.statements.get_mut(id) {
             statement
@@ -66,8 +67,8 @@
         }
     }
 
-    /// By what this gateway does for the statement. `None`: it starts afresh.
-    fn join_known_statement(&mut self, arrival: &Arrival) -> Option<ArrivalDecision> {
+    /// Decides from this gateway's own state of the statement. `None`: the statement starts again.
+    fn decide_from_statement(&mut self, arrival: &Arrival) -> Option<ArrivalDecision> {
         let statement = self.statements.get_mut(arrival.id)?;
         let state = statement.state();
         if state != StatementState::Closed && statement.spec.digest != arrival.spec.digest {
@@ -90,8 +91,8 @@
         Some(ArrivalDecision::Answer(answer))
     }
 
-    /// By what this member knows as a voter. `None`: it starts afresh.
-    fn follow_record(
+    /// Decides from this member's vote log. `None`: the statement starts again.
+    fn decide_from_record(
         &mut self,
         now: Nanos,
         arrival: &Arrival,
@@ -118,14 +119,14 @@
                 self.request_takeover(now, id, record.epoch.number + 1, out);
                 Some(ArrivalDecision::Wait)
             }
-            Location::Over(answer) if !arrival.spec.is_idempotent => {
+            Location::Ended(answer) if !arrival.spec.is_idempotent => {
                 Some(ArrivalDecision::Answer(answer))
             }
-            Location::Over(_) | Location::Nowhere => None,
+            Location::Ended(_) | Location::NotOwned => None,
         }
     }
 
-    /// Asks the statement's voters where it may be known to them alone.
+    /// Looks the statement up at its voters if only they may know it.
     fn look_up_if_needed(
         &mut self,
         now: Nanos,
--- a/crates/ivypitch-ownership/src/attempt_grant.rs
+++ b/crates/ivypitch-ownership/src/attempt_grant.rs
@@ -1,59 +1,61 @@
-//! Permission for one attempt of a non-idempotent statement: a quorum of its voters grants it before it is dispatched.
+//! Grants: a quorum of voters permits each attempt of a non-idempotent statement before it is
+//! dispatched.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use ivypitch_types::{MemberId, Nanos};
 
 use crate::config::NoQuorumPolicy;
-use crate::lookup_answer::Location;
+use crate::lookup_reply::Location;
 use crate::message::{AttemptGrant, Epoch, FinalAnswer, Message, StatementId, StatementRecord};
 use crate::output::{GrantDecision, GrantDenial, Output};
 use crate::ownership::Ownership;
 use crate::statement::{PendingGrant, Statement, StatementState};
-use crate::vote_log::VoteRefusal;
+use crate::vote_log::VoteDenial;
 
 /// A voter's answer to a [`Message::GrantRequest`].
 pub(crate) struct GrantVote {
     pub(crate) voter: MemberId,
-    /// What was asked for.
+    /// The requested grant.
     pub(crate) grant: AttemptGrant,
-    /// What the voter knows that forbids it.
+    /// The voter's record that forbids the grant.
     pub(crate) conflict: Option<StatementRecord>,
 }
 
-/// One vote, as it counts.
+/// A vote as it is counted.
 enum Vote {
     Granted,
-    /// With what it knows that forbids the attempt, if it said so.
-    Refused(Option<StatementRecord>),
+    /// With the voter's record that forbids the attempt, if it sent one.
+    Denied(Option<StatementRecord>),
 }
 
-impl From<Result<(), VoteRefusal>> for Vote {
-    fn from(result: Result<(), VoteRefusal>) -> Vote {
+impl From<Result<(), VoteDenial>> for Vote {
+    fn from(result: Result<(), VoteDenial>) -> Vote {
         match result {
             Ok(()) => Vote::Granted,
-            Err(VoteRefusal::Conflict(record)) => Vote::Refused(Some(*record)),
-            Err(VoteRefusal::Abstained | VoteRefusal::Full) => Vote::Refused(None),
+            Err(VoteDenial::Conflict(record)) => Vote::Denied(Some(*record)),
+            Err(VoteDenial::Abstained | VoteDenial::Full) => Vote::Denied(None),
         }
     }
 }
 
-/// Votes that did not make a quorum.
+/// Result of a vote that did not reach a quorum.
 struct FailedVote {
     conflicts: Vec<StatementRecord>,
     has_all_answers: bool,
 }
 
 impl Ownership {
-    /// An attempt is about to be dispatched to `engine`; `attempt` numbers it within the statement.
+    /// Requests permission to dispatch an attempt to the engine; `attempt` numbers it within the
+    /// statement.
     ///
-    /// Idempotent statements, and statements that did not arrive here, are granted at once.
+    /// Idempotent statements, and statements that did not arrive here, are granted immediately.
     pub fn request_attempt(
         &mut self,
         now: Nanos,
         id: StatementId,
         attempt: u32,
-        engine: u64,
+        engine_hash: u64,
         out: &mut dyn Output,
     ) -> GrantDecision {
         let Some(statement) = self.statements.get_mut(id) else {
@@ -62,7 +64,7 @@
         let grant = AttemptGrant {
             epoch: statement.epoch,
             attempt,
-            engine,
+            engine_hash,
             never_ran: false,
         };
         if statement.spec.is_idempotent {
@@ -70,7 +72,8 @@
             self.queue_update(now, id, None);
             return GrantDecision::Granted;
         }
-        // The scheduler retries such a statement only where every earlier attempt is proved never to have run.
+        // The scheduler retries such a statement only if every earlier attempt is proved never to
+        // have run.
         if statement.may_have_run() {
             self.answer_waiters(id, &FinalAnswer::Aborted, out);
             self.statements.transition(id, StatementState::Unknown);
@@ -81,7 +84,7 @@
             grant,
             requested_at: now,
             granted_by: BTreeSet::new(),
-            refused_by: BTreeMap::new(),
+            denied_by: BTreeMap::new(),
         });
         self.request_votes(now, &record, grant, out);
         self.statements
@@ -89,11 +92,11 @@
         self.evaluate_votes(now, id, out)
     }
 
-    /// How an attempt ended; to be called before the scheduler hears of it.
+    /// Records how an attempt ended. Must be called before the scheduler handles that end.
     ///
-    /// Where this gateway no longer acts for the statement the call proves nothing: one that was handed off ends here
-    /// as never dispatched and goes on at its engine. A voter that took its grant as unused would let it be dispatched
-    /// again.
+    /// Ignored unless this gateway owns the statement: an attempt that was handed off ends here as
+    /// never dispatched but continues at its engine. A voter that recorded its grant as unused
+    /// would permit a second dispatch.
     pub fn on_attempt_ended(&mut self, now: Nanos, id: StatementId, attempt: u32, never_ran: bool) {
         let statement = self.statements.get_mut(id);
         let Some(statement) = statement.filter(|statement| statement.is_owner()) else {
@@ -113,7 +116,7 @@
         }
     }
 
-    /// Another gateway asks for this member's vote.
+    /// Votes on another gateway's attempt.
     pub(crate) fn on_grant_request(
         &mut self,
         now: Nanos,
@@ -128,8 +131,8 @@
             .vote_on_grant(now, record, grant, &self.voters);
         let conflict = match result {
             Ok(()) => None,
-            Err(VoteRefusal::Conflict(known)) => Some(*known),
-            Err(VoteRefusal::Abstained | VoteRefusal::Full) => {
+            Err(VoteDenial::Conflict(known)) => Some(*known),
+            Err(VoteDenial::Abstained | VoteDenial::Full) => {
                 let epoch = grant.epoch;
                 out.send(from, Message::Abstention { id, epoch });
                 return;
@@ -143,7 +146,7 @@
         out.send(from, reply);
     }
 
-    /// A voter has answered.
+    /// Counts a voter's reply.
     pub(crate) fn on_grant_vote(
         &mut self,
         now: Nanos,
@@ -161,13 +164,13 @@
         }
         let counted = match vote.conflict {
             None => Vote::Granted,
-            Some(record) => Vote::Refused(Some(record)),
+            Some(record) => Vote::Denied(Some(record)),
         };
         self.count_vote(id, vote.voter, counted);
         self.on_votes_changed(now, id, out);
     }
 
-    /// A voter can't vote yet. Only a vote on an attempt is given up for that.
+    /// Counts a voter's abstention. Only a vote on an attempt is denied because of it.
     pub(crate) fn on_abstention(
         &mut self,
         now: Nanos,
@@ -181,12 +184,12 @@
             .get(id)
             .is_some_and(|statement| statement.epoch == epoch && statement.pending_grant.is_some());
         if is_awaited {
-            self.count_vote(id, from, Vote::Refused(None));
+            self.count_vote(id, from, Vote::Denied(None));
             self.on_votes_changed(now, id, out);
         }
     }
 
-    /// More votes are known, or the time for them is over.
+    /// Evaluates the votes after a reply or after a timeout.
     pub(crate) fn on_votes_changed(&mut self, now: Nanos, id: StatementId, out: &mut dyn Output) {
         let Some(pending) = self
             .statements
@@ -211,7 +214,7 @@
         out: &mut dyn Output,
     ) {
         for voter in self.voters.voters_of(record.id) {
-            if voter == self.this_member() {
+            if voter == self.own_member() {
                 let result = self
                     .vote_log
                     .vote_on_grant(now, record, grant, &self.voters);
@@ -220,7 +223,7 @@
                 let record = record.clone();
                 out.send(voter, Message::GrantRequest { record, grant });
             } else {
-                self.count_vote(record.id, voter, Vote::Refused(None));
+                self.count_vote(record.id, voter, Vote::Denied(None));
             }
         }
     }
@@ -237,8 +240,8 @@
             Vote::Granted => {
                 pending.granted_by.insert(voter);
             }
-            Vote::Refused(record) => {
-                pending.refused_by.insert(voter, record);
+            Vote::Denied(record) => {
+                pending.denied_by.insert(voter, record);
             }
         }
     }
@@ -268,15 +271,15 @@
             }
             return GrantDecision::Granted;
         }
-        let unanswered = self.voters.count() - granted - pending.refused_by.len();
-        let is_hopeless = granted + unanswered < quorum;
+        let unanswered = self.voters.voters_per_statement() - granted - pending.denied_by.len();
+        let is_quorum_unreachable = granted + unanswered < quorum;
         let requested_at = pending.requested_at;
         let is_timed_out = now >= requested_at + self.config.grant_timeout;
-        if !is_hopeless && !is_expired && !is_timed_out {
+        if !is_quorum_unreachable && !is_expired && !is_timed_out {
             return GrantDecision::Pending;
         }
         if !is_expired && self.can_expect_quorum(id) {
-            // Voters that are there and slow: looked at again, in case they are suspected meanwhile.
+            // Some connected voters are slow. Checks again later, in case they become suspected.
             let expires_at = requested_at + self.config.grant_validity + 1;
             self.statements
                 .set_timer(id, expires_at.min(now + self.config.grant_timeout));
@@ -289,19 +292,19 @@
             return GrantDecision::Pending;
         };
         let failed = FailedVote {
-            conflicts: pending.refused_by.values().flatten().cloned().collect(),
+            conflicts: pending.denied_by.values().flatten().cloned().collect(),
             has_all_answers: unanswered == 0,
         };
-        let unused = AttemptGrant {
+        let unused_grant = AttemptGrant {
             never_ran: true,
             ..pending.grant
         };
         statement.pending_grant = None;
-        statement.grants.push(unused);
+        statement.grants.push(unused_grant);
         self.on_vote_failed(now, id, failed, out)
     }
 
-    /// The votes that were given, with those of members that have not answered and are not suspected, make a quorum.
+    /// Whether the votes received, with those still expected from healthy members, make a quorum.
     fn can_expect_quorum(&self, id: StatementId) -> bool {
         let pending = self
             .statements
@@ -313,13 +316,14 @@
         let voters = self.voters.voters_of(id);
         let awaited = voters.iter().filter(|&&voter| {
             let has_answered =
-                pending.granted_by.contains(&voter) || pending.refused_by.contains_key(&voter);
+                pending.granted_by.contains(&voter) || pending.denied_by.contains_key(&voter);
             !has_answered && self.members.is_healthy(voter)
         });
         pending.granted_by.len() + awaited.count() >= self.voters.quorum()
     }
 
-    /// No quorum: another gateway acts for the statement, it is over, or too few voters could be reached.
+    /// Handles a failed vote: another gateway owns the statement, it has ended, or too few voters
+    /// were reachable.
     fn on_vote_failed(
         &mut self,
         now: Nanos,
@@ -334,13 +338,13 @@
         let strongest = failed
             .conflicts
             .into_iter()
-            .filter(|record| is_news_to(statement, record))
+            .filter(|record| has_unknown_facts(statement, record))
             .max_by_key(|record| (record.end.is_some(), record.epoch));
         let Some(record) = strongest else {
             return self.on_no_quorum(now, failed.has_all_answers);
         };
         self.counters.owned_elsewhere += 1;
-        statement.submitter_waits();
+        statement.move_submitter_to_waiters();
         let digest = statement.spec.digest;
         self.follow_conflict(now, id, digest, &record, out);
         GrantDecision::Denied(GrantDenial::OwnedElsewhere)
@@ -351,14 +355,15 @@
         if self.config.no_quorum_policy == NoQuorumPolicy::ProceedAlone {
             return GrantDecision::Granted;
         }
-        // Voters that are connected and do not answer may be the first sign of a partition: the statement's client may
-        // come from beyond it.
-        let is_provably_unsent = has_all_answers && self.is_first_arrival(now);
+        // Connected voters that do not answer may be the first sign of a partition, and the
+        // statement's client may come from its other side.
+        let is_provably_unsent = has_all_answers && self.is_provably_first_arrival(now);
         GrantDecision::Denied(GrantDenial::NoQuorum { is_provably_unsent })
     }
 
-    /// No client that comes now can have been at a gateway that is lost, as far as this one can know.
-    fn is_first_arrival(&self, now: Nanos) -> bool {
+    /// Whether, as far as this gateway can know, no client that arrives now can have been at a lost
+    /// gateway.
+    fn is_provably_first_arrival(&self, now: Nanos) -> bool {
         let window = self.config.max_statement_timeout + self.config.retention;
         now >= self.started_at + window && self.members.has_been_stable_for(now, window)
     }
@@ -378,7 +383,7 @@
         }
         match self.locate(record) {
             Location::At(member) => self.follow(now, id, member, out),
-            Location::Over(answer) => {
+            Location::Ended(answer) => {
                 self.answer_waiters(id, &answer, out);
                 let state = if answer == FinalAnswer::Aborted {
                     StatementState::Unknown
@@ -387,7 +392,7 @@
                 };
                 self.statements.transition(id, state);
             }
-            Location::Orphaned | Location::Nowhere => {
+            Location::Orphaned | Location::NotOwned => {
                 self.statements.transition(id, StatementState::Orphaned);
                 self.request_takeover(now, id, record.epoch.number + 1, out);
             }
@@ -395,8 +400,8 @@
     }
 }
 
-/// The record says more of the statement than its owner knows.
-fn is_news_to(statement: &Statement, record: &StatementRecord) -> bool {
+/// Whether the record contains facts that the statement's owner does not know.
+fn has_unknown_facts(statement: &Statement, record: &StatementRecord) -> bool {
     let is_known = |grant: &AttemptGrant| {
         grant.never_ran
             || statement
