--- a/crates/ivypitch-gateway/src/actors/attempt/cancellation.rs
+++ b/crates/ivypitch-gateway/src/actors/attempt/cancellation.rs
@@ -6,28 +6,29 @@
 use futures_lite::FutureExt;
 use ivypitch_types::Outcome;
 
-use super::{AttemptRun, RETRY_PAUSE};
+use super::{AttemptRun, RETRY_BACKOFF};
 use crate::actors::engine_client::RESPONSE_TIMEOUT;
 use crate::actors::engine_connection::{CallError, EngineConnection};
 use crate::actors::messages::AttemptEnd;
 use crate::state::connections::ConnectPurpose;
 use crate::wire::http::{self, Response, status};
 
-/// An engine drops a query that has not been polled for in 2 s; the engines' times run 50 ms wide.
-const ENGINE_DROPS_UNPOLLED_AFTER: Duration = Duration::from_millis(2050);
+/// An engine drops a statement that is not polled for 2 s; engine timers are accurate to 50 ms.
+const UNPOLLED_STATEMENT_LIFETIME: Duration = Duration::from_millis(2050);
 
 impl AttemptRun<'_> {
-    /// Cancels it. It no longer runs when this returns: the engine has confirmed that, has no process, or has long
-    /// dropped the query since nobody polled for it. The attempt's own connection is left alone: a response may be to
-    /// come on it still.
+    /// Cancels the attempt at its engine. The statement no longer runs there when this returns: the
+    /// engine confirmed the cancellation, refused the connection because it has no process, or
+    /// dropped the statement because it was not polled. The request does not use the attempt's own
+    /// connection, on which a response may still arrive.
     pub(super) async fn cancel(&self) -> AttemptEnd {
-        let dropped_at = Instant::now() + ENGINE_DROPS_UNPOLLED_AFTER;
+        let dropped_at = Instant::now() + UNPOLLED_STATEMENT_LIFETIME;
         let mut connection = None;
         let confirmed = self.cancel_until_confirmed(&mut connection);
-        let dropped = async {
+        let dropped_by_engine = async {
             Timer::at(dropped_at).await;
         };
-        confirmed.or(dropped).await;
+        confirmed.or(dropped_by_engine).await;
         self.engine.release(connection);
         AttemptEnd::without_answer(Outcome::Cancelled)
     }
@@ -47,7 +48,7 @@
                 })
                 | Err(CallError::ConnectionRefused) => return,
                 Ok(_) | Err(_) => {
-                    Timer::after(RETRY_PAUSE).await;
+                    Timer::after(RETRY_BACKOFF).await;
                 }
             }
         }
--- a/crates/ivypitch-gateway/src/actors/attempt/mod.rs
+++ b/crates/ivypitch-gateway/src/actors/attempt/mod.rs
@@ -1,6 +1,8 @@
-//! One attempt of a statement at its engine: started, polled until its end, or cancelled. It ends with one [`AttemptEnd`].
+//! One attempt of a statement at its engine: started, then polled until it ends, or cancelled. Each
+//! attempt ends with exactly one [`AttemptEnd`].
 //!
-//! Every wait also listens to the attempt's mailbox: a cancellation is acted on at once, whatever the engine does.
+//! Every wait also watches the attempt's mailbox, so that a cancellation takes effect at once even
+//! if the engine does not respond.
 
 mod cancellation;
 mod polling;
@@ -22,37 +24,39 @@
 use crate::wire::http::Start;
 
 const NANOS_PER_MS: Nanos = 1_000_000;
-/// Before what brought no response twice is asked for again.
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// Backoff before a request without a response is retried. Polls and page requests are retried at
+/// once after the first failure and back off from the second in a row.
+const RETRY_BACKOFF: Duration = Duration::from_millis(50);
 
-/// What an attempt's task is made of.
+/// The state of an attempt's task.
 pub struct Attempt {
-    /// Names it in messages.
+    /// Identifies the attempt in messages to the scheduler.
     pub key: AttemptKey,
-    /// The request to the engine.
+    /// The start request to the engine.
     pub start: Start,
-    /// Another gateway has started it: it is only polled for.
+    /// Whether another gateway started the attempt, which is then only polled.
     pub is_already_started: bool,
-    /// The fields of a load report, in the order of the settings.
+    /// Names of the fields in a load report, in the order of the settings.
     pub report_fields: Rc<Vec<String>>,
-    /// Messages to this attempt; once closed, the attempt is cancelled.
+    /// Messages to this attempt. The attempt is cancelled when the channel closes.
     pub mailbox: Receiver<AttemptMessage>,
-    /// A priority that has not been sent to the engine yet.
+    /// A priority that is still to be sent to the engine.
     pub unsent_priority: Cell<Option<u8>>,
     /// The scheduler's mailbox.
     pub scheduler: Sender<SchedulerMessage>,
-    /// Asked as the start is about to leave.
+    /// Confirms that the start request may be sent.
     pub gate: SendGate,
-    /// When its time is over.
+    /// When the attempt times out.
     pub times_out_at: Nanos,
-    /// Whose it is, where it is to be sent for that client alone.
+    /// The client whose disconnection stops the start; `None` if the statement may outlive the
+    /// connection of its client.
     pub client: Option<Rc<ClientPresence>>,
 }
 
-/// Asks the scheduler once more as the first byte of a start is about to leave.
+/// Asks the scheduler for confirmation just before the first byte of a start request is sent.
 #[derive(Clone)]
 pub struct SendGate {
-    /// The same scheduler that chose the engine.
+    /// The scheduler that chose the engine.
     pub scheduler: Rc<RefCell<Scheduler>>,
     /// The gateway's clock.
     pub clock: Clock,
@@ -71,7 +75,7 @@
 }
 
 impl Attempt {
-    /// Runs it to its end, of which the scheduler is notified.
+    /// Runs the attempt to its end and notifies the scheduler.
     pub async fn run(self, engine: Rc<EngineClient>) {
         let mut run = AttemptRun {
             attempt: &self,
@@ -89,8 +93,9 @@
         self.mailbox.recv().await.unwrap_or(AttemptMessage::Cancel)
     }
 
-    /// Returns once it is withdrawn; a priority that comes before that is kept for later.
-    async fn withdrawn(&self) -> Withdrawal {
+    /// Waits until the attempt is cancelled or detached. A priority that arrives first is stored
+    /// and sent later.
+    async fn wait_for_withdrawal(&self) -> Withdrawal {
         loop {
             match self.next_message().await {
                 AttemptMessage::Priority(priority) => self.unsent_priority.set(Some(priority)),
@@ -101,20 +106,20 @@
     }
 }
 
-/// Why an attempt is not wanted here any more.
+/// Why this gateway no longer runs an attempt.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Withdrawal {
-    /// It is to end at its engine too.
+    /// The attempt is cancelled, at its engine too.
     Cancelled,
-    /// Another gateway goes on with it.
+    /// Another gateway takes the attempt over.
     Detached,
 }
 
-/// An attempt that runs at its engine.
+/// An attempt while it runs, with its engine.
 struct AttemptRun<'a> {
     attempt: &'a Attempt,
     engine: &'a EngineClient,
-    /// The connection of the last call, if it can be used again.
+    /// The connection of the last call, if it is reusable.
     connection: Option<EngineConnection>,
 }
 
@@ -135,7 +140,8 @@
         }
     }
 
-    /// Returns the connection for other attempts, or closes it where a response may be to come on it still.
+    /// Releases the connection for other attempts, or closes it if a response may still arrive on
+    /// it.
     fn release_connection(self, outcome: Outcome) {
         if matches!(
             outcome,
--- a/crates/ivypitch-gateway/src/actors/attempt/polling.rs
+++ b/crates/ivypitch-gateway/src/actors/attempt/polling.rs
@@ -1,4 +1,4 @@
-//! Polling an attempt that has started, until the engine reports its end.
+//! Polling of a started attempt until the engine reports its end.
 
 use std::time::Duration;
 
@@ -7,17 +7,18 @@
 use ivypitch_scheduler::AttemptProgress;
 use ivypitch_types::Outcome;
 
-use super::{AttemptRun, RETRY_PAUSE};
+use super::{AttemptRun, RETRY_BACKOFF};
 use crate::actors::engine_client::{POLL_TIMEOUT, RESPONSE_TIMEOUT};
 use crate::actors::engine_connection::{CallError, EngineConnection};
 use crate::actors::messages::{AttemptEnd, AttemptMessage, SchedulerMessage};
 use crate::state::connections::ConnectPurpose;
 use crate::wire::http::{self, Response, status};
 
-/// The page that stands for a statement's progress, and its first once it has completed.
+/// Page number that returns a running statement's progress, and the first result page once the
+/// statement completed.
 const PROGRESS_PAGE: usize = 0;
 
-/// What came first while an attempt waited for a response.
+/// The first event while an attempt waited for a response.
 pub(super) enum PollOutcome {
     Response(Response),
     Error(CallError),
@@ -25,8 +26,9 @@
 }
 
 impl AttemptRun<'_> {
-    /// On a connection that served another statement before, an end counts once the engine has repeated it; `None`:
-    /// it has not, and the attempt is polled for.
+    /// Confirms a final response that arrived on a reused connection, where it may belong to an
+    /// earlier statement: it counts only if the engine repeats it. Returns `None` if the engine
+    /// does not; the attempt is then polled.
     pub(super) async fn confirm_end(
         &mut self,
         response: Option<Response>,
@@ -40,7 +42,9 @@
             return Ok(response);
         };
         match self.poll(PROGRESS_PAGE, RESPONSE_TIMEOUT).await {
-            PollOutcome::Response(again) if is_same_end(end, &again) => Ok(response),
+            PollOutcome::Response(repeated) if is_same_final_response(end, &repeated) => {
+                Ok(response)
+            }
             PollOutcome::Message(AttemptMessage::Cancel) => Err(self.cancel().await),
             PollOutcome::Message(AttemptMessage::Detach) => {
                 Err(AttemptEnd::without_answer(Outcome::Cancelled))
@@ -52,10 +56,10 @@
         }
     }
 
-    /// Polls, from the response to the start on, until the engine reports the end.
+    /// Polls until the engine reports the end, beginning with the response to the start.
     pub(super) async fn poll_until_end(&mut self, mut response: Option<Response>) -> AttemptEnd {
         let mut failures = 0;
-        // An attempt that another gateway started has no response to begin with.
+        // An attempt that another gateway started has no first response, which is not a failure.
         let mut has_failed = !self.attempt.is_already_started;
         loop {
             if let Some(response) = &response
@@ -71,7 +75,7 @@
             };
             has_failed = true;
             if failures > 1 {
-                Timer::after(RETRY_PAUSE).await;
+                Timer::after(RETRY_BACKOFF).await;
             }
             self.send_priority().await;
             response = match self.poll_progress(failures).await {
@@ -81,7 +85,8 @@
         }
     }
 
-    /// One poll, with more patience after failures; `None`: no complete response came.
+    /// Polls once, with a timeout that grows with `failures`. Returns `None` without a complete
+    /// response.
     async fn poll_progress(&mut self, failures: u32) -> Result<Option<Response>, AttemptEnd> {
         let timeout = POLL_TIMEOUT * (1 + failures);
         match self.poll(PROGRESS_PAGE, timeout).await {
@@ -96,7 +101,7 @@
             }
             PollOutcome::Message(AttemptMessage::Priority(priority)) => {
                 self.attempt.unsent_priority.set(Some(priority));
-                // The poll was broken off by this gateway: no failure.
+                // This gateway interrupted the poll, so that it is not a failure.
                 Ok(Some(Response {
                     status: status::RUNNING,
                     ..Response::default()
@@ -105,8 +110,9 @@
         }
     }
 
-    /// Handles the response to a start or a poll; `Some`: the attempt has ended. A response that is neither progress
-    /// nor an end counts as one that did not come complete, and its connection is closed.
+    /// Handles the response to a start or a poll and returns the attempt's end, if it ended. A
+    /// response that is neither progress nor an end counts as incomplete, and its connection is
+    /// closed.
     async fn on_response(&mut self, response: &Response) -> Option<AttemptEnd> {
         match response.status {
             status::RUNNING => {
@@ -146,28 +152,28 @@
             });
     }
 
-    /// Sends the engine a new priority, if there is one, and ignores its response.
+    /// Sends a pending priority to the engine and ignores the response.
     async fn send_priority(&self) {
         let Some(priority) = self.attempt.unsent_priority.take() else {
             return;
         };
         let statement_id = &self.attempt.start.statement_id;
         let request = http::write_priority(statement_id, priority, &self.engine.host());
-        let mut own_connection = None;
-        let held = &mut own_connection;
+        let mut separate_connection = None;
+        let slot = &mut separate_connection;
         let purpose = ConnectPurpose::Priority;
-        let call = self.engine.call(held, &request, RESPONSE_TIMEOUT, purpose);
+        let call = self.engine.call(slot, &request, RESPONSE_TIMEOUT, purpose);
         let _ = call.await;
     }
 
-    /// Asks for the attempt's progress or end, or for a further page.
+    /// Requests the attempt's progress or end (page 0) or a further result page.
     pub(super) async fn poll(&mut self, page: usize, timeout: Duration) -> PollOutcome {
         let attempt = self.attempt;
         let request = http::write_get(&attempt.start.statement_id, page, &self.engine.host());
-        let held = &mut self.connection;
+        let slot = &mut self.connection;
         let call = self
             .engine
-            .call(held, &request, timeout, ConnectPurpose::Poll);
+            .call(slot, &request, timeout, ConnectPurpose::Poll);
         let responded = async {
             match call.await {
                 Ok(response) => PollOutcome::Response(response),
@@ -179,14 +185,15 @@
     }
 }
 
-/// The engine reports the same end again. What never ran there, or failed, it does not know when asked.
-fn is_same_end(end: &Response, again: &Response) -> bool {
+/// Whether the engine repeated the final response. A statement that failed or never ran is unknown
+/// to the engine, so that the repeated response is [`status::FAILED`].
+fn is_same_final_response(end: &Response, repeated: &Response) -> bool {
     match end.status {
         status::COMPLETED => {
-            again.status == status::COMPLETED
-                && end.page_count == again.page_count
-                && end.body == again.body
+            repeated.status == status::COMPLETED
+                && end.page_count == repeated.page_count
+                && end.body == repeated.body
         }
-        _ => again.status == end.status || again.status == status::FAILED,
+        _ => repeated.status == end.status || repeated.status == status::FAILED,
     }
 }
--- a/crates/ivypitch-gateway/src/actors/attempt/result.rs
+++ b/crates/ivypitch-gateway/src/actors/attempt/result.rs
@@ -1,10 +1,10 @@
-//! The end of an attempt in the scheduler's terms, and the pages of a completed result.
+//! Conversion of a final response into an [`AttemptEnd`], and fetching the pages of a result.
 
 use async_io::Timer;
 use ivypitch_types::Outcome;
 
 use super::polling::PollOutcome;
-use super::{AttemptRun, RETRY_PAUSE};
+use super::{AttemptRun, RETRY_BACKOFF};
 use crate::actors::engine_client::RESPONSE_TIMEOUT;
 use crate::actors::engine_connection::CallError;
 use crate::actors::messages::{AttemptEnd, AttemptMessage, MeasuredCost};
@@ -12,7 +12,8 @@
 use crate::wire::http::{self, Response, status};
 
 impl AttemptRun<'_> {
-    /// What the response that ends it proves; with `rows` once all of them are there.
+    /// Converts the final response into the attempt's end. `rows` is the complete result, if there
+    /// is one.
     pub(super) fn end(&self, response: &Response, rows: Option<Rows>) -> AttemptEnd {
         let outcome = match (response.status, response.never_ran) {
             (status::COMPLETED, _) => Outcome::Completed,
@@ -32,7 +33,8 @@
         }
     }
 
-    /// The end of an attempt whose result begins with this response; `None`: it is no first page of a result.
+    /// Fetches the result that begins with `response` and returns the attempt's end. Returns `None`
+    /// if `response` is not the first page of a result.
     pub(super) async fn fetch_result(&mut self, response: &Response) -> Option<AttemptEnd> {
         let first = first_page(response)?;
         let page_count = response.page_count.unwrap_or(1);
@@ -42,7 +44,8 @@
         })
     }
 
-    /// The pages after the first. One that did not come complete, or is no page of such a result, is asked for again.
+    /// Fetches the pages after the first. A page that is incomplete or does not belong to the
+    /// result is requested again.
     async fn fetch_pages(&mut self, mut rows: Rows, page_count: usize) -> Result<Rows, AttemptEnd> {
         let mut failures = 0;
         while rows.page_count() < page_count {
@@ -65,7 +68,7 @@
                     self.connection = None;
                     failures += 1;
                     if failures > 1 {
-                        Timer::after(RETRY_PAUSE).await;
+                        Timer::after(RETRY_BACKOFF).await;
                     }
                 }
             }
@@ -74,12 +77,12 @@
     }
 }
 
-/// Adds the page if it is the one of this number; false: it is not, or not a page of rows.
+/// Appends a page and returns true if `page` has this number and holds rows.
 fn push_page(rows: &mut Rows, number: usize, page: &Response) -> bool {
     page.page == Some(number) && rows.push_page(page.body.clone()).is_ok()
 }
 
-/// The first page of a completed result, if this is one.
+/// Parses the first page of a completed result; `None` if `response` is something else.
 fn first_page(response: &Response) -> Option<Rows> {
     let is_first = response.status == status::COMPLETED
         && response.page_count.is_some()
--- a/crates/ivypitch-gateway/src/actors/attempt/start.rs
+++ b/crates/ivypitch-gateway/src/actors/attempt/start.rs
@@ -1,4 +1,4 @@
-//! Starting an attempt: the connection, the last check, and the response to the start.
+//! Start of an attempt: its connection, the last check before sending, and the response.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -13,22 +13,24 @@
 use crate::actors::messages::{AttemptEnd, AttemptMessage};
 use crate::wire::http::{self, Response, Start, status};
 
-/// The response to a start that is cancelled is awaited for so long: a cancellation on another connection might
-/// overtake the start.
+/// How long the response to a cancelled start is awaited, since a cancellation on another
+/// connection might overtake the start.
 const CANCELLED_START_TIMEOUT: Duration = Duration::from_millis(500);
-/// So many connections in a row may close, or bring bytes, before the start has left.
-const MAX_UNFIT_CONNECTIONS: usize = 3;
+/// After this many connections in a row that close or receive bytes before the start is sent, the
+/// attempt fails.
+const MAX_UNUSABLE_CONNECTIONS: usize = 3;
 
-/// What came first after a start had been written.
+/// The first event after a start request was written.
 enum StartOutcome {
     Responded(Result<Response, CallError>),
-    /// It was cancelled, and no response came in time.
+    /// The attempt was cancelled, and no response arrived in time.
     Unanswered,
     Detached,
 }
 
 impl AttemptRun<'_> {
-    /// The start, up to its response; `None` where none came complete: it may run all the same and is polled for.
+    /// Sends the start and waits for its response. Returns `None` without a complete response: the
+    /// statement may be running and is polled.
     pub(super) async fn start(&mut self) -> Result<Option<Response>, AttemptEnd> {
         let connection = self.connection_for_start().await?;
         let attempt = self.attempt;
@@ -38,13 +40,13 @@
         };
         let request = http::write_start(&start, &self.engine.host());
         let is_wanted = Cell::new(true);
-        let held = &mut self.connection;
+        let slot = &mut self.connection;
         let call = self
             .engine
-            .exchange(connection, held, &request, POLL_TIMEOUT);
+            .exchange(connection, slot, &request, POLL_TIMEOUT);
         let responded = async { StartOutcome::Responded(call.await) };
         let withdrawn = async {
-            if attempt.withdrawn().await == Withdrawal::Detached {
+            if attempt.wait_for_withdrawal().await == Withdrawal::Detached {
                 return StartOutcome::Detached;
             }
             is_wanted.set(false);
@@ -66,17 +68,19 @@
         }
     }
 
-    /// A connection on which the start may leave now. Whether it is wanted is asked once the connection is there:
-    /// nothing waits between that and the first byte.
+    /// Acquires a connection on which the start may be sent now. Whether the start is still wanted
+    /// is checked after the connection is acquired, with no wait between this check and the first
+    /// byte.
     async fn connection_for_start(&self) -> Result<EngineConnection, AttemptEnd> {
         let attempt = self.attempt;
-        let mut unfit = 0;
+        let mut unusable = 0;
         loop {
             let connection = self.acquire_unless_withdrawn().await?;
-            if !self.engine.is_fit(&connection) {
-                // Something came on it, or its engine has moved meanwhile: another one, and the question anew.
-                unfit += 1;
-                if unfit == MAX_UNFIT_CONNECTIONS {
+            if !self.engine.is_usable_for_start(&connection) {
+                // The connection received bytes, or the engine moved: acquire another and check
+                // again.
+                unusable += 1;
+                if unusable == MAX_UNUSABLE_CONNECTIONS {
                     return Err(AttemptEnd::without_answer(Outcome::ConnectFailed));
                 }
                 continue;
@@ -97,7 +101,7 @@
                 .map_err(|_| AttemptEnd::without_answer(Outcome::ConnectFailed))
         };
         let withdrawn = async {
-            self.attempt.withdrawn().await;
+            self.attempt.wait_for_withdrawal().await;
             Err(AttemptEnd::without_answer(Outcome::NotSent))
         };
         withdrawn.or(acquire).await
@@ -105,8 +109,9 @@
 }
 
 impl Attempt {
-    /// Nobody has cancelled it, and its client, where it has one here, has neither closed nor sent anything more: a
-    /// client that does is about to be disconnected.
+    /// Whether the attempt has not been cancelled and its client, if it has one here, has neither
+    /// closed the connection nor sent more. A client that sends more before its answer is about to
+    /// be disconnected.
     fn is_wanted(&self) -> bool {
         while let Ok(message) = self.mailbox.try_recv() {
             match message {
--- a/crates/ivypitch-gateway/src/actors/engine.rs
+++ b/crates/ivypitch-gateway/src/actors/engine.rs
@@ -1,4 +1,5 @@
-//! The actor of one engine: it starts attempts as tasks of their own and follows the engine's address.
+//! The actor of one engine. It spawns a task for each attempt and applies changes of the engine's
+//! address.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -10,15 +11,16 @@
 use super::attempt::Attempt;
 use super::engine_client::EngineClient;
 
-/// To an engine's actor.
+/// A message to an engine's actor.
 pub enum EngineMessage {
-    /// Run this attempt.
+    /// Runs this attempt.
     Start(Box<Attempt>),
-    /// The engine is at another address from now on.
+    /// The engine has a new address.
     Address(SocketAddr),
 }
 
-/// Runs until the mailbox closes as the engine is no longer listed; attempts in flight use its client until their end.
+/// Runs until the mailbox closes because the engine is no longer listed. Attempts in flight keep
+/// using its client until they end.
 pub async fn run(
     client: Rc<EngineClient>,
     mailbox: Receiver<EngineMessage>,
--- a/crates/ivypitch-gateway/src/actors/engine_client.rs
+++ b/crates/ivypitch-gateway/src/actors/engine_client.rs
@@ -1,9 +1,11 @@
 //! Calls to one engine over connections that serve one attempt at a time.
 //!
-//! `ivypitch_connection_pool` decides which connections stay open for the next attempt. An idle one is first asked for
-//! the statement that is about to start there: only the response that the engine does not know it proves the connection
-//! open and clean. A final response that then comes at once has to come twice (see [`super::attempt`]): what an engine
-//! sends late can't be taken for the response to another statement.
+//! `ivypitch_connection_pool` decides which connections stay open for the next attempt. An idle
+//! connection is probed before it is reused: it is polled for the statement that is about to start,
+//! and only the response that the engine does not know this statement proves that the connection is
+//! open and has no unread input. If the start then gets a final response, the engine has to repeat
+//! that response (see [`super::attempt`]). A late response to one statement is thus never taken for
+//! the response to another.
 
 use std::cell::{Cell, RefCell};
 use std::io::{self, ErrorKind};
@@ -16,40 +18,41 @@
 use futures_lite::FutureExt;
 use ivypitch_connection_pool::{ConnectionPool, PoolParams};
 
-use super::engine_connection::{CallError, EngineConnection, Pending};
+use super::engine_connection::{CallError, EngineConnection, UnreadInput};
 use crate::lifecycle::clock::Clock;
 use crate::state::connections::{ConnectPurpose, ConnectionCounters};
 use crate::state::permits::ConnectionPermits;
 use crate::state::traffic::Traffic;
 use crate::wire::http::{self, Response, status};
 
-/// An engine holds the response to a poll back for 250 ms at most. One that takes so much longer counts as lost and is
-/// polled for again, each time with more patience, within the 2 s that an engine waits for that.
+/// Timeout of a start or a poll. An engine delays its response by at most 250 ms (long polling). A
+/// response that takes longer than this timeout counts as lost; the attempt is polled again with a
+/// longer timeout, within the 2 s after which an engine drops a statement that is not polled.
 pub(crate) const POLL_TIMEOUT: Duration = Duration::from_millis(350);
-/// To all else an engine responds at once.
+/// Timeout of all other requests, to which an engine responds at once.
 pub(crate) const RESPONSE_TIMEOUT: Duration = Duration::from_millis(100);
-/// No call waits for longer, however often it was repeated.
+/// Upper bound on a timeout that grows with each retry.
 const MAX_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What an [`EngineClient`] is made of.
+/// Parameters of an [`EngineClient`].
 pub struct EngineClientParams {
-    /// Where the engine is now.
+    /// The engine's current address.
     pub address: SocketAddr,
-    /// A connection that is not up by then has failed.
+    /// How long opening a connection may take.
     pub connect_timeout: Duration,
-    /// How many idle connections stay open, and for how long.
+    /// Limits on the number and age of idle connections.
     pub pool: PoolParams,
     /// The gateway's clock.
     pub clock: Clock,
-    /// Bounds the connections to all engines together.
+    /// Limits the connections to all engines together.
     pub permits: Rc<ConnectionPermits>,
-    /// Counts connections by what they were opened for.
+    /// Counts connections by purpose.
     pub connects: Rc<ConnectionCounters>,
-    /// Counts bytes.
+    /// Counts sent and received bytes.
     pub traffic: Rc<Traffic>,
 }
 
-/// What attempts use of their engine.
+/// The client through which attempts call their engine.
 pub struct EngineClient {
     address: Cell<SocketAddr>,
     connect_timeout: Duration,
@@ -58,12 +61,12 @@
     traffic: Rc<Traffic>,
     pool: RefCell<ConnectionPool<EngineConnection>>,
     clock: Clock,
-    /// Notified as a connection becomes idle, so that it is closed in time.
-    became_idle: (Sender<()>, Receiver<()>),
+    /// Wakes [`Self::close_expired`] when a connection becomes idle.
+    idle_signal: (Sender<()>, Receiver<()>),
 }
 
 impl EngineClient {
-    /// A client without connections.
+    /// Creates a client without connections.
     pub fn new(params: EngineClientParams) -> Rc<EngineClient> {
         Rc::new(EngineClient {
             address: Cell::new(params.address),
@@ -73,7 +76,7 @@
             traffic: params.traffic,
             pool: RefCell::new(ConnectionPool::new(params.pool)),
             clock: params.clock,
-            became_idle: async_channel::bounded(1),
+            idle_signal: async_channel::bounded(1),
         })
     }
 
@@ -82,27 +85,29 @@
         self.address.get().to_string()
     }
 
-    /// The engine is at another address from now on: idle connections to the old one close.
+    /// Sets a new address of the engine and closes idle connections to the old one.
     pub(crate) fn set_address(&self, address: SocketAddr) {
         self.close_idle();
         self.address.set(address);
     }
 
-    /// A connection for the start of this statement: an idle one that is open and clean, else a new one.
+    /// Returns a connection for the start of this statement: an idle one that passes the probe,
+    /// else a new one.
     pub(crate) async fn acquire(&self, statement_id: &[u8]) -> Result<EngineConnection, CallError> {
         while let Some(mut idle) = self.take_idle() {
-            if self.is_proved_clean(&mut idle, statement_id).await {
+            if self.probe_is_clean(&mut idle, statement_id).await {
                 self.connects.record_reused();
                 return Ok(idle);
             }
             self.connects.record_discarded();
-            self.on_surprise();
+            self.on_unexpected_input();
         }
         self.connect(ConnectPurpose::Start).await
     }
 
-    /// Asks on an idle connection for a statement that has not started: the engine has to say that it does not know it.
-    async fn is_proved_clean(&self, idle: &mut EngineConnection, statement_id: &[u8]) -> bool {
+    /// Probes an idle connection by polling for a statement that has not started. Returns true if
+    /// the engine responds that it does not know the statement and no other input arrived.
+    async fn probe_is_clean(&self, idle: &mut EngineConnection, statement_id: &[u8]) -> bool {
         let request = http::write_get(statement_id, 0, &self.host());
         if idle.write(&request).await.is_err() {
             return false;
@@ -115,31 +120,32 @@
         is_unknown && idle.is_clean()
     }
 
-    /// It goes to where the engine is now, and nothing has come on it since it was opened or proved clean.
-    pub(crate) fn is_fit(&self, connection: &EngineConnection) -> bool {
+    /// Whether the connection leads to the engine's current address and has received nothing since
+    /// it was opened or probed.
+    pub(crate) fn is_usable_for_start(&self, connection: &EngineConnection) -> bool {
         connection.address() == self.address.get() && connection.is_clean()
     }
 
-    /// Returns one that was acquired for a start that is not wanted any more.
+    /// Releases a connection whose start was withdrawn before it was sent.
     pub(crate) fn release_unused(&self, connection: EngineConnection) {
-        if self.is_fit(&connection) {
+        if self.is_usable_for_start(&connection) {
             self.release(Some(connection));
         }
     }
 
-    /// Returns the connection of an attempt that is over: it becomes idle, or closes.
+    /// Releases the connection of an attempt that has ended: it becomes idle or closes.
     pub(crate) fn release(&self, connection: Option<EngineConnection>) {
         let Some(mut connection) = connection.filter(EngineConnection::is_clean) else {
             return;
         };
         connection.mark_used();
-        // Other engines need the permit more than a statement that may come.
+        // Calls to other engines need the permit now; a future statement here may not come.
         if self.permits.is_scarce() {
             return;
         }
-        let refused = self.pool.borrow_mut().release(self.clock.now(), connection);
-        if refused.is_none() {
-            let _ = self.became_idle.0.try_send(());
+        let discarded = self.pool.borrow_mut().release(self.clock.now(), connection);
+        if discarded.is_none() {
+            let _ = self.idle_signal.0.try_send(());
         }
     }
 
@@ -148,16 +154,16 @@
         let mut pool = self.pool.borrow_mut();
         loop {
             let idle = pool.acquire(now)?;
-            match idle.pending() {
-                Pending::Nothing => return Some(idle),
-                // One that the engine has closed as idle is no surprise.
-                Pending::Closed => {}
-                Pending::Bytes => drop(pool.on_unexpected_answer()),
+            match idle.unread_input() {
+                UnreadInput::Nothing => return Some(idle),
+                // The engine may close a connection that was idle for long.
+                UnreadInput::Closed => {}
+                UnreadInput::Bytes => drop(pool.on_unexpected_answer()),
             }
         }
     }
 
-    /// Opens a connection, as soon as there is a permit for it.
+    /// Opens a connection once a permit is available.
     async fn connect(&self, purpose: ConnectPurpose) -> Result<EngineConnection, CallError> {
         if self.permits.is_scarce() {
             self.close_idle();
@@ -176,7 +182,7 @@
                 let traffic = self.traffic.clone();
                 Ok(EngineConnection::new(stream, address, traffic, permit))
             }
-            Err(e) if e.kind() == ErrorKind::ConnectionRefused => {
+            Err(error) if error.kind() == ErrorKind::ConnectionRefused => {
                 self.close_idle();
                 self.connects.record_refused();
                 Err(CallError::ConnectionRefused)
@@ -189,25 +195,30 @@
         }
     }
 
-    /// One call on the attempt's connection, or on another where that can't be used any more. The connection stays in
-    /// `held` only while nothing but complete responses has come on it.
+    /// Calls the engine on the connection in `slot`, or on another if there is none or it has
+    /// unread input. The connection is put back into `slot` only if nothing but a complete response
+    /// arrived on it.
     pub(crate) async fn call(
         &self,
-        held: &mut Option<EngineConnection>,
+        slot: &mut Option<EngineConnection>,
         request: &[u8],
         timeout: Duration,
         purpose: ConnectPurpose,
     ) -> Result<Response, CallError> {
-        let connection = match held.take().filter(EngineConnection::is_clean) {
+        let connection = match slot.take().filter(EngineConnection::is_clean) {
             Some(connection) => connection,
-            None => self.replace(purpose).await?,
+            None => self.connection_for_call(purpose).await?,
         };
-        self.exchange(connection, held, request, timeout).await
+        self.exchange(connection, slot, request, timeout).await
     }
 
-    /// A connection for a call that is no start. A cancellation that is lost on an idle one is repeated on a new one, so
-    /// it may use that; an idle one that any other call takes is closed.
-    async fn replace(&self, purpose: ConnectPurpose) -> Result<EngineConnection, CallError> {
+    /// Returns a connection for a call that is not a start. A cancellation may use an idle
+    /// connection, since it is retried on a new one if it is lost. For any other call the idle
+    /// connection is closed and a new one is opened.
+    async fn connection_for_call(
+        &self,
+        purpose: ConnectPurpose,
+    ) -> Result<EngineConnection, CallError> {
         let idle = self.take_idle();
         match idle.filter(|_| matches!(purpose, ConnectPurpose::Cancel)) {
             Some(idle) => Ok(idle),
@@ -215,12 +226,12 @@
         }
     }
 
-    /// One call on this connection and no other; its first byte leaves before this waits for anything. The connection
-    /// then is in `held` if it can be used again.
+    /// Sends a request on this connection and waits for the response. There is no wait before the
+    /// first byte is sent. The connection is put into `slot` if it can be reused.
     pub(crate) async fn exchange(
         &self,
         mut connection: EngineConnection,
-        held: &mut Option<EngineConnection>,
+        slot: &mut Option<EngineConnection>,
         request: &[u8],
         timeout: Duration,
     ) -> Result<Response, CallError> {
@@ -228,22 +239,22 @@
         let response = match connection.response(timeout.min(MAX_RESPONSE_TIMEOUT)).await {
             Ok(response) => response,
             Err(error) => {
-                self.on_surprise();
+                self.on_unexpected_input();
                 return Err(error);
             }
         };
-        match connection.pending() {
-            Pending::Nothing if !response.closes => {
+        match connection.unread_input() {
+            UnreadInput::Nothing if !response.closes => {
                 if connection.had_informational_response() {
-                    self.on_surprise();
+                    self.on_unexpected_input();
                 } else {
                     self.pool.borrow_mut().on_exact_answer();
-                    *held = Some(connection);
+                    *slot = Some(connection);
                 }
             }
-            Pending::Bytes => {
-                self.on_surprise();
-                // What follows may be the rest of a result whose length is wrong.
+            UnreadInput::Bytes => {
+                self.on_unexpected_input();
+                // The extra bytes may be the rest of a result with a wrong content length.
                 if response.status == status::COMPLETED {
                     return Err(CallError::NoResponse);
                 }
@@ -253,8 +264,9 @@
         Ok(response)
     }
 
-    /// Something came that should not have: idle connections close, and for a while none stays open.
-    fn on_surprise(&self) {
+    /// Handles missing, unexpected or extra input: closes all idle connections; for a while no
+    /// connection is kept open.
+    fn on_unexpected_input(&self) {
         let closed = self.pool.borrow_mut().on_unexpected_answer();
         drop(closed);
     }
@@ -264,12 +276,12 @@
         drop(closed);
     }
 
-    /// Closes idle connections as their time is over; never returns.
+    /// Closes idle connections when they expire. Never returns.
     pub(crate) async fn close_expired<T>(&self) -> T {
         loop {
             let expires_at = self.pool.borrow().next_expiry();
             match expires_at {
-                None => drop(self.became_idle.1.recv().await),
+                None => drop(self.idle_signal.1.recv().await),
                 Some(at) => {
                     Timer::at(self.clock.instant(at)).await;
                     drop(self.pool.borrow_mut().take_expired(self.clock.now()));
@@ -278,7 +290,7 @@
         }
     }
 
-    /// Closes idle connections, and each one that is released from now on.
+    /// Closes all idle connections, and from now on each connection that is released.
     pub(crate) fn close(&self) {
         let closed = self.pool.borrow_mut().close();
         drop(closed);
--- a/crates/ivypitch-gateway/src/actors/engine_connection.rs
+++ b/crates/ivypitch-gateway/src/actors/engine_connection.rs
@@ -1,4 +1,4 @@
-//! One TCP connection to an engine, which serves one call at a time, and what a call can fail with.
+//! One TCP connection to an engine, which serves one call at a time, and the errors of a call.
 
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpStream};
@@ -14,35 +14,36 @@
 use crate::state::traffic::Traffic;
 use crate::wire::http::{self, Response};
 
-/// So many 1xx responses ahead of a final one are skipped.
+/// Limit on the 1xx responses that are skipped before a final response.
 const MAX_INFORMATIONAL_RESPONSES: usize = 8;
 
-/// Why a call to an engine brought no response.
+/// Why a call to an engine got no response.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// No connection: refused, so no process is there.
+    /// The connection was refused: no process listens at the address.
     #[error("connection refused")]
     ConnectionRefused,
-    /// No connection in time, or the request did not leave complete.
+    /// The connection was not opened in time, or the request was not sent completely.
     #[error("request not sent")]
     NotSent,
-    /// The request had left: the connection broke, fell silent or brought what can't be a complete response.
+    /// The request was sent, but the connection broke, timed out or received malformed data.
     #[error("no complete response")]
     NoResponse,
 }
 
-/// What is there on a connection behind the last response.
+/// Input on a connection after the last response.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub(crate) enum Pending {
-    /// Nothing: the connection is open and clean.
+pub(crate) enum UnreadInput {
+    /// No input; the connection is open.
     Nothing,
-    /// Bytes that nobody asked for.
+    /// Bytes that belong to no request.
     Bytes,
-    /// The engine's end of stream, or an error.
+    /// End of stream, or an error.
     Closed,
 }
 
-/// An open connection to an engine; it holds one of the [permits](crate::state::permits::ConnectionPermits).
+/// An open connection to an engine. It holds one of the
+/// [permits](crate::state::permits::ConnectionPermits).
 pub struct EngineConnection {
     stream: Async<TcpStream>,
     address: SocketAddr,
@@ -54,7 +55,7 @@
 }
 
 impl EngineConnection {
-    /// Takes over the connected `stream` to `address`; what is sent and received is counted in `traffic`.
+    /// Wraps the connected `stream` to `address`. Sent and received bytes are counted in `traffic`.
     pub(crate) fn new(
         stream: Async<TcpStream>,
         address: SocketAddr,
@@ -72,39 +73,39 @@
         }
     }
 
-    /// Where it goes: an engine may have moved to another address while it was dialled.
+    /// The address it was opened to. The engine may have moved to another address since then.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// It has served another statement before.
+    /// Whether the connection has served another statement before.
     pub(crate) fn is_used(&self) -> bool {
         self.is_used
     }
 
-    /// From now on it has served another statement before.
+    /// Marks the connection as one that has served a statement.
     pub(crate) fn mark_used(&mut self) {
         self.is_used = true;
     }
 
-    /// A 1xx response came on it, which nobody asked for.
+    /// Whether an unrequested 1xx response arrived on the connection.
     pub(crate) fn had_informational_response(&self) -> bool {
         self.had_informational_response
     }
 
-    /// Looks at what is there to be read, without reading it.
-    pub(crate) fn pending(&self) -> Pending {
+    /// Checks for unread input without reading it.
+    pub(crate) fn unread_input(&self) -> UnreadInput {
         match self.stream.get_ref().peek(&mut [0]) {
-            _ if !self.input.is_empty() => Pending::Bytes,
-            Err(e) if e.kind() == ErrorKind::WouldBlock => Pending::Nothing,
-            Ok(1..) => Pending::Bytes,
-            _ => Pending::Closed,
+            _ if !self.input.is_empty() => UnreadInput::Bytes,
+            Err(error) if error.kind() == ErrorKind::WouldBlock => UnreadInput::Nothing,
+            Ok(1..) => UnreadInput::Bytes,
+            _ => UnreadInput::Closed,
         }
     }
 
-    /// It is open, and nothing came on it that nobody asked for.
+    /// Whether the connection is open and has no unread input.
     pub(crate) fn is_clean(&self) -> bool {
-        self.pending() == Pending::Nothing
+        self.unread_input() == UnreadInput::Nothing
     }
 
     /// Sends a request.
@@ -117,7 +118,7 @@
         Ok(())
     }
 
-    /// The complete response, if it is there within `timeout`.
+    /// Reads the complete response, for at most `timeout`.
     pub(crate) async fn response(&mut self, timeout: Duration) -> Result<Response, CallError> {
         let timed_out = async {
             Timer::after(timeout).await;
@@ -141,7 +142,7 @@
             }
             match read_some(&self.stream, &mut self.input).await {
                 Ok(0) | Err(_) => return Err(CallError::NoResponse),
-                Ok(n) => self.traffic.engines.record_received(n),
+                Ok(byte_count) => self.traffic.engines.record_received(byte_count),
             }
         }
     }
