--- a/crates/ivypitch-gateway/src/actors/messages.rs
+++ b/crates/ivypitch-gateway/src/actors/messages.rs
@@ -1,4 +1,4 @@
-//! Messages among the actors of a gateway, and the handles through which they are answered.
+//! Messages between the actors of a gateway, and the handles used to answer them.
 
 use std::cell::Cell;
 use std::io::ErrorKind;
@@ -20,31 +20,31 @@
 /// Identifies one attempt for the lifetime of the process.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct AttemptKey {
-    /// The statement that the attempt is made for.
+    /// The statement of the attempt.
     pub statement: StatementIndex,
-    /// Serial number of the statement: tells apart the statements that have had the same index.
+    /// Serial number of the statement. It distinguishes statements that had the same index.
     pub serial: u64,
-    /// Number of the attempt, from 0 on for each statement.
+    /// Number of the attempt among those of its statement, starting at 0.
     pub number: u32,
-    /// The engine that the attempt is made at.
+    /// The engine to which the attempt is sent.
     pub engine: EngineIndex,
 }
 
 /// How an attempt ended.
 #[derive(Debug)]
 pub struct AttemptEnd {
-    /// The outcome that the scheduler is told.
+    /// The outcome reported to the scheduler.
     pub outcome: Outcome,
-    /// What the engine measured, where its answer says so.
+    /// The cost that the engine measured, if its response contains it.
     pub measured_cost: Option<MeasuredCost>,
-    /// The load report of the engine's answer; empty without one.
+    /// The load report in the engine's response; empty without one.
     pub load_report: Vec<f32>,
     /// The result of a completed attempt.
     pub rows: Option<Rows>,
 }
 
 impl AttemptEnd {
-    /// An end of which nothing but the outcome is known.
+    /// Creates an end with an outcome and nothing else, for an attempt without a final response.
     pub fn without_answer(outcome: Outcome) -> AttemptEnd {
         AttemptEnd {
             outcome,
@@ -55,19 +55,19 @@
     }
 }
 
-/// What an attempt has cost its engine.
+/// Measured cost of an attempt at its engine.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct MeasuredCost {
-    /// Processor time over all threads, in milliseconds.
+    /// CPU time over all threads, in milliseconds.
     pub work_ms: f64,
-    /// Largest memory in use, in MB.
+    /// Peak memory use, in MB.
     pub peak_mb: f64,
 }
 
-/// A statement as its client sent it, with its workload and tenant looked up in the settings.
+/// A statement as its client sent it, with the indices of its workload and tenant in the settings.
 #[derive(Debug)]
 pub struct ClientStatement {
-    /// The fields ahead of the statement and the statement itself.
+    /// The fields in the comment before the statement, and the statement itself.
     pub fields: Fields,
     /// Index of its workload in the settings.
     pub workload: usize,
@@ -75,12 +75,12 @@
     pub tenant: usize,
 }
 
-/// What may become of a statement that no gateway knows yet.
+/// Whether a statement that no gateway knows yet may start.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum StartPermission {
-    /// It may start here.
+    /// The statement may start here.
     Granted,
-    /// The gateway shuts down: it is rejected.
+    /// The gateway is shutting down, and the statement is rejected.
     ShuttingDown,
 }
 
@@ -92,31 +92,31 @@
         connection: u32,
         /// The statement.
         statement: ClientStatement,
-        /// When it was read; its timeout starts here.
+        /// When the statement was read. Its timeout starts then.
         arrived_at: Nanos,
-        /// Whether it may start here.
+        /// Whether the statement may start here.
         start: StartPermission,
-        /// Where the answer goes.
+        /// Receives the answer.
         client: ClientHandle,
     },
-    /// The client of this connection does not wait for its answer any more.
+    /// The client of this connection no longer waits for its answer.
     ClientDisconnected {
         /// The client's connection.
         connection: u32,
     },
-    /// A client asked to end the statement of this connection.
+    /// A client requested that the statement of this connection be ended.
     KillQuery {
         /// The connection whose statement is to end.
         connection: u32,
     },
-    /// An engine reported how far an attempt has come.
+    /// An engine reported the progress of an attempt.
     AttemptProgressed {
         /// The attempt.
         key: AttemptKey,
-        /// What the engine reported.
+        /// The reported progress.
         progress: AttemptProgress,
     },
-    /// An attempt is over.
+    /// An attempt has ended.
     AttemptEnded {
         /// The attempt.
         key: AttemptKey,
@@ -128,123 +128,125 @@
         /// The change.
         update: EndpointUpdate,
     },
-    /// The gateway shuts down.
+    /// The gateway is shutting down.
     Shutdown {
-        /// All open statements are answered by then.
+        /// Deadline for the answers to all open statements.
         answer_by: Nanos,
     },
-    /// All sessions have ended: other gateways are to go on with what is left.
+    /// All sessions have ended: the remaining statements are handed off to other gateways, which
+    /// are notified that this one leaves.
     LeaveFleet {
-        /// Gets whether there are other gateways that were sent anything.
+        /// Receives whether there are other gateways, which were sent messages.
         reply: Sender<bool>,
     },
-    /// The watch on the endpoint list delivered a line, which other gateways may not have yet.
+    /// The endpoint watch delivered a line that other gateways may not have yet.
     WatchLineRead {
-        /// The event, where the line was one that this gateway did not have.
+        /// The event, if the line contained one that is new to this gateway.
         event: Option<WatchEventLine>,
     },
-    /// A client asked for this gateway's view of the fleet.
+    /// A client requested this gateway's view of the fleet.
     ShowFleet {
-        /// Gets the view as JSON; empty without coordination among gateways.
+        /// Receives the view as JSON; empty without coordination among gateways.
         reply: Sender<String>,
     },
-    /// The membership or a message of the other gateways changed something.
+    /// The membership changed, or a message from another gateway arrived.
     PeerEvent(PeerEvent),
-    /// The operators' file sets new budgets for the teams.
+    /// The operators' configuration file was reloaded and has new budgets for the teams.
     ReloadBudgets {
-        /// All of the new budgets.
+        /// The complete new budgets.
         budgets: Box<Budgets>,
     },
-    /// A client asked for the statements in the teams' queues.
+    /// A client requested the statements in the teams' queues.
     ShowQueue {
-        /// Only the statement with this id; `None` for all.
+        /// Limits the rows to the statement with this id; `None` for all statements.
         statement_id: Option<u64>,
-        /// Gets the rows.
+        /// Receives the rows.
         reply: Sender<Vec<QueueRow>>,
     },
 }
 
-/// An event of the watch on the endpoint list, as it was read.
+/// An event of the endpoint watch, as it was read.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct WatchEventLine {
-    /// Its number.
+    /// Position of the event in the sequence of all events.
     pub position: u64,
-    /// Its line, with the line end.
+    /// The line with its line end.
     pub line: Bytes,
 }
 
-/// One statement in the answer to `SHOW QUEUE`.
+/// One row of the answer to `SHOW QUEUE`.
 #[derive(Debug)]
 pub struct QueueRow {
-    /// The statement's id as its client wrote it.
+    /// The statement's id as the client sent it.
     pub statement_id: String,
-    /// Index of its team, which is its tenant.
+    /// Index of the statement's team, which is its tenant.
     pub team: usize,
     /// Index of its workload.
     pub workload: usize,
-    /// Its place in the queue; `None` once the scheduler has it.
+    /// The statement's position in its queue; `None` once it is released to the scheduler.
     pub queued: Option<Queued>,
 }
 
-/// Where the answer to a statement goes.
+/// Delivers the answer to a statement's client.
 pub struct ClientHandle {
-    /// Takes one answer.
+    /// Accepts one answer.
     pub answer: Sender<Answer>,
-    /// `None`: no client waits at this gateway.
+    /// The state of the client's connection; `None` if no client waits at this gateway.
     pub presence: Option<Rc<ClientPresence>>,
 }
 
 impl ClientHandle {
-    /// Sends the answer. Does nothing if the session is over.
+    /// Sends the answer. Does nothing if the session has ended.
     pub fn send(&self, answer: Answer) {
         let _ = self.answer.try_send(answer);
     }
 }
 
-/// Tells whether the client of an open statement still waits for it.
+/// Shows whether the client of an open statement still waits for its answer.
 ///
-/// It looks at the connection itself: what a client does counts from the moment it arrives, not from when its session or
-/// the scheduler get to read it.
+/// The check looks at the socket itself, so that a disconnect or a further command counts as soon
+/// as it arrives, even before the session or the scheduler reads it.
 pub struct ClientPresence {
-    /// The client's connection; gone once its session has ended.
+    /// The client's connection; dropped when its session ends.
     pub stream: Weak<Async<TcpStream>>,
-    /// Set once the session knows that its client does not wait any more.
-    pub has_left: Cell<bool>,
+    /// Set when the session finds that its client no longer waits.
+    pub has_disconnected: Cell<bool>,
 }
 
 impl ClientPresence {
-    /// Whether the client has neither closed the connection nor sent anything since its statement.
+    /// Returns whether the client has neither closed the connection nor sent anything after its
+    /// statement.
     pub fn is_waiting(&self) -> bool {
-        if self.has_left.get() {
+        if self.has_disconnected.get() {
             return false;
         }
         let Some(stream) = self.stream.upgrade() else {
             return false;
         };
-        let peeked = stream.get_ref().peek(&mut [0]);
-        peeked.is_err_and(|error| {
+        let peek_result = stream.get_ref().peek(&mut [0]);
+        peek_result.is_err_and(|error| {
             matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted)
         })
     }
 }
 
-/// The one answer to a client's statement.
+/// The answer to a client's statement, which gets exactly one.
 #[derive(Debug)]
 pub enum Answer {
     /// The statement completed.
     Completed(Rows),
-    /// The statement did not run.
+    /// The statement was rejected and did not run.
     Rejected {
-        /// How long the client should wait before it sends the statement again; 0 says nothing.
+        /// How long the client should wait before it retries the statement; 0 for no advice.
         retry_after: Nanos,
     },
     /// The statement failed and may have run.
     Aborted,
-    /// The statement completed before, and its result is not cached any more.
-    EndedBefore,
+    /// The statement completed earlier, and its result is no longer cached.
+    ResultNotCached,
     /// Another open statement has the same id.
-    IdTaken,
-    /// A client ended the statement.
+    DuplicateId,
+    /// A client ended the statement with `KILL QUERY`.
     Killed,
 }
 
@@ -252,8 +254,8 @@
 pub enum AttemptMessage {
     /// The statement's priority at the engine has changed.
     Priority(u8),
-    /// The attempt is to be cancelled at the engine.
+    /// The attempt must be cancelled at the engine.
     Cancel,
-    /// Another gateway goes on with the attempt: this one ends without cancelling it at the engine.
+    /// Another gateway takes the attempt over: this task ends without cancelling it at the engine.
     Detach,
 }
--- a/crates/ivypitch-gateway/src/actors/ownership.rs
+++ b/crates/ivypitch-gateway/src/actors/ownership.rs
@@ -421,7 +421,7 @@
         Answer::Rejected { retry_after } => FinalAnswer::Rejected {
             retry_after_ms: (retry_after / MILLISECOND) as u32,
         },
-        Answer::Aborted | Answer::EndedBefore | Answer::IdTaken | Answer::Killed => {
+        Answer::Aborted | Answer::ResultNotCached | Answer::DuplicateId | Answer::Killed => {
             FinalAnswer::Aborted
         }
     }
@@ -434,16 +434,16 @@
             let mut rows = Rows::default();
             for page in pages {
                 if rows.push_page(Bytes::from(page.into_vec())).is_err() {
-                    return Answer::EndedBefore;
+                    return Answer::ResultNotCached;
                 }
             }
             Answer::Completed(rows)
         }
-        FinalAnswer::CompletedWithoutRows => Answer::EndedBefore,
+        FinalAnswer::CompletedWithoutRows => Answer::ResultNotCached,
         FinalAnswer::Rejected { retry_after_ms } => Answer::Rejected {
             retry_after: u64::from(retry_after_ms) * MILLISECOND,
         },
         FinalAnswer::Aborted => Answer::Aborted,
-        FinalAnswer::IdReused => Answer::IdTaken,
+        FinalAnswer::IdReused => Answer::DuplicateId,
     }
 }
--- a/crates/ivypitch-gateway/src/actors/scheduler/statements.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/statements.rs
@@ -57,9 +57,9 @@
             Ok(statement) => statement,
             Err(client) => {
                 if let Some(ownership) = &mut context.ownership {
-                    let _ = ownership.on_answered(now, id, &Answer::IdTaken);
+                    let _ = ownership.on_answered(now, id, &Answer::DuplicateId);
                 }
-                client.send(Answer::IdTaken);
+                client.send(Answer::DuplicateId);
                 return;
             }
         };
--- a/crates/ivypitch-gateway/src/actors/session/admission.rs
+++ b/crates/ivypitch-gateway/src/actors/session/admission.rs
@@ -1,4 +1,4 @@
-//! All sessions together: who is admitted, how many statements may be open, and the end of all of them.
+//! All sessions together: admission, the limit on open statements, and shutdown.
 
 use std::cell::{Cell, RefCell};
 use std::net::TcpStream;
@@ -17,45 +17,45 @@
 use crate::lifecycle::clock::Clock;
 use crate::state::sessions::{SessionState, SessionTable};
 
-/// All sessions, and the number of the statements taken and not yet answered.
+/// All sessions, and the number of their open statements.
 pub struct Sessions {
     bounds: Bounds,
     names: Names,
     clock: Clock,
     scheduler: Sender<SchedulerMessage>,
     seed: u64,
-    last_number: Cell<u32>,
-    /// By connection id; a session ends as its task is dropped.
+    last_connection_number: Cell<u32>,
+    /// Sessions by connection id. A session ends when its task is dropped.
     table: RefCell<SessionTable<SessionHandle>>,
     open_statements: Cell<usize>,
     can_show_queue: Cell<bool>,
     can_show_fleet: Cell<bool>,
     has_ownership: Cell<bool>,
-    /// Notified as a session has ended.
-    ended: (Sender<()>, Receiver<()>),
+    /// Signalled when a session has ended.
+    session_ended: (Sender<()>, Receiver<()>),
 }
 
-/// How much is going on.
+/// Numbers of sessions and open statements.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct SessionCounts {
-    /// Sessions, without those that are closing to make room.
+    /// Number of sessions, without those that are closing to make room.
     pub sessions: usize,
-    /// Statements that were taken and are not answered yet.
+    /// Number of statements that were accepted and are not answered yet.
     pub open_statements: usize,
 }
 
-/// No session has the connection id of a `KILL QUERY`.
+/// Error: no session has the connection id of a `KILL QUERY`.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) struct UnknownConnection;
 
-/// What the table holds of a session.
+/// A session's entry in the table.
 struct SessionHandle {
     task: Task<()>,
     presence: Rc<ClientPresence>,
 }
 
 impl Sessions {
-    /// No sessions yet; each is to send its statements to `scheduler`.
+    /// Creates the table without sessions. Each session sends its statements to `scheduler`.
     pub fn new(
         bounds: Bounds,
         names: Names,
@@ -69,32 +69,32 @@
             clock,
             scheduler,
             seed,
-            last_number: Cell::new(0),
+            last_connection_number: Cell::new(0),
             table: RefCell::new(SessionTable::new(bounds.clients + bounds.surplus_sessions)),
             open_statements: Cell::new(0),
             can_show_queue: Cell::new(false),
             can_show_fleet: Cell::new(false),
             has_ownership: Cell::new(false),
-            ended: async_channel::bounded(1),
+            session_ended: async_channel::bounded(1),
         })
     }
 
-    /// Whether `SHOW FLEET` is served.
+    /// Sets whether `SHOW FLEET` is served.
     pub fn set_can_show_fleet(&self, can: bool) {
         self.can_show_fleet.set(can);
     }
 
-    /// Whether other gateways may have run a statement that comes here.
+    /// Sets whether other gateways may have run a statement that arrives here.
     pub fn set_has_ownership(&self, has: bool) {
         self.has_ownership.set(has);
     }
 
-    /// Whether `SHOW QUEUE` and `SHOW WAIT` are served.
+    /// Sets whether `SHOW QUEUE` and `SHOW WAIT` are served.
     pub fn set_can_show_queue(&self, can: bool) {
         self.can_show_queue.set(can);
     }
 
-    /// How much is going on now.
+    /// Returns the current numbers of sessions and open statements.
     pub fn counts(&self) -> SessionCounts {
         SessionCounts {
             sessions: self.table.borrow().len(),
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Starts a session on a new connection. Past the bound another ends for it; where all have statements open, the
-    /// client is sent an error. Never waits.
+    /// Starts a session on a new connection. At the limit, another session ends to make room; if
+    /// all of them have open statements, the client receives an error. Never waits.
     pub fn admit(self: &Rc<Self>, stream: Async<TcpStream>, executor: &LocalExecutor<'static>) {
         let now = Instant::now();
         let mut table = self.table.borrow_mut();
@@ -116,23 +116,24 @@
             let task = executor.spawn(session.serve());
             table.insert(connection, state, SessionHandle { task, presence });
         } else {
-            let task = executor.spawn(session.refuse());
+            let task = executor.spawn(session.reject());
             table.insert_closing(connection, state, SessionHandle { task, presence });
         }
     }
 
     fn new_session(self: &Rc<Self>, stream: Async<TcpStream>, now: Instant) -> Session {
-        self.last_number.set(self.last_number.get().wrapping_add(1));
+        self.last_connection_number
+            .set(self.last_connection_number.get().wrapping_add(1));
         let stream = Rc::new(stream);
         let presence = Rc::new(ClientPresence {
             stream: Rc::downgrade(&stream),
-            has_left: Cell::new(false),
+            has_disconnected: Cell::new(false),
         });
         Session {
             stream,
             input: BytesMut::new(),
             output: BytesMut::new(),
-            connection: connection_id(self.seed, self.last_number.get()),
+            connection: connection_id(self.seed, self.last_connection_number.get()),
             connected_at: now,
             sequence: 0,
             state: SessionState::new(now),
@@ -141,15 +142,16 @@
         }
     }
 
-    /// The gateway shuts down: commands are rejected from now on, and sessions close as soon as nothing is open on them.
+    /// Begins the shutdown: commands are rejected from now on, and each session closes as soon as
+    /// no statement is open on it.
     pub fn end_all(&self) {
         self.table.borrow_mut().end_all();
     }
 
-    /// Returns once there are no sessions, not even closing ones.
+    /// Waits until there are no sessions, not even closing ones.
     pub async fn all_closed(&self) {
         while !self.table.borrow().is_empty() {
-            let _ = self.ended.1.recv().await;
+            let _ = self.session_ended.1.recv().await;
         }
     }
 
@@ -158,7 +160,7 @@
         if let Some(handle) = handle {
             handle.task.detach();
         }
-        let _ = self.ended.0.try_send(());
+        let _ = self.session_ended.0.try_send(());
     }
 
     pub(super) fn clock(&self) -> Clock {
@@ -194,12 +196,13 @@
     }
 
     pub(super) fn notify_scheduler(&self, message: SchedulerMessage) {
-        // The scheduler's mailbox is unbounded, and open as long as sessions run.
+        // The scheduler's mailbox is unbounded and stays open while sessions run.
         let _ = self.scheduler.try_send(message);
     }
 
-    /// Ends the statement of a connection. One that its client has sent and that is not read yet ends as it is read: in
-    /// which order two sessions get to read does not decide.
+    /// Ends the statement of a connection. A statement that the client has sent but the session has
+    /// not read yet ends as soon as it is read, so that the outcome does not depend on the order in
+    /// which two sessions read.
     pub(super) fn kill_query(&self, connection: u32) -> Result<(), UnknownConnection> {
         let table = self.table.borrow();
         let (state, handle) = table.get(connection).ok_or(UnknownConnection)?;
@@ -212,30 +215,31 @@
         Ok(())
     }
 
-    /// Counts a statement as open until its answer is written; `None`: as many are open as clients may have. Asked for
-    /// each statement: a session that came while others were still closing is as good as any.
-    pub(super) fn open_statement(&self) -> Option<OpenStatement<'_>> {
+    /// Counts a statement as open until its answer is written. Returns `None` at the limit, which
+    /// is the number of clients. The limit applies to each statement, not to sessions: a session
+    /// that was admitted while others were still closing has the same rights as any other.
+    pub(super) fn open_statement(&self) -> Option<OpenStatementGuard<'_>> {
         if self.open_statements.get() >= self.bounds.clients {
             return None;
         }
         self.open_statements.set(self.open_statements.get() + 1);
-        Some(OpenStatement { sessions: self })
+        Some(OpenStatementGuard { sessions: self })
     }
 }
 
-/// Stands for a statement that the scheduler has, until its answer is written.
-pub(super) struct OpenStatement<'a> {
+/// Counts a statement as open until its answer is written.
+pub(super) struct OpenStatementGuard<'a> {
     sessions: &'a Sessions,
 }
 
-impl Drop for OpenStatement<'_> {
+impl Drop for OpenStatementGuard<'_> {
     fn drop(&mut self) {
         let open = &self.sessions.open_statements;
         open.set(open.get() - 1);
     }
 }
 
-/// Connection ids, each once, that a client can't guess from its own.
+/// Derives a connection id. Ids do not repeat, and a client cannot guess other ids from its own.
 fn connection_id(seed: u64, number: u32) -> u32 {
     number
         .wrapping_mul(0x9e37_79b1)
--- a/crates/ivypitch-gateway/src/actors/session/answers.rs
+++ b/crates/ivypitch-gateway/src/actors/session/answers.rs
@@ -1,25 +1,26 @@
-//! Answers as packets: results, errors, and what `SHOW` gives out.
+//! Encoding of answers as packets: results, errors, and the results of `SHOW` statements.
 
 use ivypitch_config::Names;
 use ivypitch_types::Nanos;
 
-use super::commands::REJECTED;
+use super::commands::REJECTED_CODE;
 use super::{Session, SessionEnd};
 use crate::actors::messages::{Answer, QueueRow};
 use crate::state::rows::{COLUMNS, Rows};
 use crate::wire::mysql::ErrorPacket;
 
-/// A result is written in pieces of about this size.
-const WRITE_BYTES: usize = 16 << 10;
+/// A result is sent in chunks of about this size.
+const RESULT_FLUSH_BYTES: usize = 16 << 10;
 const NANOS_PER_MS: Nanos = 1_000_000;
 
-const REJECTED_FOR_GOOD: ErrorPacket =
-    ErrorPacket::new(REJECTED, "42000", "Refused; the statement did not run");
-const ID_TAKEN: ErrorPacket = ErrorPacket::new(1062, "23000", "A statement with this req is open");
+const REJECTED_WITHOUT_RETRY: ErrorPacket =
+    ErrorPacket::new(REJECTED_CODE, "42000", "Refused; the statement did not run");
+const DUPLICATE_ID: ErrorPacket =
+    ErrorPacket::new(1062, "23000", "A statement with this req is open");
 const KILLED: ErrorPacket = ErrorPacket::new(1317, "70100", "Query execution was interrupted");
 const ABORTED: ErrorPacket =
     ErrorPacket::new(1105, "HY000", "The statement failed and may have run");
-const ENDED_BEFORE: ErrorPacket = ErrorPacket::new(
+const RESULT_NOT_CACHED: ErrorPacket = ErrorPacket::new(
     1105,
     "HY000",
     "The statement completed before; its result is no longer kept",
@@ -41,15 +42,15 @@
 const FLEET_COLUMNS: [&[u8]; 1] = [b"view"];
 
 impl Session {
-    /// Writes the answer to a statement; only large results are sent on the way.
+    /// Writes the answer to a statement. Only large results are partly sent before the end.
     pub(super) async fn write_answer(&mut self, answer: Answer) -> Result<(), SessionEnd> {
         let error = match answer {
             Answer::Completed(rows) => return self.write_result(rows).await,
-            Answer::Rejected { retry_after: 0 } => REJECTED_FOR_GOOD,
+            Answer::Rejected { retry_after: 0 } => REJECTED_WITHOUT_RETRY,
             Answer::Rejected { retry_after } => rejected_with_retry_after(retry_after),
             Answer::Aborted => ABORTED,
-            Answer::EndedBefore => ENDED_BEFORE,
-            Answer::IdTaken => ID_TAKEN,
+            Answer::ResultNotCached => RESULT_NOT_CACHED,
+            Answer::DuplicateId => DUPLICATE_ID,
             Answer::Killed => KILLED,
         };
         self.writer().error(&error);
@@ -67,7 +68,7 @@
             }
             sequence = writer.sequence;
             drop(page);
-            if self.output.len() >= WRITE_BYTES {
+            if self.output.len() >= RESULT_FLUSH_BYTES {
                 self.flush().await?;
             }
         }
@@ -75,7 +76,8 @@
         Ok(())
     }
 
-    /// What this gateway sees of the fleet, as one row of JSON: other programs compare two gateways' views.
+    /// Writes this gateway's view of the fleet as one row of JSON, which other programs use to
+    /// compare the views of two gateways.
     pub(super) fn write_fleet_view(&mut self, view: &str) {
         let mut writer = self.writer();
         writer.columns(&FLEET_COLUMNS);
@@ -83,7 +85,7 @@
         writer.eof();
     }
 
-    /// The statements in the teams' queues, a row each.
+    /// Writes the statements in the teams' queues, one row each.
     pub(super) fn write_queue(&mut self, rows: &[QueueRow]) {
         let sessions = self.sessions.clone();
         let mut writer = self.writer();
@@ -99,13 +101,14 @@
 fn rejected_with_retry_after(retry_after: Nanos) -> ErrorPacket {
     let ms = retry_after / NANOS_PER_MS;
     ErrorPacket {
-        code: REJECTED,
+        code: REJECTED_CODE,
         sql_state: "42000",
         message: format!("Refused; the statement did not run, holdoff={ms}").into(),
     }
 }
 
-/// A statement's values of [`QUEUE_COLUMNS`]; one that the scheduler has is in no queue any more.
+/// Returns a statement's values for [`QUEUE_COLUMNS`]. A statement that was released to the
+/// scheduler is in no queue and is shown as running.
 fn queue_columns(row: &QueueRow, names: &Names) -> [String; QUEUE_COLUMNS.len()] {
     let name = |names: &[String], index: usize| names.get(index).cloned().unwrap_or_default();
     let ms = |span: Nanos| (span / NANOS_PER_MS).to_string();
--- a/crates/ivypitch-gateway/src/actors/session/commands.rs
+++ b/crates/ivypitch-gateway/src/actors/session/commands.rs
@@ -1,4 +1,4 @@
-//! Commands of a client that is logged in, and its statements up to their answers.
+//! Commands of a logged-in client, and its statements until they are answered.
 
 use std::time::Instant;
 
@@ -20,37 +20,39 @@
 use crate::wire::gateway_statements::{self, ShowWaits};
 use crate::wire::mysql::{self, Command, ErrorPacket};
 
-/// The code of a statement that did not run.
-pub(super) const REJECTED: u16 = 1203;
-const PARSE_ERROR: u16 = 1064;
-/// The code of a `KILL QUERY` for a connection that is not there.
-const UNKNOWN_THREAD: u16 = 1094;
+/// MySQL error code of a rejected statement, which did not run.
+pub(super) const REJECTED_CODE: u16 = 1203;
+/// MySQL error code of a statement whose fields are malformed.
+const PARSE_ERROR_CODE: u16 = 1064;
+/// MySQL error code of a `KILL QUERY` for an unknown connection.
+const UNKNOWN_THREAD_CODE: u16 = 1094;
 
 pub(super) const TOO_MANY_CONNECTIONS: ErrorPacket =
     ErrorPacket::new(1040, "08004", "Too many connections");
 const UNKNOWN_COMMAND: ErrorPacket = ErrorPacket::new(1047, "08S01", "Unknown command");
-const OUT_OF_ORDER: ErrorPacket = ErrorPacket::new(
+const COMMAND_OUT_OF_ORDER: ErrorPacket = ErrorPacket::new(
     1156,
     "08S01",
     "One command at a time: the answer to the last had not been read",
 );
 const SHUTTING_DOWN: ErrorPacket = ErrorPacket::new(
-    REJECTED,
+    REJECTED_CODE,
     "42000",
     "Refused; the gateway is ending and the statement did not run",
 );
 
-/// Where gateways talk to each other, a statement may have run at another one; this one has no room to ask.
-const NOT_LOOKED_UP: ErrorPacket = ErrorPacket::new(
+/// Error for a statement beyond the limit of open statements, if it may have run at another
+/// gateway: this gateway cannot look it up there.
+const TOO_MANY_OPEN_STATEMENTS: ErrorPacket = ErrorPacket::new(
     1105,
     "HY000",
     "Too many statements are open; this one may have run",
 );
 
-/// A packet with which clients leave, whatever the state of their session.
+/// The packet with which a client quits. It is valid in any state of the session.
 const QUIT_PACKET: &[u8] = b"\x01\0\0\0\x01";
 
-/// Why a statement can't be taken, in words for the client.
+/// Why a statement cannot be accepted, as the client is told.
 #[derive(Debug, thiserror::Error)]
 enum StatementError {
     #[error(transparent)]
@@ -64,7 +66,7 @@
 impl From<StatementError> for ErrorPacket {
     fn from(error: StatementError) -> Self {
         ErrorPacket {
-            code: PARSE_ERROR,
+            code: PARSE_ERROR_CODE,
             sql_state: "42000",
             message: error.to_string().into(),
         }
@@ -72,7 +74,7 @@
 }
 
 impl Session {
-    /// Carries out one command and writes its answer.
+    /// Executes one command and writes its answer.
     pub(super) async fn on_command(
         &mut self,
         payload: Bytes,
@@ -81,7 +83,7 @@
         match mysql::parse_command(payload)? {
             Command::Quit => return Err(SessionEnd::Disconnected),
             Command::Query(_) if !self.input.is_empty() => {
-                return Err(SessionEnd::Error(OUT_OF_ORDER));
+                return Err(SessionEnd::Error(COMMAND_OUT_OF_ORDER));
             }
             Command::Query(text) => self.on_query(text, received_at).await?,
             Command::Ping | Command::ResetConnection => self.writer().ok(),
@@ -101,7 +103,7 @@
             return Ok(());
         }
         if self.sessions.is_ending() {
-            return self.on_late_query(&text, received_at).await;
+            return self.on_query_during_shutdown(&text, received_at).await;
         }
         if self.sessions.can_show_queue()
             && let Some(show) = gateway_statements::show_waits(&text)
@@ -115,9 +117,14 @@
             .await
     }
 
-    /// What is read once the gateway shuts down never reaches an engine from here. Where gateways talk to each other,
-    /// another one may have run it.
-    async fn on_late_query(&mut self, text: &Bytes, received_at: Nanos) -> Result<(), SessionEnd> {
+    /// Handles a statement that is read during shutdown. This gateway never sends it to an engine,
+    /// but with ownership among gateways another one may have run it, so that it is looked up
+    /// there.
+    async fn on_query_during_shutdown(
+        &mut self,
+        text: &Bytes,
+        received_at: Nanos,
+    ) -> Result<(), SessionEnd> {
         if self.sessions.has_ownership() {
             return self
                 .on_statement(text, received_at, StartPermission::ShuttingDown)
@@ -142,7 +149,7 @@
         }
     }
 
-    /// Has the scheduler run a statement, and writes its answer.
+    /// Passes a statement to the scheduler, waits for the answer and writes it.
     async fn run_statement(
         &mut self,
         statement: ClientStatement,
@@ -152,7 +159,7 @@
         let sessions = self.sessions.clone();
         let Some(_open) = sessions.open_statement() else {
             let error = if sessions.has_ownership() {
-                NOT_LOOKED_UP
+                TOO_MANY_OPEN_STATEMENTS
             } else {
                 TOO_MANY_CONNECTIONS
             };
@@ -177,7 +184,7 @@
         let answer = match self.wait_for_answer(answer).await {
             Ok(answer) => answer,
             Err(end) => {
-                self.presence.has_left.set(true);
+                self.presence.has_disconnected.set(true);
                 sessions.notify_scheduler(SchedulerMessage::ClientDisconnected { connection });
                 return Err(end);
             }
@@ -186,7 +193,8 @@
         self.write_answer(answer).await
     }
 
-    /// The answer, unless the client goes first or sends more, which it must not before it has the answer.
+    /// Waits for the answer. Fails if the client disconnects or sends more first: a client must not
+    /// send a command before it has the answer to the last.
     async fn wait_for_answer(&mut self, answer: Receiver<Answer>) -> Result<Answer, SessionEnd> {
         let answered = async { answer.recv().await.map_err(|_| SessionEnd::Disconnected) };
         let client_acted = async {
@@ -194,7 +202,7 @@
             if bytes == 0 || self.input[..] == *QUIT_PACKET {
                 return Err(SessionEnd::Disconnected);
             }
-            Err(SessionEnd::Error(OUT_OF_ORDER))
+            Err(SessionEnd::Error(COMMAND_OUT_OF_ORDER))
         };
         answered.or(client_acted).await
     }
@@ -226,13 +234,14 @@
 
 fn unknown_connection(connection: u32) -> ErrorPacket {
     ErrorPacket {
-        code: UNKNOWN_THREAD,
+        code: UNKNOWN_THREAD_CODE,
         sql_state: "HY000",
         message: format!("Unknown thread id: {connection}").into(),
     }
 }
 
-/// Parses a statement's fields and looks its workload and tenant up; without a tenant it is the first one's.
+/// Parses a statement's fields and looks up its workload and tenant. A statement without a tenant
+/// belongs to the first one in the settings.
 fn client_statement(text: &Bytes, names: &Names) -> Result<ClientStatement, StatementError> {
     let fields = fields::parse(text)?;
     let workload =
@@ -249,5 +258,5 @@
 }
 
 fn index_of(names: &[String], name: &Bytes) -> Option<usize> {
-    names.iter().position(|n| n.as_bytes() == &name[..])
+    names.iter().position(|known| known.as_bytes() == &name[..])
 }
--- a/crates/ivypitch-gateway/src/actors/session/login.rs
+++ b/crates/ivypitch-gateway/src/actors/session/login.rs
@@ -1,4 +1,4 @@
-//! The greeting and the client's login.
+//! The greeting and the login of a client.
 
 use std::time::Instant;
 
@@ -6,10 +6,11 @@
 use crate::state::sessions::SessionStage;
 use crate::wire::mysql::{self, ErrorPacket};
 
-/// The one user, with an empty password.
+/// The only user; its password is empty.
 const USER: &[u8] = b"app";
-/// The one database.
+/// The only database.
 pub(super) const DATABASE: &[u8] = b"dw";
+/// Length of the greeting's random data in the MySQL protocol.
 const SCRAMBLE_BYTES: usize = 20;
 
 const BAD_HANDSHAKE: ErrorPacket = ErrorPacket::new(1043, "08S01", "Bad handshake");
@@ -22,7 +23,7 @@
     ErrorPacket::new(1049, "42000", "Unknown database: dw is expected");
 
 impl Session {
-    /// Greets the client and takes its login.
+    /// Sends the greeting and checks the client's login.
     pub(super) async fn log_in(&mut self) -> Result<(), SessionEnd> {
         let connection = self.connection;
         let scramble = scramble(self.sessions.seed(), connection);
@@ -48,7 +49,8 @@
     }
 }
 
-/// The greeting's random bytes, none of them zero. With an empty password nothing depends on them.
+/// Generates the greeting's random bytes, none of them zero. They need not be unpredictable, since
+/// the password is empty.
 fn scramble(seed: u64, connection: u32) -> [u8; SCRAMBLE_BYTES] {
     let mut state = seed ^ u64::from(connection).wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
     [0; SCRAMBLE_BYTES].map(|_: u8| {
--- a/crates/ivypitch-gateway/src/actors/session/mod.rs
+++ b/crates/ivypitch-gateway/src/actors/session/mod.rs
@@ -1,7 +1,7 @@
-//! Client sessions: login, one statement at a time, its one answer, and a close in order.
+//! Client sessions: login, one statement at a time with one answer each, and a graceful close.
 //!
-//! Whatever a client sends or leaves out, a session's buffers, counts and waits have bounds, and all sessions together
-//! have theirs.
+//! The buffers, counters and waits of each session, and of all sessions together, are bounded,
+//! whatever a client sends or omits.
 
 mod admission;
 mod answers;
@@ -27,9 +27,10 @@
 
 pub use admission::{SessionCounts, Sessions};
 
-/// A client that reads nothing for so long has gone.
+/// A client that reads nothing for this time counts as disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
 
+/// MySQL error code of a malformed packet.
 const MALFORMED_PACKET: u16 = 1835;
 
 /// One client's connection, from the greeting to the close.
@@ -39,20 +40,21 @@
     output: BytesMut,
     connection: u32,
     connected_at: Instant,
-    /// Of the next packet to the client.
+    /// Sequence number of the next packet to the client.
     sequence: u8,
     state: Rc<SessionState>,
     presence: Rc<ClientPresence>,
     sessions: Rc<Sessions>,
 }
 
-/// Why a session ends. None of it is worth a log line.
+/// Why a session ends. None of the reasons is logged.
 enum SessionEnd {
-    /// The client has gone or reads nothing: there is nothing more to send.
+    /// The client disconnected or does not read: nothing more is sent.
     Disconnected,
-    /// Nothing is open, and the client has been silent for too long, makes room, or the gateway shuts down.
+    /// No statement is open, and the client was idle for too long, the session makes room for
+    /// another, or the gateway shuts down.
     Idle,
-    /// The client is sent this error, then its connection is closed.
+    /// The client receives this error, then its connection is closed.
     Error(ErrorPacket),
 }
 
@@ -87,17 +89,17 @@
             self.on_command(packet.payload, received_at).await?;
             self.flush().await?;
             self.state.is_busy.set(false);
-            // Others come first, however much has come at once on this one.
+            // Lets other sessions run, even if more commands have already arrived on this one.
             yield_now().await;
         }
     }
 
-    /// Writes the answer to the command that was read last.
+    /// Returns a writer for the answer to the last command.
     fn writer(&mut self) -> Writer<'_> {
         self.writer_from(self.sequence)
     }
 
-    /// Writes the rest of an answer, from this sequence number on.
+    /// Returns a writer for the rest of an answer, beginning at this sequence number.
     fn writer_from(&mut self, sequence: u8) -> Writer<'_> {
         Writer {
             out: &mut self.output,
@@ -105,7 +107,7 @@
         }
     }
 
-    /// Sends what was written.
+    /// Sends the buffered output.
     async fn flush(&mut self) -> Result<(), SessionEnd> {
         let mut stream = &*self.stream;
         let timeout_at = Instant::now() + WRITE_TIMEOUT;
@@ -116,7 +118,7 @@
     }
 }
 
-/// Does `work`; past the deadline the client counts as gone.
+/// Runs `work`. After the deadline the client counts as disconnected.
 async fn with_deadline<T>(
     deadline: Instant,
     work: impl Future<Output = Result<T, SessionEnd>>,
--- a/crates/ivypitch-gateway/src/actors/session/receiving.rs
+++ b/crates/ivypitch-gateway/src/actors/session/receiving.rs
@@ -1,4 +1,4 @@
-//! Waiting for a client's next message, in time.
+//! Receiving a client's next message, with timeouts.
 
 use std::time::{Duration, Instant};
 
@@ -10,37 +10,38 @@
 use crate::state::sessions::{RECENT, SessionStage};
 use crate::wire::mysql::{self, Packet};
 
-/// A connection is owed an answer or a close within 3 s: so long it may take to log in and give its first command.
+/// Time for the login and the first command: within 3 s a connection has to get an answer or close.
 const FIRST_COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
-/// And so long for the rest of a message that it has begun.
-const REST_OF_MESSAGE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Clients close idle connections after 4 s; one that is idle for longer has been left behind.
+/// Time for the rest of a message after its first bytes.
+const MESSAGE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Clients close idle connections after 4 s; a connection that is idle for longer is abandoned.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What a session has waited for.
+/// The result of waiting for a client's input.
 enum WaitOutcome {
-    /// So many bytes came; 0: the client's end of stream.
+    /// Number of bytes read; 0 at the end of the client's stream.
     Read(usize),
-    /// The session is to end once nothing is open on it.
+    /// The session has to end as soon as no statement is open on it.
     EndRequested,
     TimedOut,
 }
 
-/// How far the next message is.
-struct Receiving {
+/// How far the next message has been received.
+struct ReceiveProgress {
     idle_since: Instant,
-    /// When its first bytes came.
-    begun_at: Option<Instant>,
+    /// When the first bytes of the message arrived.
+    first_bytes_at: Option<Instant>,
     is_end_requested: bool,
 }
 
 impl Session {
-    /// The next complete message, in time. A session that is to end, or whose time is over, looks once more at what has
-    /// come: a request that arrived in that very moment is served, or rejected, and not reset.
+    /// Receives the next complete message, with timeouts. A session that has to end or timed out
+    /// checks its input once more, so that a request that arrived at that moment is served or
+    /// rejected instead of losing its connection to a reset.
     pub(super) async fn next_packet(&mut self) -> Result<Packet, SessionEnd> {
-        let mut receiving = Receiving {
+        let mut progress = ReceiveProgress {
             idle_since: Instant::now(),
-            begun_at: None,
+            first_bytes_at: None,
             is_end_requested: false,
         };
         loop {
@@ -48,19 +49,20 @@
                 return Ok(packet);
             }
             if !self.input.is_empty() {
-                receiving.begun_at.get_or_insert_with(Instant::now);
+                progress.first_bytes_at.get_or_insert_with(Instant::now);
                 self.state.has_partial_message.set(true);
             }
-            receiving.is_end_requested = self.state.is_end_requested();
-            match self.wait_for_bytes(&receiving).await? {
+            progress.is_end_requested = self.state.is_end_requested();
+            match self.wait_for_bytes(&progress).await? {
                 WaitOutcome::Read(0) => return Err(SessionEnd::Disconnected),
                 WaitOutcome::Read(_) | WaitOutcome::EndRequested => {}
-                WaitOutcome::TimedOut => self.look_once_more(&receiving)?,
+                WaitOutcome::TimedOut => self.check_input_at_timeout(&progress)?,
             }
         }
     }
 
-    /// The message at the front of the input, if it is complete. The answer takes the sequence number after its own.
+    /// Takes the message at the front of the input if it is complete. The answer's sequence number
+    /// follows the message's own.
     fn take_packet(&mut self) -> Result<Option<Packet>, SessionEnd> {
         if let Some(&[_, _, _, sequence]) = self.input.first_chunk() {
             self.sequence = sequence.wrapping_add(1);
@@ -72,25 +74,31 @@
         Ok(packet)
     }
 
-    async fn wait_for_bytes(&mut self, receiving: &Receiving) -> Result<WaitOutcome, SessionEnd> {
+    async fn wait_for_bytes(
+        &mut self,
+        progress: &ReceiveProgress,
+    ) -> Result<WaitOutcome, SessionEnd> {
         if let Some(bytes) = read_now(&self.stream, &mut self.input)? {
             return Ok(WaitOutcome::Read(bytes));
         }
         self.state.on_input_taken();
-        let outcome = self.wait_for_more(receiving).await;
+        let outcome = self.wait_for_more(progress).await;
         self.state.is_waiting_for_input.set(false);
         outcome
     }
 
-    /// Nothing is there: waits until something is.
-    async fn wait_for_more(&mut self, receiving: &Receiving) -> Result<WaitOutcome, SessionEnd> {
-        let deadline = self.deadline(receiving);
+    /// Waits until input arrives, the session has to end, or the deadline passes.
+    async fn wait_for_more(
+        &mut self,
+        progress: &ReceiveProgress,
+    ) -> Result<WaitOutcome, SessionEnd> {
+        let deadline = self.deadline(progress);
         let timed_out = async {
             Timer::at(deadline).await;
             Ok(WaitOutcome::TimedOut)
         };
         let end_requested = async {
-            if receiving.is_end_requested {
+            if progress.is_end_requested {
                 std::future::pending::<()>().await;
             }
             self.state.end_requested().await;
@@ -104,31 +112,31 @@
         read.or(end_requested).or(timed_out).await
     }
 
-    fn deadline(&self, receiving: &Receiving) -> Instant {
+    fn deadline(&self, progress: &ReceiveProgress) -> Instant {
         let stage = self.state.stage.get();
-        let deadline = match (stage, receiving.begun_at) {
+        let deadline = match (stage, progress.first_bytes_at) {
             (SessionStage::Connected | SessionStage::LoggedIn, _) => {
                 self.connected_at + FIRST_COMMAND_TIMEOUT
             }
-            (SessionStage::Answered, Some(begun_at)) => begun_at + REST_OF_MESSAGE_TIMEOUT,
-            (SessionStage::Answered, None) => receiving.idle_since + IDLE_TIMEOUT,
+            (SessionStage::Answered, Some(first_bytes_at)) => first_bytes_at + MESSAGE_TIMEOUT,
+            (SessionStage::Answered, None) => progress.idle_since + IDLE_TIMEOUT,
         };
-        if !receiving.is_end_requested || receiving.begun_at.is_some() {
+        if !progress.is_end_requested || progress.first_bytes_at.is_some() {
             deadline
         } else if stage == SessionStage::Answered {
-            receiving.idle_since
+            progress.idle_since
         } else {
-            // One that has come just now may be about to send its statement.
+            // A client that connected or logged in just now may be about to send its statement.
             deadline.min(self.state.since.get() + RECENT)
         }
     }
 
-    /// Its time is over: ends the session, unless a message has come in that moment.
-    fn look_once_more(&mut self, receiving: &Receiving) -> Result<(), SessionEnd> {
+    /// Ends the session after a timeout, unless a new message arrived at that moment.
+    fn check_input_at_timeout(&mut self, progress: &ReceiveProgress) -> Result<(), SessionEnd> {
         match read_now(&self.stream, &mut self.input)? {
             Some(0) => Err(SessionEnd::Disconnected),
-            // The first of a message; more of a message whose time is over does not count.
-            Some(_) if receiving.begun_at.is_none() => Ok(()),
+            // First bytes of a message; more bytes of a message that timed out do not count.
+            Some(_) if progress.first_bytes_at.is_none() => Ok(()),
             _ => Err(SessionEnd::Idle),
         }
     }
--- a/crates/ivypitch-gateway/tests/state.rs
+++ b/crates/ivypitch-gateway/tests/state.rs
@@ -1,4 +1,4 @@
-//! The tables of open statements and of engines, and the bound on connections.
+//! The table of open statements, the indices of engines, and the connection permits.
 
 use async_channel::Receiver;
 use bytes::Bytes;
@@ -40,7 +40,7 @@
     opened.unwrap_or_else(|_| panic!("{id} is open already"))
 }
 
-/// Enters attempt 0 of a statement as in flight.
+/// Records attempt 0 of a statement as in flight.
 fn send_attempt(table: &mut StatementTable, statement: StatementIndex) -> AttemptKey {
     let open = table.get_mut(statement).unwrap();
     let key = AttemptKey {
@@ -61,19 +61,19 @@
 }
 
 #[test]
-fn a_second_statement_with_an_open_id_gets_its_client_back() {
+fn a_statement_with_a_duplicate_id_is_returned_to_its_client() {
     let mut table = StatementTable::default();
     let first = open(&mut table, "000000000000000a", 1);
     let (second, answers) = statement("000000000000000a", 2);
     let client = table.open(second).unwrap_err();
-    client.send(Answer::IdTaken);
-    assert!(matches!(answers.try_recv(), Ok(Answer::IdTaken)));
+    client.send(Answer::DuplicateId);
+    assert!(matches!(answers.try_recv(), Ok(Answer::DuplicateId)));
     assert_eq!(table.find_by_id(10), Some(first));
     assert_eq!(table.find_by_connection(2), None);
 }
 
 #[test]
-fn a_statement_that_takes_a_closed_ones_index_is_not_taken_for_it() {
+fn a_reused_statement_index_does_not_match_the_closed_statement() {
     let mut table = StatementTable::default();
     let first = open(&mut table, "000000000000000a", 1);
     let old = send_attempt(&mut table, first);
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn the_client_of_a_statement_is_answered_once() {
+fn the_client_of_a_statement_is_taken_only_once() {
     let mut table = StatementTable::default();
     let index = open(&mut table, "000000000000000a", 1);
     assert_eq!(table.find_by_connection(1), Some(index));
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn the_index_of_an_engine_is_reused_once_nothing_refers_to_it() {
+fn an_engine_index_is_reused_after_its_last_reference_is_gone() {
     let mut ids = EngineIds::default();
     assert_eq!(ids.index_of("s-1"), EngineIndex(0));
     assert_eq!(ids.index_of("s-2"), EngineIndex(1));
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_task_that_waits_for_a_permit_gets_a_returned_one() {
+fn a_waiting_task_gets_a_released_permit() {
     let permits = ConnectionPermits::new(2);
     let first = block_on(permits.acquire());
     assert!(!permits.is_scarce());
