--- a/crates/ivypitch-gateway/src/actors/discovery.rs
+++ b/crates/ivypitch-gateway/src/actors/discovery.rs
@@ -1,6 +1,6 @@
-//! Follows the discovery service: every event after the last one known, over connections that come and go, at the address
-//! that the configuration last gave. Which events are accepted, and when a lost connection is retried, is decided by
-//! [`EndpointWatch`].
+//! Watches the endpoint list at the discovery service, at the address that the configuration gave
+//! last. The watch reconnects when a connection is lost and continues after the last known event.
+//! [`EndpointWatch`] decides which events are accepted and when a lost connection is retried.
 
 use std::cell::RefCell;
 use std::io;
@@ -21,25 +21,26 @@
 use crate::state::traffic::Traffic;
 use crate::wire::discovery::{self, Line, WatchEvent};
 
-/// A line comes at least each second; after two without one the connection counts as dead.
+/// The discovery service sends a line at least once a second; a connection without one for this
+/// time counts as dead.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A message to this actor.
 #[derive(Debug)]
 pub enum DiscoveryMessage {
-    /// The discovery service is at another address from now on.
+    /// The discovery service has a new address.
     SetAddress(SocketAddr),
-    /// The line of an event that another gateway relayed.
+    /// An event line that another gateway relayed.
     RelayedEvent(Bytes),
 }
 
-/// Why a connection ended.
+/// Why a watch connection ended.
 #[derive(Debug, thiserror::Error)]
 enum WatchError {
     #[error("{0}")]
     Io(#[from] io::Error),
-    #[error("no connection in time")]
+    #[error("connect timed out")]
     ConnectTimeout,
     #[error("silent")]
     Silent,
@@ -49,30 +50,31 @@
     EventsMissing,
     #[error("line too long")]
     LineTooLong,
-    #[error("line not understood: {0}")]
+    #[error("malformed line: {0}")]
     MalformedLine(#[from] discovery::LineError),
     #[error("event {position} after {last_position}")]
     Gap { position: u64, last_position: u64 },
 }
 
-/// What a [`DiscoveryActor`] starts with.
+/// Parameters of a [`DiscoveryActor`].
 pub struct DiscoveryParams {
-    /// The watch, behind the last event that the configuration holds.
+    /// The watch, positioned after the last event in the configuration.
     pub watch: EndpointWatch,
     /// The gateway's clock.
     pub clock: Clock,
-    /// A connection with a longer line is closed.
+    /// A connection that sends a longer line is closed.
     pub max_line_bytes: usize,
-    /// Gets the changes of the endpoint list.
+    /// Receives the changes of the endpoint list.
     pub scheduler: Sender<SchedulerMessage>,
-    /// Whether the scheduler's actor also gets each line, to relay events to other gateways.
+    /// Whether the scheduler's actor also receives each line, to relay events to other gateways.
     pub reports_lines: bool,
-    /// Counts the bytes.
+    /// Counts sent and received bytes.
     pub traffic: Rc<Traffic>,
 }
 
-/// Follows the discovery service. The endpoint list stays as it is while the service cannot be reached; the next event is
-/// accepted from whoever brings it first, the service or another gateway.
+/// Watches the endpoint list. While the discovery service cannot be reached, the list stays
+/// unchanged. An event is accepted from the first source that delivers it, the service or another
+/// gateway.
 pub struct DiscoveryActor {
     watch: RefCell<EndpointWatch>,
     clock: Clock,
@@ -83,7 +85,7 @@
 }
 
 impl DiscoveryActor {
-    /// An actor that is not connected.
+    /// Creates an actor that is not connected.
     pub fn new(params: DiscoveryParams) -> DiscoveryActor {
         DiscoveryActor {
             watch: RefCell::new(params.watch),
@@ -95,8 +97,8 @@
         }
     }
 
-    /// Follows the address given last; from a new one at once, behind the last event of the old one. Ends with the
-    /// senders of `mailbox`.
+    /// Watches at the most recent address. A new address takes effect at once and continues after
+    /// the last event from the old one. Ends when all senders of `mailbox` are dropped.
     pub async fn run(self, address: Option<SocketAddr>, mailbox: Receiver<DiscoveryMessage>) {
         let mut following = self.follow(address);
         loop {
@@ -106,16 +108,16 @@
                     following = self.follow(Some(address));
                 }
                 Ok(Ok(DiscoveryMessage::RelayedEvent(line))) => {
-                    // A relayed event that does not come next is ignored.
+                    // A relayed event that is not the next one is ignored.
                     let _ = self.on_line(&line);
                 }
-                // The program has ended.
+                // The program is shutting down.
                 Ok(Err(_)) => return,
             }
         }
     }
 
-    /// Never completes.
+    /// Watches at `address`. Never completes.
     fn follow(&self, address: Option<SocketAddr>) -> Pin<Box<dyn Future<Output = Never> + '_>> {
         Box::pin(async move {
             let Some(address) = address else {
@@ -124,7 +126,7 @@
             let mut subscription = Subscription {
                 actor: self,
                 address,
-                is_healthy: true,
+                is_watch_up: true,
             };
             subscription.keep_open().await
         })
@@ -135,11 +137,11 @@
     }
 
     fn notify_scheduler(&self, message: SchedulerMessage) {
-        // Fails only as the program ends.
+        // Fails only when the program shuts down.
         let _ = self.scheduler.try_send(message);
     }
 
-    /// Acts on one line. An error asks for a new subscription.
+    /// Handles one line. An error requires a new subscription.
     fn on_line(&self, line: &[u8]) -> Result<(), WatchError> {
         match discovery::parse_line(line) {
             Ok(Line::LastPosition(position)) => {
@@ -188,15 +190,16 @@
     }
 }
 
-/// The result of a future that never completes.
+/// The result type of a future that never completes.
 enum Never {}
 
-/// The connections to one address, one after the other.
+/// The watch at one address, over successive connections.
 struct Subscription<'a> {
     actor: &'a DiscoveryActor,
     address: SocketAddr,
-    /// False from the end of a connection until a line of the next one is accepted; each change is logged once.
-    is_healthy: bool,
+    /// False from the loss of a connection until a line of the next one is accepted. Each change is
+    /// logged once.
+    is_watch_up: bool,
 }
 
 impl Subscription<'_> {
@@ -206,7 +209,7 @@
                 Ok(never) => match never {},
                 Err(error) => error,
             };
-            if self.is_healthy {
+            if self.is_watch_up {
                 let address = self.address;
                 let position = self.actor.last_position();
                 log::warn!(
@@ -214,7 +217,7 @@
                     "endpoint watch lost"
                 );
             }
-            self.is_healthy = false;
+            self.is_watch_up = false;
             let backoff = self.actor.watch.borrow_mut().next_backoff();
             Timer::after(Duration::from_nanos(backoff)).await;
         }
@@ -232,16 +235,16 @@
         (&stream).write_all(request.as_bytes()).await?;
         self.actor.traffic.journal.record_sent(request.len());
         let mut input = BytesMut::new();
-        let mut silent_at = Instant::now() + SILENCE_TIMEOUT;
+        let mut silence_deadline = Instant::now() + SILENCE_TIMEOUT;
         loop {
             while let Some(end) = input.iter().position(|&byte| byte == b'\n') {
                 self.on_line(&input.split_to(end + 1))?;
-                silent_at = Instant::now() + SILENCE_TIMEOUT;
+                silence_deadline = Instant::now() + SILENCE_TIMEOUT;
             }
             if input.len() > self.actor.max_line_bytes {
                 return Err(WatchError::LineTooLong);
             }
-            self.read(&stream, &mut input, silent_at).await?;
+            self.read(&stream, &mut input, silence_deadline).await?;
         }
     }
 
@@ -251,11 +254,11 @@
             let message = SchedulerMessage::WatchLineRead { event: None };
             self.actor.notify_scheduler(message);
         }
-        if !self.is_healthy {
+        if !self.is_watch_up {
             let address = self.address;
             let position = self.actor.last_position();
             log::info!(address:%, position; "endpoint watch resumed");
-            self.is_healthy = true;
+            self.is_watch_up = true;
         }
         Ok(())
     }
@@ -265,21 +268,21 @@
         &self,
         stream: &Async<TcpStream>,
         input: &mut BytesMut,
-        silent_at: Instant,
+        silence_deadline: Instant,
     ) -> Result<(), WatchError> {
         let watch = &self.actor.watch;
-        let missing_at = watch
+        let missing_events_at = watch
             .borrow()
             .missing_events_deadline()
             .map(|at| self.actor.clock.instant(at));
         let read = async { Ok(read_some(stream, input).await?) };
         let events_missing = async {
-            match missing_at {
+            match missing_events_at {
                 Some(at) => fail_at(at, WatchError::EventsMissing).await,
                 None => std::future::pending().await,
             }
         };
-        let silent = fail_at(silent_at, WatchError::Silent);
+        let silent = fail_at(silence_deadline, WatchError::Silent);
         match read.or(events_missing).or(silent).await {
             Ok(0) => Err(WatchError::Closed),
             Ok(bytes) => {
@@ -287,7 +290,7 @@
                 Ok(())
             }
             Err(error) => {
-                if missing_at.is_some_and(|at| at <= Instant::now()) {
+                if missing_events_at.is_some_and(|at| at <= Instant::now()) {
                     watch.borrow_mut().on_events_missing();
                 }
                 Err(error)
--- a/crates/ivypitch-gateway/src/actors/peer_links/connection.rs
+++ b/crates/ivypitch-gateway/src/actors/peer_links/connection.rs
@@ -1,4 +1,4 @@
-//! One link: its connection, the first frames and the frames of both directions.
+//! One link: its connection, the handshake, and the frames in both directions.
 
 use std::cell::Cell;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -20,24 +20,25 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
-/// A link on which nothing arrives for so long is dead.
+/// A link on which nothing arrives for this time is dead.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(1);
-/// A frame that cannot be written in this time ends the link.
+/// A link closes if writing a frame takes longer than this.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Messages of one link that are not handled yet; then nothing more is read from it.
+/// Limit on a link's messages that have not been handled yet. At this limit nothing more is read
+/// from the link.
 const MAX_UNHANDLED_MESSAGES: usize = 64;
-/// Links that others may have opened to here at once, above the number of members.
+/// Limit on simultaneously accepted links, in addition to one for each member.
 const MAX_EXTRA_ACCEPTED_LINKS: usize = 32;
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Whether the other side's first frame was checked.
+/// Whether the peer's first frame has been validated.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Handshake {
     Expected,
     Done,
 }
 
-/// Serves the links that others open, until the program ends.
+/// Accepts and serves links from other members until the program ends.
 pub(super) async fn accept_all(listener: Async<TcpListener>, context: Rc<PeerContext>) {
     let max_links = context.members.len() + MAX_EXTRA_ACCEPTED_LINKS;
     let open_links = Rc::new(Cell::new(0));
@@ -97,12 +98,13 @@
     };
     let _ = stream.get_ref().set_nodelay(true);
     let link = Link::new(context, member, stream, &outbox, queue);
-    // The outbox in the table of links keeps the link open.
+    // Only the outbox in the table of links keeps the link open.
     drop(outbox);
     link.run(BytesMut::new(), Handshake::Expected).await;
 }
 
-/// Who opened the link; `None`: nobody that is compatible, or it took too long.
+/// Returns the member that opened the link; `None` if it is incompatible or sends no valid frame in
+/// time.
 async fn read_hello(
     context: &PeerContext,
     stream: &Async<TcpStream>,
@@ -113,7 +115,7 @@
         None
     };
     let first = read_frame(context, stream, input).or(timeout).await?;
-    context.check_hello(&first)
+    context.validate_hello(&first)
 }
 
 async fn read_frame(
@@ -139,7 +141,7 @@
     let _ = context.mailbox.try_send(closed);
 }
 
-/// What is written next.
+/// The next frame to write.
 enum Outgoing {
     Queued(Bytes),
     Heartbeat,
@@ -172,7 +174,7 @@
         }
     }
 
-    /// Both directions, until one of them breaks or falls silent.
+    /// Runs both directions until one of them fails or times out.
     async fn run(self, mut input: BytesMut, handshake: Handshake) {
         let reading = self.read_frames(&mut input, handshake);
         self.write_frames().or(reading).await;
@@ -207,7 +209,8 @@
         write.or(timeout).await
     }
 
-    /// `None`: nobody can send on this link any more.
+    /// Waits for the next queued frame or heartbeat. Returns `None` when the last outbox is
+    /// dropped.
     async fn next_outgoing(&self) -> Option<Outgoing> {
         let queued = async { self.queue.recv().await.ok().map(Outgoing::Queued) };
         let heartbeat = async {
@@ -219,10 +222,10 @@
 
     async fn read_frames(&self, input: &mut BytesMut, mut handshake: Handshake) {
         let (unhandled, guard_slots) = async_channel::bounded(MAX_UNHANDLED_MESSAGES);
-        let mut silent_at = Instant::now() + SILENCE_TIMEOUT;
-        while let Some(frame) = self.read_until(input, silent_at).await {
+        let mut silence_deadline = Instant::now() + SILENCE_TIMEOUT;
+        while let Some(frame) = self.read_until(input, silence_deadline).await {
             if handshake == Handshake::Expected
-                && self.context.check_hello(&frame) != Some(self.member)
+                && self.context.validate_hello(&frame) != Some(self.member)
             {
                 return;
             }
@@ -230,13 +233,13 @@
             if !self.deliver(frame, &unhandled, &guard_slots).await {
                 return;
             }
-            silent_at = Instant::now() + SILENCE_TIMEOUT;
+            silence_deadline = Instant::now() + SILENCE_TIMEOUT;
         }
     }
 
-    async fn read_until(&self, input: &mut BytesMut, silent_at: Instant) -> Option<Frame> {
+    async fn read_until(&self, input: &mut BytesMut, silence_deadline: Instant) -> Option<Frame> {
         let silent = async {
-            Timer::at(silent_at).await;
+            Timer::at(silence_deadline).await;
             None
         };
         read_frame(&self.context, &self.stream, input)
@@ -244,7 +247,8 @@
             .await
     }
 
-    /// Hands a message to the scheduler once enough of those before it are handled. False: the link is to end.
+    /// Passes a message to the scheduler. Waits while [`MAX_UNHANDLED_MESSAGES`] earlier ones are
+    /// unhandled. Returns false if the link has to close.
     async fn deliver(
         &self,
         frame: Frame,
--- a/crates/ivypitch-gateway/src/actors/peer_links/context.rs
+++ b/crates/ivypitch-gateway/src/actors/peer_links/context.rs
@@ -1,4 +1,4 @@
-//! What the parts of the peer links share.
+//! State that the parts of the peer links share.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -20,21 +20,22 @@
 
 pub(super) struct PeerContext {
     pub(super) members: MemberList,
-    pub(super) process: ProcessId,
+    pub(super) own_process: ProcessId,
     pub(super) clock: Clock,
     pub(super) scheduler: Sender<SchedulerMessage>,
     pub(super) mailbox: Sender<PeerLinksMessage>,
     pub(super) executor: Rc<LocalExecutor<'static>>,
     pub(super) traffic: Rc<Traffic>,
     last_serial: Cell<LinkSerial>,
-    /// The process of each member that was rejected last, to log it once.
-    rejected: RefCell<BTreeMap<MemberId, Incarnation>>,
+    /// The last process of each member whose link was rejected, so that each rejection is logged
+    /// once.
+    last_rejected: RefCell<BTreeMap<MemberId, Incarnation>>,
 }
 
-/// What a [`PeerContext`] is made of.
-pub(super) struct PeerContextParts {
+/// Parameters of a [`PeerContext`].
+pub(super) struct PeerContextParams {
     pub(super) members: MemberList,
-    pub(super) process: ProcessId,
+    pub(super) own_process: ProcessId,
     pub(super) clock: Clock,
     pub(super) scheduler: Sender<SchedulerMessage>,
     pub(super) mailbox: Sender<PeerLinksMessage>,
@@ -43,21 +44,21 @@
 }
 
 impl PeerContext {
-    pub(super) fn new(parts: PeerContextParts) -> PeerContext {
+    pub(super) fn new(params: PeerContextParams) -> PeerContext {
         PeerContext {
-            members: parts.members,
-            process: parts.process,
-            clock: parts.clock,
-            scheduler: parts.scheduler,
-            mailbox: parts.mailbox,
-            executor: parts.executor,
-            traffic: parts.traffic,
+            members: params.members,
+            own_process: params.own_process,
+            clock: params.clock,
+            scheduler: params.scheduler,
+            mailbox: params.mailbox,
+            executor: params.executor,
+            traffic: params.traffic,
             last_serial: Cell::new(LinkSerial(0)),
-            rejected: RefCell::default(),
+            last_rejected: RefCell::default(),
         }
     }
 
-    /// The member's name, for log lines.
+    /// Returns the member's name, for log lines.
     pub(super) fn name(&self, member: MemberId) -> &str {
         self.members
             .get(member)
@@ -65,7 +66,7 @@
     }
 
     pub(super) fn notify_scheduler(&self, event: PeerEvent) {
-        // Fails only as the program ends.
+        // Fails only when the program shuts down.
         let _ = self.scheduler.try_send(SchedulerMessage::PeerEvent(event));
     }
 
@@ -75,18 +76,19 @@
         serial
     }
 
-    /// This process' first frame on each link.
+    /// Encodes the first frame that this process sends on each link.
     pub(super) fn hello(&self) -> Bytes {
         encode_frame(&Frame::Hello {
             version: PROTOCOL_VERSION,
             list_fingerprint: self.members.fingerprint(),
-            member: self.process.member,
-            incarnation: self.process.incarnation,
+            member: self.own_process.member,
+            incarnation: self.own_process.incarnation,
         })
     }
 
-    /// The sender of a link's first frame, if it has this version and member list.
-    pub(super) fn check_hello(&self, first: &Frame) -> Option<MemberId> {
+    /// Returns the sender of a link's first frame if it has the same protocol version and member
+    /// list.
+    pub(super) fn validate_hello(&self, first: &Frame) -> Option<MemberId> {
         let &Frame::Hello {
             version,
             list_fingerprint,
@@ -99,10 +101,11 @@
         let own_fingerprint = self.members.fingerprint();
         let is_listed = member.as_usize() < self.members.len();
         let is_compatible = version == PROTOCOL_VERSION && list_fingerprint == own_fingerprint;
-        if is_compatible && member != self.process.member {
+        if is_compatible && member != self.own_process.member {
             return is_listed.then_some(member);
         }
-        if is_listed && self.rejected.borrow_mut().insert(member, incarnation) != Some(incarnation)
+        if is_listed
+            && self.last_rejected.borrow_mut().insert(member, incarnation) != Some(incarnation)
         {
             log::warn!(
                 member = self.name(member), version, own_version = PROTOCOL_VERSION,
--- a/crates/ivypitch-gateway/src/actors/peer_links/datagrams.rs
+++ b/crates/ivypitch-gateway/src/actors/peer_links/datagrams.rs
@@ -1,4 +1,4 @@
-//! The datagram socket: the membership protocol and gossip.
+//! The datagram socket, used by the membership protocol and gossip.
 
 use std::cell::Cell;
 use std::io;
@@ -16,16 +16,16 @@
 use crate::log_events::MEMBER_LOST;
 use crate::wire::peer_frames::{PeerDatagram, decode_datagram, encode_gossip};
 
-/// Longer datagrams are cut off and then not understood.
+/// Longer datagrams are truncated and then rejected as malformed.
 pub(super) const MAX_DATAGRAM_BYTES: usize = 2048;
-/// Gossip datagrams that are not handled yet; then more are dropped.
+/// Limit on gossip datagrams that have not been handled yet. Beyond it, gossip is dropped.
 const MAX_UNHANDLED_GOSSIP: usize = 256;
 
 pub(super) struct Datagrams {
     context: Rc<PeerContext>,
     socket: Async<UdpSocket>,
     membership: Membership,
-    /// By member: what the scheduler knows of suspicions.
+    /// Whether each member is suspected, as last reported to the scheduler.
     suspected: Vec<bool>,
     unhandled_gossip: Rc<Cell<usize>>,
 }
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The number of bytes of the next datagram; 0 if it cannot be received.
+    /// Receives the next datagram and returns its length, or 0 if the socket fails.
     pub(super) async fn receive(&self, buffer: &mut [u8]) -> usize {
         let received: io::Result<_> = self.socket.recv_from(buffer).await;
         received.map_or(0, |(bytes, _)| bytes)
@@ -63,7 +63,8 @@
                 self.context
                     .notify_scheduler(PeerEvent::Gossip { gossip, guard });
             }
-            // Unreadable, or more than the scheduler handles: dropped, as a network would.
+            // Malformed gossip, and gossip beyond the limit, is dropped. Senders cope with this as
+            // with a datagram that the network loses.
             PeerDatagram::Gossip(_) | PeerDatagram::MalformedGossip => {}
         }
     }
@@ -82,19 +83,20 @@
         }
     }
 
-    /// Notifies the other members that this process ends.
+    /// Notifies the other members that this process shuts down.
     pub(super) fn leave(&mut self, now: Nanos) {
         self.membership.leave(now);
     }
 
-    /// Sends what the membership protocol wants sent.
+    /// Sends the pending datagrams of the membership protocol.
     pub(super) fn flush(&mut self) {
         while let Some(datagram) = self.membership.next_datagram() {
             self.send(datagram.to, &datagram.data);
         }
     }
 
-    /// Logs the next membership event and notifies the scheduler. `None`: there are no more.
+    /// Takes the next membership event, logs it and notifies the scheduler. Returns `None` if there
+    /// are no more events.
     pub(super) fn take_event(&mut self) -> Option<MembershipEvent> {
         let event = self.membership.next_event()?;
         match event {
@@ -116,10 +118,10 @@
         Some(event)
     }
 
-    /// Notifies the scheduler of members that are suspected, or no longer are.
+    /// Notifies the scheduler of members that are newly suspected or no longer suspected.
     pub(super) fn report_suspicions(&mut self) {
-        for (i, was_suspected) in self.suspected.iter_mut().enumerate() {
-            let member = MemberId(i as u16);
+        for (index, was_suspected) in self.suspected.iter_mut().enumerate() {
+            let member = MemberId(index as u16);
             let is_suspected = self.membership.status(member).state.is_suspected();
             if is_suspected == *was_suspected {
                 continue;
@@ -163,7 +165,8 @@
         );
     }
 
-    /// A full socket drops it, as a network would.
+    /// Sends a datagram. It is dropped if the socket's buffer is full, like one that the network
+    /// loses.
     fn send(&self, to: MemberId, data: &[u8]) {
         let Some(member) = self.context.members.get(to) else {
             return;
--- a/crates/ivypitch-gateway/src/actors/peer_links/links.rs
+++ b/crates/ivypitch-gateway/src/actors/peer_links/links.rs
@@ -1,4 +1,5 @@
-//! The table of links: one for each pair of members, opened by whoever first has something to send.
+//! The table of links. Each pair of members has one link, opened by the member that first has
+//! something to send.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -13,24 +14,25 @@
 use super::messages::AcceptedLink;
 use crate::wire::peer_frames::{Frame, encode_frame};
 
-/// Bytes that wait for a peer that does not read; what comes beyond is dropped, as with a broken link.
+/// Limit on the bytes queued for a peer that does not read. Messages beyond it are dropped, as on a
+/// broken link.
 const MAX_QUEUED_BYTES: usize = 1 << 20;
 
-/// Numbers the links of this process.
+/// Serial number of a link of this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LinkSerial(pub(super) u64);
 
-/// Takes the frames that are to be written on a link. The link ends with its last outbox.
+/// Sending half of a link's queue of frames. The link closes when its last outbox is dropped.
 #[derive(Clone)]
 pub(super) struct Outbox {
     pub(super) serial: LinkSerial,
     frames: Sender<Bytes>,
-    /// Bytes of the frames that were not taken for writing yet.
+    /// Total size of the frames in the queue.
     pub(super) queued_bytes: Rc<Cell<usize>>,
 }
 
 impl Outbox {
-    /// With the other end of its queue.
+    /// Creates an outbox, and the receiving half of its queue.
     pub(super) fn new(serial: LinkSerial) -> (Outbox, Receiver<Bytes>) {
         let (frames, queue) = async_channel::unbounded();
         let outbox = Outbox {
@@ -41,7 +43,7 @@
         (outbox, queue)
     }
 
-    /// False: the queue is full and the frame dropped.
+    /// Queues a frame. Returns false if the queue is full and the frame is dropped.
     fn send(&self, frame: Bytes) -> bool {
         let queued_bytes = self.queued_bytes.get() + frame.len();
         if queued_bytes > MAX_QUEUED_BYTES {
@@ -56,8 +58,8 @@
 pub(super) struct LinkTable {
     context: Rc<PeerContext>,
     by_member: BTreeMap<MemberId, Outbox>,
-    /// The link of each member that was full, to log it once.
-    full: BTreeMap<MemberId, LinkSerial>,
+    /// The last link to each member whose queue was full, so that each such link is logged once.
+    last_full_link: BTreeMap<MemberId, LinkSerial>,
 }
 
 impl LinkTable {
@@ -65,11 +67,11 @@
         LinkTable {
             context,
             by_member: BTreeMap::new(),
-            full: BTreeMap::new(),
+            last_full_link: BTreeMap::new(),
         }
     }
 
-    /// Sends on the member's link, which is opened if there is none.
+    /// Sends a frame on the member's link. Opens a link if there is none.
     pub(super) fn send(&mut self, to: MemberId, frame: &Frame) {
         let Some(address) = self.context.members.get(to).map(|member| member.address) else {
             return;
@@ -82,15 +84,18 @@
             outbox
         });
         let serial = outbox.serial;
-        if !outbox.send(encode_frame(frame)) && self.full.insert(to, serial) != Some(serial) {
+        if !outbox.send(encode_frame(frame))
+            && self.last_full_link.insert(to, serial) != Some(serial)
+        {
             let member = self.context.name(to);
             log::warn!(member; "member does not read, messages to it are dropped");
         }
     }
 
-    /// Another member has opened a link. Where both did at once, the one that the lower member opened stays.
+    /// Enters a link that another member opened. If both members opened a link at once, the one
+    /// from the member with the lower id is kept.
     pub(super) fn on_accepted(&mut self, link: AcceptedLink) {
-        let is_opener_lower = link.member < self.context.process.member;
+        let is_opener_lower = link.member < self.context.own_process.member;
         if !self.by_member.contains_key(&link.member) || is_opener_lower {
             self.by_member.insert(link.member, link.outbox);
         }
--- a/crates/ivypitch-gateway/src/actors/peer_links/messages.rs
+++ b/crates/ivypitch-gateway/src/actors/peer_links/messages.rs
@@ -1,4 +1,4 @@
-//! Messages to the peer links' actor, and what it tells the scheduler's.
+//! Messages to the peer links' actor, and the events that it reports to the scheduler's actor.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,36 +12,36 @@
 
 /// A message to the peer links' actor.
 pub enum PeerLinksMessage {
-    /// Send on the link to this member.
+    /// Sends an ownership message on the link to this member.
     SendOwnership {
         /// The recipient.
         to: MemberId,
         /// The message.
         message: OwnershipMessage,
     },
-    /// Send on the link to this member.
+    /// Sends a coordination message on the link to this member.
     SendCoordination {
         /// The recipient.
         to: MemberId,
         /// The message.
         message: CoordinationMessage,
     },
-    /// Send as a datagram.
+    /// Sends gossip as a datagram.
     SendGossip {
         /// The recipient.
         to: MemberId,
         /// The message.
         gossip: GossipMessage,
     },
-    /// This process ends: the others are notified.
+    /// This process shuts down: the other members are notified.
     Leave,
-    /// Another member has opened a link to here.
+    /// Another member has opened a link to this gateway.
     LinkAccepted(AcceptedLink),
     /// A link has ended.
     LinkClosed {
         /// The member at its other end.
         member: MemberId,
-        /// Which of its links.
+        /// Identifies the link among those to this member.
         serial: LinkSerial,
     },
 }
@@ -50,11 +50,11 @@
 pub struct AcceptedLink {
     /// The member.
     pub(super) member: MemberId,
-    /// Takes what is to be sent.
+    /// Queue of the frames to be sent on the link.
     pub(super) outbox: Outbox,
 }
 
-/// Something happened to the other members, or a message of one arrived.
+/// A change of the membership, or a message from another member.
 pub enum PeerEvent {
     /// A message about the ownership of statements arrived.
     Ownership {
@@ -62,36 +62,37 @@
         from: MemberId,
         /// The message.
         message: Box<OwnershipMessage>,
-        /// To be dropped once it is handled.
+        /// Dropped when the message has been handled.
         guard: MessageGuard,
     },
-    /// A message about what gateways coordinate arrived.
+    /// A coordination message arrived.
     Coordination {
         /// The sender.
         from: MemberId,
         /// The message.
         message: Box<CoordinationMessage>,
-        /// To be dropped once it is handled.
+        /// Dropped when the message has been handled.
         guard: MessageGuard,
     },
     /// A gossip datagram arrived.
     Gossip {
         /// The message.
         gossip: Box<GossipMessage>,
-        /// To be dropped once it is handled.
+        /// Dropped when the message has been handled.
         guard: GossipGuard,
     },
-    /// A process is there.
+    /// A member's process has joined.
     MemberUp(ProcessId),
-    /// A process is gone.
+    /// A member's process has left or failed.
     MemberDown(ProcessId),
-    /// A member is suspected to be lost.
+    /// A member is suspected to have failed.
     MemberSuspected(MemberId),
     /// A member is no longer suspected.
     SuspicionCleared(MemberId),
 }
 
-/// Held as long as a message of a link is not handled; then the link may read another.
+/// Guard of a message from a link that has not been handled yet. Dropping it lets the link read
+/// another message.
 pub struct MessageGuard(pub(super) Receiver<()>);
 
 impl Drop for MessageGuard {
@@ -100,11 +101,12 @@
     }
 }
 
-/// Held as long as a gossip datagram is not handled; then another may be taken.
+/// Guard of a gossip datagram that has not been handled yet. Dropping it lets another datagram be
+/// accepted.
 pub struct GossipGuard(Rc<Cell<usize>>);
 
 impl GossipGuard {
-    /// Counts one more in `unhandled`.
+    /// Increments `unhandled` until the guard is dropped.
     pub(super) fn new(unhandled: &Rc<Cell<usize>>) -> GossipGuard {
         unhandled.set(unhandled.get() + 1);
         GossipGuard(unhandled.clone())
--- a/crates/ivypitch-gateway/src/actors/peer_links/mod.rs
+++ b/crates/ivypitch-gateway/src/actors/peer_links/mod.rs
@@ -1,5 +1,6 @@
-//! The other gateways: the membership protocol and gossip by datagrams, and a link to each gateway that something is sent
-//! to. This is the only actor that talks to them; what it receives goes to the scheduler's actor as [`PeerEvent`]s.
+//! Communication with the other gateways: datagrams for the membership protocol and gossip, and a
+//! TCP link to each gateway to which messages are sent. This is the only actor that communicates
+//! with other gateways; it passes what it receives to the scheduler's actor as [`PeerEvent`]s.
 
 mod connection;
 mod context;
@@ -20,7 +21,7 @@
 };
 use ivypitch_types::ProcessId;
 
-use self::context::{PeerContext, PeerContextParts};
+use self::context::{PeerContext, PeerContextParams};
 use self::datagrams::{Datagrams, MAX_DATAGRAM_BYTES};
 pub use self::links::LinkSerial;
 use self::links::LinkTable;
@@ -30,33 +31,33 @@
 use crate::state::traffic::Traffic;
 use crate::wire::peer_frames::Frame;
 
-/// Version of all messages between gateways: those of another version are ignored.
+/// Version of all messages between gateways. Messages of another version are ignored.
 pub const PROTOCOL_VERSION: u16 =
     ivypitch_ownership::VERSION * 100 + ivypitch_coordination::PROTOCOL_VERSION;
 
-/// What the peer links start with.
+/// Parameters of [`PeerLinks`].
 pub struct PeerLinksParams {
-    /// The fleet.
+    /// The gateways of the fleet.
     pub members: MemberList,
     /// This process.
     pub process: ProcessId,
-    /// Where datagrams are received and links accepted.
+    /// The address on which datagrams are received and links are accepted.
     pub listen: SocketAddr,
-    /// Failure detection.
+    /// Settings of the failure detector.
     pub membership: MembershipConfig,
-    /// For random choices.
+    /// Seed of the random numbers that the membership protocol draws.
     pub seed: u64,
-    /// Counts the bytes.
+    /// Counts sent and received bytes.
     pub traffic: Rc<Traffic>,
     /// The gateway's clock.
     pub clock: Clock,
-    /// Gets the events.
+    /// Receives the events.
     pub scheduler: Sender<SchedulerMessage>,
-    /// Runs the actor and its links.
+    /// Runs the tasks of the actor and its links.
     pub executor: Rc<LocalExecutor<'static>>,
 }
 
-/// The address for other gateways cannot be used.
+/// The address for other gateways cannot be bound.
 #[derive(Debug, thiserror::Error)]
 #[error("peers.listen {address}: {source}")]
 pub struct BindError {
@@ -64,26 +65,26 @@
     source: io::Error,
 }
 
-/// The actor.
+/// The actor that communicates with the other gateways.
 pub struct PeerLinks {
     context: Rc<PeerContext>,
     datagrams: Datagrams,
     links: LinkTable,
 }
 
-/// What the actor wakes up for.
+/// The event that ends a wait of the actor.
 enum Wakeup {
     Datagram {
         bytes: usize,
     },
     Message(Box<PeerLinksMessage>),
     Timer,
-    /// The program has ended.
+    /// The program is shutting down.
     MailboxClosed,
 }
 
 impl PeerLinks {
-    /// Binds the sockets and starts the actor. Returns its mailbox.
+    /// Binds the sockets, starts the actor and returns its mailbox.
     ///
     /// # Errors
     ///
@@ -103,9 +104,9 @@
             now: params.clock.now(),
         });
         let executor = params.executor;
-        let context = Rc::new(PeerContext::new(PeerContextParts {
+        let context = Rc::new(PeerContext::new(PeerContextParams {
             members: params.members,
-            process: params.process,
+            own_process: params.process,
             clock: params.clock,
             scheduler: params.scheduler,
             mailbox: mailbox.clone(),
@@ -137,7 +138,7 @@
                 Wakeup::Timer => {}
                 Wakeup::MailboxClosed => return,
             }
-            // However many datagrams come, what is due is done.
+            // Timers also fire while many datagrams arrive.
             self.datagrams.on_timer(now);
         }
     }
@@ -162,11 +163,12 @@
                 Err(_) => Wakeup::MailboxClosed,
             }
         };
-        // Messages first: the scheduler bounds them; a flood of datagrams must not hold them up.
+        // Messages have priority: the scheduler bounds their number, and a flood of datagrams must
+        // not delay them.
         message.or(datagram).or(timer).await
     }
 
-    /// Carries out what the membership protocol wants.
+    /// Sends the membership protocol's datagrams and applies its events and suspicions.
     fn apply_membership(&mut self) {
         self.datagrams.flush();
         while let Some(event) = self.datagrams.take_event() {
@@ -194,7 +196,7 @@
 }
 
 fn log_start(context: &PeerContext, address: SocketAddr) {
-    let member = context.name(context.process.member);
+    let member = context.name(context.own_process.member);
     let members = context.members.len();
     log::info!(
         member, members, address:%;
