--- a/crates/ivypitch-gateway/src/actors/mod.rs
+++ b/crates/ivypitch-gateway/src/actors/mod.rs
@@ -1,7 +1,9 @@
-//! The actors of a gateway: each owns a mailbox and its state, and shares nothing but counters with the others.
+//! The actors of a gateway. Each has a mailbox and its own state; actors share little but counters
+//! and handles.
 //!
-//! One scheduler actor owns every decision. Each engine, client session and attempt has an actor or task of its own, the
-//! endpoint list and the other gateways have one each. [`messages`] holds what they send to each other.
+//! One scheduler actor makes all scheduling decisions. Each engine, client session and attempt has
+//! an actor or task of its own; the endpoint watch and the communication with other gateways have
+//! one actor each. [`messages`] defines the messages between them.
 
 pub mod attempt;
 pub mod coordination;
--- a/crates/ivypitch-gateway/tests/configuration.rs
+++ b/crates/ivypitch-gateway/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! What a configuration that can't be used says to the operator.
+//! Error messages for configurations that cannot be used.
 
 use std::path::Path;
 
@@ -8,15 +8,15 @@
 #[test_case(r#"{"listen":"here","settings":{}}"#, "listen \"here\" is no address and port"; "listen")]
 #[test_case(r#"{"listen":"127.0.0.1:1","journal":"there","settings":{}}"#, "journal \"there\" is no address and port"; "journal")]
 #[test_case(r#"{"settings":{}}"#, "missing field `listen` at line 1 column 15"; "a missing field")]
-fn a_field_that_cannot_be_used_is_named(text: &str, message: &str) {
-    let error = parse(text).err().expect("it can't be used");
+fn an_invalid_field_is_named_in_the_error(text: &str, message: &str) {
+    let error = parse(text).err().expect("the configuration is invalid");
     assert_eq!(error.to_string(), message);
 }
 
 #[test]
-fn a_file_that_cannot_be_read_is_named() {
+fn an_unreadable_file_is_named_in_the_error() {
     let error = from_file(Path::new("no/such.json"))
         .err()
-        .expect("there is none");
+        .expect("the file does not exist");
     assert!(error.to_string().starts_with("no/such.json: "), "{error}");
 }
--- a/crates/ivypitch-gateway/tests/recorded_peer_messages.rs
+++ b/crates/ivypitch-gateway/tests/recorded_peer_messages.rs
@@ -1,5 +1,6 @@
-//! Bytes recorded at d1ac1c5; a rename must not change them. Frames on the links between gateways, with their length in
-//! front, the datagrams of what is shared, with their mark, and the versions that both ends state.
+//! Encoded peer messages against bytes recorded at commit d1ac1c5, so that a rename cannot change
+//! the encoding: frames on the links between gateways with their length prefix, gossip datagrams
+//! with their marker, and the protocol versions in the handshake.
 
 use bytes::BytesMut;
 use ivypitch_coordination::{CoordinationMessage, GossipMessage};
@@ -56,8 +57,8 @@
     for (frame, recorded) in recorded {
         assert_eq!(hex(&encode_frame(&frame)), recorded, "{frame:?}");
         let mut input = BytesMut::from(&bytes(recorded)[..]);
-        let read = decode_frame(&mut input).unwrap().unwrap();
-        assert_eq!(format!("{read:?}"), format!("{frame:?}"));
+        let decoded = decode_frame(&mut input).unwrap().unwrap();
+        assert_eq!(format!("{decoded:?}"), format!("{frame:?}"));
         assert!(input.is_empty());
     }
 }
@@ -91,9 +92,9 @@
         ),
         (1, 1, 131_072)
     );
-    let mut longer = BytesMut::from(&bytes("01000200")[..]);
+    let mut oversized = BytesMut::from(&bytes("01000200")[..]);
     assert_eq!(
-        decode_frame(&mut longer).unwrap_err(),
+        decode_frame(&mut oversized).unwrap_err(),
         FrameError::Length(131_073)
     );
 }
--- a/crates/ivypitch-gateway/tests/wire/discovery.rs
+++ b/crates/ivypitch-gateway/tests/wire/discovery.rs
@@ -1,4 +1,4 @@
-//! Lines of the watch on the endpoint list.
+//! Lines of the endpoint watch.
 
 use ivypitch_gateway::wire::discovery::{Line, parse_line};
 
--- a/crates/ivypitch-gateway/tests/wire/http.rs
+++ b/crates/ivypitch-gateway/tests/wire/http.rs
@@ -1,4 +1,4 @@
-//! Requests to engines, their responses, and results made of them.
+//! Requests to engines, their responses, and results assembled from them.
 
 use bytes::{Bytes, BytesMut};
 use ivypitch_gateway::state::rows::Rows;
@@ -20,13 +20,13 @@
     let text = "POST /c HTTP/1.1\r\nHost: e:1\r\nVia-Id: 9b1f03aa5c7e2d41\r\nVia-Class: report\r\nVia-Wait: \
                 1490\r\nRank: 1\r\nContent-Length: 8\r\n\r\nSELECT 1";
     assert_eq!(http::write_start(&start, "e:1"), text);
-    let marked = Start {
+    let keyed = Start {
         idempotency_key: Some(Bytes::from("b35f")),
         ordering_key: Some(Bytes::from("0002")),
         ..start
     };
     let text = text.replace("Content", "Via-Token: b35f\r\nVia-Key: 0002\r\nContent");
-    assert_eq!(http::write_start(&marked, "e:1"), text);
+    assert_eq!(http::write_start(&keyed, "e:1"), text);
     assert_eq!(
         http::write_delete(b"ab", "e:1"),
         "DELETE /c/ab HTTP/1.1\r\nHost: e:1\r\n\r\n"
@@ -51,7 +51,7 @@
             "cut at {cut}"
         );
         input.extend_from_slice(&text[cut..]);
-        let answer = http::next_response(&mut input).unwrap().unwrap();
+        let response = http::next_response(&mut input).unwrap().unwrap();
         let expected = Response {
             status: 200,
             page_count: Some(2),
@@ -62,26 +62,26 @@
             body: Bytes::from("a\tb\tc\n"),
             ..Response::default()
         };
-        assert_eq!((answer, &input[..]), (expected, &b"rest"[..]));
+        assert_eq!((response, &input[..]), (expected, &b"rest"[..]));
     }
 }
 
-#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 6001\r\n\r\n"; "a body too long")]
-#[test_case("HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n"; "a length below zero")]
+#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 6001\r\n\r\n"; "body over the limit")]
+#[test_case("HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n"; "negative length")]
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc"; "a body of 3 GB")]
 #[test_case("HTTP/1.1 200 OK\r\nPage-Count: 16001\r\nContent-Length: 0\r\n\r\n"; "more pages than rows")]
-#[test_case("HTTP/1.1 302 Found\r\nContent-Length: 0\r\n\r\n"; "a status that no engine has")]
+#[test_case("HTTP/1.1 302 Found\r\nContent-Length: 0\r\n\r\n"; "unknown status")]
 #[test_case("HTTP/1.1 200 OK\r\n\r\n"; "no length")]
-#[test_case("nonsense\r\n\r\n"; "no HTTP")]
-#[test_case(&format!("HTTP/1.1 200 OK\r\nX: {}", "x".repeat(9000)); "a head without end")]
-fn what_is_no_response_is_an_error(text: &str) {
+#[test_case("nonsense\r\n\r\n"; "not HTTP")]
+#[test_case(&format!("HTTP/1.1 200 OK\r\nX: {}", "x".repeat(9000)); "unterminated head")]
+fn a_malformed_response_is_an_error(text: &str) {
     assert!(http::next_response(&mut BytesMut::from(text)).is_err());
 }
 
 #[test_case("waiting:1;active:7;x0:0.5", &[7.0, 0.5]; "in the settings' order")]
 #[test_case("x0:0.5; active:7", &[7.0, 0.5]; "another order")]
 #[test_case("active:7", &[]; "a field is missing")]
-#[test_case("active:nan;x0:1", &[]; "no number")]
+#[test_case("active:nan;x0:1", &[]; "not a number")]
 #[test_case("", &[]; "none")]
 fn a_load_report_without_all_fields_is_empty(load: &str, values: &[f32]) {
     assert_eq!(
@@ -91,14 +91,14 @@
 }
 
 #[test_case(&["a\tb\tc\n", ""], true; "whole rows and an empty page")]
-#[test_case(&["a\tb\tc"], false; "a row cut short")]
+#[test_case(&["a\tb\tc"], false; "truncated row")]
 #[test_case(&["a\tb\tc\td\n"], false; "four columns")]
 #[test_case(&[&*"a\tb\tc\n".repeat(1000); 9], false; "over 48000 bytes")]
-fn results_hold_complete_rows_within_their_size(pages: &[&str], good: bool) {
+fn results_hold_complete_rows_within_their_size(pages: &[&str], is_valid: bool) {
     let mut rows = Rows::default();
     let added = pages.iter().all(|page| {
         rows.push_page(Bytes::copy_from_slice(page.as_bytes()))
             .is_ok()
     });
-    assert_eq!(added, good);
+    assert_eq!(added, is_valid);
 }
--- a/crates/ivypitch-gateway/tests/wire/main.rs
+++ b/crates/ivypitch-gateway/tests/wire/main.rs
@@ -1,4 +1,4 @@
-//! Bytes in and out of each protocol of the gateway.
+//! Encoding and parsing of each protocol of the gateway.
 
 mod damaged_input;
 mod discovery;
--- a/crates/ivypitch-gateway/tests/wire/mysql.rs
+++ b/crates/ivypitch-gateway/tests/wire/mysql.rs
@@ -1,4 +1,4 @@
-//! Packets, logins, results and the statements that the gateway answers itself.
+//! Packets, logins, result sets, and the statements that the gateway answers itself.
 
 use bytes::{Bytes, BytesMut};
 use ivypitch_gateway::wire::gateway_statements;
@@ -6,7 +6,7 @@
 use test_case::test_case;
 
 #[test]
-fn packets_are_parsed_complete_however_their_bytes_arrive() {
+fn packets_are_parsed_wherever_their_bytes_are_split() {
     let bytes = [&[4, 0, 0, 0, 3][..], b"abc", &[1, 0, 0, 7, 0x0e]].concat();
     for cut in 0..=bytes.len() {
         let mut input = BytesMut::from(&bytes[..cut]);
@@ -50,7 +50,7 @@
     while let Some(packet) = mysql::next_packet(&mut out, 300).unwrap() {
         packets.push(packet);
     }
-    assert!(packets.iter().map(|p| p.sequence).eq(1..=6));
+    assert!(packets.iter().map(|packet| packet.sequence).eq(1..=6));
     assert_eq!(packets[0].payload[..], [1]);
     assert_eq!(
         (packets[3].payload[0], packets[3].payload.len()),
@@ -72,16 +72,16 @@
 }
 
 #[test]
-fn a_login_cut_short_anywhere_is_an_error() {
+fn a_truncated_login_is_an_error() {
     let login = [
         &(1u32 << 3 | 1 << 9 | 1 << 15).to_le_bytes()[..],
         &[0; 28],
         b"app\0\0dw\0",
     ]
     .concat();
-    let whole = mysql::parse_login(&login).unwrap();
+    let parsed = mysql::parse_login(&login).unwrap();
     assert_eq!(
-        (whole.user, whole.database, whole.has_password),
+        (parsed.user, parsed.database, parsed.has_password),
         (&b"app"[..], Some(&b"dw"[..]), false)
     );
     assert!((0..login.len() - 3).all(|cut| mysql::parse_login(&login[..cut]).is_err()));
