--- a/crates/ivypitch-gateway/src/actors/messages.rs
+++ b/crates/ivypitch-gateway/src/actors/messages.rs
@@ -8,7 +8,7 @@
 use async_channel::Sender;
 use async_io::Async;
 use bytes::Bytes;
-use ivypitch_queueing::{Budgets, Queued};
+use ivypitch_queueing::{Budgets, QueuedStatement};
 use ivypitch_scheduler::AttemptProgress;
 use ivypitch_types::{EngineIndex, Nanos, Outcome, StatementIndex};
 
@@ -184,7 +184,7 @@
     /// Index of its workload.
     pub workload: usize,
     /// The statement's position in its queue; `None` once it is released to the scheduler.
-    pub queued: Option<Queued>,
+    pub queued: Option<QueuedStatement>,
 }
 
 /// Delivers the answer to a statement's client.
--- a/crates/ivypitch-gateway/src/actors/peer_links/datagrams.rs
+++ b/crates/ivypitch-gateway/src/actors/peer_links/datagrams.rs
@@ -90,7 +90,7 @@
 
     /// Sends the pending datagrams of the membership protocol.
     pub(super) fn flush(&mut self) {
-        while let Some(datagram) = self.membership.next_datagram() {
+        while let Some(datagram) = self.membership.pop_datagram() {
             self.send(datagram.to, &datagram.data);
         }
     }
@@ -98,7 +98,7 @@
     /// Takes the next membership event, logs it and notifies the scheduler. Returns `None` if there
     /// are no more events.
     pub(super) fn take_event(&mut self) -> Option<MembershipEvent> {
-        let event = self.membership.next_event()?;
+        let event = self.membership.pop_event()?;
         match event {
             MembershipEvent::MemberUp(process) => {
                 let member = self.context.name(process.member);
--- a/crates/ivypitch-gateway/src/actors/scheduler/context.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/context.rs
@@ -147,7 +147,7 @@
         executor: params.executor.clone(),
     };
     let cores_by_kind = deployment
-        .kinds
+        .engine_kinds
         .iter()
         .map(|kind| kind.cores.max(1.0))
         .collect();
