--- a/crates/ivypitch-gateway/src/actors/coordination.rs
+++ b/crates/ivypitch-gateway/src/actors/coordination.rs
@@ -1,5 +1,5 @@
-//! Driver of `ivypitch_coordination`: passes events to it, sends its messages, and queues what it asks the scheduler's
-//! actor to do. It decides nothing.
+//! Driver of `ivypitch_coordination`. It passes events to it, sends its messages, and queues the
+//! actions that it requests from the scheduler's actor. The driver makes no decisions.
 
 use std::collections::VecDeque;
 
@@ -16,31 +16,32 @@
 use super::messages::WatchEventLine;
 use super::peer_links::PeerLinksMessage;
 
-/// Quota of the engines' cores.
+/// The quota of the engines' cores.
 const CORES_QUOTA: QuotaIndex = QuotaIndex(0);
-/// Quota of the first tenant's statement rate; those of the others follow in the settings' order.
+/// Index of the quota of the first tenant's statement rate. The other tenants' quotas follow in the
+/// order of the settings.
 const FIRST_TENANT_QUOTA: usize = 1;
 
-/// What the scheduler's actor is asked to do.
+/// An action that coordination requests from the scheduler's actor.
 #[derive(Debug)]
 pub enum Action {
-    /// This gateway may use a fraction of all cores.
-    SetCoreQuota {
+    /// Sets this gateway's share of the cores of all engines.
+    SetCoreQuotaShare {
         /// Between 0 and 1.
-        fraction: f64,
+        share: f64,
     },
-    /// This gateway may use a fraction of a tenant's statement rate.
-    SetTenantQuota {
+    /// Sets this gateway's share of a tenant's statement rate.
+    SetTenantQuotaShare {
         /// Index of the tenant in the settings.
         tenant: usize,
         /// Between 0 and 1.
-        fraction: f64,
+        share: f64,
     },
-    /// The gateways agree on an engine's health.
+    /// Sets an engine's outlier status, on which the gateways agreed.
     SetOutlierStatus {
         /// Hash of the engine's id.
         engine_hash: u64,
-        /// What is known of it.
+        /// The status.
         status: OutlierStatus,
     },
 }
@@ -64,12 +65,12 @@
             .try_send(PeerLinksMessage::SendGossip { to, gossip });
     }
 
-    fn on_quota_share_changed(&mut self, quota: QuotaIndex, fraction: f64) {
+    fn on_quota_share_changed(&mut self, quota: QuotaIndex, share: f64) {
         self.actions.push_back(match quota {
-            CORES_QUOTA => Action::SetCoreQuota { fraction },
-            _ => Action::SetTenantQuota {
+            CORES_QUOTA => Action::SetCoreQuotaShare { share },
+            _ => Action::SetTenantQuotaShare {
                 tenant: quota.0 - FIRST_TENANT_QUOTA,
-                fraction,
+                share,
             },
         });
     }
@@ -99,12 +100,13 @@
 }
 
 impl CoordinationDriver {
-    /// This process ends: the other gateways are notified.
+    /// Notifies the other gateways that this process shuts down.
     pub fn leave(&self) {
         let _ = self.output.peers.try_send(PeerLinksMessage::Leave);
     }
 
-    /// Creates a driver. `peers` sends messages to other gateways; `discovery` takes watch events that other gateways relay.
+    /// Creates a driver. Messages to other gateways go to `peers`, watch events that other gateways
+    /// relayed go to `discovery`.
     pub fn new(
         coordinator: Coordinator,
         peers: Sender<PeerLinksMessage>,
@@ -120,12 +122,12 @@
         }
     }
 
-    /// Takes the next action, in the order in which they were asked for.
+    /// Takes the next action, in the order of the requests.
     pub fn next_action(&mut self) -> Option<Action> {
         self.output.actions.pop_front()
     }
 
-    /// Whether an action waits to be taken.
+    /// Whether an action is queued.
     pub fn has_actions(&self) -> bool {
         !self.output.actions.is_empty()
     }
@@ -142,23 +144,24 @@
             .on_member_down(now, process, &mut self.output);
     }
 
-    /// Another gateway sent a message on its link.
+    /// A message from another gateway arrived on its link.
     pub fn on_message(&mut self, now: Nanos, from: MemberId, message: CoordinationMessage) {
         self.coordinator
             .on_message(now, from, message, &mut self.output);
     }
 
-    /// Another gateway sent a datagram.
+    /// A gossip datagram arrived.
     pub fn on_gossip(&mut self, now: Nanos, gossip: GossipMessage) {
         self.coordinator.on_gossip(now, gossip, &mut self.output);
     }
 
-    /// The endpoint list has changed: these engines, by the hashes of their ids, are ready.
+    /// The endpoint list has changed. `ready` holds the hashes of the ids of the ready engines.
     pub fn on_endpoints_updated(&mut self, ready: &[u64]) {
         self.coordinator.set_ready_engines(ready);
     }
 
-    /// A statement of this tenant arrived; the tenant's quota is so many statements a second in the whole fleet.
+    /// A statement of this tenant arrived. `quota_per_second` is the tenant's quota in the whole
+    /// fleet, in statements per second.
     pub fn on_statement_arrived(&mut self, tenant: usize, quota_per_second: f64) {
         let quota = QuotaIndex(FIRST_TENANT_QUOTA + tenant);
         let units = f64::from(self.coordinator.total_units(quota));
@@ -168,7 +171,7 @@
         }
     }
 
-    /// The teams' statements that run or wait here would use so many of all the cores.
+    /// Sets the demand of the teams' running and queued statements here, in `cores` of `all_cores`.
     pub fn set_core_demand(&mut self, now: Nanos, cores: f64, all_cores: f64) {
         let units = f64::from(self.coordinator.total_units(CORES_QUOTA));
         let fraction = (cores / all_cores.max(1.0)).min(1.0);
@@ -176,7 +179,8 @@
             .set_demand_level(now, CORES_QUOTA, units * fraction);
     }
 
-    /// An attempt at an engine has ended; `is_first_attempt` of its statement.
+    /// An attempt at an engine has ended. `is_first_attempt` is whether it was its statement's
+    /// first.
     pub fn on_attempt_ended(
         &mut self,
         now: Nanos,
@@ -189,7 +193,7 @@
         }
     }
 
-    /// The watch on the endpoint list delivered a line, with an event where it was a new one.
+    /// The endpoint watch delivered a line; `event` is set if the line contained a new event.
     pub fn on_watch_line_read(&mut self, now: Nanos, event: Option<WatchEventLine>) {
         match event {
             Some(event) => self
@@ -199,19 +203,19 @@
         }
     }
 
-    /// When [`Self::on_timer`] is to be called next.
+    /// When [`Self::on_timer`] must be called next.
     pub fn next_timer(&self) -> Nanos {
         self.coordinator.next_timer()
     }
 
-    /// To be called at [`Self::next_timer`]; does nothing before.
+    /// Handles the timer at [`Self::next_timer`]. Does nothing if it is called earlier.
     pub fn on_timer(&mut self, now: Nanos) {
         if self.coordinator.next_timer() <= now {
             self.coordinator.on_timer(now, &mut self.output);
         }
     }
 
-    /// This gateway's view of the fleet.
+    /// Returns this gateway's view of the fleet.
     pub fn view(&self, now: Nanos) -> CoordinationView {
         self.coordinator.view(now)
     }
--- a/crates/ivypitch-gateway/src/actors/queueing.rs
+++ b/crates/ivypitch-gateway/src/actors/queueing.rs
@@ -1,38 +1,39 @@
-//! Driver of `ivypitch_queueing`: passes events to it and queues what it asks the scheduler's actor to do. It decides
-//! nothing.
+//! Driver of `ivypitch_queueing`. It passes events to it and queues the actions that it requests
+//! from the scheduler's actor. The driver makes no decisions.
 //!
-//! Where the operators' file sets up teams, a statement waits here until its team's queue releases it to the scheduler.
+//! If the operators' configuration file defines teams, a statement waits in its team's queue until
+//! the queue releases it to the scheduler.
 
 use std::collections::VecDeque;
 
 use ivypitch_queueing::{Budgets, Output, QueueArrival, QueuedStatement, TeamQueues};
 use ivypitch_types::{Nanos, StatementIndex};
 
-/// `SHOW QUEUE` answers at most so many rows.
+/// Maximum number of rows in the answer to `SHOW QUEUE`.
 const MAX_QUEUE_ROWS: usize = 200;
 
-/// What the scheduler's actor is asked to do.
+/// An action that the queues request from the scheduler's actor.
 #[derive(Clone, Copy, Debug)]
 pub enum Action {
-    /// The statement goes on to the scheduler.
+    /// Passes the statement to the scheduler.
     Release {
         /// The statement.
         statement: StatementIndex,
-        /// Whether its team uses no more than its share.
+        /// Whether the statement's team is within its share.
         is_within_share: bool,
     },
-    /// The statement is rejected.
+    /// Rejects the statement.
     Reject {
         /// The statement.
         statement: StatementIndex,
-        /// How long its client should wait before it sends the statement again; 0 says nothing.
+        /// How long the client should wait before it retries the statement; 0 for no advice.
         retry_after: Nanos,
     },
 }
 
 struct QueueingOutput {
     actions: VecDeque<Action>,
-    /// Names of the teams.
+    /// Names of the tenants, which are the teams.
     tenants: Vec<String>,
 }
 
@@ -59,14 +60,15 @@
     }
 }
 
-/// Connects the teams' queues to the scheduler's actor.
+/// Connects the queues of the teams to the scheduler's actor.
 pub struct QueueingDriver {
     teams: TeamQueues,
     output: QueueingOutput,
 }
 
 impl QueueingDriver {
-    /// Creates the queues with these budgets. `tenants` are the names of the settings' tenants, for log lines.
+    /// Creates the queues with these budgets. `tenants` are the names of the tenants in the
+    /// settings, for log lines.
     pub fn new(budgets: Budgets, tenants: Vec<String>, seed: u64, now: Nanos) -> QueueingDriver {
         QueueingDriver {
             teams: TeamQueues::new(budgets, seed, now),
@@ -77,12 +79,13 @@
         }
     }
 
-    /// Cores that the teams' statements would use now: threads of those that run and of those that wait.
-    pub fn cores_wanted(&self) -> f64 {
+    /// Returns the cores that the teams' statements could use now: the threads of running and
+    /// queued statements.
+    pub fn core_demand(&self) -> f64 {
         self.teams.released_threads() + self.teams.queued_threads()
     }
 
-    /// Takes the next action, in the order in which they were asked for.
+    /// Takes the next action, in the order of the requests.
     pub fn next_action(&mut self) -> Option<Action> {
         self.output.actions.pop_front()
     }
@@ -98,12 +101,13 @@
             .on_statement_arrived(now, statement, arrival, &mut self.output);
     }
 
-    /// Takes a statement off its queue. False if it does not wait in one.
+    /// Removes a statement from its queue. Returns false if it is in no queue.
     pub fn remove(&mut self, now: Nanos, statement: StatementIndex) -> bool {
         self.teams.remove(now, statement, &mut self.output)
     }
 
-    /// A statement that was released has ended: the work of its attempts, and how long its successful one took.
+    /// A released statement has ended. `work` is the work of its attempts, `run_time` the duration
+    /// of the successful one.
     pub fn on_statement_ended(
         &mut self,
         now: Nanos,
@@ -115,49 +119,49 @@
             .on_statement_ended(now, statement, work, run_time, &mut self.output);
     }
 
-    /// The cores that this gateway's statements may use have changed.
+    /// Sets the number of cores that this gateway's statements may use.
     pub fn set_capacity(&mut self, now: Nanos, cores: f64) {
         self.teams.set_capacity(now, cores, &mut self.output);
     }
 
-    /// The operators' file sets new budgets.
+    /// Applies the new budgets of a reloaded configuration.
     pub fn reload(&mut self, now: Nanos, budgets: Budgets) {
         self.teams.reload(now, budgets, &mut self.output);
     }
 
-    /// The gateway shuts down; every statement is to be answered by then.
+    /// The gateway is shutting down; every statement must be answered by `answer_by`.
     pub fn on_shutdown(&mut self, now: Nanos, answer_by: Nanos) {
         self.teams.on_shutdown(now, answer_by, &mut self.output);
     }
 
-    /// When [`Self::on_timer`] is to be called next; `None` for never.
+    /// When [`Self::on_timer`] must be called next; `None` for never.
     pub fn next_timer(&self) -> Option<Nanos> {
         self.teams.next_timer()
     }
 
-    /// To be called at [`Self::next_timer`]; does nothing before.
+    /// Handles the timer at [`Self::next_timer`]. Does nothing if it is called earlier.
     pub fn on_timer(&mut self, now: Nanos) {
         if self.next_timer().is_some_and(|at| at <= now) {
             self.teams.on_timer(now, &mut self.output);
         }
     }
 
-    /// Whether a statement waits in a queue.
+    /// Whether a statement is in a queue.
     pub fn is_queued(&self, statement: StatementIndex) -> bool {
         self.teams.is_queued(statement)
     }
 
-    /// The statements that wait, up to a bound.
+    /// Returns the queued statements, up to [`MAX_QUEUE_ROWS`].
     pub fn rows(&self, now: Nanos) -> Vec<QueuedStatement> {
         self.teams.queued_statements(now, MAX_QUEUE_ROWS)
     }
 
-    /// The place of one statement that waits.
+    /// Returns the position of a queued statement.
     pub fn row(&self, now: Nanos, statement: StatementIndex) -> Option<QueuedStatement> {
         self.teams.queued_statement(now, statement)
     }
 
-    /// Logs how good the estimates of waiting times were that clients got with rejections.
+    /// Logs the accuracy of the wait estimates that clients received.
     pub fn log_totals(&self) {
         let record = self.teams.wait_statistics();
         let median = record.errors_percent.value_at_quantile(0.5);
--- a/crates/ivypitch-gateway/src/actors/scheduler/context.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/context.rs
@@ -1,4 +1,5 @@
-//! Everything that the scheduler acts on: statements, engines, timers, and what attempts need.
+//! The state that the scheduler's output acts on: statements, engines, timers, and the parameters
+//! of attempts.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -11,7 +12,7 @@
 use ivypitch_types::{Nanos, StatementIndex};
 
 use super::SchedulerActorParams;
-use super::endpoints::{EngineSpawner, EngineTable};
+use super::endpoints::{EngineActorSpawner, EngineTable};
 use super::timers::Timers;
 use crate::actors::attempt::SendGate;
 use crate::actors::coordination::CoordinationDriver;
@@ -20,67 +21,70 @@
 use crate::lifecycle::clock::Clock;
 use crate::state::statements::StatementTable;
 
-/// Used where the settings state none.
+/// Used if the settings do not set a connect timeout.
 const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// The scheduler's [`Output`](ivypitch_scheduler::Output): what it asks for happens here.
+/// Implements the scheduler's [`Output`](ivypitch_scheduler::Output).
 pub(super) struct Context {
     pub(super) clock: Clock,
-    /// Time of the event that is being handled.
+    /// Time of the current event.
     pub(super) now: Nanos,
     pub(super) statements: StatementTable,
     pub(super) timers: Timers,
     pub(super) engines: EngineTable,
     pub(super) attempts: AttemptParams,
     pub(super) names: Names,
-    /// By the workloads' index in the settings.
+    /// Workloads by their index in the settings.
     pub(super) workloads: Vec<WorkloadParams>,
     pub(super) quotas: FleetQuotas,
-    /// How long after its deadline the scheduler may answer a statement.
+    /// How long after a statement's deadline the scheduler may still answer it.
     pub(super) answer_grace: Nanos,
-    /// While the gateway shuts down, everything has to be answered by then.
+    /// Deadline for all answers during a shutdown.
     pub(super) answer_by: Nanos,
-    /// Other gateways go on with what could not end here.
+    /// Whether the statements that could not end here have been handed off to other gateways.
     pub(super) has_handed_off: bool,
     pub(super) ownership: Option<OwnershipDriver>,
     pub(super) coordination: Option<CoordinationDriver>,
-    /// Statements that the scheduler has forgotten and the teams' queues have not been told of; `None` without queues.
+    /// Statements that the scheduler has released and that are still to be reported to the teams'
+    /// queues; `None` without queues.
     pub(super) ended_statements: Option<Vec<EndedStatement>>,
 }
 
-/// What attempts have in common.
+/// Parameters that all attempts share.
 pub(super) struct AttemptParams {
     pub(super) report_fields: Rc<Vec<String>>,
     pub(super) scheduler: Sender<SchedulerMessage>,
     pub(super) gate: SendGate,
 }
 
-/// A workload's settings.
+/// Settings of a workload.
 pub(super) struct WorkloadParams {
-    /// Threads of a statement, at least 1.
+    /// Number of threads of a statement, at least 1.
     pub(super) threads: f64,
     pub(super) is_idempotent: bool,
 }
 
-/// Quotas that gateways share.
+/// Quotas that are divided among the gateways.
 pub(super) struct FleetQuotas {
-    /// The part of all cores that this gateway may use: an even one, or what coordination gave it.
-    pub(super) cores_fraction: f64,
-    /// Statements per second of each tenant in the whole fleet.
+    /// This gateway's share of the cores of all engines: an equal share, or the one that
+    /// coordination assigned.
+    pub(super) cores_share: f64,
+    /// Each tenant's quota in the whole fleet, in statements per second.
     pub(super) tenants_per_second: Vec<f64>,
 }
 
-/// A statement that the scheduler has forgotten.
+/// A statement that the scheduler has released.
 pub(super) struct EndedStatement {
     pub(super) statement: StatementIndex,
-    /// Work of its attempts that may have run.
+    /// Total work of the attempts that may have run.
     pub(super) work: Option<Nanos>,
-    /// How long its successful attempt took.
+    /// Duration of the successful attempt.
     pub(super) run_time: Option<Nanos>,
 }
 
 impl Context {
-    /// Creates a context without engines and statements. Attempts ask `scheduler` before their first byte leaves.
+    /// Creates a context without engines and statements. Attempts ask `scheduler` for confirmation
+    /// before they send their first byte.
     pub(super) fn new(
         params: SchedulerActorParams,
         scheduler: &Rc<RefCell<Scheduler>>,
@@ -106,7 +110,7 @@
         }
     }
 
-    /// Whether ownership or coordination asks for something.
+    /// Whether ownership or coordination has queued actions.
     pub(super) fn has_actions(&self) -> bool {
         let ownership = self.ownership.as_ref();
         let coordination = self.coordination.as_ref();
@@ -137,7 +141,7 @@
         stated => Duration::from_nanos(stated),
     };
     let gateways = deployment.gateways.max(1);
-    let spawner = EngineSpawner {
+    let spawner = EngineActorSpawner {
         connect_timeout,
         pool: PoolParams::new(gateways, limits.idle_close),
         clock: params.clock,
@@ -167,7 +171,7 @@
 
 fn fleet_quotas(deployment: &Deployment) -> FleetQuotas {
     FleetQuotas {
-        cores_fraction: 1.0 / deployment.gateways.max(1) as f64,
+        cores_share: 1.0 / deployment.gateways.max(1) as f64,
         tenants_per_second: deployment
             .tenants
             .iter()
--- a/crates/ivypitch-gateway/src/actors/scheduler/coordination.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/coordination.rs
@@ -1,4 +1,5 @@
-//! What gateways share among each other: quotas, the health of engines, and the view that `SHOW FLEET` answers.
+//! Coordination among gateways: shared quotas, the health of engines, and the view that `SHOW
+//! FLEET` returns.
 
 use ivypitch_coordination::CoordinationView;
 
@@ -8,7 +9,7 @@
 use crate::actors::peer_links::PeerEvent;
 use crate::state::traffic::Traffic;
 
-/// The JSON that `SHOW FLEET` answers.
+/// The JSON that `SHOW FLEET` returns.
 #[derive(serde::Serialize)]
 struct FleetView<'a> {
     #[serde(flatten)]
@@ -17,7 +18,7 @@
 }
 
 impl SchedulerActor {
-    /// Another gateway sent a message, or its membership has changed.
+    /// A message from another gateway arrived, or the membership changed.
     pub(super) fn on_peer_event(&mut self, event: PeerEvent) {
         let context = &mut self.context;
         let now = context.now;
@@ -45,7 +46,7 @@
         }
     }
 
-    /// The watch on the endpoint list delivered a line.
+    /// The endpoint watch delivered a line.
     pub(super) fn on_watch_line_read(&mut self, event: Option<WatchEventLine>) {
         let context = &mut self.context;
         if let Some(coordination) = &mut context.coordination {
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Calls coordination if it is time, with the cores that the teams' statements would use now.
+    /// Updates the demand for cores and handles coordination's timer.
     pub(super) fn on_coordination_timer(&mut self) {
         let context = &mut self.context;
         let Some(coordination) = &mut context.coordination else {
@@ -62,14 +63,14 @@
         if let Some(queueing) = &self.queueing {
             coordination.set_core_demand(
                 context.now,
-                queueing.cores_wanted(),
+                queueing.core_demand(),
                 context.engines.total_cores(),
             );
         }
         coordination.on_timer(context.now);
     }
 
-    /// Does what coordination asks for, until nothing is left.
+    /// Applies the actions of coordination until none is left.
     pub(super) fn apply_coordination_actions(&mut self) {
         let context = &mut self.context;
         while let Some(action) = context
@@ -78,17 +79,16 @@
             .and_then(CoordinationDriver::next_action)
         {
             match action {
-                Action::SetCoreQuota { fraction } => {
-                    context.quotas.cores_fraction = fraction;
+                Action::SetCoreQuotaShare { share } => {
+                    context.quotas.cores_share = share;
                     if let Some(queueing) = &mut self.queueing {
-                        let cores = context.engines.total_cores() * fraction;
+                        let cores = context.engines.total_cores() * share;
                         queueing.set_capacity(context.now, cores);
                     }
                 }
-                Action::SetTenantQuota { tenant, fraction } => self
-                    .scheduler
-                    .borrow_mut()
-                    .set_quota_share(tenant, fraction),
+                Action::SetTenantQuotaShare { tenant, share } => {
+                    self.scheduler.borrow_mut().set_quota_share(tenant, share)
+                }
                 Action::SetOutlierStatus {
                     engine_hash,
                     status,
@@ -103,7 +103,7 @@
         }
     }
 
-    /// The view that `SHOW FLEET` answers; empty without coordination.
+    /// Returns the view for `SHOW FLEET`; empty without coordination.
     pub(super) fn fleet_view(&self) -> String {
         let Some(coordination) = &self.context.coordination else {
             return String::new();
--- a/crates/ivypitch-gateway/src/actors/scheduler/endpoints.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: indices of engines, and one actor for each engine that is listed.
+//! The endpoint list: the indices of engines, and one actor for each listed engine.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -21,13 +21,13 @@
 use crate::state::traffic::Traffic;
 use crate::wire::discovery::{Endpoint, EndpointUpdate};
 
-/// Zone or kind of an engine whose name is not in the settings.
-const UNKNOWN_NAME: u16 = u16::MAX;
-/// Cores of an engine whose kind is not in the settings.
+/// Index of a zone or kind whose name is not in the settings.
+const UNKNOWN_NAME_INDEX: u16 = u16::MAX;
+/// Number of cores assumed for an engine whose kind is not in the settings.
 const UNKNOWN_KIND_CORES: f64 = 1.0;
 
-/// What the actors of engines have in common.
-pub(super) struct EngineSpawner {
+/// Starts the actors of engines, with the parameters that they share.
+pub(super) struct EngineActorSpawner {
     pub(super) connect_timeout: Duration,
     pub(super) pool: PoolParams,
     pub(super) clock: Clock,
@@ -37,7 +37,7 @@
     pub(super) executor: Rc<LocalExecutor<'static>>,
 }
 
-impl EngineSpawner {
+impl EngineActorSpawner {
     fn spawn(&self, address: SocketAddr) -> EngineHandle {
         let client = EngineClient::new(EngineClientParams {
             address,
@@ -56,35 +56,35 @@
     }
 }
 
-/// The actor of an engine, which ends as its handle is dropped.
+/// Handle of an engine's actor, which ends when the handle is dropped.
 struct EngineHandle {
     address: SocketAddr,
     mailbox: Sender<EngineMessage>,
 }
 
-/// What is known of the engine at one index.
+/// The engine at one index.
 #[derive(Default)]
 struct EngineEntry {
     id_hash: u64,
     is_ready: bool,
-    /// While it is ready.
+    /// Number of cores while the engine is ready, else 0.
     cores: f64,
-    /// While it is listed.
+    /// The engine's actor while the engine is listed.
     handle: Option<EngineHandle>,
 }
 
-/// The engines that are listed, or that are still referenced, by index.
+/// The engines that are listed or still referenced, by index.
 pub(super) struct EngineTable {
     ids: EngineIds,
     entries: Vec<EngineEntry>,
     names: Names,
-    /// By the kinds' index in the settings.
+    /// Number of cores of each engine kind, by the kind's index in the settings.
     cores_by_kind: Vec<f64>,
-    spawner: EngineSpawner,
+    spawner: EngineActorSpawner,
 }
 
 impl EngineTable {
-    pub(super) fn new(names: Names, cores_by_kind: Vec<f64>, spawner: EngineSpawner) -> Self {
+    pub(super) fn new(names: Names, cores_by_kind: Vec<f64>, spawner: EngineActorSpawner) -> Self {
         EngineTable {
             ids: EngineIds::default(),
             entries: Vec::new(),
@@ -94,18 +94,18 @@
         }
     }
 
-    /// The mailbox of an engine's actor; `None` if the engine is not listed.
+    /// Returns the mailbox of an engine's actor; `None` if the engine is not listed.
     pub(super) fn mailbox(&self, engine: EngineIndex) -> Option<&Sender<EngineMessage>> {
         let handle = self.entries.get(engine.0)?.handle.as_ref()?;
         Some(&handle.mailbox)
     }
 
-    /// Hash of an engine's id.
+    /// Returns the hash of an engine's id.
     pub(super) fn id_hash(&self, engine: EngineIndex) -> Option<u64> {
         self.entries.get(engine.0).map(|entry| entry.id_hash)
     }
 
-    /// The engine with this hash of its id.
+    /// Finds the engine with this hash of its id.
     pub(super) fn find_by_hash(&self, id_hash: u64) -> Option<EngineIndex> {
         self.entries
             .iter()
@@ -113,18 +113,18 @@
             .map(EngineIndex)
     }
 
-    /// The engine with this hash of its id, while it is listed.
+    /// Finds the listed engine with this hash of its id.
     pub(super) fn find_listed(&self, id_hash: u64) -> Option<EngineIndex> {
         self.find_by_hash(id_hash)
             .filter(|&engine| self.mailbox(engine).is_some())
     }
 
-    /// Cores of all ready engines.
+    /// Returns the cores of all ready engines.
     pub(super) fn total_cores(&self) -> f64 {
         self.entries.iter().map(|entry| entry.cores).sum()
     }
 
-    /// Hashes of the ready engines' ids.
+    /// Returns the hashes of the ids of all ready engines.
     pub(super) fn ready_hashes(&self) -> Vec<u64> {
         self.entries
             .iter()
@@ -144,7 +144,8 @@
         });
     }
 
-    /// Enters one endpoint and starts, moves or ends its engine's actor. `None` if its address is malformed.
+    /// Applies one endpoint: starts, updates or ends its engine's actor. Returns `None` if its
+    /// address is malformed.
     fn update_endpoint(&mut self, endpoint: &Endpoint) -> Option<EngineEndpoint> {
         let engine = self.ids.index_of(&endpoint.id);
         if self.entries.len() <= engine.0 {
@@ -177,7 +178,7 @@
         })
     }
 
-    /// Starts the actor of an engine, or tells it of a new address.
+    /// Starts the actor of an engine, or sends it the new address.
     fn connect(&mut self, engine: EngineIndex, id: &str, address: SocketAddr) {
         let slot = &mut self.entries[engine.0].handle;
         match slot {
@@ -196,7 +197,7 @@
         }
     }
 
-    /// Ends the actors of engines that a complete list lacks.
+    /// Ends the actors of engines that are missing from a complete list.
     fn remove_unlisted(&mut self, listed: &[EngineEndpoint]) {
         for (index, entry) in self.entries.iter_mut().enumerate() {
             if listed.iter().all(|endpoint| endpoint.engine.0 != index) {
@@ -205,7 +206,7 @@
         }
     }
 
-    /// Sets the cores of the listed engines; a complete list sets those of all.
+    /// Updates the cores of the listed engines. With a complete list, all other engines have none.
     fn update_cores(&mut self, kind: EndpointUpdateKind, listed: &[EngineEndpoint]) {
         if kind != EndpointUpdateKind::Delta {
             for entry in &mut self.entries {
@@ -224,7 +225,8 @@
         }
     }
 
-    /// Sets whether the listed engines are ready; engines that a complete list lacks are not.
+    /// Updates whether the listed engines are ready. Engines that are missing from a complete list
+    /// are not.
     fn update_readiness(&mut self, kind: EndpointUpdateKind, listed: &[EngineEndpoint]) {
         for endpoint in listed {
             self.entries[endpoint.engine.0].is_ready = endpoint.state == EngineState::Ready;
@@ -252,11 +254,11 @@
     names
         .iter()
         .position(|known| known == name)
-        .map_or(UNKNOWN_NAME, |index| index as u16)
+        .map_or(UNKNOWN_NAME_INDEX, |index| index as u16)
 }
 
 impl SchedulerActor {
-    /// The endpoint list has changed, as the watch on it says.
+    /// The endpoint watch delivered a change of the endpoint list.
     pub(super) fn on_endpoints_updated(&mut self, update: &EndpointUpdate) {
         let kind = if update.is_full {
             EndpointUpdateKind::Full
@@ -266,7 +268,8 @@
         self.apply_endpoints(update, kind);
     }
 
-    /// Applies an update to the engines' actors first, then to the scheduler, the queues and coordination.
+    /// Applies an update to the actors of engines first, then to the scheduler, the queues and
+    /// coordination.
     pub(super) fn apply_endpoints(&mut self, update: &EndpointUpdate, kind: EndpointUpdateKind) {
         let context = &mut self.context;
         let listed: Vec<EngineEndpoint> = update
@@ -283,7 +286,7 @@
         context.engines.update_cores(kind, &listed);
         context.engines.update_readiness(kind, &listed);
         if let Some(queueing) = &mut self.queueing {
-            let cores = context.engines.total_cores() * context.quotas.cores_fraction;
+            let cores = context.engines.total_cores() * context.quotas.cores_share;
             queueing.set_capacity(context.now, cores);
         }
         if let Some(coordination) = &mut context.coordination {
