--- a/crates/ivypitch-gateway/src/actors/ownership.rs
+++ b/crates/ivypitch-gateway/src/actors/ownership.rs
@@ -1,6 +1,6 @@
-//! Driver of `ivypitch_ownership`: passes events to it, sends its messages, and queues what it asks the scheduler's
-//! actor to do. It holds the attempts that wait for a grant and the clients that wait for another gateway's answer, and
-//! decides nothing.
+//! Driver of `ivypitch_ownership`. It passes events to it, sends its messages, and queues the
+//! actions that it requests from the scheduler's actor. It also stores the attempts that wait for a
+//! grant and the clients that wait for another gateway's answer. The driver makes no decisions.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -18,52 +18,52 @@
 use super::peer_links::{PeerEvent, PeerLinksMessage};
 use crate::state::rows::Rows;
 
-/// What the scheduler's actor is asked to do.
+/// An action that ownership requests from the scheduler's actor.
 #[derive(Debug)]
 pub enum Action {
-    /// A quorum granted the attempt: it may start.
+    /// Starts an attempt that a quorum granted.
     StartAttempt {
         /// The statement.
         id: StatementId,
         /// Number of the attempt.
         attempt: u32,
     },
-    /// The attempt must not start.
+    /// Ends an attempt that must not start.
     DenyAttempt {
         /// The statement.
         id: StatementId,
         /// Number of the attempt.
         attempt: u32,
-        /// Why.
+        /// Why the grant was denied.
         denial: GrantDenial,
     },
-    /// No other gateway knows the statement: it goes on as a new one.
+    /// Processes the statement as a new one, since no other gateway knows it.
     Proceed {
         /// The statement.
         id: StatementId,
     },
-    /// This gateway acts for another's statement from now on.
+    /// Takes over a statement from another gateway.
     TakeOver(Takeover),
-    /// A client that waits here gets its answer.
+    /// Answers a client that waits here.
     Answer {
-        /// The client, by the token that it waits under.
+        /// Token of the waiting client.
         waiter_token: u64,
-        /// Its answer.
+        /// The answer.
         answer: FinalAnswer,
     },
 }
 
-/// A statement that another gateway has acted for until now.
+/// A statement that another gateway owned until now.
 #[derive(Debug)]
 pub struct Takeover {
     /// The statement.
     pub id: StatementId,
-    /// The statement and its fields, as its client sent them.
+    /// Text of the statement with its fields, as its client sent them.
     pub text: Vec<u8>,
-    /// What is left of its timeout.
+    /// Remaining time until the statement's deadline.
     pub remaining: Nanos,
-    /// Hash of the id of the engine where an attempt may be running: that one is polled and nothing is started.
-    /// `None` starts the statement.
+    /// Hash of the id of the engine where an attempt may be running. That engine is polled and no
+    /// attempt is started. With `None` the statement is started.
     pub engine_hash: Option<u64>,
 }
 
@@ -122,29 +122,29 @@
     }
 }
 
-/// A client whose statement the scheduler does not have.
+/// A client that waits for an answer without a statement in the scheduler.
 pub struct WaitingClient {
-    /// Its statement.
+    /// The client's statement.
     pub id: StatementId,
-    /// Its connection.
+    /// The client's connection.
     pub connection: u32,
-    /// When its statement's timeout ends.
+    /// The statement's deadline.
     pub deadline: Nanos,
-    /// Where its answer goes.
+    /// Receives the answer.
     pub client: ClientHandle,
-    /// The statement, while it may still proceed here.
+    /// The statement, while it may still be processed here.
     pub pending_statement: Option<PendingStatement>,
 }
 
-/// A statement that other gateways are asked about.
+/// A statement that is being looked up at other gateways.
 pub struct PendingStatement {
-    /// What the client sent.
+    /// The statement as the client sent it.
     pub statement: ClientStatement,
-    /// Whether it may start here if no gateway knows it.
+    /// Whether the statement may start here if no gateway knows it.
     pub start: StartPermission,
 }
 
-/// A client to be answered whose statement the scheduler still had.
+/// An answer that arrived for a client while its statement was still in the scheduler.
 struct UnclaimedAnswer {
     token: u64,
     answer: FinalAnswer,
@@ -154,19 +154,21 @@
 pub struct OwnershipDriver {
     ownership: Ownership,
     output: OwnershipOutput,
-    /// By token. A client leaves with its answer, as it disconnects, or at its deadline.
+    /// Waiting clients by token. A client is removed when it is answered, when it disconnects, or
+    /// at its deadline.
     waiting_clients: BTreeMap<u64, WaitingClient>,
-    /// An attempt leaves as it is granted, denied or over.
+    /// Attempts that wait for a grant. An attempt is removed when it is granted or denied or has
+    /// ended.
     pending_attempts: BTreeMap<StatementId, Attempt>,
-    /// Emptied once no action is left.
+    /// Answers whose client has not been moved here yet. Cleared when no action is left.
     unclaimed_answers: Vec<UnclaimedAnswer>,
     last_token: u64,
     min_lookup_work: Nanos,
 }
 
 impl OwnershipDriver {
-    /// Creates a driver. `peers` sends messages to other gateways. A statement with at least `min_lookup_work` is looked up at the other
-    /// gateways before it starts.
+    /// Creates a driver. Messages to other gateways go to `peers`. A statement with at least
+    /// `min_lookup_work` estimated work is looked up at the other gateways before it starts.
     pub fn new(
         ownership: Ownership,
         peers: Sender<PeerLinksMessage>,
@@ -186,17 +188,17 @@
         }
     }
 
-    /// Takes the next action, in the order in which they were asked for.
+    /// Takes the next action, in the order of the requests.
     pub fn next_action(&mut self) -> Option<Action> {
         self.output.actions.pop_front()
     }
 
-    /// Whether an action waits to be taken.
+    /// Whether an action is queued.
     pub fn has_actions(&self) -> bool {
         !self.output.actions.is_empty()
     }
 
-    /// Queues a denial behind the actions that wait already.
+    /// Queues a denial after the actions that are already queued.
     pub fn defer_denial(&mut self, id: StatementId, attempt: u32, denial: GrantDenial) {
         self.output.actions.push_back(Action::DenyAttempt {
             id,
@@ -205,14 +207,15 @@
         });
     }
 
-    /// A token under which a client may wait.
+    /// Returns a new token for a waiting client.
     pub fn new_token(&mut self) -> u64 {
         self.last_token += 1;
         self.last_token
     }
 
-    /// Whether a statement of this much estimated work is worth asking the others first. One that is to be rejected is:
-    /// its client is told that it did not run.
+    /// Whether a statement of this estimated work is looked up at the other gateways first. A
+    /// statement that will be rejected always is, since a rejection tells the client that it did
+    /// not run.
     pub fn is_worth_lookup(&self, estimated_work: Nanos, start: StartPermission) -> bool {
         start == StartPermission::ShuttingDown || estimated_work >= self.min_lookup_work
     }
@@ -222,7 +225,7 @@
         self.ownership.on_arrival(now, arrival, &mut self.output)
     }
 
-    /// Asks whether an attempt may start at the engine with this hash.
+    /// Requests a grant for an attempt at the engine with this hash of its id.
     pub fn request_attempt_grant(
         &mut self,
         now: Nanos,
@@ -234,63 +237,65 @@
             .request_attempt(now, id, attempt, engine_hash, &mut self.output)
     }
 
-    /// Keeps an attempt until it is granted or denied.
-    pub fn await_grant(&mut self, id: StatementId, attempt: Attempt) {
+    /// Stores an attempt until it is granted or denied.
+    pub fn add_pending_attempt(&mut self, id: StatementId, attempt: Attempt) {
         self.pending_attempts.insert(id, attempt);
     }
 
-    /// Takes the statement's attempt, which does not wait for a grant any more; `None` if it is not this one.
+    /// Removes the statement's attempt, which no longer waits for a grant. Returns `None` if its
+    /// number is another.
     pub fn take_pending_attempt(&mut self, id: StatementId, attempt: u32) -> Option<Attempt> {
         self.pending_attempts
             .remove(&id)
             .filter(|pending| pending.key.number == attempt)
     }
 
-    /// Drops the statement's attempt if one waits for a grant.
+    /// Drops the statement's attempt that waits for a grant, if there is one.
     pub fn drop_pending_attempt(&mut self, id: StatementId) {
         self.pending_attempts.remove(&id);
     }
 
-    /// An attempt is over; `never_ran` if that is proven.
+    /// An attempt has ended. `never_ran` is true if this is proven.
     pub fn on_attempt_ended(&mut self, now: Nanos, id: StatementId, attempt: u32, never_ran: bool) {
         self.pending_attempts.remove(&id);
         self.ownership.on_attempt_ended(now, id, attempt, never_ran);
     }
 
-    /// The statement has its answer. `Some`: its client is answered later, under this token.
+    /// The statement has its answer. Returns the token for the client if it is to be answered
+    /// later.
     pub fn on_answered(&mut self, now: Nanos, id: StatementId, answer: &Answer) -> Option<u64> {
         self.ownership
-            .on_answered(now, id, final_answer(answer), &mut self.output)
+            .on_answered(now, id, to_final_answer(answer), &mut self.output)
     }
 
-    /// This gateway does not know the engine of a statement that it was to take over.
+    /// This gateway does not know the engine of a statement that it was asked to take over.
     pub fn on_engine_unknown(&mut self, now: Nanos, id: StatementId) {
         self.ownership.on_engine_unknown(now, id, &mut self.output);
     }
 
-    /// Whether the statement goes on though its client has disconnected.
+    /// Whether the statement continues after its client has disconnected.
     pub fn continues_without_client(&self, id: StatementId) -> bool {
         self.ownership.continues_without_client(id)
     }
 
-    /// Keeps a client until its answer comes.
+    /// Stores a client until its answer arrives.
     pub fn add_waiting_client(&mut self, token: u64, waiting: WaitingClient) {
         self.waiting_clients.insert(token, waiting);
     }
 
-    /// Takes a client to answer it.
+    /// Removes a client so that it can be answered.
     pub fn take_waiting_client(&mut self, token: u64) -> Option<WaitingClient> {
         self.waiting_clients.remove(&token)
     }
 
-    /// Keeps the answer to a client whose statement the scheduler has until an action that is still to come takes it off
-    /// there.
-    pub fn keep_unclaimed_answer(&mut self, token: u64, answer: FinalAnswer) {
+    /// Stores the answer to a client whose statement is still in the scheduler. An action that is
+    /// still queued moves the client out of the scheduler.
+    pub fn add_unclaimed_answer(&mut self, token: u64, answer: FinalAnswer) {
         self.unclaimed_answers
             .push(UnclaimedAnswer { token, answer });
     }
 
-    /// Takes the answer that was kept for a client.
+    /// Removes the answer that was stored for a client.
     pub fn take_unclaimed_answer(&mut self, token: u64) -> Option<FinalAnswer> {
         let index = self
             .unclaimed_answers
@@ -299,12 +304,12 @@
         Some(self.unclaimed_answers.swap_remove(index).answer)
     }
 
-    /// No action is left: answers that were kept are for clients that have gone.
+    /// Drops the stored answers when no action is left: their clients have disconnected.
     pub fn drop_unclaimed_answers(&mut self) {
         self.unclaimed_answers.clear();
     }
 
-    /// Takes the first client whose statement may still proceed here, with its token.
+    /// Removes the first client whose statement may still be processed here, with its token.
     pub fn take_client_to_proceed(&mut self, id: StatementId) -> Option<(u64, WaitingClient)> {
         let (&token, _) = self
             .waiting_clients
@@ -314,7 +319,7 @@
         Some((token, waiting))
     }
 
-    /// The client of this connection waits no longer. Returns it if it waited here.
+    /// The client of this connection no longer waits. Removes and returns it if it waited here.
     pub fn on_client_disconnected(&mut self, connection: u32) -> Option<WaitingClient> {
         let (&token, _) = self
             .waiting_clients
@@ -344,7 +349,7 @@
         Some(waiting)
     }
 
-    /// Another gateway sent a message, or its membership has changed.
+    /// A message from another gateway arrived, or the membership changed.
     pub fn on_peer_event(&mut self, now: Nanos, event: &PeerEvent) {
         match event {
             PeerEvent::Ownership { from, message, .. } => {
@@ -363,13 +368,13 @@
         }
     }
 
-    /// Another gateway sent a message.
+    /// A message from another gateway arrived.
     pub fn on_message(&mut self, now: Nanos, from: MemberId, message: Message) {
         self.ownership
             .on_message(now, from, message, &mut self.output);
     }
 
-    /// When [`Self::on_timer`] is to be called next; `Nanos::MAX` for never.
+    /// When [`Self::on_timer`] must be called next; `Nanos::MAX` for never.
     pub fn next_timer(&self) -> Nanos {
         let next_deadline = self
             .waiting_clients
@@ -380,24 +385,25 @@
         self.ownership.next_timer().min(next_deadline)
     }
 
-    /// To be called at [`Self::next_timer`]; does nothing before.
+    /// Handles the timer at [`Self::next_timer`]. Does nothing if it is called earlier.
     pub fn on_timer(&mut self, now: Nanos) {
         if self.ownership.next_timer() <= now {
             self.ownership.on_timer(now, &mut self.output);
         }
     }
 
-    /// The gateway shuts down soon. Returns the statements that other gateways are to go on with.
+    /// Begins the handoff before the shutdown. Returns the statements that other gateways take
+    /// over.
     pub fn hand_off(&mut self, now: Nanos) -> Vec<StatementId> {
         self.ownership.hand_off(now, &mut self.output)
     }
 
-    /// This process ends: the other gateways are notified, behind all that was sent before.
+    /// Notifies the other gateways that this process shuts down, after all earlier messages.
     pub fn leave(&self) {
         let _ = self.output.peers.try_send(PeerLinksMessage::Leave);
     }
 
-    /// Logs what ownership has done since the process started.
+    /// Logs the counters of ownership since the process started.
     pub fn log_totals(&self) {
         let counters = self.ownership.counters();
         log::info!(
@@ -409,8 +415,8 @@
     }
 }
 
-/// An answer as other gateways are told it.
-fn final_answer(answer: &Answer) -> FinalAnswer {
+/// Converts an answer to the form that is sent to other gateways.
+fn to_final_answer(answer: &Answer) -> FinalAnswer {
     match answer {
         Answer::Completed(rows) => FinalAnswer::Rows(
             rows.clone()
@@ -427,8 +433,8 @@
     }
 }
 
-/// Another gateway's answer as a client gets it.
-pub fn client_answer(answer: FinalAnswer) -> Answer {
+/// Converts another gateway's answer to the answer for a client.
+pub fn to_client_answer(answer: FinalAnswer) -> Answer {
     match answer {
         FinalAnswer::Rows(pages) => {
             let mut rows = Rows::default();
--- a/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
@@ -1,9 +1,11 @@
-//! The scheduler's actor: it alone owns the scheduler, tells it what happens and does what it asks for. It keeps the open
-//! statements and all timers, and never waits for a peer.
+//! The scheduler's actor. It is the only owner of the scheduler, passes events to it and carries
+//! out its output. It stores the open statements and all timers, and never waits for another
+//! gateway.
 //!
-//! A statement meets what decides on it in this order: ownership, where gateways talk to each other; its team's queue,
-//! where the operators' file sets up teams; the scheduler. Each is told of one event, and then
-//! `SchedulerActor::apply_actions` does what all of them ask for until nothing is left.
+//! A statement passes these stages in order: ownership, if several gateways run together; its
+//! team's queue, if the operators' configuration file defines teams; the scheduler. The actor
+//! passes them one event at a time, and then `SchedulerActor::apply_actions` carries out their
+//! actions until none is left.
 
 mod context;
 mod coordination;
@@ -39,26 +41,27 @@
 use crate::state::traffic::Traffic;
 use crate::wire::discovery::Snapshot;
 
-/// So long before the shutdown ends other gateways take over: time for a takeover, a poll at the engine and its answer.
-const HAND_OFF_BEFORE_END: Nanos = 400 * MILLISECOND;
-/// How many messages are taken before the timers are looked at again.
+/// How long before the end of the shutdown statements are handed off: time for a takeover, a poll
+/// at the engine and the answer.
+const HANDOFF_LEAD_TIME: Nanos = 400 * MILLISECOND;
+/// Maximum number of messages handled before timers are checked again.
 const MAX_MESSAGES_PER_TURN: usize = 256;
 
-/// What a [`SchedulerActor`] is made of.
+/// Parameters of a [`SchedulerActor`].
 pub struct SchedulerActorParams {
-    /// The settings.
+    /// The deployment's settings.
     pub deployment: DeploymentConfig,
-    /// Budgets of the teams; `None` without queues.
+    /// Budgets of the teams; `None` without team queues.
     pub budgets: Option<Budgets>,
-    /// `None` without ownership among gateways.
+    /// The ownership driver; `None` without ownership among gateways.
     pub ownership: Option<OwnershipDriver>,
-    /// `None` without coordination among gateways.
+    /// The coordination driver; `None` without coordination among gateways.
     pub coordination: Option<CoordinationDriver>,
-    /// Bounds the connections to all engines together.
+    /// Limits the connections to all engines together.
     pub permits: Rc<ConnectionPermits>,
     /// Counts connections to engines.
     pub connection_counters: Rc<ConnectionCounters>,
-    /// Counts bytes.
+    /// Counts sent and received bytes.
     pub traffic: Rc<Traffic>,
     /// Seed of the random numbers that the scheduler and the queues draw.
     pub seed: u64,
@@ -66,29 +69,29 @@
     pub clock: Clock,
     /// The actor's own mailbox, for the attempts that it starts.
     pub mailbox: Sender<SchedulerMessage>,
-    /// Runs the actors of engines.
+    /// Runs the actors of engines and their attempts.
     pub executor: Rc<LocalExecutor<'static>>,
 }
 
 /// The actor that owns the scheduler.
 pub struct SchedulerActor {
     queueing: Option<QueueingDriver>,
-    /// Shared with the attempts, which ask it once more before their first byte leaves.
+    /// Shared with the attempts, which ask it for confirmation before they send their first byte.
     scheduler: Rc<RefCell<Scheduler>>,
     context: Context,
     traffic: Rc<Traffic>,
-    kills: KillCounters,
+    kill_counters: KillQueryCounters,
 }
 
-/// `KILL QUERY`s for connections that are there.
+/// Counts `KILL QUERY`s for known connections, with and without an open statement.
 #[derive(Default)]
-struct KillCounters {
+struct KillQueryCounters {
     found: u64,
     without_statement: u64,
 }
 
 impl SchedulerActor {
-    /// Creates an actor that knows no engines and no statements yet.
+    /// Creates an actor without engines and statements.
     pub fn new(mut params: SchedulerActorParams) -> SchedulerActor {
         let now = params.clock.now();
         let scheduler = Rc::new(RefCell::new(Scheduler::new(
@@ -109,11 +112,12 @@
             scheduler,
             context,
             traffic,
-            kills: KillCounters::default(),
+            kill_counters: KillQueryCounters::default(),
         }
     }
 
-    /// Runs until the mailbox closes. Engines of the snapshot are used until the watch on the endpoint list says more.
+    /// Runs until the mailbox closes. Starts with the engines of the snapshot, which the endpoint
+    /// watch updates.
     pub async fn run(mut self, mailbox: Receiver<SchedulerMessage>, snapshot: Snapshot) {
         self.start(&snapshot);
         loop {
@@ -146,15 +150,16 @@
         self.apply_actions();
     }
 
-    /// The next message, or `None` once a timer is due; an error once the mailbox is closed.
+    /// Waits for the next message. Returns `None` when a timer fires, and an error when the mailbox
+    /// is closed.
     async fn next_message(
         &self,
         mailbox: &Receiver<SchedulerMessage>,
     ) -> Result<Option<SchedulerMessage>, async_channel::RecvError> {
-        let due = self.next_timer().map(|at| self.context.clock.instant(at));
+        let timer_at = self.next_timer().map(|at| self.context.clock.instant(at));
         let message = async { mailbox.recv().await.map(Some) };
         let timer = async {
-            match due {
+            match timer_at {
                 Some(at) => Timer::at(at).await,
                 None => std::future::pending().await,
             };
@@ -163,7 +168,7 @@
         message.or(timer).await
     }
 
-    /// When the next timer of the scheduler or of a driver is due.
+    /// When the next timer of the scheduler or of a driver fires.
     fn next_timer(&self) -> Option<Nanos> {
         let context = &self.context;
         let queueing = self.queueing.as_ref().and_then(QueueingDriver::next_timer);
@@ -182,10 +187,10 @@
             .min()
     }
 
-    /// Fires the timers that are due and calls the drivers whose time has come.
+    /// Handles all expired timers, including those of the drivers.
     fn on_timers(&mut self) {
         self.context.now = self.context.clock.now();
-        while let Some(event) = self.context.timers.pop_due(self.context.now) {
+        while let Some(event) = self.context.timers.pop_expired(self.context.now) {
             self.on_timer(event);
         }
         if let Some(queueing) = &mut self.queueing {
@@ -209,7 +214,7 @@
                 serial,
                 attempt,
             } => self.on_attempt_timeout(statement, serial, attempt),
-            TimerEvent::HandOff => self.hand_off(),
+            TimerEvent::Handoff => self.hand_off(),
             TimerEvent::StatementDeadline { statement, serial } => {
                 self.on_statement_deadline(statement, serial);
             }
@@ -217,7 +222,7 @@
         self.apply_actions();
     }
 
-    /// Handles one message and does what follows from it.
+    /// Handles one message and the actions that result from it.
     fn on_message(&mut self, message: SchedulerMessage) {
         self.context.now = self.context.clock.now();
         match message {
@@ -266,19 +271,19 @@
         self.apply_actions();
     }
 
-    /// The gateway shuts down: every open statement is answered by then.
+    /// Begins the shutdown: every open statement must be answered by `answer_by`.
     fn on_shutdown(&mut self, answer_by: Nanos) {
-        let kills = &self.kills;
+        let kill_counters = &self.kill_counters;
         log::info!(
-            found = kills.found, without_statement = kills.without_statement;
+            found = kill_counters.found, without_statement = kill_counters.without_statement;
             "kill totals"
         );
         let context = &mut self.context;
         context.answer_by = answer_by;
         self.scheduler.borrow_mut().begin_shutdown(answer_by);
         if context.ownership.is_some() {
-            let hand_off_at = answer_by.saturating_sub(HAND_OFF_BEFORE_END);
-            context.timers.set(hand_off_at, TimerEvent::HandOff);
+            let handoff_at = answer_by.saturating_sub(HANDOFF_LEAD_TIME);
+            context.timers.set(handoff_at, TimerEvent::Handoff);
         }
         if let Some(queueing) = &mut self.queueing {
             queueing.on_shutdown(context.now, answer_by);
@@ -286,7 +291,8 @@
         }
     }
 
-    /// Hands off what is left and notifies the other gateways. Returns whether there are any.
+    /// Hands off the remaining statements and notifies the other gateways. Returns whether there
+    /// are other gateways.
     fn leave_fleet(&mut self) -> bool {
         self.hand_off();
         let context = &self.context;
@@ -300,7 +306,7 @@
         true
     }
 
-    /// Does what queues, ownership and coordination ask for, until nothing is left.
+    /// Applies the actions of the queues, ownership and coordination until none is left.
     fn apply_actions(&mut self) {
         self.apply_queueing_actions();
         while self.context.has_actions() {
--- a/crates/ivypitch-gateway/src/actors/scheduler/output.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/output.rs
@@ -1,4 +1,5 @@
-//! What the scheduler asks for: attempts are handed to their engines, statements answered and forgotten, timers set.
+//! Output of the scheduler: sends attempts to their engines, answers and closes statements, and
+//! sets timers.
 
 use std::cell::Cell;
 
@@ -14,17 +15,17 @@
 use crate::state::statements::{InFlightAttempt, OpenStatement};
 use crate::wire::http::Start;
 
-/// How an attempt begins.
+/// How an attempt begins at its engine.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum AttemptKind {
-    /// It is started at its engine.
+    /// The attempt is started.
     Start,
-    /// Another gateway has started it: its engine is only polled for the result.
+    /// The attempt was started by another gateway and is only polled.
     PollOnly,
 }
 
 impl Context {
-    /// Makes the next attempt of a statement and enters it as in flight.
+    /// Creates the next attempt of a statement and records it as in flight.
     fn new_attempt(
         &mut self,
         statement: StatementIndex,
@@ -53,7 +54,8 @@
             scheduler: self.attempts.scheduler.clone(),
             gate: self.attempts.gate.clone(),
             times_out_at,
-            // With ownership a statement may go on for a client that returns: it does not depend on this connection.
+            // With ownership, a statement may continue for a client that reconnects, so that the
+            // attempt does not depend on this connection.
             client: open
                 .client
                 .as_ref()
@@ -73,11 +75,11 @@
         Some(attempt)
     }
 
-    /// Hands an attempt to its engine's actor.
+    /// Passes an attempt to its engine's actor.
     pub(super) fn dispatch(&self, attempt: Attempt) {
         let key = attempt.key;
         let Some(mailbox) = self.engines.mailbox(key.engine) else {
-            // The engine has left the list meanwhile: nothing was sent.
+            // The engine was removed from the list in the meantime: nothing was sent.
             let end = AttemptEnd::without_answer(Outcome::NotSent);
             let _ = self
                 .attempts
@@ -99,7 +101,7 @@
         }
     }
 
-    /// Dispatches an attempt once ownership grants it.
+    /// Requests a grant from ownership and dispatches the attempt once it is granted.
     fn request_grant(&mut self, statement: StatementIndex, engine: EngineIndex, attempt: Attempt) {
         let id = self.statements.get(statement).map_or(0, OpenStatement::id);
         let engine_hash = self.engines.id_hash(engine).unwrap_or(0);
@@ -110,7 +112,7 @@
         let number = attempt.key.number;
         match ownership.request_attempt_grant(self.now, id, number, engine_hash) {
             GrantDecision::Granted => self.dispatch(attempt),
-            GrantDecision::Pending => ownership.await_grant(id, attempt),
+            GrantDecision::Pending => ownership.add_pending_attempt(id, attempt),
             GrantDecision::Denied(denial) => ownership.defer_denial(id, number, denial),
         }
     }
@@ -130,7 +132,7 @@
     }
 }
 
-/// The timer of an attempt.
+/// Returns the event of an attempt's timeout.
 pub(super) fn attempt_timeout(key: AttemptKey) -> TimerEvent {
     TimerEvent::AttemptTimeout {
         statement: key.statement,
@@ -198,8 +200,8 @@
             .set(self.now + after, TimerEvent::Scheduler { token });
     }
 
-    // Engines on sockets have no health checks and the endpoint list is watched all the time, so neither is to be asked
-    // for; what gateways tell each other goes through coordination.
+    // Real engines have no health checks, and the endpoint list is watched permanently, so neither
+    // needs a request. Messages between gateways go through coordination.
     fn request_load_report(&mut self, _engine: EngineIndex) {}
     fn broadcast(&mut self, _bytes: &[u8]) {}
     fn watch_endpoints(&mut self) {}
--- a/crates/ivypitch-gateway/src/actors/scheduler/ownership.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/ownership.rs
@@ -1,5 +1,6 @@
-//! Statements that other gateways may know: looked up as they arrive, granted before each attempt, taken over when their
-//! gateway is lost, handed off when this one shuts down.
+//! Statements that other gateways may know. They are looked up on arrival, need a grant before each
+//! attempt, are taken over when their gateway is lost, and are handed off when this gateway shuts
+//! down.
 
 use bytes::Bytes;
 use ivypitch_ownership::{ArrivalDecision, FinalAnswer, GrantDenial, StatementId, StatementSpec};
@@ -8,21 +9,21 @@
 
 use super::SchedulerActor;
 use super::context::Context;
-use super::statements::{arrival, estimated_work};
+use super::statements::{estimated_work, to_scheduler_arrival};
 use crate::actors::messages::{
     Answer, AttemptEnd, AttemptKey, AttemptMessage, ClientHandle, ClientStatement, StartPermission,
 };
 use crate::actors::ownership::{
-    Action, OwnershipDriver, PendingStatement, Takeover, WaitingClient, client_answer,
+    Action, OwnershipDriver, PendingStatement, Takeover, WaitingClient, to_client_answer,
 };
 use crate::state::statements::{NewStatement, OpenStatement};
 use crate::wire::fields;
 
-/// Connection number of statements that have no client here.
+/// Connection id of statements that have no client here.
 const NO_CONNECTION: u32 = 0;
 
 impl SchedulerActor {
-    /// Calls ownership if it is time, and aborts the statements of clients that have waited until their deadline.
+    /// Handles ownership's timer and answers clients whose deadline has passed with an abort.
     pub(super) fn on_ownership_timer(&mut self) {
         let context = &mut self.context;
         let Some(ownership) = &mut context.ownership else {
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Does what ownership asks for, until nothing is left.
+    /// Applies the actions of ownership until none is left.
     pub(super) fn apply_ownership_actions(&mut self) {
         while let Some(action) = self
             .context
@@ -67,12 +68,13 @@
             return;
         };
         match ownership.take_waiting_client(token) {
-            Some(waiting) => waiting.client.send(client_answer(answer)),
-            None => ownership.keep_unclaimed_answer(token, answer),
+            Some(waiting) => waiting.client.send(to_client_answer(answer)),
+            None => ownership.add_unclaimed_answer(token, answer),
         }
     }
 
-    /// Dispatches an attempt. What has changed since it was asked for is checked again as its first byte leaves.
+    /// Dispatches a granted attempt. Changes since the request are checked again before the first
+    /// byte is sent.
     fn start_granted_attempt(&mut self, id: StatementId, attempt: u32) {
         let context = &mut self.context;
         let Some(ownership) = &mut context.ownership else {
@@ -86,7 +88,8 @@
         }
     }
 
-    /// Ends an attempt that must not start. Its client waits for the owner's answer if there is one.
+    /// Ends an attempt that must not start. If another gateway owns the statement, the client waits
+    /// for the owner's answer.
     fn deny_attempt(&mut self, id: StatementId, attempt: u32, denial: GrantDenial) {
         let context = &mut self.context;
         let Some(statement) = context.statements.find_by_id(id) else {
@@ -119,7 +122,7 @@
         self.on_attempt_ended(key, AttemptEnd::without_answer(Outcome::NeverDispatched));
     }
 
-    /// No other gateway knows the statement of a client that waits here.
+    /// Processes the statement of a waiting client that no other gateway knows.
     fn proceed(&mut self, id: StatementId) {
         let Some(ownership) = &mut self.context.ownership else {
             return;
@@ -139,7 +142,7 @@
         self.start_or_reject(new, pending.start, token);
     }
 
-    /// Opens a statement that no gateway knows, or rejects it where this one shuts down.
+    /// Opens a statement that no gateway knows, or rejects it if this gateway is shutting down.
     fn start_or_reject(&mut self, new: NewStatement, start: StartPermission, token: u64) {
         let id = new.statement.fields.statement_id_number();
         if start == StartPermission::Granted {
@@ -165,7 +168,7 @@
         ownership.add_waiting_client(token, waiting);
     }
 
-    /// Goes on with another gateway's statement.
+    /// Takes over another gateway's statement.
     fn take_over(&mut self, takeover: Takeover) {
         let context = &mut self.context;
         let id = takeover.id;
@@ -185,7 +188,7 @@
         };
         let deadline = (context.now + takeover.remaining).min(context.answer_by);
         let time_left = deadline.saturating_sub(context.now);
-        let arrival = arrival(&statement, statement.tenant, time_left);
+        let arrival = to_scheduler_arrival(&statement, statement.tenant, time_left);
         let opened = context.statements.open(NewStatement {
             connection: NO_CONNECTION,
             statement,
@@ -193,7 +196,7 @@
             client: absent_client(),
         });
         let Ok(statement) = opened else {
-            // An attempt of it is still in flight here under the same id.
+            // An attempt of the same statement is still in flight here.
             log::warn!(statement:% = format_args!("{id:016x}"); "statement taken over is still open here");
             context.abort_takeover(id);
             return;
@@ -202,7 +205,8 @@
         self.schedule_takeover(statement, arrival, listed_engine.flatten());
     }
 
-    /// Gives a statement that was taken over to the scheduler. `engine` is where an attempt may be running: it is polled.
+    /// Passes a statement that was taken over to the scheduler. `engine` is polled, since an
+    /// attempt may be running there.
     fn schedule_takeover(
         &mut self,
         statement: StatementIndex,
@@ -220,14 +224,15 @@
         }
     }
 
-    /// Asks ownership whether another gateway knows a client's statement before it is opened.
+    /// Checks with ownership whether another gateway knows a client's statement, before the
+    /// statement is opened.
     pub(super) fn look_up_statement(&mut self, new: NewStatement, start: StartPermission) {
         let context = &mut self.context;
         let Some(ownership) = &mut context.ownership else {
             return;
         };
         if start == StartPermission::ShuttingDown && context.has_handed_off {
-            // This process ends before the others would have answered.
+            // This process ends before the other gateways can answer.
             new.client.send(Answer::Aborted);
             return;
         }
@@ -245,7 +250,7 @@
         };
         match ownership.on_statement_arrived(context.now, arrival) {
             ArrivalDecision::Proceed => self.start_or_reject(new, start, token),
-            ArrivalDecision::Answer(answer) => new.client.send(client_answer(answer)),
+            ArrivalDecision::Answer(answer) => new.client.send(to_client_answer(answer)),
             ArrivalDecision::Wait => ownership.add_waiting_client(
                 token,
                 WaitingClient {
@@ -262,8 +267,8 @@
         }
     }
 
-    /// Hands the statements that can't end before the shutdown off to other gateways. The second time: what has come to
-    /// this one since.
+    /// Hands off the statements that cannot end before the shutdown. A second call hands off
+    /// statements that arrived since the first.
     pub(super) fn hand_off(&mut self) {
         let Some(ownership) = &mut self.context.ownership else {
             return;
@@ -294,7 +299,7 @@
     }
 }
 
-/// Ends a statement's attempt here without cancelling it at its engine.
+/// Ends a statement's attempt in this gateway without cancelling it at its engine.
 fn detach_attempt(statement: StatementIndex, open: &OpenStatement) -> Option<AttemptKey> {
     let in_flight = open.attempt.as_ref()?;
     let _ = in_flight.mailbox.try_send(AttemptMessage::Detach);
@@ -319,7 +324,8 @@
     }
 }
 
-/// Stands for the client of a statement that was taken over: ownership knows the clients that wait for it.
+/// Creates a handle for a statement that was taken over, without a client: ownership stores the
+/// clients that wait for its answer.
 fn absent_client() -> ClientHandle {
     let (answer, _) = async_channel::bounded(1);
     ClientHandle {
@@ -329,7 +335,7 @@
 }
 
 impl Context {
-    /// Parses the text that another gateway got from its client.
+    /// Parses a statement's text that another gateway received from its client.
     fn parse_takeover(&self, text: Vec<u8>) -> Option<ClientStatement> {
         let fields = fields::parse(&Bytes::from(text)).ok()?;
         let index = |names: &[String], name: &[u8]| {
@@ -356,7 +362,7 @@
         }
     }
 
-    /// Lets a statement's client wait for the answer of the gateway that owns the statement.
+    /// Makes a statement's client wait for the answer of the gateway that owns the statement.
     fn move_client_to_ownership(&mut self, statement: StatementIndex) {
         let Some(open) = self.statements.get(statement) else {
             return;
@@ -369,7 +375,7 @@
             return;
         };
         match ownership.take_unclaimed_answer(token) {
-            Some(answer) => waiting.client.send(client_answer(answer)),
+            Some(answer) => waiting.client.send(to_client_answer(answer)),
             None => ownership.add_waiting_client(token, waiting),
         }
     }
--- a/crates/ivypitch-gateway/src/actors/scheduler/queueing.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/queueing.rs
@@ -1,26 +1,27 @@
-//! The teams' queues, through which statements reach the scheduler where the operators' file sets up teams.
+//! The teams' queues, through which statements reach the scheduler if the operators' configuration
+//! file defines teams.
 
 use ivypitch_queueing::Budgets;
 use ivypitch_types::{Nanos, StatementIndex};
 
 use super::SchedulerActor;
 use super::context::EndedStatement;
-use super::statements::arrival;
+use super::statements::to_scheduler_arrival;
 use crate::actors::messages::Answer;
 use crate::actors::queueing::{Action, QueueingDriver};
 
-/// Stands for no tenant: the scheduler then applies no tenant's quota.
+/// Tenant index for which the scheduler applies no quota.
 const NO_TENANT: usize = usize::MAX;
 
 impl SchedulerActor {
-    /// The operators' file sets new budgets.
+    /// Applies the new budgets of a reloaded configuration.
     pub(super) fn reload_budgets(&mut self, budgets: Budgets) {
         if let Some(queueing) = &mut self.queueing {
             queueing.reload(self.context.now, budgets);
         }
     }
 
-    /// Tells the queues which statements have ended and does what they ask for, until nothing is left.
+    /// Reports ended statements to the queues and applies the queues' actions until none is left.
     pub(super) fn apply_queueing_actions(&mut self) {
         if self.queueing.is_none() {
             return;
@@ -60,8 +61,8 @@
         }
     }
 
-    /// Passes a statement on to the scheduler. A team within its share of the queues has no quota of its own to exceed:
-    /// the share of the operators' file stands in for it.
+    /// Passes a statement to the scheduler. A team within its share of the queues is not subject to
+    /// its tenant quota, since the share in the operators' configuration file replaces it.
     fn release_statement(&mut self, statement: StatementIndex, is_within_share: bool) {
         let context = &mut self.context;
         let now = context.now;
@@ -74,7 +75,7 @@
         } else {
             open.statement.tenant
         };
-        let arrival = arrival(&open.statement, tenant, time_left);
+        let arrival = to_scheduler_arrival(&open.statement, tenant, time_left);
         self.scheduler
             .borrow_mut()
             .on_statement_arrived(now, statement, arrival, context);
--- a/crates/ivypitch-gateway/src/actors/scheduler/statements.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/statements.rs
@@ -1,4 +1,4 @@
-//! Statements from their arrival to their answer, and the ends of their attempts.
+//! Statements from arrival to answer, and the ends of their attempts.
 
 use ivypitch_config::{estimated_mb, table_group};
 use ivypitch_queueing::QueueArrival;
@@ -36,12 +36,13 @@
         }
     }
 
-    /// Opens a client's statement. Its team's queue takes it, or without queues the scheduler.
+    /// Opens a client's statement and passes it to its team's queue, or to the scheduler without
+    /// queues.
     pub(super) fn open_statement(&mut self, new: NewStatement) {
         let context = &mut self.context;
         let now = context.now;
         let id = new.statement.fields.statement_id_number();
-        let arrival = arrival(
+        let arrival = to_scheduler_arrival(
             &new.statement,
             new.statement.tenant,
             new.deadline.saturating_sub(now),
@@ -73,7 +74,7 @@
         }
     }
 
-    /// The client of this connection does not wait any more.
+    /// The client of this connection no longer waits.
     pub(super) fn on_client_disconnected(&mut self, connection: u32) {
         let context = &mut self.context;
         if let Some(ownership) = &mut context.ownership
@@ -99,25 +100,26 @@
         self.expire_statement(statement);
     }
 
-    /// A client asked to end the statement of this connection.
+    /// A client requested that the statement of this connection be ended.
     pub(super) fn on_kill_query(&mut self, connection: u32) {
         if let Some(ownership) = &mut self.context.ownership
             && let Some(waiting) = ownership.on_client_disconnected(connection)
         {
-            self.kills.found += 1;
+            self.kill_counters.found += 1;
             waiting.client.send(Answer::Killed);
             return;
         }
         let Some(statement) = self.context.statements.find_by_connection(connection) else {
-            self.kills.without_statement += 1;
+            self.kill_counters.without_statement += 1;
             return;
         };
-        self.kills.found += 1;
+        self.kill_counters.found += 1;
         self.context.answer(statement, Answer::Killed);
         self.expire_statement(statement);
     }
 
-    /// The timeout of a statement has ended. If the scheduler has not answered it by now, it is answered here.
+    /// A statement's deadline has passed. If the scheduler has not answered the statement by now,
+    /// it is answered here.
     pub(super) fn on_statement_deadline(&mut self, statement: StatementIndex, serial: u64) {
         let is_unanswered = self
             .context
@@ -140,8 +142,8 @@
         self.expire_statement(statement);
     }
 
-    /// The client of a statement has its answer or does not wait any more. A queued statement is closed; any other is
-    /// left to the scheduler.
+    /// Ends a statement whose client has its answer or no longer waits. A queued statement is
+    /// closed; any other is left to the scheduler.
     pub(super) fn expire_statement(&mut self, statement: StatementIndex) {
         let context = &mut self.context;
         let was_queued = self
@@ -158,8 +160,9 @@
         }
     }
 
-    /// The timeout of an attempt has ended: it is cancelled. For the scheduler it ends with the statement's deadline,
-    /// however silent the engine is: the time in between is too short for another attempt, and none may run beside it.
+    /// Cancels an attempt that timed out. If the engine does not respond, the attempt ends for the
+    /// scheduler only at the statement's deadline: the remaining time is too short for another
+    /// attempt, and no other attempt may run in parallel.
     pub(super) fn on_attempt_timeout(
         &mut self,
         statement: StatementIndex,
@@ -197,7 +200,7 @@
         }
     }
 
-    /// An engine reported how far an attempt has come.
+    /// An engine reported the progress of an attempt.
     pub(super) fn on_attempt_progressed(&mut self, key: AttemptKey, progress: AttemptProgress) {
         let context = &mut self.context;
         if context.statements.is_in_flight(key) {
@@ -211,7 +214,7 @@
         }
     }
 
-    /// An attempt has ended. Does nothing if the scheduler knows of that already.
+    /// An attempt has ended. Does nothing if this was already reported to the scheduler.
     pub(super) fn on_attempt_ended(&mut self, key: AttemptKey, mut end: AttemptEnd) {
         let context = &mut self.context;
         let Some(attempt) = context.statements.take_attempt(key, end.outcome) else {
@@ -240,7 +243,7 @@
             .on_attempt_ended(context.now, key.statement, &ended, context);
     }
 
-    /// The rows that `SHOW QUEUE` answers.
+    /// Returns the rows for `SHOW QUEUE`.
     pub(super) fn queue_rows(&self, statement_id: Option<u64>) -> Vec<QueueRow> {
         let Some(queueing) = &self.queueing else {
             return Vec::new();
@@ -271,8 +274,12 @@
     }
 }
 
-/// A statement as the scheduler is given it.
-pub(super) fn arrival(statement: &ClientStatement, tenant: usize, time_left: Nanos) -> Arrival {
+/// Converts a statement to the arrival that is passed to the scheduler.
+pub(super) fn to_scheduler_arrival(
+    statement: &ClientStatement,
+    tenant: usize,
+    time_left: Nanos,
+) -> Arrival {
     let fields = &statement.fields;
     Arrival {
         workload: statement.workload,
@@ -286,7 +293,7 @@
     }
 }
 
-/// The work of a statement over all its threads, as its client estimates it; 0 without an estimate.
+/// Returns the client's estimate of a statement's work over all threads; 0 without an estimate.
 pub(super) fn estimated_work(statement: &ClientStatement) -> Nanos {
     statement.fields.work_ms.map_or(0, nanos_from_ms)
 }
@@ -296,7 +303,7 @@
 }
 
 impl Context {
-    /// Sets the timer for a statement that the scheduler has not answered in time.
+    /// Sets the timer that answers a statement if the scheduler does not in time.
     pub(super) fn set_deadline_timer(&mut self, statement: StatementIndex) {
         if let Some((at, event)) = self.deadline_timer(statement) {
             self.timers.set(at, event);
@@ -312,7 +319,7 @@
         Some((open.deadline + self.answer_grace, event))
     }
 
-    /// Closes a statement that nobody refers to any more; its index is free again.
+    /// Closes a statement that is no longer referenced and frees its index.
     pub(super) fn close_statement(&mut self, statement: StatementIndex) {
         if let Some((at, event)) = self.deadline_timer(statement) {
             self.timers.cancel(at, event);
@@ -326,8 +333,8 @@
             .is_none_or(|open| !open.is_unanswered())
     }
 
-    /// Answers a statement's client, unless it has been answered. Where ownership has to confirm the answer first, the
-    /// client waits for that.
+    /// Answers a statement's client, unless it has been answered. If ownership has to confirm the
+    /// answer first, the client waits for the confirmation.
     pub(super) fn answer(&mut self, statement: StatementIndex, answer: Answer) {
         let Some(waiting) = self.take_waiting_client(statement) else {
             return;
@@ -358,7 +365,7 @@
         })
     }
 
-    /// Tells ownership and coordination of an attempt's end.
+    /// Reports an attempt's end to ownership and coordination.
     fn report_attempt_end(&mut self, key: AttemptKey, outcome: Outcome) {
         if let (Some(ownership), Some(open)) =
             (&mut self.ownership, self.statements.get(key.statement))
@@ -373,7 +380,7 @@
         }
     }
 
-    /// Enters the work of an attempt with its statement, for the teams' queues.
+    /// Adds the work of an attempt to its statement, for the teams' queues.
     fn record_work(&mut self, statement: StatementIndex, end: &AttemptEnd, run_time: Nanos) {
         if self.ended_statements.is_none() {
             return;
--- a/crates/ivypitch-gateway/src/actors/scheduler/timers.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/timers.rs
@@ -4,27 +4,27 @@
 
 use ivypitch_types::{Nanos, StatementIndex};
 
-/// What happens as a timer fires. Timers of the same moment fire in this order.
+/// The event of a timer. Timers set for the same time fire in the order of these variants.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub(super) enum TimerEvent {
-    /// The scheduler asked for it, under a token of its own.
+    /// A timer of the scheduler, identified by the scheduler's token.
     Scheduler { token: u64 },
-    /// The timeout of an attempt ends.
+    /// An attempt times out.
     AttemptTimeout {
         statement: StatementIndex,
         serial: u64,
         attempt: u32,
     },
-    /// The gateway shuts down soon: other gateways go on with the statements that are still open.
-    HandOff,
-    /// The timeout of a statement has ended, and the scheduler has had its time to answer it.
+    /// The end of the shutdown is near: open statements are handed off to other gateways.
+    Handoff,
+    /// A statement's deadline and the grace time for the scheduler's answer have passed.
     StatementDeadline {
         statement: StatementIndex,
         serial: u64,
     },
 }
 
-/// Timers that have been set and neither fired nor been cancelled.
+/// Timers that are set and have neither fired nor been cancelled.
 #[derive(Default)]
 pub(super) struct Timers {
     pending: BTreeSet<(Nanos, TimerEvent)>,
@@ -36,18 +36,18 @@
         self.pending.insert((at, event));
     }
 
-    /// Cancels a timer, which had been set for `at`. Does nothing if it has fired.
+    /// Cancels a timer that was set for `at`. Does nothing if the timer has fired.
     pub(super) fn cancel(&mut self, at: Nanos, event: TimerEvent) {
         self.pending.remove(&(at, event));
     }
 
-    /// When the next timer fires.
+    /// Returns when the next timer fires.
     pub(super) fn next(&self) -> Option<Nanos> {
         self.pending.first().map(|(at, _)| *at)
     }
 
-    /// Takes the next timer that is to fire by now.
-    pub(super) fn pop_due(&mut self, now: Nanos) -> Option<TimerEvent> {
+    /// Removes and returns the next timer that has expired by `now`.
+    pub(super) fn pop_expired(&mut self, now: Nanos) -> Option<TimerEvent> {
         if self.next()? > now {
             return None;
         }
