--- a/crates/ivypitch-gateway/src/actors/attempt/mod.rs
+++ b/crates/ivypitch-gateway/src/actors/attempt/mod.rs
@@ -1,8 +1,8 @@
-//! One attempt of a statement at its engine: started, then polled until it ends, or cancelled. Each
-//! attempt ends with exactly one [`AttemptEnd`].
+//! One attempt of a statement at its engine: started, polled until its end, or cancelled. It ends
+//! with one [`AttemptEnd`].
 //!
-//! Every wait also watches the attempt's mailbox, so that a cancellation takes effect at once even
-//! if the engine does not respond.
+//! Every wait also watches the attempt's mailbox: a cancellation takes effect at once, whether or
+//! not the engine responds.
 
 mod cancellation;
 mod polling;
@@ -24,8 +24,7 @@
 use crate::wire::http::Start;
 
 const NANOS_PER_MS: Nanos = 1_000_000;
-/// Backoff before a request without a response is retried. Polls and page requests are retried at
-/// once after the first failure and back off from the second in a row.
+/// Backoff before a request is retried; polls and pages use it from the second failure in a row on.
 const RETRY_BACKOFF: Duration = Duration::from_millis(50);
 
 /// The state of an attempt's task.
@@ -48,8 +47,7 @@
     pub gate: SendGate,
     /// When the attempt times out.
     pub times_out_at: Nanos,
-    /// The client whose disconnection stops the start; `None` if the statement may outlive the
-    /// connection of its client.
+    /// The client whose disconnection stops the start; `None` if the statement may outlive it.
     pub client: Option<Rc<ClientPresence>>,
 }
 
@@ -93,8 +91,7 @@
         self.mailbox.recv().await.unwrap_or(AttemptMessage::Cancel)
     }
 
-    /// Waits until the attempt is cancelled or detached. A priority that arrives first is stored
-    /// and sent later.
+    /// Waits until the attempt is cancelled or detached. A priority that arrives first is stored.
     async fn wait_for_withdrawal(&self) -> Withdrawal {
         loop {
             match self.next_message().await {
@@ -140,8 +137,7 @@
         }
     }
 
-    /// Releases the connection for other attempts, or closes it if a response may still arrive on
-    /// it.
+    /// Releases the connection, or closes it if a response may still arrive on it.
     fn release_connection(self, outcome: Outcome) {
         if matches!(
             outcome,
--- a/crates/ivypitch-gateway/src/actors/attempt/polling.rs
+++ b/crates/ivypitch-gateway/src/actors/attempt/polling.rs
@@ -14,8 +14,7 @@
 use crate::state::connections::ConnectPurpose;
 use crate::wire::http::{self, Response, status};
 
-/// Page number that returns a running statement's progress, and the first result page once the
-/// statement completed.
+/// Page of a running statement's progress, and of the first rows once the statement completed.
 const PROGRESS_PAGE: usize = 0;
 
 /// The first event while an attempt waited for a response.
@@ -26,9 +25,9 @@
 }
 
 impl AttemptRun<'_> {
-    /// Confirms a final response that arrived on a reused connection, where it may belong to an
-    /// earlier statement: it counts only if the engine repeats it. Returns `None` if the engine
-    /// does not; the attempt is then polled.
+    /// Confirms a final response on a reused connection, where it may belong to an earlier
+    /// statement: the engine has to repeat it. Returns `None` if it does not; the attempt is then
+    /// polled.
     pub(super) async fn confirm_end(
         &mut self,
         response: Option<Response>,
@@ -85,8 +84,7 @@
         }
     }
 
-    /// Polls once, with a timeout that grows with `failures`. Returns `None` without a complete
-    /// response.
+    /// Polls once; the timeout grows with `failures`. Returns `None` without a complete response.
     async fn poll_progress(&mut self, failures: u32) -> Result<Option<Response>, AttemptEnd> {
         let timeout = POLL_TIMEOUT * (1 + failures);
         match self.poll(PROGRESS_PAGE, timeout).await {
@@ -185,8 +183,8 @@
     }
 }
 
-/// Whether the engine repeated the final response. A statement that failed or never ran is unknown
-/// to the engine, so that the repeated response is [`status::FAILED`].
+/// Whether the engine repeated the final response. For a statement that failed or never ran, and is
+/// unknown to the engine, the repeated response is [`status::FAILED`].
 fn is_same_final_response(end: &Response, repeated: &Response) -> bool {
     match end.status {
         status::COMPLETED => {
--- a/crates/ivypitch-gateway/src/actors/attempt/start.rs
+++ b/crates/ivypitch-gateway/src/actors/attempt/start.rs
@@ -16,8 +16,7 @@
 /// How long the response to a cancelled start is awaited, since a cancellation on another
 /// connection might overtake the start.
 const CANCELLED_START_TIMEOUT: Duration = Duration::from_millis(500);
-/// After this many connections in a row that close or receive bytes before the start is sent, the
-/// attempt fails.
+/// Limit on connections in a row that close or receive bytes before the start is sent.
 const MAX_UNUSABLE_CONNECTIONS: usize = 3;
 
 /// The first event after a start request was written.
@@ -68,17 +67,15 @@
         }
     }
 
-    /// Acquires a connection on which the start may be sent now. Whether the start is still wanted
-    /// is checked after the connection is acquired, with no wait between this check and the first
-    /// byte.
+    /// Acquires a connection on which the start may be sent now. There is no wait between the check
+    /// that the start is still wanted and its first byte.
     async fn connection_for_start(&self) -> Result<EngineConnection, AttemptEnd> {
         let attempt = self.attempt;
         let mut unusable = 0;
         loop {
             let connection = self.acquire_unless_withdrawn().await?;
             if !self.engine.is_usable_for_start(&connection) {
-                // The connection received bytes, or the engine moved: acquire another and check
-                // again.
+                // The connection received bytes, or the engine moved: try another.
                 unusable += 1;
                 if unusable == MAX_UNUSABLE_CONNECTIONS {
                     return Err(AttemptEnd::without_answer(Outcome::ConnectFailed));
--- a/crates/ivypitch-gateway/src/actors/engine_client.rs
+++ b/crates/ivypitch-gateway/src/actors/engine_client.rs
@@ -1,11 +1,10 @@
 //! Calls to one engine over connections that serve one attempt at a time.
 //!
 //! `ivypitch_connection_pool` decides which connections stay open for the next attempt. An idle
-//! connection is probed before it is reused: it is polled for the statement that is about to start,
-//! and only the response that the engine does not know this statement proves that the connection is
-//! open and has no unread input. If the start then gets a final response, the engine has to repeat
-//! that response (see [`super::attempt`]). A late response to one statement is thus never taken for
-//! the response to another.
+//! connection is probed before reuse with a poll for the statement that is about to start: only the
+//! response that the engine does not know it proves that the connection is open and clean. A final
+//! response that follows at once has to be repeated (see [`super::attempt`]), so that a late
+//! response is never taken for the response to another statement.
 
 use std::cell::{Cell, RefCell};
 use std::io::{self, ErrorKind};
@@ -195,9 +194,8 @@
         }
     }
 
-    /// Calls the engine on the connection in `slot`, or on another if there is none or it has
-    /// unread input. The connection is put back into `slot` only if nothing but a complete response
-    /// arrived on it.
+    /// Calls the engine on the connection in `slot` if it is clean, else on another. The connection
+    /// is put back only if nothing but a complete response arrived on it.
     pub(crate) async fn call(
         &self,
         slot: &mut Option<EngineConnection>,
@@ -212,9 +210,8 @@
         self.exchange(connection, slot, request, timeout).await
     }
 
-    /// Returns a connection for a call that is not a start. A cancellation may use an idle
-    /// connection, since it is retried on a new one if it is lost. For any other call the idle
-    /// connection is closed and a new one is opened.
+    /// Returns a connection for a call that is not a start. A cancellation may use an idle one,
+    /// since it is retried on a new one if it is lost; for other calls the idle one is closed.
     async fn connection_for_call(
         &self,
         purpose: ConnectPurpose,
@@ -226,8 +223,8 @@
         }
     }
 
-    /// Sends a request on this connection and waits for the response. There is no wait before the
-    /// first byte is sent. The connection is put into `slot` if it can be reused.
+    /// Sends a request on this connection, its first byte without any wait, and reads the response.
+    /// The connection is put into `slot` if it can be reused.
     pub(crate) async fn exchange(
         &self,
         mut connection: EngineConnection,
--- a/crates/ivypitch-gateway/src/actors/peer_links/datagrams.rs
+++ b/crates/ivypitch-gateway/src/actors/peer_links/datagrams.rs
@@ -63,8 +63,7 @@
                 self.context
                     .notify_scheduler(PeerEvent::Gossip { gossip, guard });
             }
-            // Malformed gossip, and gossip beyond the limit, is dropped. Senders cope with this as
-            // with a datagram that the network loses.
+            // Malformed gossip, and gossip beyond the limit, is dropped as a network would drop it.
             PeerDatagram::Gossip(_) | PeerDatagram::MalformedGossip => {}
         }
     }
--- a/crates/ivypitch-gateway/src/actors/peer_links/messages.rs
+++ b/crates/ivypitch-gateway/src/actors/peer_links/messages.rs
@@ -91,8 +91,7 @@
     SuspicionCleared(MemberId),
 }
 
-/// Guard of a message from a link that has not been handled yet. Dropping it lets the link read
-/// another message.
+/// Guard of an unhandled message from a link, which may read another once this is dropped.
 pub struct MessageGuard(pub(super) Receiver<()>);
 
 impl Drop for MessageGuard {
@@ -101,8 +100,7 @@
     }
 }
 
-/// Guard of a gossip datagram that has not been handled yet. Dropping it lets another datagram be
-/// accepted.
+/// Guard of an unhandled gossip datagram; another may be accepted once this is dropped.
 pub struct GossipGuard(Rc<Cell<usize>>);
 
 impl GossipGuard {
--- a/crates/ivypitch-gateway/src/actors/peer_links/mod.rs
+++ b/crates/ivypitch-gateway/src/actors/peer_links/mod.rs
@@ -1,6 +1,6 @@
 //! Communication with the other gateways: datagrams for the membership protocol and gossip, and a
-//! TCP link to each gateway to which messages are sent. This is the only actor that communicates
-//! with other gateways; it passes what it receives to the scheduler's actor as [`PeerEvent`]s.
+//! TCP link to each gateway that is sent messages. Only this actor communicates with other
+//! gateways; it passes received messages to the scheduler's actor as [`PeerEvent`]s.
 
 mod connection;
 mod context;
@@ -163,8 +163,7 @@
                 Err(_) => Wakeup::MailboxClosed,
             }
         };
-        // Messages have priority: the scheduler bounds their number, and a flood of datagrams must
-        // not delay them.
+        // Messages first: the scheduler bounds them, and a flood of datagrams must not delay them.
         message.or(datagram).or(timer).await
     }
 
--- a/crates/ivypitch-gateway/src/actors/queueing.rs
+++ b/crates/ivypitch-gateway/src/actors/queueing.rs
@@ -151,7 +151,7 @@
         self.teams.is_queued(statement)
     }
 
-    /// Returns the queued statements, up to [`MAX_QUEUE_ROWS`].
+    /// Returns the queued statements, up to `MAX_QUEUE_ROWS`.
     pub fn rows(&self, now: Nanos) -> Vec<QueuedStatement> {
         self.teams.queued_statements(now, MAX_QUEUE_ROWS)
     }
--- a/crates/ivypitch-gateway/src/actors/scheduler/endpoints.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/endpoints.rs
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Updates the cores of the listed engines. With a complete list, all other engines have none.
+    /// Updates the cores of the listed engines; with a complete list, all others have none.
     fn update_cores(&mut self, kind: EndpointUpdateKind, listed: &[EngineEndpoint]) {
         if kind != EndpointUpdateKind::Delta {
             for entry in &mut self.entries {
--- a/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/mod.rs
@@ -1,6 +1,5 @@
-//! The scheduler's actor. It is the only owner of the scheduler, passes events to it and carries
-//! out its output. It stores the open statements and all timers, and never waits for another
-//! gateway.
+//! The scheduler's actor. It owns the scheduler, passes events to it and carries out its output. It
+//! stores the open statements and all timers, and never waits for a network peer.
 //!
 //! A statement passes these stages in order: ownership, if several gateways run together; its
 //! team's queue, if the operators' configuration file defines teams; the scheduler. The actor
--- a/crates/ivypitch-gateway/src/actors/session/admission.rs
+++ b/crates/ivypitch-gateway/src/actors/session/admission.rs
@@ -200,9 +200,8 @@
         let _ = self.scheduler.try_send(message);
     }
 
-    /// Ends the statement of a connection. A statement that the client has sent but the session has
-    /// not read yet ends as soon as it is read, so that the outcome does not depend on the order in
-    /// which two sessions read.
+    /// Ends the statement of a connection. One that was sent but not read yet ends when it is read,
+    /// so that the outcome does not depend on the order in which two sessions read.
     pub(super) fn kill_query(&self, connection: u32) -> Result<(), UnknownConnection> {
         let table = self.table.borrow();
         let (state, handle) = table.get(connection).ok_or(UnknownConnection)?;
@@ -215,9 +214,9 @@
         Ok(())
     }
 
-    /// Counts a statement as open until its answer is written. Returns `None` at the limit, which
-    /// is the number of clients. The limit applies to each statement, not to sessions: a session
-    /// that was admitted while others were still closing has the same rights as any other.
+    /// Counts a statement as open until its answer is written. Returns `None` at the limit, the
+    /// number of clients. The limit is checked per statement: a session admitted while others were
+    /// still closing has the same rights as any other.
     pub(super) fn open_statement(&self) -> Option<OpenStatementGuard<'_>> {
         if self.open_statements.get() >= self.bounds.clients {
             return None;
--- a/crates/ivypitch-gateway/src/actors/session/commands.rs
+++ b/crates/ivypitch-gateway/src/actors/session/commands.rs
@@ -41,8 +41,7 @@
     "Refused; the gateway is ending and the statement did not run",
 );
 
-/// Error for a statement beyond the limit of open statements, if it may have run at another
-/// gateway: this gateway cannot look it up there.
+/// Too many statements are open to look this one up at other gateways, where it may have run.
 const TOO_MANY_OPEN_STATEMENTS: ErrorPacket = ErrorPacket::new(
     1105,
     "HY000",
@@ -117,9 +116,8 @@
             .await
     }
 
-    /// Handles a statement that is read during shutdown. This gateway never sends it to an engine,
-    /// but with ownership among gateways another one may have run it, so that it is looked up
-    /// there.
+    /// Handles a statement that is read during shutdown. It never reaches an engine from here; with
+    /// ownership among gateways it is looked up, since another gateway may have run it.
     async fn on_query_during_shutdown(
         &mut self,
         text: &Bytes,
--- a/crates/ivypitch-gateway/src/actors/session/receiving.rs
+++ b/crates/ivypitch-gateway/src/actors/session/receiving.rs
@@ -36,8 +36,8 @@
 
 impl Session {
     /// Receives the next complete message, with timeouts. A session that has to end or timed out
-    /// checks its input once more, so that a request that arrived at that moment is served or
-    /// rejected instead of losing its connection to a reset.
+    /// checks its input once more: a request that arrived at that moment is served or rejected, not
+    /// reset.
     pub(super) async fn next_packet(&mut self) -> Result<Packet, SessionEnd> {
         let mut progress = ReceiveProgress {
             idle_since: Instant::now(),
