--- a/crates/ivypitch-queueing/benches/index.rs
+++ b/crates/ivypitch-queueing/benches/index.rs
@@ -7,8 +7,8 @@
 
 use criterion::{BatchSize, Criterion, criterion_group, criterion_main};
 use ivypitch_queueing::lane::Lane;
-use ivypitch_queueing::ranks::Ranks;
-use ivypitch_queueing::wheel::Wheel;
+use ivypitch_queueing::team_heap::Ranks;
+use ivypitch_queueing::timing_wheel::Wheel;
 use ivypitch_queueing::window::WindowPolicy;
 use ivypitch_queueing::{
     Budgets, Output, QueueArrival, TeamBudget, TeamQueues, WorkloadQueueParams,
--- a/crates/ivypitch-queueing/src/lib.rs
+++ b/crates/ivypitch-queueing/src/lib.rs
@@ -5,10 +5,10 @@
 
 pub mod budgets;
 pub mod lane;
-pub mod ranks;
+pub mod team_heap;
 pub mod team_queues;
+pub mod timing_wheel;
 pub mod wait_estimates;
-pub mod wheel;
 pub mod window;
 
 pub use budgets::{Budgets, TeamBudget, WorkloadQueueParams};
--- a/crates/ivypitch-queueing/src/team_queues.rs
+++ b/crates/ivypitch-queueing/src/team_queues.rs
@@ -11,9 +11,9 @@
 
 use crate::budgets::{Bucket, Budgets};
 use crate::lane::Lane;
-use crate::ranks::Ranks;
+use crate::team_heap::Ranks;
+use crate::timing_wheel::{Handle, Wheel};
 use crate::wait_estimates::{Pace, Rate, WaitEstimate, WaitStatistics};
-use crate::wheel::{Handle, Wheel};
 use crate::window::Window;
 
 /// Below this part of the window whoever is first of those who wait goes at once, uncharged: engines are not left
