--- a/crates/ivypitch-queueing/benches/index.rs
+++ b/crates/ivypitch-queueing/benches/index.rs
@@ -7,8 +7,8 @@
 
 use criterion::{BatchSize, Criterion, criterion_group, criterion_main};
 use ivypitch_queueing::lane::Lane;
-use ivypitch_queueing::team_heap::Ranks;
-use ivypitch_queueing::timing_wheel::Wheel;
+use ivypitch_queueing::team_heap::TeamHeap;
+use ivypitch_queueing::timing_wheel::TimingWheel;
 use ivypitch_queueing::window::WindowPolicy;
 use ivypitch_queueing::{
     Budgets, Output, QueueArrival, TeamBudget, TeamQueues, WorkloadQueueParams,
@@ -19,7 +19,7 @@
 
 struct Index {
     lanes: Vec<Lane>,
-    ranks: Ranks,
+    ranks: TeamHeap,
     tags: Vec<u64>,
     numbers: Vec<u64>,
 }
@@ -28,7 +28,7 @@
     fn filled(waiting: usize, teams: usize) -> Index {
         let mut index = Index {
             lanes: (0..teams).map(|_| Lane::default()).collect(),
-            ranks: Ranks::default(),
+            ranks: TeamHeap::default(),
             tags: vec![0; teams],
             numbers: vec![0; waiting + 1],
         };
@@ -125,7 +125,7 @@
         c.bench_function(&name("made: work ahead"), |b| {
             b.iter(|| {
                 n = (n + 7919) % waiting;
-                black_box(made.lanes[n % teams].ahead_of(made.numbers[n]))
+                black_box(made.lanes[n % teams].totals_ahead_of(made.numbers[n]))
             });
         });
         c.bench_function(&name("plain: number ahead"), |b| {
@@ -134,7 +134,7 @@
                 black_box(plain.ahead(n % teams, n as u64))
             });
         });
-        let bytes: usize = made.lanes.iter().map(Lane::bytes).sum();
+        let bytes: usize = made.lanes.iter().map(Lane::memory_bytes).sum();
         println!(
             "{waiting} waiting, {teams} teams: {} bytes a statement in the lanes",
             bytes / waiting
@@ -213,15 +213,15 @@
 fn wheel(c: &mut Criterion) {
     for count in [1_000usize, 100_000] {
         let name = |what| format!("{what}, {count} timers");
-        let mut wheel = Wheel::new(0);
+        let mut wheel = TimingWheel::new(0);
         let far = |n: usize| (n as u64 * 7919 % 4_000) * 1_000_000;
-        let mut handles: Vec<_> = (0..count).map(|n| wheel.set(far(n), n)).collect();
+        let mut handles: Vec<_> = (0..count).map(|n| wheel.insert(far(n), n)).collect();
         let mut n = 0;
         c.bench_function(&name("wheel: unset and set"), |b| {
             b.iter(|| {
                 n = (n + 31) % count;
                 wheel.remove(handles[n]);
-                handles[n] = wheel.set(far(n), n);
+                handles[n] = wheel.insert(far(n), n);
             });
         });
         let mut tree = std::collections::BTreeMap::new();
@@ -235,15 +235,15 @@
         });
         c.bench_function(&name("wheel: fire all"), |b| {
             let fill = || {
-                let mut wheel = Wheel::new(0);
+                let mut wheel = TimingWheel::new(0);
                 for n in 0..count {
-                    wheel.set(far(n), n);
+                    wheel.insert(far(n), n);
                 }
                 wheel
             };
             b.iter_batched(
                 fill,
-                |mut wheel| while black_box(wheel.pop(5_000_000_000)).is_some() {},
+                |mut wheel| while black_box(wheel.pop_expired(5_000_000_000)).is_some() {},
                 BatchSize::LargeInput,
             );
         });
--- a/crates/ivypitch-queueing/src/budgets.rs
+++ b/crates/ivypitch-queueing/src/budgets.rs
@@ -1,46 +1,54 @@
-//! What operators grant: shares, budgets and bounds, by team and by a team's workload. Plain values, checked where
-//! they are read; the own settings file names them (`docs/operators/teams.md`).
+//! Shares, budgets and limits by team and by a team's workload. Plain values that are validated
+//! where they are read; the operators' settings file names them (`docs/operators/teams.md`).
 
 use ivypitch_types::Nanos;
 
-/// What the order needs to know of a workload.
+/// Parameters of a workload that the queues need.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkloadQueueParams {
+    /// Weight of its statements against those of other workloads.
     pub priority_weight: f64,
+    /// Latency objective (SLO) of its statements.
     pub latency_objective: Nanos,
+    /// Threads of a statement.
     pub threads: f64,
+    /// Whether its statements are bulk loads, which are never preempted.
     pub is_bulk_load: bool,
-    /// Until something is learned: the work of all its threads.
+    /// Work of a statement over all its threads, until statements have ended to learn from.
     pub usual_work: Nanos,
-    /// What came so much later than another workload's still goes before it: the order's ageing.
+    /// Head start of other workloads, which makes statements age: a statement goes before one of
+    /// another workload that arrived later by more than the difference of their slacks.
     pub slack: Nanos,
-    /// What has waited so long is rejected; what will, by its estimate, is rejected as it comes.
+    /// A statement that has waited this long is rejected. It is rejected on arrival if its
+    /// estimated wait is too close to this limit.
     pub max_wait: Nanos,
 }
 
-/// A part of the SLO time within which work should leave the queue, before importance is counted in.
-const SLACK_PART: f64 = 0.4;
+/// Fraction of the latency objective within which a statement should leave the queue, before its
+/// priority weight is taken into account.
+const SLACK_FRACTION: f64 = 0.4;
 
 impl WorkloadQueueParams {
-    /// The slack follows from SLO time and importance: of two that came together, the more important goes first.
+    /// Slack that follows from latency objective and priority weight: of two statements that
+    /// arrive together, the one with the higher priority weight goes first.
     pub fn default_slack(
         latency_objective: Nanos,
         priority_weight: f64,
-        least_importance: f64,
+        min_priority_weight: f64,
     ) -> Nanos {
-        (latency_objective as f64 * SLACK_PART
-            / (priority_weight / least_importance.max(1e-9)).max(1.0)) as Nanos
+        (latency_objective as f64 * SLACK_FRACTION
+            / (priority_weight / min_priority_weight.max(1e-9)).max(1.0)) as Nanos
     }
 }
 
-/// Of one workload of a team.
+/// Limits of one workload of a team.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LaneLimits {
-    /// Threads released at once.
+    /// Threads that may be released at once.
     pub max_released_threads: f64,
-    /// Statements waiting.
+    /// Statements that may wait.
     pub max_queued: usize,
-    /// In place of the workload's.
+    /// Replaces the maximum wait of the workload.
     pub max_wait: Option<Nanos>,
 }
 
@@ -54,19 +62,22 @@
     }
 }
 
+/// Budget and limits of a team.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TeamBudget {
-    /// Its weight against the other teams'. 0: only what nobody else wants.
+    /// Weight against the other teams; with 0 the team gets only capacity that no other team wants.
     pub share: f64,
-    /// Core-seconds a second that it may use at most, idle neighbours or not.
+    /// Core-seconds per second that the team may use at most, even while other teams are idle.
     pub work_cores: f64,
-    /// Core-seconds that it may run ahead of that.
+    /// Core-seconds that the team may use ahead of that rate.
     pub burst_core_seconds: f64,
-    /// Threads released at once.
+    /// Threads that may be released at once.
     pub max_released_threads: f64,
+    /// Statements that may wait.
     pub max_queued: usize,
+    /// Bytes of statement text that may wait.
     pub max_queued_bytes: usize,
-    /// By workload; one that is missing has no bounds of its own.
+    /// By workload; a workload without an entry has no limits of its own.
     pub lanes: Vec<LaneLimits>,
 }
 
@@ -89,87 +100,92 @@
         self.lanes.get(workload).cloned().unwrap_or_default()
     }
 
-    pub(crate) fn most_queued_in(&self, workload: usize) -> usize {
+    pub(crate) fn max_queued_in(&self, workload: usize) -> usize {
         self.lanes
             .get(workload)
             .map_or(usize::MAX, |lane| lane.max_queued)
     }
 
-    pub(crate) fn most_released_in(&self, workload: usize) -> f64 {
+    pub(crate) fn max_released_threads_in(&self, workload: usize) -> f64 {
         self.lanes
             .get(workload)
             .map_or(f64::INFINITY, |lane| lane.max_released_threads)
     }
 }
 
-/// All that is granted, by team and workload index.
+/// All budgets, by team index and workload index.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Budgets {
+    /// Parameters by workload.
     pub workloads: Vec<WorkloadQueueParams>,
+    /// Budgets by team.
     pub teams: Vec<TeamBudget>,
-    /// For teams that have no row.
+    /// Budget of each team that has no entry in `teams`.
     pub other: TeamBudget,
-    /// Of all teams together.
+    /// Statements of all teams that may wait.
     pub max_queued: usize,
+    /// Bytes of statement text of all teams that may wait.
     pub max_queued_bytes: usize,
-    /// Importance from which reports and loads push out what waits.
+    /// Statements of workloads with at least this priority weight preempt waiting statements.
     pub preempts_from_priority_weight: f64,
-    /// The longest time to come back that clients heed; 0: they heed none.
+    /// Longest retry-after that clients honor; 0 if they honor none.
     pub max_retry_after: Nanos,
+    /// How the window of released threads is adjusted.
     pub window_policy: crate::window::WindowPolicy,
 }
 
 impl Budgets {
+    /// Budget of a team.
     pub fn team(&self, team: usize) -> &TeamBudget {
         self.teams.get(team).unwrap_or(&self.other)
     }
 }
 
-/// A budget of work: fills at its rate up to its burst. It may go below nothing by what a statement turned out to
-/// cost, and is then paid back before the next is released.
+/// Token bucket of work in core-seconds. The measured cost of a statement may make the balance
+/// negative; the deficit is refilled before the next statement is released.
 #[derive(Clone, Debug)]
-pub(crate) struct Bucket {
-    left: f64,
-    at: Nanos,
+pub(crate) struct WorkBudget {
+    balance: f64,
+    refilled_at: Nanos,
 }
 
-impl Bucket {
-    pub fn new(budget: &TeamBudget, now: Nanos) -> Bucket {
-        Bucket {
-            left: budget.burst_core_seconds,
-            at: now,
+impl WorkBudget {
+    pub fn new(budget: &TeamBudget, now: Nanos) -> WorkBudget {
+        WorkBudget {
+            balance: budget.burst_core_seconds,
+            refilled_at: now,
         }
     }
 
-    pub fn fill(&mut self, budget: &TeamBudget, now: Nanos) {
-        let span = now.saturating_sub(self.at) as f64 / 1e9;
-        self.at = self.at.max(now);
-        // Without a rate there is no budget to keep.
-        self.left = if budget.work_cores.is_finite() {
-            (self.left + span * budget.work_cores).min(budget.burst_core_seconds)
+    pub fn refill(&mut self, budget: &TeamBudget, now: Nanos) {
+        let elapsed_s = now.saturating_sub(self.refilled_at) as f64 / 1e9;
+        self.refilled_at = self.refilled_at.max(now);
+        // Without a rate the budget is unlimited.
+        self.balance = if budget.work_cores.is_finite() {
+            (self.balance + elapsed_s * budget.work_cores).min(budget.burst_core_seconds)
         } else {
             budget.burst_core_seconds
         };
     }
 
-    pub fn take(&mut self, core_seconds: f64) {
-        self.left -= core_seconds;
+    pub fn charge(&mut self, core_seconds: f64) {
+        self.balance -= core_seconds;
     }
 
-    /// How long until something is left; 0: now.
-    pub fn wait(&self, budget: &TeamBudget) -> Nanos {
-        if self.left > 0.0 || !budget.work_cores.is_finite() {
+    /// Time until the balance is positive; 0 if it is now.
+    pub fn time_until_positive(&self, budget: &TeamBudget) -> Nanos {
+        if self.balance > 0.0 || !budget.work_cores.is_finite() {
             return 0;
         }
         if budget.work_cores <= 0.0 {
             return Nanos::MAX / 4;
         }
-        ((-self.left / budget.work_cores * 1e9) as Nanos)
+        ((-self.balance / budget.work_cores * 1e9) as Nanos)
             .saturating_add(1)
             .min(Nanos::MAX / 4)
     }
 
-    pub fn left(&self) -> f64 {
-        self.left
+    pub fn balance(&self) -> f64 {
+        self.balance
     }
 }
--- a/crates/ivypitch-queueing/src/lane.rs
+++ b/crates/ivypitch-queueing/src/lane.rs
@@ -1,228 +1,253 @@
-//! The statements of one team and workload that wait, in the order of their coming. Made for the estimates: the
-//! number and the work of what stands ahead of one, or came before a time, cost a logarithm; so does taking one
-//! out of the middle. A ring of places with a Fenwick tree of sums over it.
+//! Queue of the waiting statements of one team and workload, in the order of their arrival.
+//!
+//! A ring buffer of slots with a Fenwick tree of totals over it. Wait estimates need the number
+//! and the work of the statements ahead of a position, or that arrived before a time; both queries
+//! and a removal from the middle take logarithmic time.
 
 use ivypitch_types::{Nanos, StatementIndex};
 
-const LEAST: usize = 8;
+const MIN_SLOTS: usize = 8;
 
 #[derive(Clone, Copy, Default)]
-struct Place {
-    /// `None` behind: taken out, the place is passed over.
-    stmt: Option<StatementIndex>,
-    came: Nanos,
+struct Slot {
+    /// `None` if the statement was removed or the slot was never used.
+    statement: Option<StatementIndex>,
+    arrived_at: Nanos,
     work: u64,
 }
 
+/// Number and work of a set of waiting statements.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Debug)]
-pub struct Sum {
+pub struct LaneTotals {
+    /// Number of statements.
     pub count: u64,
+    /// Their charged work in nanoseconds.
     pub work: u64,
 }
 
-impl Sum {
-    fn add(&mut self, other: Sum) {
+impl LaneTotals {
+    fn add(&mut self, other: LaneTotals) {
         self.count = self.count.wrapping_add(other.count);
         self.work = self.work.wrapping_add(other.work);
     }
-    fn negative(self) -> Sum {
-        Sum {
+    fn negate(self) -> LaneTotals {
+        LaneTotals {
             count: self.count.wrapping_neg(),
             work: self.work.wrapping_neg(),
         }
     }
 }
 
-/// Places are named by a running number that never comes again; `base` is that of the ring's first place.
+/// The queue. Each statement in it has a sequence number; sequence numbers are never used again.
 #[derive(Default)]
 pub struct Lane {
-    places: Vec<Place>,
-    sums: Vec<Sum>,
-    /// Numbers of the first place held and of the next to come.
+    slots: Vec<Slot>,
+    fenwick_tree: Vec<LaneTotals>,
+    /// Sequence number of the first statement.
     head: u64,
+    /// Sequence number that the next statement gets.
     tail: u64,
-    all: Sum,
+    totals: LaneTotals,
 }
 
 impl Lane {
+    /// Number of waiting statements.
     pub fn len(&self) -> usize {
-        self.all.count as usize
+        self.totals.count as usize
     }
 
+    /// Whether no statement waits.
     pub fn is_empty(&self) -> bool {
-        self.all.count == 0
+        self.totals.count == 0
     }
 
-    pub fn sum(&self) -> Sum {
-        self.all
+    /// Totals of all waiting statements.
+    pub fn totals(&self) -> LaneTotals {
+        self.totals
     }
 
-    /// The first, its number and when it came.
+    /// The first statement, its sequence number and its arrival time.
     pub fn front(&self) -> Option<(StatementIndex, u64, Nanos)> {
         if self.is_empty() {
             return None;
         }
-        let place = self.places[self.at(self.head)];
-        place.stmt.map(|stmt| (stmt, self.head, place.came))
+        let slot = self.slots[self.slot_index(self.head)];
+        slot.statement
+            .map(|statement| (statement, self.head, slot.arrived_at))
     }
 
+    /// The last statement and its sequence number.
     pub fn back(&self) -> Option<(StatementIndex, u64)> {
-        (self.head..self.tail)
-            .rev()
-            .find_map(|n| self.places[self.at(n)].stmt.map(|stmt| (stmt, n)))
+        (self.head..self.tail).rev().find_map(|sequence| {
+            self.slots[self.slot_index(sequence)]
+                .statement
+                .map(|statement| (statement, sequence))
+        })
     }
 
-    /// Times never go back along a lane: one that came again comes with the time of its coming again. `moved` is
-    /// told the new number of each that stands elsewhere now.
+    /// Appends a statement and returns its sequence number. Arrival times must not decrease along
+    /// a lane: a statement that arrives again is pushed with its new arrival time. `on_moved`
+    /// receives the new sequence number of each statement that the lane renumbers.
     pub fn push(
         &mut self,
-        stmt: StatementIndex,
-        came: Nanos,
+        statement: StatementIndex,
+        arrived_at: Nanos,
         work: u64,
-        moved: impl FnMut(StatementIndex, u64),
+        on_moved: impl FnMut(StatementIndex, u64),
     ) -> u64 {
-        if self.tail - self.head == self.places.len() as u64 {
-            self.make_room(moved);
+        if self.tail - self.head == self.slots.len() as u64 {
+            self.grow_or_compact(on_moved);
         }
-        let number = self.tail;
+        let sequence = self.tail;
         self.tail += 1;
-        let at = self.at(number);
-        self.places[at] = Place {
-            stmt: Some(stmt),
-            came,
+        let slot_index = self.slot_index(sequence);
+        self.slots[slot_index] = Slot {
+            statement: Some(statement),
+            arrived_at,
             work,
         };
-        self.change(at, Sum { count: 1, work });
-        number
+        self.add_at(slot_index, LaneTotals { count: 1, work });
+        sequence
     }
 
-    /// Takes out what `number` names; its work is told, and nothing if it is not there.
-    pub fn remove(&mut self, number: u64) -> Option<u64> {
-        if number < self.head || number >= self.tail {
+    /// Removes the statement with this sequence number and returns its work; `None` if the lane
+    /// has no such statement.
+    pub fn remove(&mut self, sequence: u64) -> Option<u64> {
+        if sequence < self.head || sequence >= self.tail {
             return None;
         }
-        let at = self.at(number);
-        self.places[at].stmt.take()?;
-        let work = self.places[at].work;
-        self.change(at, Sum { count: 1, work }.negative());
-        while self.head < self.tail && self.places[self.at(self.head)].stmt.is_none() {
+        let slot_index = self.slot_index(sequence);
+        self.slots[slot_index].statement.take()?;
+        let work = self.slots[slot_index].work;
+        self.add_at(slot_index, LaneTotals { count: 1, work }.negate());
+        while self.head < self.tail && self.slots[self.slot_index(self.head)].statement.is_none() {
             self.head += 1;
         }
-        while self.tail > self.head && self.places[self.at(self.tail - 1)].stmt.is_none() {
+        while self.tail > self.head
+            && self.slots[self.slot_index(self.tail - 1)]
+                .statement
+                .is_none()
+        {
             self.tail -= 1;
         }
         Some(work)
     }
 
-    /// What stands ahead of a place.
-    pub fn ahead_of(&self, number: u64) -> Sum {
-        let number = number.clamp(self.head, self.tail);
-        self.between(self.head, number)
+    /// Totals of the statements ahead of a sequence number.
+    pub fn totals_ahead_of(&self, sequence: u64) -> LaneTotals {
+        let sequence = sequence.clamp(self.head, self.tail);
+        self.totals_between(self.head, sequence)
     }
 
-    /// What came before a time.
-    pub fn before(&self, time: Nanos) -> Sum {
+    /// Totals of the statements that arrived before a time.
+    pub fn totals_arrived_before(&self, time: Nanos) -> LaneTotals {
         let (mut low, mut high) = (self.head, self.tail);
         while low < high {
             let middle = low + (high - low) / 2;
-            if self.places[self.at(middle)].came < time {
+            if self.slots[self.slot_index(middle)].arrived_at < time {
                 low = middle + 1;
             } else {
                 high = middle;
             }
         }
-        self.between(self.head, low)
+        self.totals_between(self.head, low)
     }
 
-    /// Those that wait, first come first.
+    /// The waiting statements and their sequence numbers, in the order of arrival.
     pub fn iter(&self) -> impl Iterator<Item = (StatementIndex, u64)> {
-        (self.head..self.tail).filter_map(|n| self.places[self.at(n)].stmt.map(|stmt| (stmt, n)))
+        (self.head..self.tail).filter_map(|sequence| {
+            self.slots[self.slot_index(sequence)]
+                .statement
+                .map(|statement| (statement, sequence))
+        })
     }
 
-    fn at(&self, number: u64) -> usize {
-        (number % self.places.len() as u64) as usize
+    fn slot_index(&self, sequence: u64) -> usize {
+        (sequence % self.slots.len() as u64) as usize
     }
 
-    /// The ring's order goes over its end: then the sum is that of two stretches.
-    fn between(&self, from: u64, to: u64) -> Sum {
+    /// Totals of `from..to`. Where the range wraps around the end of the ring, they are the sum
+    /// over two stretches of slots.
+    fn totals_between(&self, from: u64, to: u64) -> LaneTotals {
         if from >= to {
-            return Sum::default();
+            return LaneTotals::default();
         }
-        let (first, last) = (self.at(from), self.at(to - 1));
-        let mut sum = self.up_to(last);
+        let (first, last) = (self.slot_index(from), self.slot_index(to - 1));
+        let mut totals = self.totals_through(last);
         if first <= last {
-            sum.add(self.up_to_but(first).negative());
+            totals.add(self.totals_before(first).negate());
         } else {
-            sum.add(self.up_to(self.places.len() - 1));
-            sum.add(self.up_to_but(first).negative());
+            totals.add(self.totals_through(self.slots.len() - 1));
+            totals.add(self.totals_before(first).negate());
         }
-        sum
+        totals
     }
 
-    fn up_to_but(&self, at: usize) -> Sum {
-        if at == 0 {
-            Sum::default()
+    fn totals_before(&self, slot_index: usize) -> LaneTotals {
+        if slot_index == 0 {
+            LaneTotals::default()
         } else {
-            self.up_to(at - 1)
+            self.totals_through(slot_index - 1)
         }
     }
 
-    fn up_to(&self, at: usize) -> Sum {
-        let mut sum = Sum::default();
-        let mut i = at + 1;
-        while i > 0 {
-            sum.add(self.sums[i - 1]);
-            i &= i - 1;
+    fn totals_through(&self, slot_index: usize) -> LaneTotals {
+        let mut totals = LaneTotals::default();
+        let mut node = slot_index + 1;
+        while node > 0 {
+            totals.add(self.fenwick_tree[node - 1]);
+            node &= node - 1;
         }
-        sum
+        totals
     }
 
-    fn change(&mut self, at: usize, by: Sum) {
-        self.all.add(by);
-        let mut i = at + 1;
-        while i <= self.sums.len() {
-            self.sums[i - 1].add(by);
-            i += i & i.wrapping_neg();
+    fn add_at(&mut self, slot_index: usize, delta: LaneTotals) {
+        self.totals.add(delta);
+        let mut node = slot_index + 1;
+        while node <= self.fenwick_tree.len() {
+            self.fenwick_tree[node - 1].add(delta);
+            node += node & node.wrapping_neg();
         }
     }
 
-    /// Doubles the ring, or, where half of it is what was taken out, closes up what is left. Either costs what as
-    /// many pushes before it paid for.
-    fn make_room(&mut self, mut moved: impl FnMut(StatementIndex, u64)) {
-        let kept: Vec<(u64, Place)> = (self.head..self.tail)
-            .map(|n| (n, self.places[self.at(n)]))
-            .filter(|(_, place)| place.stmt.is_some())
+    /// Doubles the ring or, where at least half of its slots are empty, compacts it. The pushes
+    /// before it amortize the cost of either.
+    fn grow_or_compact(&mut self, mut on_moved: impl FnMut(StatementIndex, u64)) {
+        let kept: Vec<(u64, Slot)> = (self.head..self.tail)
+            .map(|sequence| (sequence, self.slots[self.slot_index(sequence)]))
+            .filter(|(_, slot)| slot.statement.is_some())
             .collect();
-        let size = if kept.len() * 2 > self.places.len() {
-            self.places.len() * 2
+        let size = if kept.len() * 2 > self.slots.len() {
+            self.slots.len() * 2
         } else {
-            self.places.len()
+            self.slots.len()
         };
-        let size = size.max(LEAST);
-        self.places = vec![Place::default(); size];
-        self.sums = vec![Sum::default(); size];
-        self.all = Sum::default();
+        let size = size.max(MIN_SLOTS);
+        self.slots = vec![Slot::default(); size];
+        self.fenwick_tree = vec![LaneTotals::default(); size];
+        self.totals = LaneTotals::default();
         self.head = self.tail;
-        for (old, place) in kept {
-            let number = self.tail;
+        for (old_sequence, slot) in kept {
+            let sequence = self.tail;
             self.tail += 1;
-            let at = self.at(number);
-            self.places[at] = place;
-            self.change(
-                at,
-                Sum {
+            let slot_index = self.slot_index(sequence);
+            self.slots[slot_index] = slot;
+            self.add_at(
+                slot_index,
+                LaneTotals {
                     count: 1,
-                    work: place.work,
+                    work: slot.work,
                 },
             );
-            if let Some(stmt) = place.stmt.filter(|_| old != number) {
-                moved(stmt, number);
+            if let Some(statement) = slot.statement.filter(|_| old_sequence != sequence) {
+                on_moved(statement, sequence);
             }
         }
     }
 
-    /// Bytes held beside the statements.
-    pub fn bytes(&self) -> usize {
-        self.places.capacity() * size_of::<Place>() + self.sums.capacity() * size_of::<Sum>()
+    /// Heap memory of the lane in bytes.
+    pub fn memory_bytes(&self) -> usize {
+        self.slots.capacity() * size_of::<Slot>()
+            + self.fenwick_tree.capacity() * size_of::<LaneTotals>()
     }
 }
--- a/crates/ivypitch-queueing/src/team_queues.rs
+++ b/crates/ivypitch-queueing/src/team_queues.rs
@@ -9,11 +9,11 @@
 use ivypitch_types::unit_hash;
 use ivypitch_types::{Nanos, StatementIndex};
 
-use crate::budgets::{Bucket, Budgets};
+use crate::budgets::{Budgets, WorkBudget};
 use crate::lane::Lane;
-use crate::team_heap::Ranks;
-use crate::timing_wheel::{Handle, Wheel};
-use crate::wait_estimates::{Pace, Rate, WaitEstimate, WaitStatistics};
+use crate::team_heap::TeamHeap;
+use crate::timing_wheel::{TimerHandle, TimingWheel};
+use crate::wait_estimates::{DecayingRate, ServiceRate, WaitEstimate, WaitStatistics};
 use crate::window::Window;
 
 /// Below this part of the window whoever is first of those who wait goes at once, uncharged: engines are not left
@@ -116,7 +116,7 @@
     work: u64,
     told: u64,
     bytes: usize,
-    timer: Option<Handle>,
+    timer: Option<TimerHandle>,
     /// What it was told of its wait; 0: it did not queue.
     told_wait: Nanos,
     /// The same before its correction by how such words came true.
@@ -152,14 +152,14 @@
     /// What was charged too little, in ns of work, to be settled with the workload's next releases.
     debts: Vec<f64>,
     /// Importance asked for, by workload.
-    wanted: Vec<Rate>,
+    wanted: Vec<DecayingRate>,
     /// Charged work that it asked for.
-    asked: Rate,
+    asked: DecayingRate,
     within: bool,
     /// It held more than its part as the window was full; in line with others until it holds less.
     beyond_by_hold: bool,
-    bucket: Bucket,
-    filling: Option<Handle>,
+    bucket: WorkBudget,
+    filling: Option<TimerHandle>,
     queued: usize,
     bytes: usize,
     /// Work that waits.
@@ -172,7 +172,7 @@
     /// The last time that one of its refused was told to come back.
     appointment: Nanos,
     /// How fast it is served while it has something waiting.
-    pace: Pace,
+    pace: ServiceRate,
     paced_at: Nanos,
     refusing_since: Option<Nanos>,
     refused_at: Nanos,
@@ -197,11 +197,11 @@
     tickets: Vec<Option<Ticket>>,
     /// By team index; as many as the deployment has customers.
     rows: Vec<Row>,
-    ranks: Ranks,
+    ranks: TeamHeap,
     /// Teams with something queued, the one with most for its share first.
-    fullest: Ranks,
+    fullest: TeamHeap,
     /// Held back by their own bounds on what is released; looked at again as one of theirs is over.
-    wheel: Wheel<Due>,
+    wheel: TimingWheel<Due>,
     window: Window,
     out: f64,
     /// Of these, released beyond their teams' shares.
@@ -212,18 +212,18 @@
     virtual_now: u64,
     shares: f64,
     /// Work done (ns) for teams while they had something waiting, and the rate of all others' work.
-    pace: Pace,
+    pace: ServiceRate,
     done_for_waiting: f64,
-    done_for_others: Rate,
+    done_for_others: DecayingRate,
     /// Threads that come free.
-    freed: Rate,
+    freed: DecayingRate,
     clock_at: Nanos,
     /// Somebody waited for room when last looked at, and whether the clock stood since there was none.
     contended: bool,
     blocked: bool,
     /// The shares of those who wait.
     waiting_shares: f64,
-    turn: Option<Handle>,
+    turn: Option<TimerHandle>,
     record: WaitStatistics,
     seed: u64,
     chances: u64,
@@ -242,9 +242,9 @@
         let mut teams = TeamQueues {
             tickets: Vec::new(),
             rows: Vec::new(),
-            ranks: Ranks::default(),
-            fullest: Ranks::default(),
-            wheel: Wheel::new(now),
+            ranks: TeamHeap::default(),
+            fullest: TeamHeap::default(),
+            wheel: TimingWheel::new(now),
             window: Window::new(budgets.window_policy, widest),
             out: 0.0,
             lent: 0.0,
@@ -253,10 +253,10 @@
             bytes: 0,
             virtual_now: 0,
             shares: 0.0,
-            pace: Pace::default(),
+            pace: ServiceRate::default(),
             done_for_waiting: 0.0,
-            done_for_others: Rate::fading(COMING_FADE),
-            freed: Rate::fading(COMING_FADE),
+            done_for_others: DecayingRate::new(COMING_FADE),
+            freed: DecayingRate::new(COMING_FADE),
             clock_at: now,
             contended: false,
             blocked: false,
@@ -346,10 +346,10 @@
         if now.saturating_add(wait) > told_until {
             return self.reject(now, ix, out);
         }
-        let timer = self.wheel.set(until, Due::Waited(ix));
+        let timer = self.wheel.insert(until, Due::Waited(ix));
         if let Some(ticket) = &mut self.tickets[ix.0] {
             ticket.told_wait = wait.max(1);
-            ticket.estimated = (wait as f64 / self.record.bias(now)) as Nanos;
+            ticket.estimated = (wait as f64 / self.record.correction_factor(now)) as Nanos;
             ticket.timer = Some(timer);
         }
         self.waited_at = now;
@@ -404,7 +404,7 @@
             self.learn(team, workload, told, real);
             if let Some(took) = took {
                 self.window
-                    .ended(now, took, real, (real as f64 / threads) as Nanos);
+                    .on_attempt_succeeded(now, took, real, (real as f64 / threads) as Nanos);
             }
         }
         self.rank(team);
@@ -418,12 +418,12 @@
             .iter()
             .map(|w| w.threads)
             .fold(1.0, f64::max);
-        self.window.set_way(budgets.window_policy, widest);
+        self.window.set_policy(budgets.window_policy, widest);
         self.budgets = budgets;
         self.have_rows(self.budgets.teams.len(), now);
         for team in 0..self.rows.len() {
             let budget = self.budgets.team(team);
-            self.rows[team].bucket.fill(budget, now);
+            self.rows[team].bucket.refill(budget, now);
             let row = &mut self.rows[team];
             if let Some(timer) = row.filling.take() {
                 self.wheel.remove(timer);
@@ -465,7 +465,7 @@
     }
 
     pub fn on_timer(&mut self, now: Nanos, out: &mut dyn Output) {
-        while let Some(due) = self.wheel.pop(now) {
+        while let Some(due) = self.wheel.pop_expired(now) {
             match due {
                 Due::Waited(ix) => {
                     if let Some(ticket) = &mut self.tickets[ix.0] {
@@ -485,7 +485,7 @@
 
     /// When [`TeamQueues::on_timer`] is wanted at the latest.
     pub fn next_timer(&self) -> Option<Nanos> {
-        self.wheel.next()
+        self.wheel.next_timer()
     }
 
     // ---- what can be seen ----
@@ -529,7 +529,7 @@
             .rows
             .iter()
             .flat_map(|row| &row.lanes)
-            .map(Lane::bytes)
+            .map(Lane::memory_bytes)
             .sum();
         lanes + self.tickets.capacity() * size_of::<Option<Ticket>>()
     }
@@ -546,10 +546,10 @@
             team,
             workload,
             position: self.rows[team].lanes[workload]
-                .ahead_of(ticket.number)
+                .totals_ahead_of(ticket.number)
                 .count
                 + 1,
-            wait: self.record.wait(self.wait(now, ix)),
+            wait: self.record.estimate_range(self.wait(now, ix)),
             age: now.saturating_sub(ticket.came),
         })
     }
@@ -573,11 +573,12 @@
         while let Some(team) = self.ranks.first() {
             let budget = self.budgets.team(team);
             let row = &mut self.rows[team];
-            row.bucket.fill(budget, now);
-            let empty_for = row.bucket.wait(budget);
+            row.bucket.refill(budget, now);
+            let empty_for = row.bucket.time_until_positive(budget);
             if empty_for > 0 {
                 if row.filling.is_none() {
-                    row.filling = Some(self.wheel.set(now + empty_for, Due::Filled(team as u32)));
+                    row.filling =
+                        Some(self.wheel.insert(now + empty_for, Due::Filled(team as u32)));
                 }
                 self.unrank(team);
                 continue;
@@ -595,7 +596,8 @@
                 // Its own part of the window is kept for it, whatever others have borrowed; more while there is room.
                 let own = self.rows[team].out + threads;
                 let part = self.part(team);
-                let most = (OWN_PART * part).max(OWN_STATEMENTS * self.window.widest());
+                let most =
+                    (OWN_PART * part).max(OWN_STATEMENTS * self.window.max_statement_threads());
                 let guaranteed = own <= part;
                 let room = out_then - self.lent <= window && own <= most;
                 if !guaranteed && !room {
@@ -611,7 +613,7 @@
             } else if out_then > if self.contended { RELAXED } else { 1.0 } * window {
                 // While nobody waits the window alone counts.
                 if out_then > window {
-                    self.window.was_full();
+                    self.window.on_full();
                 }
                 if out_then > FULL * window || class == LEFT_OVER && out_then > window {
                     self.blocked = true;
@@ -664,7 +666,7 @@
         if !self.contended {
             return;
         }
-        self.pace.went_on(done, span);
+        self.pace.record(done, span);
         if !self.blocked {
             let went = self.clock_pace(now) * span as f64 / 1e9;
             self.virtual_now = self.virtual_now.saturating_add(went as u64);
@@ -674,7 +676,7 @@
     fn await_turn(&mut self, now: Nanos, tag: u64) {
         let away = tag.saturating_sub(self.virtual_now) as f64;
         let span = (away / self.clock_pace(now).max(1.0) * 1e9).min(1e15) as Nanos;
-        if let Some(old) = self.turn.replace(self.wheel.set(now + span, Due::Turn)) {
+        if let Some(old) = self.turn.replace(self.wheel.insert(now + span, Due::Turn)) {
             self.wheel.remove(old);
         }
     }
@@ -699,7 +701,7 @@
         if told_wait > 0 {
             let estimated = ticket.estimated;
             self.record
-                .released(now, told_wait, estimated, now.saturating_sub(came));
+                .record_wait(now, told_wait, estimated, now.saturating_sub(came));
         }
         let share = self.lane_share(now, team, workload);
         let row = &mut self.rows[team];
@@ -709,10 +711,10 @@
             let went = span((work as f64 + settled) as u64, share);
             row.tags[workload] = row.tags[workload].saturating_add(went);
         }
-        row.bucket.take(work as f64 / 1e9);
+        row.bucket.charge(work as f64 / 1e9);
         if told_wait > 0 {
             row.pace
-                .went_on(work as f64, now.saturating_sub(row.paced_at));
+                .record(work as f64, now.saturating_sub(row.paced_at));
             row.paced_at = now;
         }
         match row.urgent_lane {
@@ -731,7 +733,10 @@
             // One is always let through where nothing is out: a bound below its threads would hold it for good.
             let within = |out: f64, most: f64| most > 0.0 && (out <= 0.0 || out + threads <= most);
             within(row.out, budget.max_released_threads)
-                && within(row.out_in[workload], budget.most_released_in(workload))
+                && within(
+                    row.out_in[workload],
+                    budget.max_released_threads_in(workload),
+                )
         };
         let filled = (0..row.lanes.len()).filter(|&w| !row.lanes[w].is_empty() && may_go(w));
         let due = |w: usize| {
@@ -948,7 +953,7 @@
                 if row.queued == 0 {
                     row.urgent = 0;
                     if now > row.paced_at + PACE_HOLDS {
-                        row.pace = Pace::default();
+                        row.pace = ServiceRate::default();
                     }
                     row.paced_at = now;
                 }
@@ -994,11 +999,11 @@
                     .collect(),
                 tags: vec![self.virtual_now; workloads.len()],
                 debts: vec![0.0; workloads.len()],
-                wanted: vec![Rate::fading(ASKED_FADE); workloads.len()],
-                asked: Rate::fading(ASKED_FADE),
+                wanted: vec![DecayingRate::new(ASKED_FADE); workloads.len()],
+                asked: DecayingRate::new(ASKED_FADE),
                 within: true,
                 beyond_by_hold: false,
-                bucket: Bucket::new(budget, now),
+                bucket: WorkBudget::new(budget, now),
                 filling: None,
                 queued: 0,
                 bytes: 0,
@@ -1007,7 +1012,7 @@
                 urgent_lane: None,
                 used: 0.0,
                 appointment: 0,
-                pace: Pace::default(),
+                pace: ServiceRate::default(),
                 paced_at: now,
                 refusing_since: None,
                 refused_at: 0,
@@ -1064,8 +1069,8 @@
         // What is owed to it fades as it is not in line; what it owes stays until it is.
         let debt = row.debts[workload] + real as f64 - charged as f64;
         row.debts[workload] = if row.within { 0.0 } else { debt };
-        row.bucket.fill(self.budgets.team(team), now);
-        row.bucket.take(real as f64 / 1e9 - charged as f64 / 1e9);
+        row.bucket.refill(self.budgets.team(team), now);
+        row.bucket.charge(real as f64 / 1e9 - charged as f64 / 1e9);
         if let Some(filling) = row.filling.take() {
             // The time at which it holds something again has moved.
             self.wheel.remove(filling);
@@ -1084,7 +1089,7 @@
         let (row, budget) = (&self.rows[team], self.budgets.team(team));
         row.queued <= budget.max_queued
             && row.bytes <= budget.max_queued_bytes
-            && row.lanes[workload].len() <= budget.most_queued_in(workload)
+            && row.lanes[workload].len() <= budget.max_queued_in(workload)
     }
 
     fn all_within(&self) -> bool {
@@ -1111,7 +1116,7 @@
             }
             let victim = if !self.team_within(team, workload) {
                 if self.rows[team].lanes[workload].len()
-                    > self.budgets.team(team).most_queued_in(workload)
+                    > self.budgets.team(team).max_queued_in(workload)
                 {
                     return false;
                 }
@@ -1242,7 +1247,7 @@
     }
 
     fn time(&mut self, ix: StatementIndex, until: Nanos) {
-        let timer = self.wheel.set(until, Due::Waited(ix));
+        let timer = self.wheel.insert(until, Due::Waited(ix));
         let old = self.tickets[ix.0]
             .as_mut()
             .and_then(|ticket| ticket.timer.replace(timer));
@@ -1295,7 +1300,7 @@
             return 0;
         }
         let row = &self.rows[team];
-        let mut ahead = row.lanes[workload].ahead_of(ticket.number).work as f64;
+        let mut ahead = row.lanes[workload].totals_ahead_of(ticket.number).work as f64;
         let in_order = if self
             .ranks
             .rank(team)
@@ -1305,7 +1310,10 @@
             let share = self.lane_share(now, team, workload).max(LEAST_SHARE);
             let behind = row.tags[workload].saturating_sub(self.virtual_now) as f64;
             // Those ahead settle a part of what was charged too little before, or too much.
-            let count = row.lanes[workload].ahead_of(ticket.number).count.min(1_000) as i32;
+            let count = row.lanes[workload]
+                .totals_ahead_of(ticket.number)
+                .count
+                .min(1_000) as i32;
             let settles = row.debts[workload] * (1.0 - (1.0 - SETTLED_AT_ONCE).powi(count));
             ahead += settles.max(-MOST_BACK * ahead);
             let turn = (ahead / share + behind) / self.usual_pace(now).max(1e-9) * 1e9;
@@ -1316,18 +1324,19 @@
                 .saturating_add(self.budgets.workloads[workload].slack);
             for (w, lane) in row.lanes.iter().enumerate().filter(|&(w, _)| w != workload) {
                 let earlier = due.saturating_sub(self.budgets.workloads[w].slack);
-                ahead += lane.before(earlier).work as f64;
+                ahead += lane.totals_arrived_before(earlier).work as f64;
             }
             let served = ahead / self.pace_of(now, team).max(1.0) * 1e9;
             served.max(self.until_room(now, workload, CALLED_BACK))
         };
         let budget = self.budgets.team(team);
         let by_budget = if budget.work_cores.is_finite() {
-            ((ahead / 1e9 - row.bucket.left()) / budget.work_cores.max(1e-9) * 1e9).max(0.0)
+            ((ahead / 1e9 - row.bucket.balance()) / budget.work_cores.max(1e-9) * 1e9).max(0.0)
         } else {
             0.0
         };
-        (in_order.max(by_budget) * self.record.bias(now)).min(Nanos::MAX as f64 / 4.0) as Nanos
+        (in_order.max(by_budget) * self.record.correction_factor(now)).min(Nanos::MAX as f64 / 4.0)
+            as Nanos
     }
 }
 
--- a/crates/ivypitch-queueing/src/wait_estimates.rs
+++ b/crates/ivypitch-queueing/src/wait_estimates.rs
@@ -1,148 +1,174 @@
-//! How fast the order moves, what a wait will be, and how good such words were.
+//! Service rates, ranges of estimated waits, and statistics on the accuracy of the estimates.
 
 use hdrhistogram::Histogram;
 use ivypitch_types::Nanos;
 
-/// Evidence of a pace fades with this time, in seconds.
-const FADE: f64 = 5.0;
-/// Until there is more evidence, so many seconds of the pace that the engines' cores promise.
-const PRIOR: f64 = 1.0;
-/// Spread: the first guess of the relative error, its smoothing, and what of it is told on each side.
-const FIRST_ERROR: f64 = 0.2;
-const LEARN: f64 = 0.02;
-const SPREAD: f64 = 2.0;
-/// What estimates are corrected by: evidence fades in so many seconds; so many ns of waits stand for none; ends.
-const BIAS_FADE: f64 = 4.0;
-const BIAS_PRIOR: f64 = 1e9;
-const LEAST_BIAS: f64 = 0.5;
-const MOST_BIAS: f64 = 2.0;
-/// What can't be told more finely.
-pub const GRAIN: Nanos = 50_000_000;
-const MS: Nanos = 1_000_000;
-const LONGEST_MS: u64 = 3_600_000;
-
-/// What a statement is told of its wait.
+/// Time constant with which the evidence of a service rate decays.
+const SERVICE_RATE_TIME_CONSTANT_S: f64 = 5.0;
+/// Weight of the expected rate, which the engines' cores determine, against measured time.
+const EXPECTED_RATE_WEIGHT_S: f64 = 1.0;
+/// Mean relative error that is assumed before the first measurement.
+const INITIAL_RELATIVE_ERROR: f64 = 0.2;
+/// Weight of one statement in the mean relative error.
+const RELATIVE_ERROR_SMOOTHING: f64 = 0.02;
+/// A reported range extends by this many mean relative errors to each side.
+const RANGE_MEAN_ERRORS: f64 = 2.0;
+/// Time constant with which the evidence for the correction of estimates decays.
+const CORRECTION_TIME_CONSTANT_S: f64 = 4.0;
+/// Wait that is added to the measured and to the estimated waits: with little evidence, estimates
+/// are hardly corrected.
+const CORRECTION_PRIOR_NS: f64 = 1e9;
+const MIN_CORRECTION_FACTOR: f64 = 0.5;
+const MAX_CORRECTION_FACTOR: f64 = 2.0;
+/// Resolution of estimates: differences up to it do not count as errors.
+pub const WAIT_RESOLUTION: Nanos = 50_000_000;
+const NANOS_PER_MS: Nanos = 1_000_000;
+const MAX_RECORDED_WAIT_MS: u64 = 3_600_000;
+
+/// Estimated wait of a statement, as a range.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct WaitEstimate {
+    /// Lower end of the range.
     pub low: Nanos,
+    /// The estimate.
     pub mid: Nanos,
+    /// Upper end of the range.
     pub high: Nanos,
 }
 
-/// Something that goes on while somebody waits, measured over such times only.
+/// Rate of work that is done while statements wait; other times do not count.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Pace {
-    done: f64,
-    span: f64,
+pub(crate) struct ServiceRate {
+    work: f64,
+    time_s: f64,
 }
 
-impl Pace {
-    pub fn went_on(&mut self, done: f64, span: Nanos) {
-        let span = span as f64 / 1e9;
-        let kept = (-span / FADE).exp();
-        self.done = self.done * kept + done;
-        self.span = self.span * kept + span;
+impl ServiceRate {
+    /// Adds work that was done in a time during which statements waited.
+    pub fn record(&mut self, work: f64, time: Nanos) {
+        let time_s = time as f64 / 1e9;
+        let kept_fraction = (-time_s / SERVICE_RATE_TIME_CONSTANT_S).exp();
+        self.work = self.work * kept_fraction + work;
+        self.time_s = self.time_s * kept_fraction + time_s;
     }
 
-    /// A second's worth; `promised` stands for it until there is evidence.
-    pub fn per_s(&self, promised: f64) -> f64 {
-        (self.done + promised * PRIOR) / (self.span + PRIOR)
+    /// Work per second; close to `expected` until there is evidence.
+    pub fn per_s(&self, expected: f64) -> f64 {
+        (self.work + expected * EXPECTED_RATE_WEIGHT_S) / (self.time_s + EXPECTED_RATE_WEIGHT_S)
     }
 }
 
-/// A rate of what comes, fading.
+/// Rate of amounts that are added over time, with exponential decay.
 #[derive(Clone, Debug)]
-pub(crate) struct Rate {
-    fade: f64,
+pub(crate) struct DecayingRate {
+    time_constant_s: f64,
     sum: f64,
-    at: Nanos,
+    updated_at: Nanos,
 }
 
-impl Rate {
-    pub fn fading(fade: f64) -> Rate {
-        Rate {
-            fade,
+impl DecayingRate {
+    /// A rate of 0 that decays with this time constant.
+    pub fn new(time_constant_s: f64) -> DecayingRate {
+        DecayingRate {
+            time_constant_s,
             sum: 0.0,
-            at: 0,
+            updated_at: 0,
         }
     }
 
+    /// Adds an amount.
     pub fn add(&mut self, now: Nanos, amount: f64) {
-        self.sum = self.left(now) + amount;
-        self.at = self.at.max(now);
+        self.sum = self.decayed_sum(now) + amount;
+        self.updated_at = self.updated_at.max(now);
     }
 
+    /// Amount per second.
     pub fn per_s(&self, now: Nanos) -> f64 {
-        self.left(now) / self.fade
+        self.decayed_sum(now) / self.time_constant_s
     }
 
-    fn left(&self, now: Nanos) -> f64 {
-        let span = now.saturating_sub(self.at) as f64 / 1e9;
-        self.sum * (-span / self.fade).exp()
+    fn decayed_sum(&self, now: Nanos) -> f64 {
+        let elapsed_s = now.saturating_sub(self.updated_at) as f64 / 1e9;
+        self.sum * (-elapsed_s / self.time_constant_s).exp()
     }
 }
 
-/// Waits as they were, and how far the words about them were off.
+/// Actual waits and the accuracy of the estimates for them.
 pub struct WaitStatistics {
+    /// Actual waits.
     pub waits_ms: Histogram<u64>,
-    /// |true - told| in percent of the true wait, of those that waited longer than the grain.
+    /// |measured - estimated| in percent of the measured wait, of waits longer than the resolution.
     pub errors_percent: Histogram<u64>,
+    /// Number of estimates.
     pub estimates: u64,
-    /// Within a quarter of the true wait, or within the grain of it.
+    /// Estimates within a quarter of the measured wait, or within the resolution of it.
     pub good_estimates: u64,
-    error: f64,
-    /// Waits of late as they were, and as they were estimated before any correction: fading sums.
-    were: Rate,
-    estimated: Rate,
+    mean_relative_error: f64,
+    /// Recent measured waits.
+    measured_waits: DecayingRate,
+    /// Recent estimates before any correction.
+    uncorrected_estimates: DecayingRate,
 }
 
 impl Default for WaitStatistics {
     fn default() -> Self {
-        let of = |most| Histogram::new_with_bounds(1, most, 2).unwrap_or_else(|_| unreachable!());
+        let histogram =
+            |max| Histogram::new_with_bounds(1, max, 2).unwrap_or_else(|_| unreachable!());
         WaitStatistics {
-            waits_ms: of(LONGEST_MS),
-            errors_percent: of(10_000),
+            waits_ms: histogram(MAX_RECORDED_WAIT_MS),
+            errors_percent: histogram(10_000),
             estimates: 0,
             good_estimates: 0,
-            error: FIRST_ERROR,
-            were: Rate::fading(BIAS_FADE),
-            estimated: Rate::fading(BIAS_FADE),
+            mean_relative_error: INITIAL_RELATIVE_ERROR,
+            measured_waits: DecayingRate::new(CORRECTION_TIME_CONSTANT_S),
+            uncorrected_estimates: DecayingRate::new(CORRECTION_TIME_CONSTANT_S),
         }
     }
 }
 
 impl WaitStatistics {
-    pub fn wait(&self, mid: Nanos) -> WaitEstimate {
-        let off = (mid as f64 * (SPREAD * self.error).min(0.9)) as Nanos;
+    /// The range to report for an estimated wait.
+    pub fn estimate_range(&self, mid: Nanos) -> WaitEstimate {
+        let margin =
+            (mid as f64 * (RANGE_MEAN_ERRORS * self.mean_relative_error).min(0.9)) as Nanos;
         WaitEstimate {
-            low: mid.saturating_sub(off),
+            low: mid.saturating_sub(margin),
             mid,
-            high: mid.saturating_add(off).saturating_add(GRAIN),
+            high: mid.saturating_add(margin).saturating_add(WAIT_RESOLUTION),
         }
     }
 
-    /// What an estimate is multiplied by so that it is right in the mean.
-    pub(crate) fn bias(&self, now: Nanos) -> f64 {
-        let prior = BIAS_PRIOR / BIAS_FADE;
-        let bias = (self.were.per_s(now) + prior) / (self.estimated.per_s(now) + prior);
-        bias.clamp(LEAST_BIAS, MOST_BIAS)
+    /// Factor by which estimates are multiplied so that they are right on average.
+    pub(crate) fn correction_factor(&self, now: Nanos) -> f64 {
+        let prior = CORRECTION_PRIOR_NS / CORRECTION_TIME_CONSTANT_S;
+        let factor = (self.measured_waits.per_s(now) + prior)
+            / (self.uncorrected_estimates.per_s(now) + prior);
+        factor.clamp(MIN_CORRECTION_FACTOR, MAX_CORRECTION_FACTOR)
     }
 
-    /// One that waited: what it was told, the estimate before its correction, and what came of it.
-    pub(crate) fn released(&mut self, now: Nanos, told: Nanos, estimated: Nanos, was: Nanos) {
-        let off = told.abs_diff(was);
+    /// Records the wait of a released statement: its estimate, the estimate before correction,
+    /// and the measured wait.
+    pub(crate) fn record_wait(
+        &mut self,
+        now: Nanos,
+        estimated: Nanos,
+        uncorrected: Nanos,
+        measured: Nanos,
+    ) {
+        let error = estimated.abs_diff(measured);
         self.estimates += 1;
-        self.good_estimates += u64::from(off <= GRAIN || off <= was / 4);
-        self.waits_ms.saturating_record(was / MS);
-        let relative = off as f64 / was.max(1) as f64;
-        if was.max(told) > GRAIN {
-            self.were.add(now, was as f64);
-            self.estimated.add(now, estimated as f64);
+        self.good_estimates += u64::from(error <= WAIT_RESOLUTION || error <= measured / 4);
+        self.waits_ms.saturating_record(measured / NANOS_PER_MS);
+        let relative_error = error as f64 / measured.max(1) as f64;
+        if measured.max(estimated) > WAIT_RESOLUTION {
+            self.measured_waits.add(now, measured as f64);
+            self.uncorrected_estimates.add(now, uncorrected as f64);
         }
-        if was > GRAIN {
+        if measured > WAIT_RESOLUTION {
             self.errors_percent
-                .saturating_record((relative * 100.0) as u64);
-            self.error += LEARN * (relative.min(1.0) - self.error);
+                .saturating_record((relative_error * 100.0) as u64);
+            self.mean_relative_error +=
+                RELATIVE_ERROR_SMOOTHING * (relative_error.min(1.0) - self.mean_relative_error);
         }
     }
 }
--- a/crates/ivypitch-queueing/src/window.rs
+++ b/crates/ivypitch-queueing/src/window.rs
@@ -1,175 +1,205 @@
-//! How much is released at once: a window in threads, so that queues form here, where they can be ordered, and not
-//! at the engines. It starts at this gateway's share of the engines' cores and follows what executions show.
+//! Window of threads that may be released at once, so that statements queue here, where they can
+//! be ordered, and not at the engines. It starts at a size for this gateway's share of the
+//! engines' cores and follows the measured slowness of attempts.
 
 use ivypitch_types::Nanos;
 
-/// Threads a core that the window starts with: engines are at work with so many, and still fast.
-const START: f64 = 1.5;
-/// And this many times the root of those threads: a small share needs more room for chance than a large one.
-const HEADROOM: f64 = 0.5;
-/// Its ends, as parts of where it starts.
-const LEAST: f64 = 0.7;
-const MOST: f64 = 2.0;
-/// How often it is looked at, and by how many executions at least.
-const PERIOD: Nanos = 100_000_000;
-const FEWEST: u32 = 8;
-/// Executions may be slower than the best by so much before the window closes.
-const TOLERANCE: f64 = 2.5;
-/// Below this part of the cores' time used, slow executions are no reason to close it: they wait for disks or for
-/// others, and the cores have room.
-const WELL_USED: f64 = 0.8;
-/// The most that one look changes.
-const STEP_DOWN: f64 = 0.9;
-const STEP_UP: f64 = 1.05;
-/// Smoothing of the slowness, and how fast the best is forgotten, by look.
-const LEARN: f64 = 0.1;
-const FORGET: f64 = 0.002;
-/// The additive way: threads more where all is well, what is left of it where not.
-const ADD: f64 = 1.0;
-const KEEP: f64 = 0.85;
+/// Threads per core of the initial window: they keep the engines busy without slowing them down.
+const INITIAL_THREADS_PER_CORE: f64 = 1.5;
+/// The initial window grows by this factor times the square root of its threads: a small share
+/// of cores needs relatively more room for random variation than a large one.
+const INITIAL_HEADROOM_FACTOR: f64 = 0.5;
+/// Lower bound of the window, as a multiple of the initial one.
+const MIN_WINDOW_FACTOR: f64 = 0.7;
+/// Upper bound of the window, as a multiple of the initial one.
+const MAX_WINDOW_FACTOR: f64 = 2.0;
+/// Minimum time between two adjustments of the window.
+const ADJUSTMENT_INTERVAL: Nanos = 100_000_000;
+/// Minimum number of attempts between two adjustments.
+const MIN_ATTEMPTS_PER_ADJUSTMENT: u32 = 8;
+/// The window shrinks when the slowness exceeds the best slowness by this factor.
+const MAX_SLOWNESS_RATIO: f64 = 2.5;
+/// Below this utilization of the cores, slowness does not shrink the window: the attempts wait
+/// for disks or for other statements, and the cores have capacity left.
+const MIN_UTILIZATION_TO_SHRINK: f64 = 0.8;
+/// Largest reduction by one adjustment.
+const MIN_STEP_FACTOR: f64 = 0.9;
+/// Largest growth by one adjustment.
+const MAX_STEP_FACTOR: f64 = 1.05;
+/// Weight of one attempt in the slowness, and of one adjustment in the utilization.
+const SMOOTHING: f64 = 0.1;
+/// Fraction by which the best slowness moves to the present one at each adjustment.
+const BEST_SLOWNESS_DECAY: f64 = 0.002;
+/// Threads that the additive policy adds to the window.
+const ADDITIVE_INCREASE_THREADS: f64 = 1.0;
+/// Factor by which the additive policy shrinks the window.
+const MULTIPLICATIVE_DECREASE_FACTOR: f64 = 0.85;
 
+/// How the window follows the slowness of attempts.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub enum WindowPolicy {
-    /// Always the same threads a core.
+    /// Constant threads per core.
     Fixed,
-    /// Opens and closes in proportion to the best slowness over the present.
+    /// Grows and shrinks in proportion to the best slowness over the present one.
     #[default]
     Gradient,
-    /// A step up while executions are fast, a part of it where they are slow.
+    /// Additive increase while attempts are fast, multiplicative decrease while they are slow.
     Additive,
 }
 
+/// The window.
 pub struct Window {
-    way: WindowPolicy,
+    policy: WindowPolicy,
     /// This gateway's share of the engines' cores.
     cores: f64,
-    /// A statement needs at least so much room, or nothing would ever go.
-    widest: f64,
+    /// Threads of the widest workload: a smaller window could never release its statements.
+    max_statement_threads: f64,
     threads: f64,
+    /// Measured over expected run time of attempts, smoothed.
     slowness: f64,
-    best: f64,
-    seen: u32,
-    /// Work done (ns) since the last look, and the part of the cores' time used, smoothed.
-    done: f64,
-    used: f64,
-    looked_at: Nanos,
-    /// It was full since the last look: only then may it grow.
-    bound: bool,
+    best_slowness: f64,
+    /// Attempts since the last adjustment.
+    attempts: u32,
+    /// Work (ns) since the last adjustment.
+    work: f64,
+    /// Used fraction of the cores' time, smoothed.
+    utilization: f64,
+    adjusted_at: Nanos,
+    /// Whether the window was full since the last adjustment: only then may it grow.
+    was_full: bool,
 }
 
 impl Window {
-    pub fn new(way: WindowPolicy, widest: f64) -> Window {
+    /// A window without cores.
+    pub fn new(policy: WindowPolicy, max_statement_threads: f64) -> Window {
         Window {
-            way,
+            policy,
             cores: 0.0,
-            widest,
+            max_statement_threads,
             threads: 0.0,
             slowness: 1.0,
-            best: f64::INFINITY,
-            seen: 0,
-            done: 0.0,
-            used: 1.0,
-            looked_at: 0,
-            bound: false,
+            best_slowness: f64::INFINITY,
+            attempts: 0,
+            work: 0.0,
+            utilization: 1.0,
+            adjusted_at: 0,
+            was_full: false,
         }
     }
 
+    /// Threads that may be released at once.
     pub fn threads(&self) -> f64 {
         self.threads
     }
 
-    pub fn widest(&self) -> f64 {
-        self.widest
+    /// Threads of the widest workload.
+    pub fn max_statement_threads(&self) -> f64 {
+        self.max_statement_threads
     }
 
+    /// This gateway's share of the engines' cores.
     pub fn cores(&self) -> f64 {
         self.cores
     }
 
-    pub fn set_way(&mut self, way: WindowPolicy, widest: f64) {
-        (self.way, self.widest) = (way, widest);
+    /// Changes the policy and the threads of the widest workload.
+    pub fn set_policy(&mut self, policy: WindowPolicy, max_statement_threads: f64) {
+        (self.policy, self.max_statement_threads) = (policy, max_statement_threads);
         self.set_cores(self.cores);
     }
 
-    /// The engines that are ready have changed. Without any, nothing is released.
+    /// Sets this gateway's share of the cores of ready engines; 0 closes the window.
     pub fn set_cores(&mut self, cores: f64) {
-        let keeps = self.cores > 0.0 && self.way != WindowPolicy::Fixed;
-        let part = if keeps {
-            self.threads / self.start()
+        let keeps_ratio = self.cores > 0.0 && self.policy != WindowPolicy::Fixed;
+        let ratio = if keeps_ratio {
+            self.threads / self.initial_threads()
         } else {
             1.0
         };
         self.cores = cores;
-        self.threads = part * self.start();
-        self.hold_ends();
+        self.threads = ratio * self.initial_threads();
+        self.clamp_threads();
     }
 
-    fn start(&self) -> f64 {
-        let threads = START * self.cores;
-        if self.way == WindowPolicy::Fixed {
+    fn initial_threads(&self) -> f64 {
+        let threads = INITIAL_THREADS_PER_CORE * self.cores;
+        if self.policy == WindowPolicy::Fixed {
             threads
         } else {
-            threads + HEADROOM * threads.sqrt()
+            threads + INITIAL_HEADROOM_FACTOR * threads.sqrt()
         }
     }
 
-    fn hold_ends(&mut self) {
+    fn clamp_threads(&mut self) {
         if self.cores <= 0.0 {
             self.threads = 0.0;
             return;
         }
-        let start = self.start();
+        let initial = self.initial_threads();
         self.threads = self
             .threads
-            .clamp(LEAST * start, MOST * start)
-            .max(self.widest);
+            .clamp(MIN_WINDOW_FACTOR * initial, MAX_WINDOW_FACTOR * initial)
+            .max(self.max_statement_threads);
     }
 
-    pub fn was_full(&mut self) {
-        self.bound = true;
+    /// Records that the window was full.
+    pub fn on_full(&mut self) {
+        self.was_full = true;
     }
 
-    /// An execution has ended well: its time on the engine, its work, and the time that should have taken there.
-    pub fn ended(&mut self, now: Nanos, took: Nanos, work: Nanos, should: Nanos) {
-        if should == 0 || took == 0 {
+    /// An attempt succeeded: its run time on the engine, its work, and the run time expected for
+    /// that work.
+    pub fn on_attempt_succeeded(
+        &mut self,
+        now: Nanos,
+        run_time: Nanos,
+        work: Nanos,
+        expected_run_time: Nanos,
+    ) {
+        if expected_run_time == 0 || run_time == 0 {
             return;
         }
-        self.done += work as f64;
-        let slowness = took as f64 / should as f64;
-        self.slowness += LEARN * (slowness - self.slowness);
-        self.seen += 1;
-        if now < self.looked_at + PERIOD || self.seen < FEWEST {
+        self.work += work as f64;
+        let slowness = run_time as f64 / expected_run_time as f64;
+        self.slowness += SMOOTHING * (slowness - self.slowness);
+        self.attempts += 1;
+        if now < self.adjusted_at + ADJUSTMENT_INTERVAL
+            || self.attempts < MIN_ATTEMPTS_PER_ADJUSTMENT
+        {
             return;
         }
-        // The best of smoothed figures: single quick ones (warm tables) set no mark that can't be kept.
-        self.best = if self.best.is_finite() {
-            (self.best + FORGET * (self.slowness - self.best)).min(self.slowness)
+        // The best of the smoothed values: single fast attempts (warm tables) would set a mark
+        // that cannot be sustained.
+        self.best_slowness = if self.best_slowness.is_finite() {
+            (self.best_slowness + BEST_SLOWNESS_DECAY * (self.slowness - self.best_slowness))
+                .min(self.slowness)
         } else {
             self.slowness
         };
-        let span = now.saturating_sub(self.looked_at).max(1) as f64;
-        if self.looked_at > 0 && self.bound {
-            self.used += LEARN * (self.done / span / self.cores.max(1e-9) - self.used);
+        let elapsed = now.saturating_sub(self.adjusted_at).max(1) as f64;
+        if self.adjusted_at > 0 && self.was_full {
+            self.utilization +=
+                SMOOTHING * (self.work / elapsed / self.cores.max(1e-9) - self.utilization);
         }
-        let ratio = TOLERANCE * self.best / self.slowness.max(1e-9);
-        let ratio = if self.used < WELL_USED {
-            ratio.max(STEP_UP)
+        let ratio = MAX_SLOWNESS_RATIO * self.best_slowness / self.slowness.max(1e-9);
+        let ratio = if self.utilization < MIN_UTILIZATION_TO_SHRINK {
+            ratio.max(MAX_STEP_FACTOR)
         } else {
             ratio
         };
-        match self.way {
+        match self.policy {
             WindowPolicy::Fixed => {}
             WindowPolicy::Gradient => {
-                let step = ratio.clamp(STEP_DOWN, STEP_UP);
-                if step < 1.0 || self.bound {
+                let step = ratio.clamp(MIN_STEP_FACTOR, MAX_STEP_FACTOR);
+                if step < 1.0 || self.was_full {
                     self.threads *= step;
                 }
             }
-            WindowPolicy::Additive if ratio < 1.0 => self.threads *= KEEP,
-            WindowPolicy::Additive if self.bound => self.threads += ADD,
+            WindowPolicy::Additive if ratio < 1.0 => self.threads *= MULTIPLICATIVE_DECREASE_FACTOR,
+            WindowPolicy::Additive if self.was_full => self.threads += ADDITIVE_INCREASE_THREADS,
             WindowPolicy::Additive => {}
         }
-        self.hold_ends();
-        (self.seen, self.done, self.looked_at, self.bound) = (0, 0.0, now, false);
+        self.clamp_threads();
+        (self.attempts, self.work, self.adjusted_at, self.was_full) = (0, 0.0, now, false);
     }
 }
