--- a/crates/ivypitch-queueing/benches/index.rs
+++ b/crates/ivypitch-queueing/benches/index.rs
@@ -204,8 +204,8 @@
         );
         println!(
             "{} waiting, {teams} teams: {} bytes a statement",
-            all.queued(),
-            all.bytes_held() / waiting
+            all.queued_count(),
+            all.memory_bytes() / waiting
         );
     }
 }
--- a/crates/ivypitch-queueing/src/lib.rs
+++ b/crates/ivypitch-queueing/src/lib.rs
@@ -1,7 +1,9 @@
-//! Which team's statement goes to the decision module next, and what is turned away before it gets there.
+//! Fair queueing of statements by team: which team's statement goes to the scheduler next, and
+//! which statements are rejected before they reach it.
 //!
-//! No I/O, no clock, no threads: one call for each thing that happens, with its time; [`TeamQueues`] acts through
-//! [`Output`] before it returns. What it promises and why it orders as it does: `docs/teams.md`.
+//! The crate performs no I/O, reads no clock and starts no threads. Each event is one call that
+//! carries its time, and [`TeamQueues`] acts through [`Output`] before the call returns. What the
+//! queues promise and why they order statements this way: `docs/teams.md`.
 
 pub mod budgets;
 pub mod lane;
--- a/crates/ivypitch-queueing/src/team_queues.rs
+++ b/crates/ivypitch-queueing/src/team_queues.rs
@@ -1,10 +1,14 @@
-//! The hub: what comes in, waits, goes on to the decision module, is pushed out or turned away.
+//! The queues of all teams: arrival, waiting, release to the scheduler, preemption and rejection.
 //!
-//! Across teams: those whose asking is within their share go before all others. Those beyond it are served by
-//! start-time fair queueing in virtual time, by share; virtual time goes by a clock, at the pace at which the engines
-//! get their work done, so that a wait can be told. Beyond it, a team's workloads have parts of its share, by the
-//! importance that they ask for, and starts of their own: a report holds back no lookup. Within it, the workload goes
-//! first whose first statement is due first, where due is its coming and the workload's slack.
+//! Across teams: teams whose demand is within their share go before all others. Teams over their
+//! share are served by start-time fair queueing in virtual time, by share. Virtual time advances
+//! with the clock, at the rate at which the engines complete work for the waiting teams, so that
+//! waits can be estimated.
+//!
+//! In a team over its share, each workload has a fraction of the share, by the priority weight of
+//! its demand, and virtual starts of its own: a report does not hold back a lookup. In a team
+//! within its share, the workload goes first whose first statement is due first; a statement is
+//! due at its arrival plus the slack of its workload.
 
 use ivypitch_types::unit_hash;
 use ivypitch_types::{Nanos, StatementIndex};
@@ -16,1331 +20,1565 @@
 use crate::wait_estimates::{DecayingRate, ServiceRate, WaitEstimate, WaitStatistics};
 use crate::window::Window;
 
-/// Below this part of the window whoever is first of those who wait goes at once, uncharged: engines are not left
-/// idle for the order's sake.
-const RELAXED: f64 = 0.6;
-/// Up to these parts of it the clock lets statements go, and teams within their share get back what they lent without
-/// waiting for those who borrowed it; each of these has so many times its own part of the window.
-const FULL: f64 = 1.4;
-const CALLED_BACK: f64 = 2.0;
-const OWN_PART: f64 = 1.5;
-/// And room for so many of the widest statements at least.
-const OWN_STATEMENTS: f64 = 3.0;
-/// A team is within its share by what it asked for in about so many seconds, and may have asked for so many of its
-/// costliest usual statements more: a share is an average, and one report no flood.
-const ASKED_FADE: f64 = 10.0;
-const LUMPS: f64 = 6.0;
-/// And it is within it again once it asks for less than this part of that.
-const BACK_WITHIN: f64 = 0.9;
-/// What the clock's pace is corrected by, as a part, where what is out is off the window by so much of it.
-const PULL: f64 = 0.5;
-/// Part of the cores' promise that can be had, and the least of it that the pace falls to.
-const PROMISE: f64 = 0.95;
-const LEAST_PACE: f64 = 0.05;
-/// Of what a team's charges were wrong by, this part goes with each of its next releases, but no more back than
-/// half of the charge: one statement's surprise does not hold all behind it.
-const SETTLED_AT_ONCE: f64 = 0.1;
-const MOST_BACK: f64 = 0.5;
-/// A lane that preempts goes first in so many of so many releases; the others' first one goes in between.
-const URGENT_IN_A_ROW: u8 = 3;
-/// Where the clock paces its team, such a lane has at least this part of its share.
-const URGENT_PART: f64 = 0.5;
-/// A preempting statement pushes out so many waiting ones at most: each was paid for by its own arrival.
-const MOST_PUSHED_OUT: usize = 8;
-/// Smoothing of the ratio of true to told work, and the evidence that the told one counts at first.
-const RATIO_KEEP: f64 = 0.95;
-/// Time to come back: at least this, and spread up to so many times itself.
-const SOONEST_BACK: Nanos = 20_000_000;
-const SPREAD_BACK: f64 = 0.5;
-/// A statement is taken into line where its estimate is within this part of the longest wait, so that few of those
-/// taken in have to be sent away after all.
-const ADMIT_PART: f64 = 0.8;
-/// What has so little of its time left can't be met once released.
-const LAST_PART: u64 = 8;
-/// What was measured of a team's pace holds so long after it last had something waiting.
-const PACE_HOLDS: Nanos = 2_000_000_000;
-/// What comes and what is done fades in so many seconds.
-const COMING_FADE: f64 = 5.0;
-/// A mode of the log is over after so long without its sign.
-const CALM_AFTER: Nanos = 5_000_000_000;
-/// The classes of ranks: teams within their share, those that the clock paces, and those without a share.
-const WITHIN: u8 = 0;
+/// Under contention, the first statement in the order is released at once and uncharged up to
+/// this fraction of the window: engines must not idle for the sake of the order.
+const UNCHARGED_WINDOW_FRACTION: f64 = 0.6;
+/// Virtual time releases statements up to this multiple of the window.
+const MAX_PACED_WINDOW_FACTOR: f64 = 1.4;
+/// Teams within their share release up to this multiple of the window: they regain lent capacity
+/// without waiting for the statements of the teams that borrowed it.
+const MAX_WITHIN_SHARE_WINDOW_FACTOR: f64 = 2.0;
+/// A team within its share may release up to this multiple of its share of the window.
+const MAX_TEAM_WINDOW_SHARE_FACTOR: f64 = 1.5;
+/// Statements of the widest workload that a team within its share may release in any case.
+const MIN_TEAM_WIDEST_STATEMENTS: f64 = 3.0;
+/// Time constant of the demand that decides whether a team is within its share, as a share is an
+/// average.
+const DEMAND_TIME_CONSTANT_S: f64 = 10.0;
+/// Allowance above the share, in the team's costliest usual statements: one report is no flood.
+const DEMAND_ALLOWANCE_STATEMENTS: f64 = 6.0;
+/// A team is within its share again when its demand falls below this fraction of the limit.
+const RETURN_DEMAND_FRACTION: f64 = 0.9;
+/// Relative change of the rate of virtual time for each relative deviation of the released
+/// threads from the window.
+const WINDOW_DEVIATION_GAIN: f64 = 0.5;
+/// Fraction of the cores' time that statements can use.
+const USABLE_FRACTION: f64 = 0.95;
+/// Minimum rate of work for paced teams, as a fraction of the cores' time.
+const MIN_PACED_CORE_FRACTION: f64 = 0.05;
+/// Fraction of a workload's unsettled work that each of its next releases settles: one
+/// statement's misprediction does not hold back all behind it.
+const SETTLED_FRACTION_PER_RELEASE: f64 = 0.1;
+/// Maximum refund of a release, as a fraction of its charge.
+const MAX_REFUND_FRACTION: f64 = 0.5;
+/// After this many releases in a row of a preempting lane, another lane of its team goes first
+/// once.
+const MAX_URGENT_RELEASES_IN_ROW: u8 = 3;
+/// Minimum fraction of its team's share that a preempting lane has while the team is paced.
+const MIN_URGENT_SHARE_FRACTION: f64 = 0.5;
+/// Maximum number of waiting statements that one arrival preempts; their own arrivals amortize
+/// the cost.
+const MAX_PREEMPTIONS_PER_ARRIVAL: usize = 8;
+/// Weight that earlier statements keep in the ratio of measured to estimated work, at each new one.
+/// The ratio starts as 1, with the weight of one usual statement.
+const WORK_EVIDENCE_DECAY: f64 = 0.95;
+const MIN_RETRY_AFTER: Nanos = 20_000_000;
+/// Random addition to a retry-after, as a fraction of it.
+const RETRY_AFTER_JITTER_FRACTION: f64 = 0.5;
+/// A statement is admitted if its estimated wait is within this fraction of its maximum wait, so
+/// that few admitted statements have to be rejected later.
+const ADMISSION_WAIT_FRACTION: f64 = 0.8;
+/// A statement is rejected when less than its time to deadline over this divisor is left:
+/// once released, it could not meet the deadline.
+const RUN_TIME_RESERVE_DIVISOR: u64 = 8;
+/// The measured service rate of a team is kept for this time after it last had waiting statements.
+const SERVICE_RATE_RETENTION: Nanos = 2_000_000_000;
+/// Time constant of the rates of ended work and of freed threads.
+const COMPLETION_TIME_CONSTANT_S: f64 = 5.0;
+/// A mode in the log ends after this time without a sign of it.
+const MODE_END_DELAY: Nanos = 5_000_000_000;
+/// Class of ranks of teams within their share.
+const IN_SHARE: u8 = 0;
+/// Class of ranks of teams that virtual time paces.
 const PACED: u8 = 1;
-const LEFT_OVER: u8 = 2;
-/// Virtual time counts work over share; a share of 1 alone moves it as fast as work.
-const LEAST_SHARE: f64 = 1e-6;
+/// Class of ranks of teams without a share.
+const NO_SHARE: u8 = 2;
+/// Smallest divisor for shares. Virtual time is work over share: for a share of 1 it advances as
+/// fast as work.
+const MIN_SHARE: f64 = 1e-6;
 
-/// A statement as it comes to the queues.
+/// A statement that arrives at the queues.
 #[derive(Clone, Copy, Debug)]
 pub struct QueueArrival {
+    /// Team index.
     pub team: usize,
+    /// Workload index.
     pub workload: usize,
-    /// Work of all its threads as its client tells it; 0: not told.
+    /// Work over all threads as its client estimates it; 0 without an estimate.
     pub estimated_work: Nanos,
+    /// Length of its text.
     pub bytes: usize,
+    /// Time by which it must be answered.
     pub deadline: Nanos,
 }
 
+/// Receives the decisions of the queues.
 pub trait Output {
-    /// It goes to the decision module now; its team asks for no more than its share, or for more.
+    /// Releases a statement to the scheduler. `is_within_share` says whether its team's demand is
+    /// within its share.
     fn release(&mut self, statement: StatementIndex, is_within_share: bool);
-    /// Final: it never left the queue, so trying again is harmless, after `retry_after` where that is above 0. The
-    /// index may be given to another.
+    /// Rejects a statement for good. It never left the queue, so a retry is safe, after
+    /// `retry_after` if that is above 0. The index may be reused.
     fn reject(&mut self, statement: StatementIndex, retry_after: Nanos);
-    /// A change of mode: of a team, or of all.
+    /// Logs that the mode of a team changed, or of all teams together.
     fn log_mode_change(&mut self, team: Option<usize>, line: &str);
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum Place {
-    /// Told of, not yet in line.
-    Coming,
+enum EntryState {
+    /// Has arrived and is not in a lane yet.
+    Arriving,
     Queued,
-    /// Gone on to the module, its team within its share.
-    Released,
-    /// The same beyond its team's share, on room that others leave idle.
-    Lent,
-    /// Answered, left or rejected: its ticket is dropped.
-    Over,
+    /// Released while its team was within its share.
+    ReleasedWithinShare,
+    /// Released while its team was over its share, on capacity that other teams left idle.
+    ReleasedOverShare,
+    /// Answered, removed or rejected: its entry is dropped.
+    Ended,
 }
 
-struct Ticket {
+struct QueueEntry {
     team: u32,
     workload: u16,
-    place: Place,
-    /// In its lane while it is queued.
-    number: u64,
-    came: Nanos,
+    state: EntryState,
+    /// Sequence number in its lane while it is queued.
+    sequence: u64,
+    arrived_at: Nanos,
     deadline: Nanos,
-    /// What is charged for it, and what its client told.
-    work: u64,
-    told: u64,
+    charged_work: u64,
+    /// Work as its client estimated it.
+    estimated_work: u64,
     bytes: usize,
     timer: Option<TimerHandle>,
-    /// What it was told of its wait; 0: it did not queue.
-    told_wait: Nanos,
-    /// The same before its correction by how such words came true.
-    estimated: Nanos,
+    /// Wait that was estimated when it was queued; 0 if it was not queued.
+    estimated_wait: Nanos,
+    /// The same before the correction by the accuracy of earlier estimates.
+    uncorrected_wait: Nanos,
 }
 
 #[derive(Clone, Copy)]
-enum Due {
-    /// A queued statement has waited as long as it may.
-    Waited(StatementIndex),
-    /// The clock has come to the first team's turn.
-    Turn,
-    /// A team's budget of work holds something again.
-    Filled(u32),
+enum TimerEvent {
+    /// A queued statement has reached its maximum wait.
+    MaxWaitReached(StatementIndex),
+    /// Virtual time has reached the virtual start of the first team.
+    VirtualStartReached,
+    /// A team's work budget is positive again.
+    BudgetRefilled(u32),
 }
 
-/// Sums of true and told work, fading by statement.
+/// Sums of measured and of estimated work that decay with each statement, and the usual work.
 #[derive(Clone, Copy)]
-struct Learned {
-    real: f64,
-    told: f64,
+struct WorkEvidence {
+    measured: f64,
+    estimated: f64,
     usual: f64,
 }
 
-struct Row {
+struct TeamState {
     lanes: Vec<Lane>,
-    /// Threads released, by workload.
-    out_in: Vec<f64>,
-    out: f64,
-    learned: Vec<Learned>,
+    /// Threads of released statements, by workload.
+    released_threads_by_workload: Vec<f64>,
+    released_threads: f64,
+    /// By workload.
+    work_evidence: Vec<WorkEvidence>,
     /// Virtual start of each workload's next statement.
-    tags: Vec<u64>,
-    /// What was charged too little, in ns of work, to be settled with the workload's next releases.
-    debts: Vec<f64>,
-    /// Importance asked for, by workload.
-    wanted: Vec<DecayingRate>,
-    /// Charged work that it asked for.
-    asked: DecayingRate,
-    within: bool,
-    /// It held more than its part as the window was full; in line with others until it holds less.
-    beyond_by_hold: bool,
-    bucket: WorkBudget,
-    filling: Option<TimerHandle>,
-    queued: usize,
-    bytes: usize,
-    /// Work that waits.
-    work: u64,
-    /// Releases since another lane than the urgent one had its turn.
-    urgent: u8,
-    urgent_lane: Option<usize>,
-    /// What it really used, in core-seconds, since the start.
-    used: f64,
-    /// The last time that one of its refused was told to come back.
-    appointment: Nanos,
-    /// How fast it is served while it has something waiting.
-    pace: ServiceRate,
-    paced_at: Nanos,
-    refusing_since: Option<Nanos>,
-    refused_at: Nanos,
-    refused: u64,
+    virtual_starts: Vec<u64>,
+    /// By workload, nanoseconds of work that were charged too little. The next releases of the
+    /// workload settle them.
+    unsettled_work: Vec<f64>,
+    /// Priority weight of arriving statements, by workload.
+    weight_demand: Vec<DecayingRate>,
+    /// Charged work of arriving statements.
+    work_demand: DecayingRate,
+    is_within_share: bool,
+    /// It had released more than its share of the window when that was full. It is paced like
+    /// teams over their share until it has released less.
+    exceeds_window_share: bool,
+    work_budget: WorkBudget,
+    refill_timer: Option<TimerHandle>,
+    queued_count: usize,
+    queued_bytes: usize,
+    queued_work: u64,
+    /// Releases of the urgent lane since another lane had its turn.
+    urgent_releases: u8,
+    /// Workload of the lane that preempts the team's others.
+    urgent_workload: Option<usize>,
+    /// Work that it used since the start.
+    used_core_seconds: f64,
+    /// Latest time at which one of its rejected statements was told to return.
+    last_retry_at: Nanos,
+    /// Rate at which it is served while it has waiting statements.
+    service_rate: ServiceRate,
+    service_rate_updated_at: Nanos,
+    rejecting_since: Option<Nanos>,
+    last_rejected_at: Nanos,
+    rejected_count: u64,
 }
 
-/// One row of what a client may ask to see.
+/// A waiting statement as clients may see it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QueuedStatement {
+    /// The statement.
     pub statement: StatementIndex,
+    /// Team index.
     pub team: usize,
+    /// Workload index.
     pub workload: usize,
-    /// Of its workload's line in its team; the next to go is 1.
+    /// Position in the lane of its team and workload; the next to be released has 1.
     pub position: u64,
+    /// Estimate of its remaining wait.
     pub wait: WaitEstimate,
+    /// Time since its arrival.
     pub age: Nanos,
 }
 
+/// The queues of all teams.
 pub struct TeamQueues {
     budgets: Budgets,
-    /// By statement index; emptied as the statement is over.
-    tickets: Vec<Option<Ticket>>,
-    /// By team index; as many as the deployment has customers.
-    rows: Vec<Row>,
-    ranks: TeamHeap,
-    /// Teams with something queued, the one with most for its share first.
-    fullest: TeamHeap,
-    /// Held back by their own bounds on what is released; looked at again as one of theirs is over.
-    wheel: TimingWheel<Due>,
+    /// By statement index; `None` once the statement has ended.
+    entries: Vec<Option<QueueEntry>>,
+    /// By team index; at least as many as the deployment has tenants.
+    teams: Vec<TeamState>,
+    /// Teams that have waiting statements, by rank. A team that its budget or its own limits on
+    /// released threads hold back is ranked again when the budget is refilled or one of its
+    /// statements ends.
+    ranked_teams: TeamHeap,
+    /// Teams with waiting statements; the first has the most waiting work for its share.
+    fullest_teams: TeamHeap,
+    timers: TimingWheel<TimerEvent>,
     window: Window,
-    out: f64,
-    /// Of these, released beyond their teams' shares.
-    lent: f64,
-    queued: usize,
-    threads_queued: f64,
-    bytes: usize,
-    virtual_now: u64,
-    shares: f64,
-    /// Work done (ns) for teams while they had something waiting, and the rate of all others' work.
-    pace: ServiceRate,
-    done_for_waiting: f64,
-    done_for_others: DecayingRate,
-    /// Threads that come free.
-    freed: DecayingRate,
-    clock_at: Nanos,
-    /// Somebody waited for room when last looked at, and whether the clock stood since there was none.
-    contended: bool,
-    blocked: bool,
-    /// The shares of those who wait.
-    waiting_shares: f64,
-    turn: Option<TimerHandle>,
-    record: WaitStatistics,
+    released_threads: f64,
+    /// The part of the released threads that was released over the teams' shares.
+    over_share_threads: f64,
+    queued_count: usize,
+    queued_threads: f64,
+    queued_bytes: usize,
+    virtual_time: u64,
+    total_share: f64,
+    /// Rate of work (ns) for paced teams while there are any.
+    service_rate: ServiceRate,
+    /// Work (ns) that ended for paced teams since virtual time advanced.
+    ended_paced_work: f64,
+    /// Rate of work (ns) for all other teams.
+    other_work_rate: DecayingRate,
+    freed_threads: DecayingRate,
+    virtual_time_updated_at: Nanos,
+    /// Whether teams were paced after the last dispatch.
+    is_contended: bool,
+    /// Whether the last dispatch ended for lack of capacity; virtual time stands still then.
+    is_blocked: bool,
+    /// Sum of the shares of paced teams.
+    paced_share: f64,
+    virtual_start_timer: Option<TimerHandle>,
+    wait_statistics: WaitStatistics,
     seed: u64,
-    chances: u64,
-    /// Queueing since, or not; and when somebody last waited.
-    queueing: Option<Nanos>,
-    waited_at: Nanos,
+    random_draws: u64,
+    /// Start of the queueing mode; `None` in direct mode.
+    queueing_since: Option<Nanos>,
+    last_queued_at: Nanos,
 }
 
 impl TeamQueues {
+    /// Queues without statements and without capacity. `seed` determines the jitter of retries.
     pub fn new(budgets: Budgets, seed: u64, now: Nanos) -> TeamQueues {
-        let widest = budgets
+        let max_statement_threads = budgets
             .workloads
             .iter()
-            .map(|w| w.threads)
+            .map(|workload| workload.threads)
             .fold(1.0, f64::max);
-        let mut teams = TeamQueues {
-            tickets: Vec::new(),
-            rows: Vec::new(),
-            ranks: TeamHeap::default(),
-            fullest: TeamHeap::default(),
-            wheel: TimingWheel::new(now),
-            window: Window::new(budgets.window_policy, widest),
-            out: 0.0,
-            lent: 0.0,
-            queued: 0,
-            threads_queued: 0.0,
-            bytes: 0,
-            virtual_now: 0,
-            shares: 0.0,
-            pace: ServiceRate::default(),
-            done_for_waiting: 0.0,
-            done_for_others: DecayingRate::new(COMING_FADE),
-            freed: DecayingRate::new(COMING_FADE),
-            clock_at: now,
-            contended: false,
-            blocked: false,
-            waiting_shares: 0.0,
-            turn: None,
-            record: WaitStatistics::default(),
+        let mut queues = TeamQueues {
+            entries: Vec::new(),
+            teams: Vec::new(),
+            ranked_teams: TeamHeap::default(),
+            fullest_teams: TeamHeap::default(),
+            timers: TimingWheel::new(now),
+            window: Window::new(budgets.window_policy, max_statement_threads),
+            released_threads: 0.0,
+            over_share_threads: 0.0,
+            queued_count: 0,
+            queued_threads: 0.0,
+            queued_bytes: 0,
+            virtual_time: 0,
+            total_share: 0.0,
+            service_rate: ServiceRate::default(),
+            ended_paced_work: 0.0,
+            other_work_rate: DecayingRate::new(COMPLETION_TIME_CONSTANT_S),
+            freed_threads: DecayingRate::new(COMPLETION_TIME_CONSTANT_S),
+            virtual_time_updated_at: now,
+            is_contended: false,
+            is_blocked: false,
+            paced_share: 0.0,
+            virtual_start_timer: None,
+            wait_statistics: WaitStatistics::default(),
             seed,
-            chances: 0,
-            queueing: None,
-            waited_at: now,
+            random_draws: 0,
+            queueing_since: None,
+            last_queued_at: now,
             budgets,
         };
-        teams.have_rows(teams.budgets.teams.len(), now);
-        teams
+        queues.ensure_teams(queues.budgets.teams.len(), now);
+        queues
     }
 
-    // ---- what happens ----
+    // ---- events ----
 
-    /// The cores of the engines that are ready, this gateway's share of them.
-    pub fn set_capacity(&mut self, now: Nanos, cores: f64, out: &mut dyn Output) {
+    /// Sets this gateway's share of the cores of ready engines.
+    pub fn set_capacity(&mut self, now: Nanos, cores: f64, output: &mut dyn Output) {
         self.window.set_cores(cores);
-        self.dispatch(now, out);
+        self.dispatch(now, output);
     }
 
+    /// A statement arrived: it is released, queued or rejected.
     pub fn on_statement_arrived(
         &mut self,
         now: Nanos,
-        ix: StatementIndex,
-        claim: QueueArrival,
-        out: &mut dyn Output,
+        statement: StatementIndex,
+        arrival: QueueArrival,
+        output: &mut dyn Output,
     ) {
-        self.have_rows(claim.team + 1, now);
-        let workload = claim.workload.min(self.budgets.workloads.len() - 1);
-        let work = self.charge(claim.team, workload, claim.estimated_work);
-        let ticket = Ticket {
-            team: claim.team as u32,
+        self.ensure_teams(arrival.team + 1, now);
+        let workload = arrival.workload.min(self.budgets.workloads.len() - 1);
+        let charged_work = self.charged_work(arrival.team, workload, arrival.estimated_work);
+        let entry = QueueEntry {
+            team: arrival.team as u32,
             workload: workload as u16,
-            place: Place::Coming,
-            number: 0,
-            came: now,
-            deadline: claim.deadline,
-            work,
-            told: claim.estimated_work,
-            bytes: claim.bytes,
+            state: EntryState::Arriving,
+            sequence: 0,
+            arrived_at: now,
+            deadline: arrival.deadline,
+            charged_work,
+            estimated_work: arrival.estimated_work,
+            bytes: arrival.bytes,
             timer: None,
-            told_wait: 0,
-            estimated: 0,
+            estimated_wait: 0,
+            uncorrected_wait: 0,
         };
-        if self.tickets.len() <= ix.0 {
-            self.tickets.resize_with(ix.0 + 1, || None);
+        if self.entries.len() <= statement.0 {
+            self.entries.resize_with(statement.0 + 1, || None);
         }
-        self.tickets[ix.0] = Some(ticket);
-        let row = &mut self.rows[claim.team];
-        row.asked.add(now, work as f64);
-        row.wanted[workload].add(now, self.budgets.workloads[workload].priority_weight);
-        self.see_whether_within(now, claim.team);
-        self.turn(now, ix, Place::Queued);
-        self.dispatch(now, out);
-        if self.is_queued(ix) {
-            self.keep_or_reject(now, ix, out);
+        self.entries[statement.0] = Some(entry);
+        let team_state = &mut self.teams[arrival.team];
+        team_state.work_demand.add(now, charged_work as f64);
+        team_state.weight_demand[workload]
+            .add(now, self.budgets.workloads[workload].priority_weight);
+        self.update_is_within_share(now, arrival.team);
+        self.transition(now, statement, EntryState::Queued);
+        self.dispatch(now, output);
+        if self.is_queued(statement) {
+            self.keep_or_reject(now, statement, output);
         }
     }
 
-    /// It did not go at once: it may stay where bounds and its time allow.
-    fn keep_or_reject(&mut self, now: Nanos, ix: StatementIndex, out: &mut dyn Output) {
-        if !self.within_bounds(ix) && !self.push_out_for(now, ix, out) {
-            return self.reject(now, ix, out);
+    /// Keeps a statement that was not released at once if the limits and its maximum wait allow
+    /// it, else rejects it.
+    fn keep_or_reject(&mut self, now: Nanos, statement: StatementIndex, output: &mut dyn Output) {
+        if !self.is_within_limits(statement) && !self.preempt_for(now, statement, output) {
+            return self.reject(now, statement, output);
         }
-        let Some(ticket) = &self.tickets[ix.0] else {
+        let Some(entry) = &self.entries[statement.0] else {
             return;
         };
-        let (team, workload) = (ticket.team as usize, usize::from(ticket.workload));
-        let until = self.may_wait_until(ticket);
-        let mut wait = self.wait(now, ix);
-        let told_until = now + ((until.saturating_sub(now)) as f64 * ADMIT_PART) as Nanos;
-        if now.saturating_add(wait) > told_until && self.preempts(workload) {
-            // Its lane goes ahead of what matters less; that goes back in line.
-            let row = &mut self.rows[team];
-            if row
-                .urgent_lane
-                .is_none_or(|urgent| row.lanes[urgent].is_empty())
+        let (team, workload) = (entry.team as usize, usize::from(entry.workload));
+        let wait_deadline = self.wait_deadline(entry);
+        let mut wait = self.estimate_wait(now, statement);
+        let admission_deadline =
+            now + ((wait_deadline.saturating_sub(now)) as f64 * ADMISSION_WAIT_FRACTION) as Nanos;
+        if now.saturating_add(wait) > admission_deadline && self.can_preempt(workload) {
+            // Its lane goes ahead of less important lanes of the team, which wait longer.
+            let team_state = &mut self.teams[team];
+            if team_state
+                .urgent_workload
+                .is_none_or(|urgent| team_state.lanes[urgent].is_empty())
             {
-                row.urgent_lane = Some(workload);
+                team_state.urgent_workload = Some(workload);
             }
-            wait = self.wait(now, ix);
+            wait = self.estimate_wait(now, statement);
         }
-        if now.saturating_add(wait) > told_until {
-            return self.reject(now, ix, out);
+        if now.saturating_add(wait) > admission_deadline {
+            return self.reject(now, statement, output);
         }
-        let timer = self.wheel.insert(until, Due::Waited(ix));
-        if let Some(ticket) = &mut self.tickets[ix.0] {
-            ticket.told_wait = wait.max(1);
-            ticket.estimated = (wait as f64 / self.record.correction_factor(now)) as Nanos;
-            ticket.timer = Some(timer);
+        let timer = self
+            .timers
+            .insert(wait_deadline, TimerEvent::MaxWaitReached(statement));
+        if let Some(entry) = &mut self.entries[statement.0] {
+            entry.estimated_wait = wait.max(1);
+            entry.uncorrected_wait =
+                (wait as f64 / self.wait_statistics.correction_factor(now)) as Nanos;
+            entry.timer = Some(timer);
         }
-        self.waited_at = now;
-        if self.queueing.is_none() {
-            self.queueing = Some(now);
+        self.last_queued_at = now;
+        if self.queueing_since.is_none() {
+            self.queueing_since = Some(now);
             let line = format!(
                 "Direct -> Queueing: {:.1} of {:.1} threads out, {} waiting",
-                self.out,
+                self.released_threads,
                 self.window.threads(),
-                self.queued
+                self.queued_count
             );
-            out.log_mode_change(None, &line);
+            output.log_mode_change(None, &line);
         }
     }
 
-    /// Its client has gone or has killed it. False: it is no longer in the queues.
-    pub fn remove(&mut self, now: Nanos, ix: StatementIndex, out: &mut dyn Output) -> bool {
-        if !self.is_queued(ix) {
+    /// Removes a statement whose client disconnected or killed it. Returns false if it is not in
+    /// a queue any more.
+    pub fn remove(
+        &mut self,
+        now: Nanos,
+        statement: StatementIndex,
+        output: &mut dyn Output,
+    ) -> bool {
+        if !self.is_queued(statement) {
             return false;
         }
-        self.turn(now, ix, Place::Over);
-        self.dispatch(now, out);
+        self.transition(now, statement, EntryState::Ended);
+        self.dispatch(now, output);
         true
     }
 
-    /// A released statement is over: answered, and no execution of it is out. `real` is its work where answers tell
-    /// it, else threads times time on engines; `None`: it never ran. `took` is the time of its good execution.
+    /// A released statement has been answered and none of its attempts runs any more.
+    /// `measured_work` is its work as the answers report it, else threads times time on engines;
+    /// `None` if it never ran. `run_time` is that of its successful attempt.
     pub fn on_statement_ended(
         &mut self,
         now: Nanos,
-        ix: StatementIndex,
-        real: Option<Nanos>,
-        took: Option<Nanos>,
-        out: &mut dyn Output,
+        statement: StatementIndex,
+        measured_work: Option<Nanos>,
+        run_time: Option<Nanos>,
+        output: &mut dyn Output,
     ) {
-        let Some(ticket) = self.tickets.get(ix.0).and_then(Option::as_ref) else {
+        let Some(entry) = self.entries.get(statement.0).and_then(Option::as_ref) else {
             return;
         };
-        if !matches!(ticket.place, Place::Released | Place::Lent) {
+        if !matches!(
+            entry.state,
+            EntryState::ReleasedWithinShare | EntryState::ReleasedOverShare
+        ) {
             return;
         }
-        let (team, workload, charged) = (
-            ticket.team as usize,
-            usize::from(ticket.workload),
-            ticket.work,
+        let (team, workload, charged_work) = (
+            entry.team as usize,
+            usize::from(entry.workload),
+            entry.charged_work,
+        );
+        let (estimated_work, was_over_share) = (
+            entry.estimated_work,
+            entry.state == EntryState::ReleasedOverShare,
         );
-        let (told, lent) = (ticket.told, ticket.place == Place::Lent);
         let threads = self.budgets.workloads[workload].threads.max(1.0);
-        self.turn(now, ix, Place::Over);
-        self.settle(now, (team, workload), lent, charged, real.unwrap_or(0));
-        if let Some(real) = real {
-            self.learn(team, workload, told, real);
-            if let Some(took) = took {
-                self.window
-                    .on_attempt_succeeded(now, took, real, (real as f64 / threads) as Nanos);
+        self.transition(now, statement, EntryState::Ended);
+        self.settle(
+            now,
+            (team, workload),
+            was_over_share,
+            charged_work,
+            measured_work.unwrap_or(0),
+        );
+        if let Some(measured_work) = measured_work {
+            self.update_work_evidence(team, workload, estimated_work, measured_work);
+            if let Some(run_time) = run_time {
+                self.window.on_attempt_succeeded(
+                    now,
+                    run_time,
+                    measured_work,
+                    (measured_work as f64 / threads) as Nanos,
+                );
             }
         }
-        self.rank(team);
-        self.dispatch(now, out);
+        self.update_rank(team);
+        self.dispatch(now, output);
     }
 
-    /// New budgets. What waits stays; bounds that it is now over only keep out what comes.
-    pub fn reload(&mut self, now: Nanos, budgets: Budgets, out: &mut dyn Output) {
-        let widest = budgets
+    /// Replaces the budgets. Waiting statements stay; limits that they exceed now only affect
+    /// arriving ones.
+    pub fn reload(&mut self, now: Nanos, budgets: Budgets, output: &mut dyn Output) {
+        let max_statement_threads = budgets
             .workloads
             .iter()
-            .map(|w| w.threads)
+            .map(|workload| workload.threads)
             .fold(1.0, f64::max);
-        self.window.set_policy(budgets.window_policy, widest);
+        self.window
+            .set_policy(budgets.window_policy, max_statement_threads);
         self.budgets = budgets;
-        self.have_rows(self.budgets.teams.len(), now);
-        for team in 0..self.rows.len() {
+        self.ensure_teams(self.budgets.teams.len(), now);
+        for team in 0..self.teams.len() {
             let budget = self.budgets.team(team);
-            self.rows[team].bucket.refill(budget, now);
-            let row = &mut self.rows[team];
-            if let Some(timer) = row.filling.take() {
-                self.wheel.remove(timer);
+            self.teams[team].work_budget.refill(budget, now);
+            let team_state = &mut self.teams[team];
+            if let Some(timer) = team_state.refill_timer.take() {
+                self.timers.remove(timer);
             }
-            self.rank(team);
+            self.update_rank(team);
         }
-        let paced = |&team: &usize| {
-            self.ranks
+        let is_paced = |&team: &usize| {
+            self.ranked_teams
                 .rank(team)
                 .is_some_and(|(class, _)| class == PACED)
         };
-        let waiting = (0..self.rows.len()).filter(paced);
-        self.waiting_shares = waiting.map(|team| self.budgets.team(team).share).sum();
-        self.count_shares();
-        self.dispatch(now, out);
+        let paced_teams = (0..self.teams.len()).filter(is_paced);
+        self.paced_share = paced_teams.map(|team| self.budgets.team(team).share).sum();
+        self.update_total_share();
+        self.dispatch(now, output);
     }
 
-    /// The program ends: what can't be met by then is rejected now.
-    pub fn on_shutdown(&mut self, now: Nanos, by: Nanos, out: &mut dyn Output) {
-        let queued: Vec<StatementIndex> = (0..self.tickets.len())
+    /// The gateway shuts down: rejects the statements that cannot be released in time to be
+    /// answered by `answer_by`.
+    pub fn on_shutdown(&mut self, now: Nanos, answer_by: Nanos, output: &mut dyn Output) {
+        let queued: Vec<StatementIndex> = (0..self.entries.len())
             .map(StatementIndex)
-            .filter(|&ix| self.is_queued(ix))
+            .filter(|&statement| self.is_queued(statement))
             .collect();
-        for ix in queued {
-            let Some(ticket) = &mut self.tickets[ix.0] else {
+        for statement in queued {
+            let Some(entry) = &mut self.entries[statement.0] else {
                 continue;
             };
-            ticket.deadline = ticket.deadline.min(by);
-            let until = self.tickets[ix.0]
+            entry.deadline = entry.deadline.min(answer_by);
+            let wait_deadline = self.entries[statement.0]
                 .as_ref()
-                .map_or(0, |ticket| self.may_wait_until(ticket));
-            if now.saturating_add(self.wait(now, ix)) > until {
-                self.reject(now, ix, out);
+                .map_or(0, |entry| self.wait_deadline(entry));
+            if now.saturating_add(self.estimate_wait(now, statement)) > wait_deadline {
+                self.reject(now, statement, output);
             } else {
-                self.time(ix, until);
+                self.set_wait_timer(statement, wait_deadline);
             }
         }
-        self.dispatch(now, out);
+        self.dispatch(now, output);
     }
 
-    pub fn on_timer(&mut self, now: Nanos, out: &mut dyn Output) {
-        while let Some(due) = self.wheel.pop_expired(now) {
-            match due {
-                Due::Waited(ix) => {
-                    if let Some(ticket) = &mut self.tickets[ix.0] {
-                        ticket.timer = None;
-                        self.reject(now, ix, out);
+    /// Handles the timers that have expired.
+    pub fn on_timer(&mut self, now: Nanos, output: &mut dyn Output) {
+        while let Some(event) = self.timers.pop_expired(now) {
+            match event {
+                TimerEvent::MaxWaitReached(statement) => {
+                    if let Some(entry) = &mut self.entries[statement.0] {
+                        entry.timer = None;
+                        self.reject(now, statement, output);
                     }
                 }
-                Due::Turn => self.turn = None,
-                Due::Filled(team) => {
-                    self.rows[team as usize].filling = None;
-                    self.rank(team as usize);
+                TimerEvent::VirtualStartReached => self.virtual_start_timer = None,
+                TimerEvent::BudgetRefilled(team) => {
+                    self.teams[team as usize].refill_timer = None;
+                    self.update_rank(team as usize);
                 }
             }
         }
-        self.dispatch(now, out);
+        self.dispatch(now, output);
     }
 
-    /// When [`TeamQueues::on_timer`] is wanted at the latest.
+    /// When [`TeamQueues::on_timer`] is to be called at the latest.
     pub fn next_timer(&self) -> Option<Nanos> {
-        self.wheel.next_timer()
+        self.timers.next_timer()
     }
 
-    // ---- what can be seen ----
+    // ---- state ----
 
-    pub fn is_queued(&self, ix: StatementIndex) -> bool {
-        self.tickets
-            .get(ix.0)
+    /// Whether a statement waits in a queue.
+    pub fn is_queued(&self, statement: StatementIndex) -> bool {
+        self.entries
+            .get(statement.0)
             .and_then(Option::as_ref)
-            .is_some_and(|t| t.place == Place::Queued)
+            .is_some_and(|entry| entry.state == EntryState::Queued)
     }
 
-    pub fn queued(&self) -> usize {
-        self.queued
+    /// Number of waiting statements.
+    pub fn queued_count(&self) -> usize {
+        self.queued_count
     }
 
+    /// Threads of the statements that are released and have not ended.
     pub fn released_threads(&self) -> f64 {
-        self.out
+        self.released_threads
     }
 
-    /// Of all that waits.
+    /// Threads of the waiting statements.
     pub fn queued_threads(&self) -> f64 {
-        self.threads_queued
+        self.queued_threads
     }
 
+    /// Threads that may be released at once.
     pub fn window_threads(&self) -> f64 {
         self.window.threads()
     }
 
+    /// Waits and the accuracy of their estimates.
     pub fn wait_statistics(&self) -> &WaitStatistics {
-        &self.record
+        &self.wait_statistics
     }
 
-    /// Core-seconds that a team really used since the start.
-    pub fn used(&self, team: usize) -> f64 {
-        self.rows.get(team).map_or(0.0, |row| row.used)
+    /// Core-seconds that a team used since the start.
+    pub fn used_core_seconds(&self, team: usize) -> f64 {
+        self.teams
+            .get(team)
+            .map_or(0.0, |team_state| team_state.used_core_seconds)
     }
 
-    /// Bytes held for what waits, its text not counted.
-    pub fn bytes_held(&self) -> usize {
+    /// Bytes of memory for the queues, without the text of the statements.
+    pub fn memory_bytes(&self) -> usize {
         let lanes: usize = self
-            .rows
+            .teams
             .iter()
-            .flat_map(|row| &row.lanes)
+            .flat_map(|team_state| &team_state.lanes)
             .map(Lane::memory_bytes)
             .sum();
-        lanes + self.tickets.capacity() * size_of::<Option<Ticket>>()
+        lanes + self.entries.capacity() * size_of::<Option<QueueEntry>>()
     }
 
-    pub fn queued_statement(&self, now: Nanos, ix: StatementIndex) -> Option<QueuedStatement> {
-        let ticket = self
-            .tickets
-            .get(ix.0)?
+    /// One statement as clients may see it; `None` if it does not wait.
+    pub fn queued_statement(&self, now: Nanos, index: StatementIndex) -> Option<QueuedStatement> {
+        let entry = self
+            .entries
+            .get(index.0)?
             .as_ref()
-            .filter(|t| t.place == Place::Queued)?;
-        let (team, workload) = (ticket.team as usize, usize::from(ticket.workload));
+            .filter(|entry| entry.state == EntryState::Queued)?;
+        let (team, workload) = (entry.team as usize, usize::from(entry.workload));
         Some(QueuedStatement {
-            statement: ix,
+            statement: index,
             team,
             workload,
-            position: self.rows[team].lanes[workload]
-                .totals_ahead_of(ticket.number)
+            position: self.teams[team].lanes[workload]
+                .totals_ahead_of(entry.sequence)
                 .count
                 + 1,
-            wait: self.record.estimate_range(self.wait(now, ix)),
-            age: now.saturating_sub(ticket.came),
+            wait: self
+                .wait_statistics
+                .estimate_range(self.estimate_wait(now, index)),
+            age: now.saturating_sub(entry.arrived_at),
         })
     }
 
-    /// What waits, line by line, `most` rows at most.
-    pub fn queued_statements(&self, now: Nanos, most: usize) -> Vec<QueuedStatement> {
-        let lanes = self.rows.iter().flat_map(|row| &row.lanes);
-        let waiting = lanes.flat_map(|lane| lane.iter().map(|(ix, _)| ix));
+    /// The waiting statements, lane by lane, at most `max_count`.
+    pub fn queued_statements(&self, now: Nanos, max_count: usize) -> Vec<QueuedStatement> {
+        let lanes = self.teams.iter().flat_map(|team_state| &team_state.lanes);
+        let waiting = lanes.flat_map(|lane| lane.iter().map(|(statement, _)| statement));
         waiting
-            .take(most)
-            .filter_map(|ix| self.queued_statement(now, ix))
+            .take(max_count)
+            .filter_map(|statement| self.queued_statement(now, statement))
             .collect()
     }
 
-    // ---- the order ----
+    // ---- order ----
 
-    /// Releases what the clock, the window and the budgets let go.
-    fn dispatch(&mut self, now: Nanos, out: &mut dyn Output) {
-        self.move_clock(now);
-        self.blocked = false;
-        while let Some(team) = self.ranks.first() {
+    /// Releases the statements that virtual time, the window and the budgets allow.
+    fn dispatch(&mut self, now: Nanos, output: &mut dyn Output) {
+        self.advance_virtual_time(now);
+        self.is_blocked = false;
+        while let Some(team) = self.ranked_teams.first() {
             let budget = self.budgets.team(team);
-            let row = &mut self.rows[team];
-            row.bucket.refill(budget, now);
-            let empty_for = row.bucket.time_until_positive(budget);
-            if empty_for > 0 {
-                if row.filling.is_none() {
-                    row.filling =
-                        Some(self.wheel.insert(now + empty_for, Due::Filled(team as u32)));
+            let team_state = &mut self.teams[team];
+            team_state.work_budget.refill(budget, now);
+            let time_until_refilled = team_state.work_budget.time_until_positive(budget);
+            if time_until_refilled > 0 {
+                if team_state.refill_timer.is_none() {
+                    team_state.refill_timer = Some(self.timers.insert(
+                        now + time_until_refilled,
+                        TimerEvent::BudgetRefilled(team as u32),
+                    ));
                 }
-                self.unrank(team);
+                self.remove_rank(team);
                 continue;
             }
-            let class = self.ranks.rank(team).map_or(PACED, |(class, _)| class);
-            let Some(workload) = self.next_lane(team, class == PACED) else {
-                // Its own bounds on what is released hold it back: ranked again as one of its own is over.
-                self.unrank(team);
+            let class = self
+                .ranked_teams
+                .rank(team)
+                .map_or(PACED, |(class, _)| class);
+            let Some(workload) = self.next_workload(team, class == PACED) else {
+                // The team's own limits on released threads hold it back: it is ranked again when
+                // one of its statements ends.
+                self.remove_rank(team);
                 continue;
             };
             let threads = self.budgets.workloads[workload].threads.max(1.0);
-            let (out_then, window) = (self.out + threads, self.window.threads() + 1e-9);
-            let mut charged = false;
-            if class == WITHIN {
-                // Its own part of the window is kept for it, whatever others have borrowed; more while there is room.
-                let own = self.rows[team].out + threads;
-                let part = self.part(team);
-                let most =
-                    (OWN_PART * part).max(OWN_STATEMENTS * self.window.max_statement_threads());
-                let guaranteed = own <= part;
-                let room = out_then - self.lent <= window && own <= most;
-                if !guaranteed && !room {
-                    // By what it holds it is beyond its share now: in line with the others.
-                    self.rows[team].beyond_by_hold = true;
-                    self.put(team, PACED);
+            let (released_after, window) = (
+                self.released_threads + threads,
+                self.window.threads() + 1e-9,
+            );
+            let mut is_charged = false;
+            if class == IN_SHARE {
+                // The team's share of the window is guaranteed, whatever other teams have
+                // borrowed; it may release more while there is capacity.
+                let team_released_after = self.teams[team].released_threads + threads;
+                let window_share = self.window_share(team);
+                let max_team_threads = (MAX_TEAM_WINDOW_SHARE_FACTOR * window_share)
+                    .max(MIN_TEAM_WIDEST_STATEMENTS * self.window.max_statement_threads());
+                let is_guaranteed = team_released_after <= window_share;
+                let has_capacity = released_after - self.over_share_threads <= window
+                    && team_released_after <= max_team_threads;
+                if !is_guaranteed && !has_capacity {
+                    // By its released threads the team is over its share now: it is paced.
+                    self.teams[team].exceeds_window_share = true;
+                    self.set_class(team, PACED);
                     continue;
                 }
-                if out_then > CALLED_BACK * window {
-                    self.blocked = true;
+                if released_after > MAX_WITHIN_SHARE_WINDOW_FACTOR * window {
+                    self.is_blocked = true;
                     break;
                 }
-            } else if out_then > if self.contended { RELAXED } else { 1.0 } * window {
-                // While nobody waits the window alone counts.
-                if out_then > window {
+            } else if released_after
+                > if self.is_contended {
+                    UNCHARGED_WINDOW_FRACTION
+                } else {
+                    1.0
+                } * window
+            {
+                // Without contention only the window counts.
+                if released_after > window {
                     self.window.on_full();
                 }
-                if out_then > FULL * window || class == LEFT_OVER && out_then > window {
-                    self.blocked = true;
+                if released_after > MAX_PACED_WINDOW_FACTOR * window
+                    || class == NO_SHARE && released_after > window
+                {
+                    self.is_blocked = true;
                     break;
                 }
-                if class == PACED && self.rows[team].tags[workload] > self.virtual_now {
-                    self.await_turn(now, self.rows[team].tags[workload]);
+                if class == PACED && self.teams[team].virtual_starts[workload] > self.virtual_time {
+                    self.set_virtual_start_timer(now, self.teams[team].virtual_starts[workload]);
                     break;
                 }
-                charged = true;
+                is_charged = true;
             }
-            let Some((ix, _, _)) = self.rows[team].lanes[workload].front() else {
+            let Some((statement, _, _)) = self.teams[team].lanes[workload].front() else {
                 break;
             };
-            self.release(now, ix, team, workload, charged, out);
+            self.release(now, statement, team, workload, is_charged, output);
         }
-        self.contended = self.waiting_shares > 0.0;
-        if self.queued == 0 && self.queueing.is_some() && now >= self.waited_at + CALM_AFTER {
-            let since = self.queueing.take().unwrap_or(now);
+        self.is_contended = self.paced_share > 0.0;
+        if self.queued_count == 0
+            && self.queueing_since.is_some()
+            && now >= self.last_queued_at + MODE_END_DELAY
+        {
+            let since = self.queueing_since.take().unwrap_or(now);
             let line = format!(
                 "Queueing -> Direct: after {:.1} s",
                 (now - since) as f64 / 1e9
             );
-            out.log_mode_change(None, &line);
+            output.log_mode_change(None, &line);
         }
     }
 
-    /// Virtual time a second (ns): the work that is to be had for those who wait, over their shares.
-    fn clock_pace(&self, now: Nanos) -> f64 {
+    /// Virtual time (ns) per second: the work rate for paced teams over the sum of their shares,
+    /// corrected so that the released threads approach the window.
+    fn virtual_time_rate(&self, now: Nanos) -> f64 {
         let window = self.window.threads().max(1e-9);
-        let off = ((window - self.out) / window).clamp(-1.0, 1.0);
-        self.usual_pace(now) * (1.0 + PULL * off)
+        let deviation = ((window - self.released_threads) / window).clamp(-1.0, 1.0);
+        self.uncorrected_virtual_time_rate(now) * (1.0 + WINDOW_DEVIATION_GAIN * deviation)
     }
 
-    /// The same without the pull of the moment: what a wait is told by.
-    fn usual_pace(&self, now: Nanos) -> f64 {
-        self.pace.per_s(self.promise(now)) / self.waiting_shares.max(LEAST_SHARE)
+    /// The same without the correction by the window; waits are estimated with it.
+    fn uncorrected_virtual_time_rate(&self, now: Nanos) -> f64 {
+        self.service_rate.per_s(self.expected_paced_work_rate(now))
+            / self.paced_share.max(MIN_SHARE)
     }
 
-    /// Work (ns) a second that the cores promise to those who wait: what the others leave.
-    fn promise(&self, now: Nanos) -> f64 {
+    /// Work (ns) per second that the cores can do for paced teams: what the other teams leave.
+    fn expected_paced_work_rate(&self, now: Nanos) -> f64 {
         let cores = self.window.cores() * 1e9;
-        (cores * PROMISE - self.done_for_others.per_s(now)).max(cores * LEAST_PACE)
+        (cores * USABLE_FRACTION - self.other_work_rate.per_s(now))
+            .max(cores * MIN_PACED_CORE_FRACTION)
     }
 
-    fn move_clock(&mut self, now: Nanos) {
-        let span = now.saturating_sub(self.clock_at);
-        self.clock_at = self.clock_at.max(now);
-        let done = std::mem::take(&mut self.done_for_waiting);
-        if !self.contended {
+    fn advance_virtual_time(&mut self, now: Nanos) {
+        let elapsed = now.saturating_sub(self.virtual_time_updated_at);
+        self.virtual_time_updated_at = self.virtual_time_updated_at.max(now);
+        let ended_work = std::mem::take(&mut self.ended_paced_work);
+        if !self.is_contended {
             return;
         }
-        self.pace.record(done, span);
-        if !self.blocked {
-            let went = self.clock_pace(now) * span as f64 / 1e9;
-            self.virtual_now = self.virtual_now.saturating_add(went as u64);
+        self.service_rate.record(ended_work, elapsed);
+        if !self.is_blocked {
+            let advance = self.virtual_time_rate(now) * elapsed as f64 / 1e9;
+            self.virtual_time = self.virtual_time.saturating_add(advance as u64);
         }
     }
 
-    fn await_turn(&mut self, now: Nanos, tag: u64) {
-        let away = tag.saturating_sub(self.virtual_now) as f64;
-        let span = (away / self.clock_pace(now).max(1.0) * 1e9).min(1e15) as Nanos;
-        if let Some(old) = self.turn.replace(self.wheel.insert(now + span, Due::Turn)) {
-            self.wheel.remove(old);
+    fn set_virtual_start_timer(&mut self, now: Nanos, virtual_start: u64) {
+        let virtual_time_left = virtual_start.saturating_sub(self.virtual_time) as f64;
+        let time_left =
+            (virtual_time_left / self.virtual_time_rate(now).max(1.0) * 1e9).min(1e15) as Nanos;
+        if let Some(old_timer) = self.virtual_start_timer.replace(
+            self.timers
+                .insert(now + time_left, TimerEvent::VirtualStartReached),
+        ) {
+            self.timers.remove(old_timer);
         }
     }
 
     fn release(
         &mut self,
         now: Nanos,
-        ix: StatementIndex,
+        statement: StatementIndex,
         team: usize,
         workload: usize,
-        charged: bool,
-        out: &mut dyn Output,
+        is_charged: bool,
+        output: &mut dyn Output,
     ) {
-        let within = self
-            .ranks
+        let is_within_share = self
+            .ranked_teams
             .rank(team)
-            .is_some_and(|(class, _)| class == WITHIN);
-        let Some(ticket) = &self.tickets[ix.0] else {
+            .is_some_and(|(class, _)| class == IN_SHARE);
+        let Some(entry) = &self.entries[statement.0] else {
             return;
         };
-        let (work, told_wait, came) = (ticket.work, ticket.told_wait, ticket.came);
-        if told_wait > 0 {
-            let estimated = ticket.estimated;
-            self.record
-                .record_wait(now, told_wait, estimated, now.saturating_sub(came));
+        let (work, estimated_wait, arrived_at) =
+            (entry.charged_work, entry.estimated_wait, entry.arrived_at);
+        if estimated_wait > 0 {
+            let uncorrected_wait = entry.uncorrected_wait;
+            self.wait_statistics.record_wait(
+                now,
+                estimated_wait,
+                uncorrected_wait,
+                now.saturating_sub(arrived_at),
+            );
         }
         let share = self.lane_share(now, team, workload);
-        let row = &mut self.rows[team];
-        if charged {
-            let settled = (row.debts[workload] * SETTLED_AT_ONCE).max(-MOST_BACK * work as f64);
-            row.debts[workload] -= settled;
-            let went = span((work as f64 + settled) as u64, share);
-            row.tags[workload] = row.tags[workload].saturating_add(went);
+        let team_state = &mut self.teams[team];
+        if is_charged {
+            let settled = (team_state.unsettled_work[workload] * SETTLED_FRACTION_PER_RELEASE)
+                .max(-MAX_REFUND_FRACTION * work as f64);
+            team_state.unsettled_work[workload] -= settled;
+            let advance = virtual_span((work as f64 + settled) as u64, share);
+            team_state.virtual_starts[workload] =
+                team_state.virtual_starts[workload].saturating_add(advance);
         }
-        row.bucket.charge(work as f64 / 1e9);
-        if told_wait > 0 {
-            row.pace
-                .record(work as f64, now.saturating_sub(row.paced_at));
-            row.paced_at = now;
+        team_state.work_budget.charge(work as f64 / 1e9);
+        if estimated_wait > 0 {
+            team_state.service_rate.record(
+                work as f64,
+                now.saturating_sub(team_state.service_rate_updated_at),
+            );
+            team_state.service_rate_updated_at = now;
         }
-        match row.urgent_lane {
-            Some(urgent) if urgent == workload => row.urgent += 1,
-            _ => row.urgent = 0,
+        match team_state.urgent_workload {
+            Some(urgent) if urgent == workload => team_state.urgent_releases += 1,
+            _ => team_state.urgent_releases = 0,
         }
-        self.turn(now, ix, if within { Place::Released } else { Place::Lent });
-        out.release(ix, within);
+        self.transition(
+            now,
+            statement,
+            if is_within_share {
+                EntryState::ReleasedWithinShare
+            } else {
+                EntryState::ReleasedOverShare
+            },
+        );
+        output.release(statement, is_within_share);
     }
 
-    /// The workload of a team whose turn it is; none where its bounds on what is released hold all back.
-    fn next_lane(&self, team: usize, paced: bool) -> Option<usize> {
-        let (row, budget) = (&self.rows[team], self.budgets.team(team));
-        let may_go = |workload: usize| {
+    /// The workload of a team whose statement goes next; `None` if the team's limits on released
+    /// threads hold back all of them.
+    fn next_workload(&self, team: usize, is_paced: bool) -> Option<usize> {
+        let (team_state, budget) = (&self.teams[team], self.budgets.team(team));
+        let may_release = |workload: usize| {
             let threads = self.budgets.workloads[workload].threads.max(1.0);
-            // One is always let through where nothing is out: a bound below its threads would hold it for good.
-            let within = |out: f64, most: f64| most > 0.0 && (out <= 0.0 || out + threads <= most);
-            within(row.out, budget.max_released_threads)
-                && within(
-                    row.out_in[workload],
+            // A statement may always go when none is released: a limit below its threads would
+            // hold it back forever.
+            let is_within = |released: f64, max: f64| {
+                max > 0.0 && (released <= 0.0 || released + threads <= max)
+            };
+            is_within(team_state.released_threads, budget.max_released_threads)
+                && is_within(
+                    team_state.released_threads_by_workload[workload],
                     budget.max_released_threads_in(workload),
                 )
         };
-        let filled = (0..row.lanes.len()).filter(|&w| !row.lanes[w].is_empty() && may_go(w));
-        let due = |w: usize| {
-            let came = row.lanes[w].front().map_or(Nanos::MAX, |(_, _, came)| came);
-            came.saturating_add(self.budgets.workloads[w].slack)
+        let candidates = (0..team_state.lanes.len())
+            .filter(|&workload| !team_state.lanes[workload].is_empty() && may_release(workload));
+        let due_at = |workload: usize| {
+            let arrived_at = team_state.lanes[workload]
+                .front()
+                .map_or(Nanos::MAX, |(_, _, arrived_at)| arrived_at);
+            arrived_at.saturating_add(self.budgets.workloads[workload].slack)
         };
-        if paced {
-            return filled.min_by_key(|&w| (row.tags[w], due(w)));
+        if is_paced {
+            return candidates
+                .min_by_key(|&workload| (team_state.virtual_starts[workload], due_at(workload)));
         }
-        let urgent = row
-            .urgent_lane
-            .filter(|&w| !row.lanes[w].is_empty() && may_go(w));
+        let urgent = team_state
+            .urgent_workload
+            .filter(|&workload| !team_state.lanes[workload].is_empty() && may_release(workload));
         match urgent {
-            Some(lane) if row.urgent < URGENT_IN_A_ROW => Some(lane),
-            Some(lane) => filled
+            Some(urgent) if team_state.urgent_releases < MAX_URGENT_RELEASES_IN_ROW => Some(urgent),
+            Some(urgent) => candidates
                 .clone()
-                .filter(|&w| w != lane)
-                .min_by_key(|&w| due(w))
-                .or(Some(lane)),
-            None => filled.min_by_key(|&w| due(w)),
+                .filter(|&workload| workload != urgent)
+                .min_by_key(|&workload| due_at(workload))
+                .or(Some(urgent)),
+            None => candidates.min_by_key(|&workload| due_at(workload)),
         }
     }
 
-    /// A workload's part of its team's share: by the importance asked for, among those that wait or pay and
-    /// itself. An urgent one has half of it at least, the others what that leaves.
+    /// A workload's fraction of its team's share: by the priority weight of its demand, among
+    /// itself and the workloads that wait or still pay. An urgent workload has at least half of
+    /// the share; the others divide the rest.
     fn lane_share(&self, now: Nanos, team: usize, workload: usize) -> f64 {
-        let (row, share) = (&self.rows[team], self.budgets.team(team).share);
-        let wanted = |w: usize| row.wanted[w].per_s(now).max(LEAST_SHARE);
-        // One that is empty still pays for what it released last.
-        let pays = |w: usize| !row.lanes[w].is_empty() || row.tags[w] > self.virtual_now;
-        let waits = |w: &usize| *w == workload || pays(*w);
-        let all: f64 = (0..row.lanes.len()).filter(waits).map(wanted).sum();
-        let part = wanted(workload) / all;
-        let Some(urgent) = row.urgent_lane.filter(waits) else {
-            return share * part;
+        let (team_state, share) = (&self.teams[team], self.budgets.team(team).share);
+        let weight_demand =
+            |other: usize| team_state.weight_demand[other].per_s(now).max(MIN_SHARE);
+        // An empty lane still pays for its last release until its virtual start is reached.
+        let is_active = |other: usize| {
+            !team_state.lanes[other].is_empty()
+                || team_state.virtual_starts[other] > self.virtual_time
         };
-        let its = wanted(urgent) / all;
-        let most = its.max(URGENT_PART);
+        let counts = |other: &usize| *other == workload || is_active(*other);
+        let total: f64 = (0..team_state.lanes.len())
+            .filter(counts)
+            .map(weight_demand)
+            .sum();
+        let fraction = weight_demand(workload) / total;
+        let Some(urgent) = team_state.urgent_workload.filter(counts) else {
+            return share * fraction;
+        };
+        let urgent_demand_fraction = weight_demand(urgent) / total;
+        let urgent_fraction = urgent_demand_fraction.max(MIN_URGENT_SHARE_FRACTION);
         share
             * if urgent == workload {
-                most
+                urgent_fraction
             } else {
-                part * (1.0 - most) / (1.0 - its).max(1e-9)
+                fraction * (1.0 - urgent_fraction) / (1.0 - urgent_demand_fraction).max(1e-9)
             }
     }
 
-    /// The virtual start of the team's next statement.
-    fn tag(&self, team: usize) -> u64 {
-        let row = &self.rows[team];
-        (0..row.lanes.len())
-            .filter(|&w| !row.lanes[w].is_empty())
-            .map(|w| row.tags[w])
+    /// Virtual start of the team's next statement.
+    fn next_virtual_start(&self, team: usize) -> u64 {
+        let team_state = &self.teams[team];
+        (0..team_state.lanes.len())
+            .filter(|&workload| !team_state.lanes[workload].is_empty())
+            .map(|workload| team_state.virtual_starts[workload])
             .min()
             .unwrap_or(0)
     }
 
-    /// A team's own part of the window.
-    fn part(&self, team: usize) -> f64 {
+    /// Threads of the window that a team's share entitles it to.
+    fn window_share(&self, team: usize) -> f64 {
         let share = self.budgets.team(team).share;
         if share <= 0.0 {
             0.0
         } else {
-            self.window.threads() * share / self.shares
+            self.window.threads() * share / self.total_share
         }
     }
 
-    /// Ranks a team by what it has waiting, or takes it out.
-    fn rank(&mut self, team: usize) {
-        let row = &mut self.rows[team];
+    /// Ranks a team by its waiting statements; removes it from the ranking if it has none.
+    fn update_rank(&mut self, team: usize) {
+        let team_state = &mut self.teams[team];
         let share = self.budgets.team(team).share;
-        if row.queued == 0 {
-            row.urgent_lane = None;
-            row.beyond_by_hold = false;
-            self.fullest.remove(team);
-            return self.unrank(team);
+        if team_state.queued_count == 0 {
+            team_state.urgent_workload = None;
+            team_state.exceeds_window_share = false;
+            self.fullest_teams.remove(team);
+            return self.remove_rank(team);
         }
-        let fullness = span(row.work, share);
-        self.fullest.set(team, (0, u64::MAX - fullness));
-        if row.filling.is_none() {
+        let fullness = virtual_span(team_state.queued_work, share);
+        self.fullest_teams.set(team, (0, u64::MAX - fullness));
+        if team_state.refill_timer.is_none() {
             let class = if share <= 0.0 {
-                LEFT_OVER
-            } else if self.rows[team].within && !self.holds_more(team) {
-                WITHIN
+                NO_SHARE
+            } else if self.teams[team].is_within_share && !self.still_exceeds_window_share(team) {
+                IN_SHARE
             } else {
                 PACED
             };
-            self.put(team, class);
+            self.set_class(team, class);
         }
     }
 
-    fn holds_more(&mut self, team: usize) -> bool {
-        if self.rows[team].beyond_by_hold && self.rows[team].out < self.part(team) {
-            self.rows[team].beyond_by_hold = false;
+    fn still_exceeds_window_share(&mut self, team: usize) -> bool {
+        if self.teams[team].exceeds_window_share
+            && self.teams[team].released_threads < self.window_share(team)
+        {
+            self.teams[team].exceeds_window_share = false;
         }
-        self.rows[team].beyond_by_hold
+        self.teams[team].exceeds_window_share
     }
 
-    fn put(&mut self, team: usize, class: u8) {
-        let was = self.ranks.rank(team).map(|(class, _)| class);
-        let row = &mut self.rows[team];
-        if was != Some(PACED) && class == PACED {
-            // The first of all to wait does so as long as it costs: the window is full.
-            let front = row
+    fn set_class(&mut self, team: usize, class: u8) {
+        let old_class = self.ranked_teams.rank(team).map(|(class, _)| class);
+        let team_state = &mut self.teams[team];
+        if old_class != Some(PACED) && class == PACED {
+            // The window is full: the first paced team waits for as long as its statement costs.
+            let front = team_state
                 .lanes
                 .iter()
                 .filter_map(Lane::front)
-                .map(|(ix, _, _)| ix)
+                .map(|(statement, _, _)| statement)
                 .next();
             let work = front
-                .and_then(|ix| self.tickets[ix.0].as_ref())
-                .map_or(0, |ticket| ticket.work);
-            let first = if self.contended {
+                .and_then(|statement| self.entries[statement.0].as_ref())
+                .map_or(0, |entry| entry.charged_work);
+            let delay = if self.is_contended {
                 0
             } else {
-                span(work, self.budgets.team(team).share)
+                virtual_span(work, self.budgets.team(team).share)
             };
-            let least = self.virtual_now.saturating_add(first);
-            row.tags.iter_mut().for_each(|tag| *tag = (*tag).max(least));
-            self.waiting_shares += self.budgets.team(team).share;
+            let min_start = self.virtual_time.saturating_add(delay);
+            team_state
+                .virtual_starts
+                .iter_mut()
+                .for_each(|virtual_start| *virtual_start = (*virtual_start).max(min_start));
+            self.paced_share += self.budgets.team(team).share;
         }
-        if was == Some(PACED) && class != PACED {
-            self.no_longer_paced(team);
+        if old_class == Some(PACED) && class != PACED {
+            self.subtract_paced_share(team);
         }
-        self.ranks.set(team, (class, self.tag(team)));
+        self.ranked_teams
+            .set(team, (class, self.next_virtual_start(team)));
     }
 
-    fn unrank(&mut self, team: usize) {
+    fn remove_rank(&mut self, team: usize) {
         if self
-            .ranks
+            .ranked_teams
             .rank(team)
             .is_some_and(|(class, _)| class == PACED)
         {
-            self.no_longer_paced(team);
+            self.subtract_paced_share(team);
         }
-        self.ranks.remove(team);
+        self.ranked_teams.remove(team);
     }
 
-    fn no_longer_paced(&mut self, team: usize) {
-        self.waiting_shares -= self.budgets.team(team).share;
-        if self.waiting_shares < LEAST_SHARE {
-            // Sums of what was added and taken again end in a remainder.
-            self.waiting_shares = 0.0;
+    fn subtract_paced_share(&mut self, team: usize) {
+        self.paced_share -= self.budgets.team(team).share;
+        if self.paced_share < MIN_SHARE {
+            // Rounding errors of additions and subtractions leave a remainder.
+            self.paced_share = 0.0;
         }
     }
 
-    /// Whether a team asks for no more than its share.
-    fn see_whether_within(&mut self, now: Nanos, team: usize) {
+    /// Decides whether a team's demand is within its share.
+    fn update_is_within_share(&mut self, now: Nanos, team: usize) {
         let share = self.budgets.team(team).share;
-        let part = if self.shares > 0.0 {
-            share / self.shares
+        let fraction = if self.total_share > 0.0 {
+            share / self.total_share
         } else {
             0.0
         };
-        let row = &mut self.rows[team];
-        let costliest = row.learned.iter().map(|l| l.usual).fold(0.0, f64::max);
-        let own = self.window.cores() * part * 1e9 + LUMPS * costliest / ASKED_FADE;
-        let limit = if row.within { own } else { own * BACK_WITHIN };
-        row.within = row.asked.per_s(now) <= limit;
+        let team_state = &mut self.teams[team];
+        let costliest_work = team_state
+            .work_evidence
+            .iter()
+            .map(|evidence| evidence.usual)
+            .fold(0.0, f64::max);
+        let share_limit = self.window.cores() * fraction * 1e9
+            + DEMAND_ALLOWANCE_STATEMENTS * costliest_work / DEMAND_TIME_CONSTANT_S;
+        let limit = if team_state.is_within_share {
+            share_limit
+        } else {
+            share_limit * RETURN_DEMAND_FRACTION
+        };
+        team_state.is_within_share = team_state.work_demand.per_s(now) <= limit;
     }
 
-    /// The one function that changes a statement's place.
-    fn turn(&mut self, now: Nanos, ix: StatementIndex, to: Place) {
-        let Some(ticket) = &mut self.tickets[ix.0] else {
+    /// Changes the state of a statement; no other function does.
+    fn transition(&mut self, now: Nanos, statement: StatementIndex, to: EntryState) {
+        let Some(entry) = &mut self.entries[statement.0] else {
             return;
         };
-        let from = ticket.place;
-        ticket.place = to;
-        let (team, workload) = (ticket.team as usize, usize::from(ticket.workload));
-        let (work, bytes, number) = (ticket.work, ticket.bytes, ticket.number);
+        let from = entry.state;
+        entry.state = to;
+        let (team, workload) = (entry.team as usize, usize::from(entry.workload));
+        let (work, bytes, sequence) = (entry.charged_work, entry.bytes, entry.sequence);
         let threads = self.budgets.workloads[workload].threads.max(1.0);
-        let timer = if to == Place::Queued {
+        let timer = if to == EntryState::Queued {
             None
         } else {
-            ticket.timer.take()
+            entry.timer.take()
         };
         if let Some(timer) = timer {
-            self.wheel.remove(timer);
+            self.timers.remove(timer);
         }
-        let row = &mut self.rows[team];
+        let team_state = &mut self.teams[team];
         match from {
-            Place::Queued => {
-                row.lanes[workload].remove(number);
-                row.queued -= 1;
-                row.bytes -= bytes;
-                row.work -= work;
-                self.queued -= 1;
-                self.threads_queued -= threads;
-                self.bytes -= bytes;
+            EntryState::Queued => {
+                team_state.lanes[workload].remove(sequence);
+                team_state.queued_count -= 1;
+                team_state.queued_bytes -= bytes;
+                team_state.queued_work -= work;
+                self.queued_count -= 1;
+                self.queued_threads -= threads;
+                self.queued_bytes -= bytes;
             }
-            Place::Released | Place::Lent => {
-                row.out -= threads;
-                row.out_in[workload] -= threads;
-                self.out -= threads;
-                self.freed.add(now, threads);
-                self.lent -= if from == Place::Lent { threads } else { 0.0 };
+            EntryState::ReleasedWithinShare | EntryState::ReleasedOverShare => {
+                team_state.released_threads -= threads;
+                team_state.released_threads_by_workload[workload] -= threads;
+                self.released_threads -= threads;
+                self.freed_threads.add(now, threads);
+                self.over_share_threads -= if from == EntryState::ReleasedOverShare {
+                    threads
+                } else {
+                    0.0
+                };
             }
-            Place::Coming | Place::Over => {}
+            EntryState::Arriving | EntryState::Ended => {}
         }
         match to {
-            Place::Queued => {
-                if row.lanes[workload].is_empty() {
-                    // What it did not use while nothing of it waited is gone.
-                    row.tags[workload] = row.tags[workload].max(self.virtual_now);
+            EntryState::Queued => {
+                if team_state.lanes[workload].is_empty() {
+                    // A workload saves up no share while none of its statements waits.
+                    team_state.virtual_starts[workload] =
+                        team_state.virtual_starts[workload].max(self.virtual_time);
                 }
-                let tickets = &mut self.tickets;
-                let number = row.lanes[workload].push(ix, now, work, |moved, number| {
-                    if let Some(ticket) = &mut tickets[moved.0] {
-                        ticket.number = number;
-                    }
-                });
-                if let Some(ticket) = &mut self.tickets[ix.0] {
-                    ticket.number = number;
+                let entries = &mut self.entries;
+                let sequence =
+                    team_state.lanes[workload].push(statement, now, work, |moved, sequence| {
+                        if let Some(entry) = &mut entries[moved.0] {
+                            entry.sequence = sequence;
+                        }
+                    });
+                if let Some(entry) = &mut self.entries[statement.0] {
+                    entry.sequence = sequence;
                 }
-                if row.queued == 0 {
-                    row.urgent = 0;
-                    if now > row.paced_at + PACE_HOLDS {
-                        row.pace = ServiceRate::default();
+                if team_state.queued_count == 0 {
+                    team_state.urgent_releases = 0;
+                    if now > team_state.service_rate_updated_at + SERVICE_RATE_RETENTION {
+                        team_state.service_rate = ServiceRate::default();
                     }
-                    row.paced_at = now;
+                    team_state.service_rate_updated_at = now;
                 }
-                row.queued += 1;
-                row.bytes += bytes;
-                row.work += work;
-                self.queued += 1;
-                self.threads_queued += threads;
-                self.bytes += bytes;
+                team_state.queued_count += 1;
+                team_state.queued_bytes += bytes;
+                team_state.queued_work += work;
+                self.queued_count += 1;
+                self.queued_threads += threads;
+                self.queued_bytes += bytes;
             }
-            Place::Released | Place::Lent => {
-                row.out += threads;
-                row.out_in[workload] += threads;
-                self.out += threads;
-                self.lent += if to == Place::Lent { threads } else { 0.0 };
+            EntryState::ReleasedWithinShare | EntryState::ReleasedOverShare => {
+                team_state.released_threads += threads;
+                team_state.released_threads_by_workload[workload] += threads;
+                self.released_threads += threads;
+                self.over_share_threads += if to == EntryState::ReleasedOverShare {
+                    threads
+                } else {
+                    0.0
+                };
             }
-            Place::Over => self.tickets[ix.0] = None,
-            Place::Coming => {}
+            EntryState::Ended => self.entries[statement.0] = None,
+            EntryState::Arriving => {}
         }
-        self.rank(team);
+        self.update_rank(team);
     }
 
     // ---- budgets ----
 
-    fn have_rows(&mut self, count: usize, now: Nanos) {
+    fn ensure_teams(&mut self, count: usize, now: Nanos) {
         let workloads = &self.budgets.workloads;
-        while self.rows.len() < count {
-            let budget = self.budgets.team(self.rows.len());
-            self.rows.push(Row {
+        while self.teams.len() < count {
+            let budget = self.budgets.team(self.teams.len());
+            self.teams.push(TeamState {
                 lanes: workloads.iter().map(|_| Lane::default()).collect(),
-                out_in: vec![0.0; workloads.len()],
-                out: 0.0,
-                learned: workloads
+                released_threads_by_workload: vec![0.0; workloads.len()],
+                released_threads: 0.0,
+                work_evidence: workloads
                     .iter()
-                    .map(|w| {
-                        let usual = w.usual_work.max(1) as f64;
-                        Learned {
-                            real: usual,
-                            told: usual,
+                    .map(|workload| {
+                        let usual = workload.usual_work.max(1) as f64;
+                        WorkEvidence {
+                            measured: usual,
+                            estimated: usual,
                             usual,
                         }
                     })
                     .collect(),
-                tags: vec![self.virtual_now; workloads.len()],
-                debts: vec![0.0; workloads.len()],
-                wanted: vec![DecayingRate::new(ASKED_FADE); workloads.len()],
-                asked: DecayingRate::new(ASKED_FADE),
-                within: true,
-                beyond_by_hold: false,
-                bucket: WorkBudget::new(budget, now),
-                filling: None,
-                queued: 0,
-                bytes: 0,
-                work: 0,
-                urgent: 0,
-                urgent_lane: None,
-                used: 0.0,
-                appointment: 0,
-                pace: ServiceRate::default(),
-                paced_at: now,
-                refusing_since: None,
-                refused_at: 0,
-                refused: 0,
+                virtual_starts: vec![self.virtual_time; workloads.len()],
+                unsettled_work: vec![0.0; workloads.len()],
+                weight_demand: vec![DecayingRate::new(DEMAND_TIME_CONSTANT_S); workloads.len()],
+                work_demand: DecayingRate::new(DEMAND_TIME_CONSTANT_S),
+                is_within_share: true,
+                exceeds_window_share: false,
+                work_budget: WorkBudget::new(budget, now),
+                refill_timer: None,
+                queued_count: 0,
+                queued_bytes: 0,
+                queued_work: 0,
+                urgent_releases: 0,
+                urgent_workload: None,
+                used_core_seconds: 0.0,
+                last_retry_at: 0,
+                service_rate: ServiceRate::default(),
+                service_rate_updated_at: now,
+                rejecting_since: None,
+                last_rejected_at: 0,
+                rejected_count: 0,
             });
         }
-        self.count_shares();
+        self.update_total_share();
     }
 
-    fn count_shares(&mut self) {
-        self.shares = (0..self.rows.len())
+    fn update_total_share(&mut self) {
+        self.total_share = (0..self.teams.len())
             .map(|team| self.budgets.team(team).share)
             .sum();
     }
 
-    /// What a statement is charged: its estimate, as its team's estimates of that workload have proved, or the
-    /// usual. So a team whose estimates are too low gains only until its first few statements are over.
-    fn charge(&self, team: usize, workload: usize, told: Nanos) -> u64 {
-        let learned = &self.rows[team].learned[workload];
-        let work = if told == 0 {
-            learned.usual
+    /// Work that a statement is charged: its estimate, corrected by how the team's estimates for
+    /// that workload have proved, or without an estimate the usual work. So a team whose estimates
+    /// are too low gains only until its first few statements have ended.
+    fn charged_work(&self, team: usize, workload: usize, estimated_work: Nanos) -> u64 {
+        let evidence = &self.teams[team].work_evidence[workload];
+        let work = if estimated_work == 0 {
+            evidence.usual
         } else {
-            told as f64 * learned.real / learned.told.max(1.0)
+            estimated_work as f64 * evidence.measured / evidence.estimated.max(1.0)
         };
         (work as u64).max(1)
     }
 
-    fn learn(&mut self, team: usize, workload: usize, told: u64, real: u64) {
-        let learned = &mut self.rows[team].learned[workload];
-        learned.usual += (1.0 - RATIO_KEEP) * (real as f64 - learned.usual);
-        if told > 0 {
-            learned.real = learned.real * RATIO_KEEP + real as f64;
-            learned.told = learned.told * RATIO_KEEP + told as f64;
+    fn update_work_evidence(
+        &mut self,
+        team: usize,
+        workload: usize,
+        estimated_work: u64,
+        measured_work: u64,
+    ) {
+        let evidence = &mut self.teams[team].work_evidence[workload];
+        evidence.usual += (1.0 - WORK_EVIDENCE_DECAY) * (measured_work as f64 - evidence.usual);
+        if estimated_work > 0 {
+            evidence.measured = evidence.measured * WORK_EVIDENCE_DECAY + measured_work as f64;
+            evidence.estimated = evidence.estimated * WORK_EVIDENCE_DECAY + estimated_work as f64;
         }
     }
 
-    /// Sets what was charged right by what it really was: in the budget at once, in the order with what the team
-    /// releases next.
+    /// Replaces charged by measured work: in the work budget at once, in virtual time with the
+    /// team's next releases.
     fn settle(
         &mut self,
         now: Nanos,
         (team, workload): (usize, usize),
-        lent: bool,
-        charged: u64,
-        real: u64,
+        was_over_share: bool,
+        charged_work: u64,
+        measured_work: u64,
     ) {
-        if lent || !self.rows[team].within || self.rows[team].beyond_by_hold {
-            self.done_for_waiting += real as f64;
+        if was_over_share
+            || !self.teams[team].is_within_share
+            || self.teams[team].exceeds_window_share
+        {
+            self.ended_paced_work += measured_work as f64;
         } else {
-            self.done_for_others.add(now, real as f64);
+            self.other_work_rate.add(now, measured_work as f64);
         }
-        let row = &mut self.rows[team];
-        row.used += real as f64 / 1e9;
-        // What is owed to it fades as it is not in line; what it owes stays until it is.
-        let debt = row.debts[workload] + real as f64 - charged as f64;
-        row.debts[workload] = if row.within { 0.0 } else { debt };
-        row.bucket.refill(self.budgets.team(team), now);
-        row.bucket.charge(real as f64 / 1e9 - charged as f64 / 1e9);
-        if let Some(filling) = row.filling.take() {
-            // The time at which it holds something again has moved.
-            self.wheel.remove(filling);
+        let team_state = &mut self.teams[team];
+        team_state.used_core_seconds += measured_work as f64 / 1e9;
+        // A team within its share keeps no unsettled work, neither as credit nor as debt.
+        let unsettled =
+            team_state.unsettled_work[workload] + measured_work as f64 - charged_work as f64;
+        team_state.unsettled_work[workload] = if team_state.is_within_share {
+            0.0
+        } else {
+            unsettled
+        };
+        team_state.work_budget.refill(self.budgets.team(team), now);
+        team_state
+            .work_budget
+            .charge(measured_work as f64 / 1e9 - charged_work as f64 / 1e9);
+        if let Some(timer) = team_state.refill_timer.take() {
+            // The time at which the balance becomes positive has changed.
+            self.timers.remove(timer);
         }
     }
 
-    fn within_bounds(&self, ix: StatementIndex) -> bool {
-        let Some(ticket) = &self.tickets[ix.0] else {
+    fn is_within_limits(&self, statement: StatementIndex) -> bool {
+        let Some(entry) = &self.entries[statement.0] else {
             return false;
         };
-        let (team, workload) = (ticket.team as usize, usize::from(ticket.workload));
-        self.team_within(team, workload) && self.all_within()
+        let (team, workload) = (entry.team as usize, usize::from(entry.workload));
+        self.is_team_within_limits(team, workload) && self.is_total_within_limits()
     }
 
-    fn team_within(&self, team: usize, workload: usize) -> bool {
-        let (row, budget) = (&self.rows[team], self.budgets.team(team));
-        row.queued <= budget.max_queued
-            && row.bytes <= budget.max_queued_bytes
-            && row.lanes[workload].len() <= budget.max_queued_in(workload)
+    fn is_team_within_limits(&self, team: usize, workload: usize) -> bool {
+        let (team_state, budget) = (&self.teams[team], self.budgets.team(team));
+        team_state.queued_count <= budget.max_queued
+            && team_state.queued_bytes <= budget.max_queued_bytes
+            && team_state.lanes[workload].len() <= budget.max_queued_in(workload)
     }
 
-    fn all_within(&self) -> bool {
-        self.queued <= self.budgets.max_queued && self.bytes <= self.budgets.max_queued_bytes
+    fn is_total_within_limits(&self) -> bool {
+        self.queued_count <= self.budgets.max_queued
+            && self.queued_bytes <= self.budgets.max_queued_bytes
     }
 
-    // ---- pre-emption ----
+    // ---- preemption ----
 
-    fn preempts(&self, workload: usize) -> bool {
+    fn can_preempt(&self, workload: usize) -> bool {
         self.budgets.workloads[workload].priority_weight
             >= self.budgets.preempts_from_priority_weight
     }
 
-    /// Makes room for one that is over a bound: by what matters less in its own team, where that is over its own
-    /// bounds, else by the team that has most waiting for its share. Only what was never released is touched.
-    fn push_out_for(&mut self, now: Nanos, ix: StatementIndex, out: &mut dyn Output) -> bool {
-        let Some(ticket) = &self.tickets[ix.0] else {
+    /// Preempts waiting statements for one that exceeds a limit: less important ones of its own
+    /// team if that exceeds its own limits, else those of the team with the most waiting work for
+    /// its share. Released statements are never preempted.
+    fn preempt_for(
+        &mut self,
+        now: Nanos,
+        statement: StatementIndex,
+        output: &mut dyn Output,
+    ) -> bool {
+        let Some(entry) = &self.entries[statement.0] else {
             return false;
         };
-        let (team, workload) = (ticket.team as usize, usize::from(ticket.workload));
-        for _ in 0..MOST_PUSHED_OUT {
-            if self.within_bounds(ix) {
+        let (team, workload) = (entry.team as usize, usize::from(entry.workload));
+        for _ in 0..MAX_PREEMPTIONS_PER_ARRIVAL {
+            if self.is_within_limits(statement) {
                 return true;
             }
-            let victim = if !self.team_within(team, workload) {
-                if self.rows[team].lanes[workload].len()
+            let victim = if !self.is_team_within_limits(team, workload) {
+                if self.teams[team].lanes[workload].len()
                     > self.budgets.team(team).max_queued_in(workload)
                 {
                     return false;
                 }
-                self.preempts(workload)
-                    .then(|| self.least_waiting(team, workload))
+                self.can_preempt(workload)
+                    .then(|| self.least_important_queued(team, workload))
                     .flatten()
             } else {
-                self.fullest.first().and_then(|fullest| {
+                self.fullest_teams.first().and_then(|fullest| {
                     if fullest == team {
-                        self.preempts(workload)
-                            .then(|| self.least_waiting(team, workload))
+                        self.can_preempt(workload)
+                            .then(|| self.least_important_queued(team, workload))
                             .flatten()
                     } else {
-                        self.newest_of_fullest(fullest, team)
+                        self.newest_of_fullest_team(fullest, team)
                     }
                 })
             };
             match victim {
-                Some(victim) if victim != ix => self.reject(now, victim, out),
+                Some(victim) if victim != statement => self.reject(now, victim, output),
                 _ => return false,
             }
         }
-        self.within_bounds(ix)
+        self.is_within_limits(statement)
     }
 
-    /// The newest waiting statement of the least important workload below this one's, loads left alone.
-    fn least_waiting(&self, team: usize, workload: usize) -> Option<StatementIndex> {
-        let terms = &self.budgets.workloads;
-        let lanes = (0..terms.len()).filter(|&w| {
-            !terms[w].is_bulk_load
-                && terms[w].priority_weight < terms[workload].priority_weight
-                && !self.rows[team].lanes[w].is_empty()
+    /// The newest waiting statement of the team's least important workload, if that is less
+    /// important than this one. Bulk loads are exempt.
+    fn least_important_queued(&self, team: usize, workload: usize) -> Option<StatementIndex> {
+        let params = &self.budgets.workloads;
+        let candidates = (0..params.len()).filter(|&other| {
+            !params[other].is_bulk_load
+                && params[other].priority_weight < params[workload].priority_weight
+                && !self.teams[team].lanes[other].is_empty()
         });
-        let least = lanes.min_by(|&a, &b| {
-            terms[a]
+        let least_important = candidates.min_by(|&a, &b| {
+            params[a]
                 .priority_weight
-                .total_cmp(&terms[b].priority_weight)
+                .total_cmp(&params[b].priority_weight)
         })?;
-        self.rows[team].lanes[least].back().map(|(ix, _)| ix)
+        self.teams[team].lanes[least_important]
+            .back()
+            .map(|(statement, _)| statement)
     }
 
-    /// Where another team has more waiting for its share than this one, its newest: no load, the least important.
-    fn newest_of_fullest(&self, fullest: usize, team: usize) -> Option<StatementIndex> {
-        let load = |t: usize| span(self.rows[t].work, self.budgets.team(t).share);
-        if load(fullest) <= load(team) {
+    /// The newest waiting statement of the least important workload of the fullest team, if that
+    /// has more waiting work for its share than this team. Bulk loads are exempt.
+    fn newest_of_fullest_team(&self, fullest: usize, team: usize) -> Option<StatementIndex> {
+        let fullness =
+            |team: usize| virtual_span(self.teams[team].queued_work, self.budgets.team(team).share);
+        if fullness(fullest) <= fullness(team) {
             return None;
         }
-        let terms = &self.budgets.workloads;
-        let lanes = (0..terms.len())
-            .filter(|&w| !terms[w].is_bulk_load && !self.rows[fullest].lanes[w].is_empty());
-        let least = lanes.min_by(|&a, &b| {
-            terms[a]
+        let params = &self.budgets.workloads;
+        let candidates = (0..params.len()).filter(|&workload| {
+            !params[workload].is_bulk_load && !self.teams[fullest].lanes[workload].is_empty()
+        });
+        let least_important = candidates.min_by(|&a, &b| {
+            params[a]
                 .priority_weight
-                .total_cmp(&terms[b].priority_weight)
+                .total_cmp(&params[b].priority_weight)
         })?;
-        self.rows[fullest].lanes[least].back().map(|(ix, _)| ix)
+        self.teams[fullest].lanes[least_important]
+            .back()
+            .map(|(statement, _)| statement)
     }
 
-    // ---- turning away ----
+    // ---- rejection ----
 
-    fn reject(&mut self, now: Nanos, ix: StatementIndex, out: &mut dyn Output) {
-        let Some(ticket) = &self.tickets[ix.0] else {
+    fn reject(&mut self, now: Nanos, statement: StatementIndex, output: &mut dyn Output) {
+        let Some(entry) = &self.entries[statement.0] else {
             return;
         };
-        let (team, work) = (ticket.team as usize, ticket.work);
-        let retry_after = self.retry_after(now, ix, team, work);
-        self.turn(now, ix, Place::Over);
-        let row = &mut self.rows[team];
-        if row.refusing_since.is_some() && now >= row.refused_at + CALM_AFTER {
-            row.refusing_since = None;
+        let (team, work) = (entry.team as usize, entry.charged_work);
+        let retry_after = self.assign_retry_after(now, statement, team, work);
+        self.transition(now, statement, EntryState::Ended);
+        let team_state = &mut self.teams[team];
+        if team_state.rejecting_since.is_some()
+            && now >= team_state.last_rejected_at + MODE_END_DELAY
+        {
+            team_state.rejecting_since = None;
         }
-        row.refused_at = now;
-        row.refused += 1;
-        if row.refusing_since.is_none() {
-            row.refusing_since = Some(now);
-            let (queued, held, before) = (row.queued, row.out, row.refused - 1);
-            let part = self.part(team);
+        team_state.last_rejected_at = now;
+        team_state.rejected_count += 1;
+        if team_state.rejecting_since.is_none() {
+            team_state.rejecting_since = Some(now);
+            let (queued, released, rejected_before) = (
+                team_state.queued_count,
+                team_state.released_threads,
+                team_state.rejected_count - 1,
+            );
+            let window_share = self.window_share(team);
             let line = format!(
-                "Within -> Over: {queued} waiting, {held:.1} of its {part:.1} threads out, {before} rejected before"
+                "Within -> Over: {queued} waiting, {released:.1} of its {window_share:.1} threads out, {rejected_before} rejected before"
             );
-            out.log_mode_change(Some(team), &line);
+            output.log_mode_change(Some(team), &line);
         }
-        out.reject(ix, retry_after);
+        output.reject(statement, retry_after);
     }
 
-    /// When there is room again for as much: behind what waits and behind those sent away before, spread by chance
-    /// so that they do not come together.
-    fn retry_after(&mut self, now: Nanos, ix: StatementIndex, team: usize, work: u64) -> Nanos {
-        let most = self.budgets.max_retry_after;
-        if most == 0 {
+    /// Time until there is capacity for as much work: after the waiting statements and after the
+    /// statements rejected earlier, with jitter so that the clients do not return together.
+    fn assign_retry_after(
+        &mut self,
+        now: Nanos,
+        statement: StatementIndex,
+        team: usize,
+        work: u64,
+    ) -> Nanos {
+        let max_retry_after = self.budgets.max_retry_after;
+        if max_retry_after == 0 {
             return 0;
         }
-        // Without engines nobody can tell.
+        // Without engines the wait is unknown.
         let wait = if self.window.threads() > 0.0 {
-            self.wait(now, ix).min(most)
+            self.estimate_wait(now, statement).min(max_retry_after)
         } else {
-            most
+            max_retry_after
         };
-        let per_s = (self.pace_of(now, team) / 1e9).max(1e-9);
-        let row = &mut self.rows[team];
-        let its_turn = (work as f64 / 1e9 / per_s * 1e9).min(most as f64) as Nanos;
-        row.appointment = row
-            .appointment
+        let core_seconds_per_s = (self.team_work_rate(now, team) / 1e9).max(1e-9);
+        let team_state = &mut self.teams[team];
+        let service_time =
+            (work as f64 / 1e9 / core_seconds_per_s * 1e9).min(max_retry_after as f64) as Nanos;
+        team_state.last_retry_at = team_state
+            .last_retry_at
             .max(now)
-            .saturating_add(its_turn)
-            .min(now + most);
-        let back = wait.max(row.appointment - now).max(SOONEST_BACK);
-        self.chances += 1;
-        let chance = unit_hash(&(self.seed, self.chances));
-        // At the longest the spread goes below it, or all of them would come back at once then.
-        let spread = (back as f64 * SPREAD_BACK * chance) as Nanos;
-        if back + spread > most {
-            most.saturating_sub(spread)
+            .saturating_add(service_time)
+            .min(now + max_retry_after);
+        let retry_after = wait
+            .max(team_state.last_retry_at - now)
+            .max(MIN_RETRY_AFTER);
+        self.random_draws += 1;
+        let random = unit_hash(&(self.seed, self.random_draws));
+        // Close to the maximum the jitter is subtracted, or all clients would return at that time.
+        let jitter = (retry_after as f64 * RETRY_AFTER_JITTER_FRACTION * random) as Nanos;
+        if retry_after + jitter > max_retry_after {
+            max_retry_after.saturating_sub(jitter)
         } else {
-            back + spread
+            retry_after + jitter
         }
     }
 
-    fn may_wait_until(&self, ticket: &Ticket) -> Nanos {
-        let (team, workload) = (ticket.team as usize, usize::from(ticket.workload));
-        let own = self.budgets.team(team).lane(workload).max_wait;
-        let longest = own.unwrap_or(self.budgets.workloads[workload].max_wait);
-        let left = ticket.deadline.saturating_sub(ticket.came);
-        ticket
-            .came
-            .saturating_add(longest)
-            .min(ticket.deadline - (left / LAST_PART).min(ticket.deadline))
+    fn wait_deadline(&self, entry: &QueueEntry) -> Nanos {
+        let (team, workload) = (entry.team as usize, usize::from(entry.workload));
+        let lane_max_wait = self.budgets.team(team).lane(workload).max_wait;
+        let max_wait = lane_max_wait.unwrap_or(self.budgets.workloads[workload].max_wait);
+        let time_to_deadline = entry.deadline.saturating_sub(entry.arrived_at);
+        entry
+            .arrived_at
+            .saturating_add(max_wait)
+            .min(entry.deadline - (time_to_deadline / RUN_TIME_RESERVE_DIVISOR).min(entry.deadline))
     }
 
-    fn time(&mut self, ix: StatementIndex, until: Nanos) {
-        let timer = self.wheel.insert(until, Due::Waited(ix));
-        let old = self.tickets[ix.0]
+    fn set_wait_timer(&mut self, statement: StatementIndex, wait_deadline: Nanos) {
+        let timer = self
+            .timers
+            .insert(wait_deadline, TimerEvent::MaxWaitReached(statement));
+        let old_timer = self.entries[statement.0]
             .as_mut()
-            .and_then(|ticket| ticket.timer.replace(timer));
-        if let Some(old) = old {
-            self.wheel.remove(old);
+            .and_then(|entry| entry.timer.replace(timer));
+        if let Some(old_timer) = old_timer {
+            self.timers.remove(old_timer);
         }
     }
 
-    // ---- waits ----
-
-    /// Work (ns) a second that a team is served with while it waits.
-    fn pace_of(&self, now: Nanos, team: usize) -> f64 {
-        let share = self.budgets.team(team).share.max(LEAST_SHARE);
-        let budget = self.budgets.team(team).work_cores * 1e9;
-        let in_order = (self.usual_pace(now) * share).min(budget);
-        match self.ranks.rank(team) {
-            // Those within their share are served as fast as engines work.
-            Some((WITHIN, _)) => return (self.window.cores() * PROMISE * 1e9).min(budget),
-            Some(_) => return in_order,
+    // ---- wait estimates ----
+
+    /// Work (ns) per second at which a team is served while it has waiting statements.
+    fn team_work_rate(&self, now: Nanos, team: usize) -> f64 {
+        let share = self.budgets.team(team).share.max(MIN_SHARE);
+        let limit = self.budgets.team(team).work_cores * 1e9;
+        let paced_rate = (self.uncorrected_virtual_time_rate(now) * share).min(limit);
+        match self.ranked_teams.rank(team) {
+            // Teams within their share are served as fast as the engines work.
+            Some((IN_SHARE, _)) => return (self.window.cores() * USABLE_FRACTION * 1e9).min(limit),
+            Some(_) => return paced_rate,
             None => {}
         }
-        // Its own bounds hold it back: how it was served of late.
-        self.rows[team].pace.per_s(in_order)
+        // The team's own limits hold it back: its recent service rate counts.
+        self.teams[team].service_rate.per_s(paced_rate)
     }
 
-    /// How long (ns) until threads that are out beyond all bounds have come free.
-    fn until_room(&self, now: Nanos, workload: usize, most: f64) -> f64 {
+    /// Time (ns) until enough released threads have ended for a statement of this workload to fit
+    /// into this multiple of the window.
+    fn time_until_capacity(&self, now: Nanos, workload: usize, max_window_factor: f64) -> f64 {
         let threads = self.budgets.workloads[workload].threads.max(1.0);
-        let over = self.out + threads - most * self.window.threads();
-        if over <= 0.0 {
+        let excess_threads =
+            self.released_threads + threads - max_window_factor * self.window.threads();
+        if excess_threads <= 0.0 {
             return 0.0;
         }
-        // Before the first are over, what is out will be in the longest usual time.
-        let usual = self
+        // Before the first statements end: the released ones will end in the longest usual time.
+        let usual_run_times_s = self
             .budgets
             .workloads
             .iter()
-            .map(|w| w.usual_work as f64 / 1e9 / w.threads.max(1.0));
-        let promised = self.out / usual.fold(1e-3, f64::max);
-        over / self.freed.per_s(now).max(promised).max(1e-3) * 1e9
+            .map(|workload| workload.usual_work as f64 / 1e9 / workload.threads.max(1.0));
+        let expected_rate = self.released_threads / usual_run_times_s.fold(1e-3, f64::max);
+        excess_threads / self.freed_threads.per_s(now).max(expected_rate).max(1e-3) * 1e9
     }
 
-    /// How long a queued statement will wait from now, by what is ahead of it and the pace of its team.
-    fn wait(&self, now: Nanos, ix: StatementIndex) -> Nanos {
-        let Some(ticket) = &self.tickets[ix.0] else {
+    /// Remaining wait of a queued statement, from the work ahead of it and its team's service rate.
+    fn estimate_wait(&self, now: Nanos, statement: StatementIndex) -> Nanos {
+        let Some(entry) = &self.entries[statement.0] else {
             return 0;
         };
-        let (team, workload) = (ticket.team as usize, usize::from(ticket.workload));
+        let (team, workload) = (entry.team as usize, usize::from(entry.workload));
         if self.window.threads() <= 0.0 {
             return 0;
         }
-        let row = &self.rows[team];
-        let mut ahead = row.lanes[workload].totals_ahead_of(ticket.number).work as f64;
-        let in_order = if self
-            .ranks
+        let team_state = &self.teams[team];
+        let mut work_ahead = team_state.lanes[workload]
+            .totals_ahead_of(entry.sequence)
+            .work as f64;
+        let wait_by_order = if self
+            .ranked_teams
             .rank(team)
             .is_some_and(|(class, _)| class == PACED)
         {
-            // Its workload's own part of the share, however much of others comes.
-            let share = self.lane_share(now, team, workload).max(LEAST_SHARE);
-            let behind = row.tags[workload].saturating_sub(self.virtual_now) as f64;
-            // Those ahead settle a part of what was charged too little before, or too much.
-            let count = row.lanes[workload]
-                .totals_ahead_of(ticket.number)
+            // The workload has its own fraction of the share, however many statements of other
+            // workloads arrive.
+            let share = self.lane_share(now, team, workload).max(MIN_SHARE);
+            let virtual_time_left =
+                team_state.virtual_starts[workload].saturating_sub(self.virtual_time) as f64;
+            // The statements ahead settle a part of the work that was charged too little or too
+            // much before.
+            let count_ahead = team_state.lanes[workload]
+                .totals_ahead_of(entry.sequence)
                 .count
                 .min(1_000) as i32;
-            let settles = row.debts[workload] * (1.0 - (1.0 - SETTLED_AT_ONCE).powi(count));
-            ahead += settles.max(-MOST_BACK * ahead);
-            let turn = (ahead / share + behind) / self.usual_pace(now).max(1e-9) * 1e9;
-            turn.max(self.until_room(now, workload, FULL))
+            let settled = team_state.unsettled_work[workload]
+                * (1.0 - (1.0 - SETTLED_FRACTION_PER_RELEASE).powi(count_ahead));
+            work_ahead += settled.max(-MAX_REFUND_FRACTION * work_ahead);
+            let paced_wait = (work_ahead / share + virtual_time_left)
+                / self.uncorrected_virtual_time_rate(now).max(1e-9)
+                * 1e9;
+            paced_wait.max(self.time_until_capacity(now, workload, MAX_PACED_WINDOW_FACTOR))
         } else {
-            let due = ticket
-                .came
+            let due_at = entry
+                .arrived_at
                 .saturating_add(self.budgets.workloads[workload].slack);
-            for (w, lane) in row.lanes.iter().enumerate().filter(|&(w, _)| w != workload) {
-                let earlier = due.saturating_sub(self.budgets.workloads[w].slack);
-                ahead += lane.totals_arrived_before(earlier).work as f64;
+            for (other, lane) in team_state
+                .lanes
+                .iter()
+                .enumerate()
+                .filter(|&(other, _)| other != workload)
+            {
+                let arrived_before = due_at.saturating_sub(self.budgets.workloads[other].slack);
+                work_ahead += lane.totals_arrived_before(arrived_before).work as f64;
             }
-            let served = ahead / self.pace_of(now, team).max(1.0) * 1e9;
-            served.max(self.until_room(now, workload, CALLED_BACK))
+            let service_time = work_ahead / self.team_work_rate(now, team).max(1.0) * 1e9;
+            service_time.max(self.time_until_capacity(
+                now,
+                workload,
+                MAX_WITHIN_SHARE_WINDOW_FACTOR,
+            ))
         };
         let budget = self.budgets.team(team);
-        let by_budget = if budget.work_cores.is_finite() {
-            ((ahead / 1e9 - row.bucket.balance()) / budget.work_cores.max(1e-9) * 1e9).max(0.0)
+        let wait_by_budget = if budget.work_cores.is_finite() {
+            ((work_ahead / 1e9 - team_state.work_budget.balance()) / budget.work_cores.max(1e-9)
+                * 1e9)
+                .max(0.0)
         } else {
             0.0
         };
-        (in_order.max(by_budget) * self.record.correction_factor(now)).min(Nanos::MAX as f64 / 4.0)
-            as Nanos
+        (wait_by_order.max(wait_by_budget) * self.wait_statistics.correction_factor(now))
+            .min(Nanos::MAX as f64 / 4.0) as Nanos
     }
 }
 
-/// Work in virtual time.
-fn span(work: u64, share: f64) -> u64 {
-    (work as f64 / share.max(LEAST_SHARE)) as u64
+/// Virtual time that this work takes a team or workload with this share.
+fn virtual_span(work: u64, share: f64) -> u64 {
+    (work as f64 / share.max(MIN_SHARE)) as u64
 }
--- a/crates/ivypitch-queueing/tests/scenarios.rs
+++ b/crates/ivypitch-queueing/tests/scenarios.rs
@@ -400,7 +400,11 @@
                 );
             }
             ["used", team, low, high] => {
-                let used = self.started.as_ref().unwrap().used(self.team(team));
+                let used = self
+                    .started
+                    .as_ref()
+                    .unwrap()
+                    .used_core_seconds(self.team(team));
                 let bounds = low.parse::<f64>().unwrap()..=high.parse().unwrap();
                 assert!(bounds.contains(&used), "{team} used {used:.2}");
             }
@@ -449,7 +453,7 @@
                 teams.released_threads() > 1e-9,
                 "threads out"
             );
-            assert!(teams.queued() <= count(State::Waiting), "waiting");
+            assert!(teams.queued_count() <= count(State::Waiting), "waiting");
         }
     }
 }
