--- a/crates/ivypitch-gateway/src/actors/peer_links/mod.rs
+++ b/crates/ivypitch-gateway/src/actors/peer_links/mod.rs
@@ -24,7 +24,7 @@
 use self::datagrams::{Datagrams, MAX_DATAGRAM_BYTES};
 pub use self::links::LinkSerial;
 use self::links::LinkTable;
-pub use self::messages::{AcceptedLink, GossipReceipt, PeerEvent, PeerLinksMessage, Receipt};
+pub use self::messages::{AcceptedLink, GossipGuard, MessageGuard, PeerEvent, PeerLinksMessage};
 use super::messages::SchedulerMessage;
 use crate::lifecycle::clock::Clock;
 use crate::state::traffic::Traffic;
@@ -95,7 +95,7 @@
         let listener = Async::<TcpListener>::bind(address).map_err(bind_error)?;
         let (mailbox, messages) = async_channel::unbounded();
         let membership = Membership::new(MembershipParams {
-            members: params.members.clone(),
+            member_list: params.members.clone(),
             process: params.process,
             protocol_version: PROTOCOL_VERSION,
             config: params.membership,
--- a/crates/ivypitch-queueing/src/team_queues.rs
+++ b/crates/ivypitch-queueing/src/team_queues.rs
@@ -10,7 +10,7 @@
 //! within its share, the workload goes first whose first statement is due first; a statement is
 //! due at its arrival plus the slack of its workload.
 
-use ivypitch_types::unit_hash;
+use ivypitch_types::hash_to_unit_interval;
 use ivypitch_types::{Nanos, StatementIndex};
 
 use crate::budgets::{Budgets, WorkBudget};
@@ -1440,7 +1440,7 @@
             .max(team_state.last_retry_at - now)
             .max(MIN_RETRY_AFTER);
         self.random_draws += 1;
-        let random = unit_hash(&(self.seed, self.random_draws));
+        let random = hash_to_unit_interval(&(self.seed, self.random_draws));
         // Close to the maximum the jitter is subtracted, or all clients would return at that time.
         let jitter = (retry_after as f64 * RETRY_AFTER_JITTER_FRACTION * random) as Nanos;
         if retry_after + jitter > max_retry_after {
