--- a/crates/ivypitch-queueing/benches/index.rs
+++ b/crates/ivypitch-queueing/benches/index.rs
@@ -1,5 +1,6 @@
-//! The index of waiting statements against a plain one (one binary heap of due times a team, all teams and a heap
-//! scanned): push, take the next, take out of the middle, sum what is ahead; and the wheel against a binary heap.
+//! Benchmarks of the index of waiting statements against a baseline (a binary heap of due times
+//! per team; all teams and a heap are scanned): push, pop, removal from the middle, totals ahead.
+//! Also of the timing wheel against a binary tree and a binary heap.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -17,61 +18,64 @@
 
 const SIZES: [(usize, usize); 4] = [(1_000, 3), (1_000, 1_000), (100_000, 3), (100_000, 1_000)];
 
-struct Index {
+struct LaneIndex {
     lanes: Vec<Lane>,
-    ranks: TeamHeap,
-    tags: Vec<u64>,
-    numbers: Vec<u64>,
+    team_heap: TeamHeap,
+    virtual_starts: Vec<u64>,
+    sequences: Vec<u64>,
 }
 
-impl Index {
-    fn filled(waiting: usize, teams: usize) -> Index {
-        let mut index = Index {
+impl LaneIndex {
+    fn filled(waiting: usize, teams: usize) -> LaneIndex {
+        let mut index = LaneIndex {
             lanes: (0..teams).map(|_| Lane::default()).collect(),
-            ranks: TeamHeap::default(),
-            tags: vec![0; teams],
-            numbers: vec![0; waiting + 1],
+            team_heap: TeamHeap::default(),
+            virtual_starts: vec![0; teams],
+            sequences: vec![0; waiting + 1],
         };
         (0..waiting).for_each(|n| index.push(n, n % teams));
         index
     }
-    fn push(&mut self, n: usize, team: usize) {
-        let numbers = &mut self.numbers;
-        let number = self.lanes[team].push(StatementIndex(n), n as u64, 100, |ix, number| {
-            numbers[ix.0] = number
-        });
-        self.numbers[n] = number;
-        self.ranks.set(team, (0, self.tags[team]));
+    fn push(&mut self, index: usize, team: usize) {
+        let sequences = &mut self.sequences;
+        let sequence = self.lanes[team].push(
+            StatementIndex(index),
+            index as u64,
+            100,
+            |moved, sequence| sequences[moved.0] = sequence,
+        );
+        self.sequences[index] = sequence;
+        self.team_heap.set(team, (0, self.virtual_starts[team]));
     }
     fn pop(&mut self) -> Option<StatementIndex> {
-        let team = self.ranks.first()?;
-        let (ix, number, _) = self.lanes[team].front()?;
-        self.lanes[team].remove(number);
-        self.tags[team] += 100;
-        self.ranks.set(team, (0, self.tags[team]));
-        Some(ix)
+        let team = self.team_heap.first()?;
+        let (statement, sequence, _) = self.lanes[team].front()?;
+        self.lanes[team].remove(sequence);
+        self.virtual_starts[team] += 100;
+        self.team_heap.set(team, (0, self.virtual_starts[team]));
+        Some(statement)
     }
 }
 
-/// What one would write first.
-struct Plain {
+/// The baseline: a binary heap of due times per team.
+struct HeapIndex {
     teams: Vec<BinaryHeap<Reverse<(u64, usize)>>>,
-    tags: Vec<u64>,
+    virtual_starts: Vec<u64>,
 }
 
-impl Plain {
-    fn filled(waiting: usize, teams: usize) -> Plain {
-        let mut plain = Plain {
+impl HeapIndex {
+    fn filled(waiting: usize, teams: usize) -> HeapIndex {
+        let mut plain = HeapIndex {
             teams: vec![BinaryHeap::new(); teams],
-            tags: vec![0; teams],
+            virtual_starts: vec![0; teams],
         };
         (0..waiting).for_each(|n| plain.teams[n % teams].push(Reverse((n as u64, n))));
         plain
     }
     fn pop(&mut self) -> Option<usize> {
         let filled = (0..self.teams.len()).filter(|&t| !self.teams[t].is_empty());
-        let team = filled.min_by_key(|&t| self.tags[t])?;
-        self.tags[team] += 100;
+        let team = filled.min_by_key(|&t| self.virtual_starts[t])?;
+        self.virtual_starts[team] += 100;
         self.teams[team].pop().map(|Reverse((_, n))| n)
     }
     fn remove(&mut self, team: usize, n: usize) {
@@ -87,54 +91,63 @@
 
 fn index(c: &mut Criterion) {
     for (waiting, teams) in SIZES {
-        let name = |what| format!("{what}, {waiting} waiting, {teams} teams");
-        let (mut made, mut plain) = (Index::filled(waiting, teams), Plain::filled(waiting, teams));
+        let name = |operation| format!("{operation}, {waiting} waiting, {teams} teams");
+        let (mut lanes, mut heaps) = (
+            LaneIndex::filled(waiting, teams),
+            HeapIndex::filled(waiting, teams),
+        );
         c.bench_function(&name("made: pop and push"), |b| {
             b.iter(|| {
-                let ix = made.pop().unwrap_or(StatementIndex(0));
-                made.push(ix.0, ix.0 % teams);
+                let statement = lanes.pop().unwrap_or(StatementIndex(0));
+                lanes.push(statement.0, statement.0 % teams);
             });
         });
-        let mut last = waiting as u64;
+        let mut last_due = waiting as u64;
         c.bench_function(&name("plain: pop and push"), |b| {
             b.iter(|| {
-                let n = plain.pop().unwrap_or(0);
-                last += 1;
-                plain.teams[n % teams].push(Reverse((last, n)));
+                let n = heaps.pop().unwrap_or(0);
+                last_due += 1;
+                heaps.teams[n % teams].push(Reverse((last_due, n)));
             });
         });
-        let (mut made, mut plain) = (Index::filled(waiting, teams), Plain::filled(waiting, teams));
+        let (mut lanes, mut heaps) = (
+            LaneIndex::filled(waiting, teams),
+            HeapIndex::filled(waiting, teams),
+        );
         let mut n = waiting / 2;
         c.bench_function(&name("made: remove from the middle and push"), |b| {
             b.iter(|| {
                 n = (n + 7919) % waiting;
-                let number = made.numbers[n];
-                made.lanes[n % teams].remove(number);
-                made.push(n, n % teams);
+                let sequence = lanes.sequences[n];
+                lanes.lanes[n % teams].remove(sequence);
+                lanes.push(n, n % teams);
             });
         });
         c.bench_function(&name("plain: remove from the middle and push"), |b| {
             b.iter(|| {
                 n = (n + 7919) % waiting;
-                last += 1;
-                plain.remove(n % teams, n);
-                plain.teams[n % teams].push(Reverse((last, n)));
+                last_due += 1;
+                heaps.remove(n % teams, n);
+                heaps.teams[n % teams].push(Reverse((last_due, n)));
             });
         });
-        let (made, plain) = (Index::filled(waiting, teams), Plain::filled(waiting, teams));
+        let (lanes, heaps) = (
+            LaneIndex::filled(waiting, teams),
+            HeapIndex::filled(waiting, teams),
+        );
         c.bench_function(&name("made: work ahead"), |b| {
             b.iter(|| {
                 n = (n + 7919) % waiting;
-                black_box(made.lanes[n % teams].totals_ahead_of(made.numbers[n]))
+                black_box(lanes.lanes[n % teams].totals_ahead_of(lanes.sequences[n]))
             });
         });
         c.bench_function(&name("plain: number ahead"), |b| {
             b.iter(|| {
                 n = (n + 7919) % waiting;
-                black_box(plain.ahead(n % teams, n as u64))
+                black_box(heaps.ahead(n % teams, n as u64))
             });
         });
-        let bytes: usize = made.lanes.iter().map(Lane::memory_bytes).sum();
+        let bytes: usize = lanes.lanes.iter().map(Lane::memory_bytes).sum();
         println!(
             "{waiting} waiting, {teams} teams: {} bytes a statement in the lanes",
             bytes / waiting
@@ -142,11 +155,11 @@
     }
 }
 
-/// Acts of the whole are dropped, counts kept.
+/// Counts the decisions of the queues.
 #[derive(Default)]
-struct Count(u64);
+struct OutputCounter(u64);
 
-impl Output for Count {
+impl Output for OutputCounter {
     fn release(&mut self, _statement: StatementIndex, _is_within_share: bool) {
         self.0 += 1;
     }
@@ -156,7 +169,8 @@
     fn log_mode_change(&mut self, _team: Option<usize>, _line: &str) {}
 }
 
-/// The whole decision: one statement comes and, its team over its share, waits or is sent away; one that waits leaves.
+/// The complete decision: a waiting statement is removed, and one of a team over its share arrives
+/// and is queued or rejected.
 fn decisions(c: &mut Criterion) {
     for (waiting, teams) in SIZES {
         let terms = |priority_weight| WorkloadQueueParams {
@@ -178,18 +192,19 @@
             max_retry_after: 2_000_000_000,
             window_policy: WindowPolicy::Fixed,
         };
-        let (mut all, mut out) = (TeamQueues::new(budgets, 7, 0), Count::default());
-        // Too little to serve any of it: all of it waits.
-        all.set_capacity(0, 0.001, &mut out);
-        let claim = |n: usize| QueueArrival {
+        let (mut queues, mut output) = (TeamQueues::new(budgets, 7, 0), OutputCounter::default());
+        // Too little capacity to release a statement: all of them wait.
+        queues.set_capacity(0, 0.001, &mut output);
+        let arrival = |n: usize| QueueArrival {
             team: n % teams,
             workload: n % 3,
             estimated_work: 1_000,
             bytes: 100,
             deadline: u64::MAX / 4,
         };
-        (0..waiting)
-            .for_each(|n| all.on_statement_arrived(0, StatementIndex(n), claim(n), &mut out));
+        (0..waiting).for_each(|n| {
+            queues.on_statement_arrived(0, StatementIndex(n), arrival(n), &mut output)
+        });
         let (mut n, mut now) = (0, 0);
         c.bench_function(
             &format!("decision: one comes, one leaves, {waiting} waiting, {teams} teams"),
@@ -197,60 +212,64 @@
                 b.iter(|| {
                     n = (n + 7919) % waiting;
                     now += 1_000;
-                    all.remove(now, StatementIndex(n), &mut out);
-                    all.on_statement_arrived(now, StatementIndex(n), claim(n), &mut out);
+                    queues.remove(now, StatementIndex(n), &mut output);
+                    queues.on_statement_arrived(now, StatementIndex(n), arrival(n), &mut output);
                 });
             },
         );
         println!(
             "{} waiting, {teams} teams: {} bytes a statement",
-            all.queued_count(),
-            all.memory_bytes() / waiting
+            queues.queued_count(),
+            queues.memory_bytes() / waiting
         );
     }
 }
 
-fn wheel(c: &mut Criterion) {
+fn timing_wheel(c: &mut Criterion) {
     for count in [1_000usize, 100_000] {
-        let name = |what| format!("{what}, {count} timers");
-        let mut wheel = TimingWheel::new(0);
-        let far = |n: usize| (n as u64 * 7919 % 4_000) * 1_000_000;
-        let mut handles: Vec<_> = (0..count).map(|n| wheel.insert(far(n), n)).collect();
+        let name = |operation| format!("{operation}, {count} timers");
+        let mut timing_wheel = TimingWheel::new(0);
+        let expiry = |n: usize| (n as u64 * 7919 % 4_000) * 1_000_000;
+        let mut handles: Vec<_> = (0..count)
+            .map(|n| timing_wheel.insert(expiry(n), n))
+            .collect();
         let mut n = 0;
         c.bench_function(&name("wheel: unset and set"), |b| {
             b.iter(|| {
                 n = (n + 31) % count;
-                wheel.remove(handles[n]);
-                handles[n] = wheel.insert(far(n), n);
+                timing_wheel.remove(handles[n]);
+                handles[n] = timing_wheel.insert(expiry(n), n);
             });
         });
         let mut tree = std::collections::BTreeMap::new();
-        tree.extend((0..count).map(|n| ((far(n), n), ())));
+        tree.extend((0..count).map(|n| ((expiry(n), n), ())));
         c.bench_function(&name("tree: unset and set"), |b| {
             b.iter(|| {
                 n = (n + 31) % count;
-                tree.remove(&(far(n), n));
-                tree.insert((far(n), n), ());
+                tree.remove(&(expiry(n), n));
+                tree.insert((expiry(n), n), ());
             });
         });
         c.bench_function(&name("wheel: fire all"), |b| {
             let fill = || {
-                let mut wheel = TimingWheel::new(0);
+                let mut timing_wheel = TimingWheel::new(0);
                 for n in 0..count {
-                    wheel.insert(far(n), n);
+                    timing_wheel.insert(expiry(n), n);
                 }
-                wheel
+                timing_wheel
             };
             b.iter_batched(
                 fill,
-                |mut wheel| while black_box(wheel.pop_expired(5_000_000_000)).is_some() {},
+                |mut timing_wheel| {
+                    while black_box(timing_wheel.pop_expired(5_000_000_000)).is_some() {}
+                },
                 BatchSize::LargeInput,
             );
         });
         c.bench_function(&name("heap: fire all"), |b| {
             let fill = || {
                 (0..count)
-                    .map(|n| Reverse((far(n), n)))
+                    .map(|n| Reverse((expiry(n), n)))
                     .collect::<BinaryHeap<_>>()
             };
             b.iter_batched(
@@ -267,6 +286,6 @@
     config = Criterion::default().sample_size(20).without_plots()
         .warm_up_time(std::time::Duration::from_millis(200))
         .measurement_time(std::time::Duration::from_millis(600));
-    targets = decisions, index, wheel
+    targets = decisions, index, timing_wheel
 }
 criterion_main!(all);
