--- a/crates/ivypitch-queueing/src/team_queues.rs
+++ b/crates/ivypitch-queueing/src/team_queues.rs
@@ -181,8 +181,8 @@
     /// Charged work of arriving statements.
     work_demand: DecayingRate,
     is_within_share: bool,
-    /// It had released more than its share of the window when that was full. It is paced like
-    /// teams over their share until it has released less.
+    /// Whether the team had released more than its share of the window when the window was full.
+    /// It is paced like a team over its share until it has released less than that.
     exceeds_window_share: bool,
     work_budget: WorkBudget,
     refill_timer: Option<TimerHandle>,
@@ -193,11 +193,11 @@
     urgent_releases: u8,
     /// Workload of the lane that preempts the team's others.
     urgent_workload: Option<usize>,
-    /// Work that it used since the start.
+    /// Measured work of the team since the start.
     used_core_seconds: f64,
-    /// Latest time at which one of its rejected statements was told to return.
+    /// Latest time at which a rejected statement of the team was asked to return.
     last_retry_at: Nanos,
-    /// Rate at which it is served while it has waiting statements.
+    /// Rate of work (ns) for the team while it has waiting statements.
     service_rate: ServiceRate,
     service_rate_updated_at: Nanos,
     rejecting_since: Option<Nanos>,
