--- a/crates/ivypitch-cli/tests/fleet.rs
+++ b/crates/ivypitch-cli/tests/fleet.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use ivypitch_testbed::stand_ins::*;
+use ivypitch_testbed::test_servers::*;
 
 const GATEWAYS: usize = 24;
 /// Of the fleets of which a few send most, every so many gateways have one with so many clients; the others' rest.
@@ -35,12 +35,12 @@
 }
 
 /// Ends all it is sent at once, and tells what it cost.
-fn engine(arrived: Option<Arc<Mutex<Vec<Instant>>>>) -> Engine {
-    Engine::start(move |call, _| {
-        if call.is("DELETE") {
-            return say(204, "", "");
+fn engine(arrived: Option<Arc<Mutex<Vec<Instant>>>>) -> FakeEngine {
+    FakeEngine::start(move |call, _| {
+        if call.has_method("DELETE") {
+            return response(204, "", "");
         }
-        if let Some(arrived) = arrived.as_ref().filter(|_| call.is("POST")) {
+        if let Some(arrived) = arrived.as_ref().filter(|_| call.has_method("POST")) {
             arrived.lock().unwrap().push(Instant::now());
         }
         let work = if call.header("Via-Class") == Some("load") {
@@ -48,7 +48,7 @@
         } else {
             LOOKUP_MS
         };
-        say(
+        response(
             200,
             &format!("Page-Count: 1\r\nWork-Ms: {work}\r\nPeak-Mb: 1\r\n"),
             "a\tb\tc\n",
@@ -69,7 +69,7 @@
         thread::spawn(move || {
             let mut answered = 0;
             while !over.load(Ordering::Relaxed) {
-                let Some(mut client) = Client::reach(at) else {
+                let Some(mut client) = Client::try_connect(at) else {
                     thread::sleep(Duration::from_millis(5));
                     continue;
                 };
@@ -82,7 +82,7 @@
                     };
                     let text =
                         statement(kind, req, 20_000).replace("ms=20.0", &format!("ms={ms:.1}"));
-                    match client.try_ask(&text) {
+                    match client.try_execute(&text) {
                         Some(Answer::Rows(_)) => answered += 1,
                         Some(Answer::Error(..)) => {}
                         Some(Answer::Closed) | None => break,
@@ -138,7 +138,7 @@
     let config =
         |listen: &str, me: usize| member(configuration(listen, &list, None, 1024), count, me);
     let mut gateways: Vec<Gateway> = (0..count)
-        .map(|me| Gateway::configured(config("127.0.0.1:0", me)))
+        .map(|me| Gateway::start_with_config(config("127.0.0.1:0", me)))
         .collect();
     let until_started =
         started.saturating_sub(SystemTime::now().duration_since(UNIX_EPOCH).unwrap());
@@ -150,15 +150,15 @@
     let running: Vec<_> = (0..count)
         .flat_map(|me| clients(gateways[me].address, load(me), &number, &over))
         .collect();
-    until("two seconds of the cold engine", || {
+    wait_until("two seconds of the cold engine", || {
         began.elapsed() > Duration::from_secs(2)
     });
     for me in (0..count).step_by(2) {
         let address = gateways[me].address.to_string();
         gateways[me].kill();
-        gateways[me] = Gateway::configured(config(&address, me));
+        gateways[me] = Gateway::start_with_config(config(&address, me));
     }
-    until("five seconds of the cold engine", || {
+    wait_until("five seconds of the cold engine", || {
         began.elapsed() > Duration::from_secs(5)
     });
     over.store(true, Ordering::Relaxed);
@@ -196,14 +196,14 @@
 #[test]
 fn nine_in_ten_are_ready_within_ten_seconds_while_discovery_is_down_and_clients_come_at_once() {
     let engine = engine(None);
-    let (_held, journal) = refusing();
+    let (_held, journal) = refusing_address();
     let list = [engine.row("s-1", "in_service")];
     let config = |listen: &str, me: usize| {
         let config = member(configuration(listen, &list, None, 256), GATEWAYS, me);
         config.replace("\"journal\":\"\"", &format!("\"journal\":\"{journal}\""))
     };
     let mut gateways: Vec<Gateway> = (0..GATEWAYS)
-        .map(|me| Gateway::configured(config("127.0.0.1:0", me)))
+        .map(|me| Gateway::start_with_config(config("127.0.0.1:0", me)))
         .collect();
     let (number, over) = (
         Arc::new(AtomicU64::new(1)),
@@ -223,11 +223,11 @@
                 let mut next = match me % 2 {
                     0 => {
                         gateway.kill();
-                        Gateway::configured(config)
+                        Gateway::start_with_config(config)
                     }
                     _ => {
                         gateway.terminate();
-                        Gateway::configured(config)
+                        Gateway::start_with_config(config)
                     }
                 };
                 let mut client = Client::connect(&next);
--- a/crates/ivypitch-cli/tests/recorded_shapes.rs
+++ b/crates/ivypitch-cli/tests/recorded_shapes.rs
@@ -4,8 +4,8 @@
 
 use std::process::Command;
 
-use ivypitch_testbed::processes::{Engines, Fleet, Setup};
-use ivypitch_testbed::stand_ins::*;
+use ivypitch_testbed::processes::{Fleet, FleetConfig, FleetEngines};
+use ivypitch_testbed::test_servers::*;
 
 const PEERS: &str = r#""period_ms":200,"suspicion_ms":700,"custody":{"enabled":false},
     "shares":{"enabled":true,"span_ms":1000}"#;
@@ -43,9 +43,9 @@
 fn column_names(client: &mut Client, ask: &str) -> Vec<String> {
     client.send(&query(ask));
     let mut names = Vec::new();
-    let (_, count) = client.packet().unwrap();
+    let (_, count) = client.read_packet().unwrap();
     for _ in 0..count[0] {
-        let (_, column) = client.packet().unwrap();
+        let (_, column) = client.read_packet().unwrap();
         // `def`, schema, table and its origin, each with its length; then the name.
         let name = &column[7..];
         assert_eq!(column[..7], *b"\x03def\0\0\0");
@@ -56,9 +56,9 @@
 
 #[test]
 fn the_columns_of_what_waits_keep_their_recorded_names() {
-    let engine = Engine::served();
+    let engine = FakeEngine::completing();
     let own = r#"{"teams":{"show":true}}"#;
-    let gateway = Gateway::owned(
+    let gateway = Gateway::start_with_own_settings(
         &[engine.row("s-1", "in_service")],
         |config| config,
         Some(own),
@@ -77,21 +77,21 @@
 
 #[test]
 fn a_view_of_the_fleet_keeps_its_recorded_keys() {
-    let held = Held::start(1);
-    let engines = Engines::At(vec![held.addresses.clone()]);
-    let setup = Setup {
+    let held = ControlledEngine::start(1);
+    let engines = FleetEngines::External(vec![held.addresses.clone()]);
+    let setup = FleetConfig {
         gateways: 1,
         engines,
-        peers: Some(PEERS.into()),
-        ..Setup::default()
+        peer_settings: Some(PEERS.into()),
+        ..FleetConfig::default()
     };
     let fleet = Fleet::start(setup).unwrap();
-    let address = fleet.seats[0].address;
+    let address = fleet.gateways[0].address;
     assert_eq!(
-        column_names(&mut Client::at(address), "SHOW FLEET"),
+        column_names(&mut Client::connect_to(address), "SHOW FLEET"),
         ["view"]
     );
-    let Answer::Rows(rows) = Client::at(address).ask("SHOW FLEET") else {
+    let Answer::Rows(rows) = Client::connect_to(address).execute("SHOW FLEET") else {
         panic!("no view")
     };
     assert_eq!(
--- a/crates/ivypitch-cli/tests/scale.rs
+++ b/crates/ivypitch-cli/tests/scale.rs
@@ -6,11 +6,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use ivypitch_testbed::processes::engine::stamp;
-use ivypitch_testbed::processes::hollow_engines::{Counts, gateway_of, id_at};
-use ivypitch_testbed::processes::relay::End;
-use ivypitch_testbed::processes::{Engines, Fleet, Setup, row};
-use ivypitch_testbed::stand_ins::*;
+use ivypitch_testbed::processes::engine::timestamp_us;
+use ivypitch_testbed::processes::relay::LinkEnd;
+use ivypitch_testbed::processes::simulated_engines::{Counts, gateway_of_id, id_for_gateway};
+use ivypitch_testbed::processes::{Fleet, FleetConfig, FleetEngines, row};
+use ivypitch_testbed::test_servers::*;
 use ivypitch_testbed::virtual_time::faults::{Fault, Plan, What};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -96,11 +96,11 @@
 
 fn lookup(client: &mut Option<Client>, fleet_at: std::net::SocketAddr, id: u64) -> bool {
     if client.is_none() {
-        *client = Client::reach(fleet_at);
+        *client = Client::try_connect(fleet_at);
     }
     let Some(answer) = client
         .as_mut()
-        .and_then(|open| open.try_ask(&statement("lookup", id, LONGEST)))
+        .and_then(|open| open.try_execute(&statement("lookup", id, LONGEST)))
     else {
         *client = None;
         return false;
@@ -113,7 +113,7 @@
 
 /// When each start came, at which engine, by the byte of its gateway and its id.
 fn starts(fleet: &Fleet) -> Vec<(u64, usize, usize, String)> {
-    let lines = fleet.park.as_ref().unwrap().lines.all();
+    let lines = fleet.simulated_engines.as_ref().unwrap().lines.all();
     let read = |line: &String| {
         let words: Vec<&str> = line.split(' ').collect();
         let [at, "start", engine, id] = words[..] else {
@@ -122,7 +122,7 @@
         Some((
             at.parse().unwrap(),
             engine.parse().unwrap(),
-            gateway_of(id),
+            gateway_of_id(id),
             id.to_owned(),
         ))
     };
@@ -143,30 +143,34 @@
     println!(
         "seed {seed}: journal of n{silent} silent, of n{broken} broken, {drop:.3} lost\n{plan}"
     );
-    let mut fleet = Fleet::start(Setup {
+    let mut fleet = Fleet::start(FleetConfig {
         gateways: REAL,
-        hollow: HOLLOW,
-        hollow_tell: true,
-        engines: Engines::Hollow {
+        simulated_gateways: HOLLOW,
+        prints_simulated_events: true,
+        engines: FleetEngines::Simulated {
             count: LISTED,
-            spare: 1,
+            unlisted: 1,
         },
         direct_engines: true,
-        longest_ms: LONGEST,
-        peers: Some(PEERS.into()),
+        max_statement_timeout_ms: LONGEST,
+        peer_settings: Some(PEERS.into()),
         seed,
-        ..Setup::default()
+        ..FleetConfig::default()
     })
     .unwrap();
-    let at: Vec<_> = fleet.seats.iter().map(|seat| seat.address).collect();
+    let at: Vec<_> = fleet.gateways.iter().map(|seat| seat.address).collect();
     for from in 0..REAL + HOLLOW {
         for to in (0..REAL + HOLLOW).filter(|&to| to != from) {
             fleet
-                .net
-                .change(End::Gateway(from), End::Gateway(to), |way| way.drop = drop);
+                .network
+                .change(LinkEnd::Gateway(from), LinkEnd::Gateway(to), |way| {
+                    way.datagram_loss = drop
+                });
         }
     }
-    fleet.net.silence(End::Journal, End::Gateway(silent));
+    fleet
+        .network
+        .block(LinkEnd::Journal, LinkEnd::Gateway(silent));
     let is_over = AtomicBool::new(false);
     let last_told = thread::scope(|scope| {
         for (g, &at) in at.iter().enumerate() {
@@ -177,27 +181,27 @@
                     if is_over.load(Ordering::Relaxed) {
                         return;
                     }
-                    lookup(&mut client, at, id_at(g, n));
+                    lookup(&mut client, at, id_for_gateway(g, n));
                     // A pace, no wait: nothing is read from how much came through.
                     thread::sleep(Duration::from_millis(3));
                 }
             });
         }
         burst(&mut fleet, &plan, broken, seed);
-        let told = stamp();
+        let told = timestamp_us();
         is_over.store(true, Ordering::Relaxed);
         told
     });
     // The last round: each gateway is asked until it acts by the last change, and then some more.
-    let park = &fleet.park.as_ref().unwrap().lines;
+    let park = &fleet.simulated_engines.as_ref().unwrap().lines;
     thread::scope(|scope| {
         for (g, &at) in at.iter().enumerate() {
             scope.spawn(move || {
                 let (mut client, mut after) = (None, 0);
-                let until = Instant::now() + PATIENCE;
+                let until = Instant::now() + WAIT_TIMEOUT;
                 for n in 0.. {
                     assert!(Instant::now() < until, "n{g} never acts by the last change");
-                    let id = id_at(LAST_ROUND + g, n);
+                    let id = id_for_gateway(LAST_ROUND + g, n);
                     if lookup(&mut client, at, id) {
                         let text = format!("{id:016x}");
                         let line = park.wait("start", |line| line.ends_with(&text));
@@ -236,7 +240,7 @@
             "n{g} acts by the last change after {took} us"
         );
     }
-    let crowd = &fleet.crowd.as_ref().unwrap().lines;
+    let crowd = &fleet.simulated_gateways.as_ref().unwrap().lines;
     for place in REAL..REAL + HOLLOW {
         let ends = format!(" event {place} {}", CHANGES + 1);
         let line = crowd.wait("last change", |line| line.ends_with(&ends));
@@ -247,13 +251,17 @@
         );
     }
     // No start went by untold.
-    let counts = fleet.park.as_mut().unwrap().ask("count", "counts ");
+    let counts = fleet
+        .simulated_engines
+        .as_mut()
+        .unwrap()
+        .request("count", "counts ");
     let counts: Vec<Counts> = serde_json::from_str(&counts).unwrap();
     assert_eq!(
         counts.iter().map(|c| c.starts).sum::<u64>(),
         starts(&fleet).len() as u64
     );
-    fleet.finish();
+    fleet.shut_down();
     assert!(fleet.crashes.is_empty(), "{:?}", fleet.crashes);
 }
 
@@ -270,58 +278,63 @@
     let from = Instant::now();
     for change in 0..CHANGES {
         while let Some((_, begins, fault)) = steps.next_if(|&(at, ..)| at <= change * APART) {
-            fleet.apply(fault, begins);
+            fleet.apply_fault(fault, begins);
         }
         if change == CHANGES / 2 {
-            fleet.net.reset(End::Gateway(broken), End::Journal);
+            fleet
+                .network
+                .reset(LinkEnd::Gateway(broken), LinkEnd::Journal);
         }
         let due = from + Duration::from_millis(change * APART);
         thread::sleep(due.saturating_duration_since(Instant::now()));
         match CHANGES - 1 - change {
-            0 => fleet.tell_row(&row("s-last", fleet.spare[0], 0, "in_service")),
-            left @ 1..=5 => fleet.tell_state(left as usize - 1, "terminating"),
+            0 => fleet.publish_endpoint(&row("s-last", fleet.unlisted_engines[0], 0, "in_service")),
+            left @ 1..=5 => fleet.publish_engine_state(left as usize - 1, "terminating"),
             _ => {
                 let state = if rng.random_bool(0.5) {
                     "terminating"
                 } else {
                     "in_service"
                 };
-                fleet.tell_state(rng.random_range(0..LISTED), state);
+                fleet.publish_engine_state(rng.random_range(0..LISTED), state);
             }
         }
     }
     // What the plan began is over: a gateway that is away can't act.
     for (_, begins, fault) in steps {
-        fleet.apply(fault, begins);
+        fleet.apply_fault(fault, begins);
     }
 }
 
 #[test]
 fn a_gateway_counts_the_bytes_that_relays_and_engines_count() {
-    let mut fleet = Fleet::start(Setup {
+    let mut fleet = Fleet::start(FleetConfig {
         gateways: 2,
-        hollow: 6,
-        engines: Engines::Hollow { count: 2, spare: 0 },
+        simulated_gateways: 6,
+        engines: FleetEngines::Simulated {
+            count: 2,
+            unlisted: 0,
+        },
         direct_engines: true,
-        longest_ms: LONGEST,
-        peers: Some(PEERS.into()),
-        ..Setup::default()
+        max_statement_timeout_ms: LONGEST,
+        peer_settings: Some(PEERS.into()),
+        ..FleetConfig::default()
     })
     .unwrap();
-    let (at, mut client) = (fleet.seats[0].address, None);
+    let (at, mut client) = (fleet.gateways[0].address, None);
     let served = (0..200)
-        .filter(|&n| lookup(&mut client, at, id_at(0, n)))
+        .filter(|&n| lookup(&mut client, at, id_for_gateway(0, n)))
         .count();
     for g in 0..2 {
         let sample = fleet.sample(g).unwrap();
         let apart = |own: u64, met: u64| own.abs_diff(met) as f64 / met as f64;
         let (out, into) = (
             apart(
-                sample.own.bytes_out,
+                sample.traffic.bytes_out,
                 sample.relay.bytes_from + sample.engines.bytes_in,
             ),
             apart(
-                sample.own.bytes_in,
+                sample.traffic.bytes_in,
                 sample.relay.bytes_to + sample.engines.bytes_out,
             ),
         );
@@ -329,7 +342,7 @@
             out < 0.1 && into < 0.1,
             "n{g}: {out:.3} and {into:.3} apart: {sample:?}"
         );
-        let of_engines = apart(sample.own.to_engines, sample.engines.bytes_in.max(1));
+        let of_engines = apart(sample.traffic.to_engines, sample.engines.bytes_in.max(1));
         assert!(g > 0 || of_engines < 0.01, "calls: {sample:?}");
         assert_eq!(
             sample.engines.starts as usize,
--- a/crates/ivypitch-cli/tests/serving.rs
+++ b/crates/ivypitch-cli/tests/serving.rs
@@ -3,7 +3,7 @@
 use std::net::Shutdown;
 
 use ivypitch_testbed::log_lines::is_event;
-use ivypitch_testbed::stand_ins::*;
+use ivypitch_testbed::test_servers::*;
 use test_case::test_case;
 
 fn rows(values: &[[&str; 3]]) -> Answer {
@@ -15,7 +15,7 @@
     )
 }
 
-fn ready(engine: &Engine) -> Vec<String> {
+fn ready(engine: &FakeEngine) -> Vec<String> {
     vec![engine.row("s-00c41f7a", "in_service")]
 }
 
@@ -24,25 +24,25 @@
 #[test]
 fn a_statement_is_passed_on_unchanged_and_all_its_pages_come_back_whole() {
     let engine =
-        Engine::start(
+        FakeEngine::start(
             |call, _| match (call.method.as_str(), call.path.rsplit('/').next()) {
-                ("POST", _) => say(202, "Srv-Note: done\r\nFigure: 0.5\r\n", ""),
-                ("GET", Some("0")) => say(
+                ("POST", _) => response(202, "Srv-Note: done\r\nFigure: 0.5\r\n", ""),
+                ("GET", Some("0")) => response(
                     200,
                     "Page-Count: 3\r\nWork-Ms: 4\r\nPeak-Mb: 8\r\n",
                     "1\ta\t\n",
                 ),
-                ("GET", Some(page)) => say(
+                ("GET", Some(page)) => response(
                     200,
                     &format!("Page-No: {page}\r\n"),
                     &format!("{page}\tx y\tz\n2\t2\t2\n"),
                 ),
-                _ => say(204, "", ""),
+                _ => response(204, "", ""),
             },
         );
     let gateway = Gateway::start(&ready(&engine));
     let mut client = Client::connect(&gateway);
-    let answer = client.ask(&statement("lookup", 0x9b1f, 5000));
+    let answer = client.execute(&statement("lookup", 0x9b1f, 5000));
     let expected = [
         ["1", "a", ""],
         ["1", "x y", "z"],
@@ -51,7 +51,7 @@
         ["2", "2", "2"],
     ];
     assert_eq!(answer, rows(&expected));
-    let start = engine.calls.wait("start", |c| c.is("POST"));
+    let start = engine.calls.wait("start", |c| c.has_method("POST"));
     assert_eq!(start.path, "/c");
     assert_eq!(start.body, "SELECT a FROM sales_17.orders");
     assert_eq!(start.header("Via-Id"), Some("0000000000009b1f"));
@@ -64,18 +64,18 @@
 
 #[test]
 fn login_and_query_may_come_ahead_of_the_greeting_and_in_any_pieces() {
-    let engine = Engine::served();
+    let engine = FakeEngine::completing();
     let gateway = Gateway::start(&ready(&engine));
     let bytes = [login("app"), query(&statement("lookup", 1, 5000))].concat();
-    let mut whole = Client::bare(&gateway);
+    let mut whole = Client::connect_without_login(&gateway);
     whole.send(&bytes);
-    assert_eq!(whole.greeted(), OK);
-    assert_eq!(whole.answer(1), rows(&[["a", "b", "c"]]));
-    let mut pieces = Client::bare(&gateway);
+    assert_eq!(whole.finish_login(), OK);
+    assert_eq!(whole.read_answer(1), rows(&[["a", "b", "c"]]));
+    let mut pieces = Client::connect_without_login(&gateway);
     pieces.stream.set_nodelay(true).unwrap();
     bytes.iter().for_each(|byte| pieces.send(&[*byte]));
-    assert_eq!(pieces.greeted(), OK);
-    assert_eq!(pieces.answer(1), rows(&[["a", "b", "c"]]));
+    assert_eq!(pieces.finish_login(), OK);
+    assert_eq!(pieces.read_answer(1), rows(&[["a", "b", "c"]]));
 }
 
 #[test]
@@ -88,12 +88,13 @@
             "c".repeat(2697)
         )
     };
-    let engine = Engine::start(move |call, _| match call.path.rsplit('/').next() {
-        Some(n) if call.is("GET") => say(200, &format!("Page-No: {n}\r\n"), &page(n)),
-        _ => say(200, "Page-Count: 8\r\n", &page("0")),
+    let engine = FakeEngine::start(move |call, _| match call.path.rsplit('/').next() {
+        Some(n) if call.has_method("GET") => response(200, &format!("Page-No: {n}\r\n"), &page(n)),
+        _ => response(200, "Page-Count: 8\r\n", &page("0")),
     });
     let gateway = Gateway::start(&ready(&engine));
-    let Answer::Rows(rows) = Client::connect(&gateway).ask(&statement("lookup", 1, 20000)) else {
+    let Answer::Rows(rows) = Client::connect(&gateway).execute(&statement("lookup", 1, 20000))
+    else {
         panic!("no rows")
     };
     assert_eq!(
@@ -119,17 +120,20 @@
     body: &'static str,
     code: u16,
 ) {
-    let engine = Engine::start(move |call, _| match call.method.as_str() {
-        "POST" => say(status, headers, body),
-        "DELETE" => say(204, "", ""),
-        _ => say(500, "", ""),
+    let engine = FakeEngine::start(move |call, _| match call.method.as_str() {
+        "POST" => response(status, headers, body),
+        "DELETE" => response(204, "", ""),
+        _ => response(500, "", ""),
     });
     let gateway = Gateway::start(&ready(&engine));
     let mut client = Client::connect(&gateway);
-    assert_eq!(client.ask(&statement("load", 1, 2500)).code(), code);
+    assert_eq!(
+        client.execute(&statement("load", 1, 2500)).error_code(),
+        code
+    );
     if code == 1105 {
         assert_eq!(
-            engine.starts(),
+            engine.start_count(),
             1,
             "it may have run, so it is not started again"
         );
@@ -139,28 +143,28 @@
 
 #[test]
 fn a_load_whose_start_breaks_off_is_asked_for_and_not_started_again() {
-    let engine = Engine::start(|call, _| match call.method.as_str() {
+    let engine = FakeEngine::start(|call, _| match call.method.as_str() {
         "POST" => Reply::Close,
-        _ => good("a\tb\tc\n"),
+        _ => success_response("a\tb\tc\n"),
     });
     let gateway = Gateway::start(&ready(&engine));
     assert_eq!(
-        Client::connect(&gateway).ask(&statement("load", 1, 5000)),
+        Client::connect(&gateway).execute(&statement("load", 1, 5000)),
         rows(&[["a", "b", "c"]])
     );
-    assert_eq!(engine.starts(), 1);
+    assert_eq!(engine.start_count(), 1);
 }
 
 #[test]
 fn a_refused_connection_is_a_refusal_with_a_time_to_stay_away() {
-    let (_held, address) = refusing();
-    let engine = Engine {
+    let (_held, address) = refusing_address();
+    let engine = FakeEngine {
         address,
-        calls: Seen::new(),
-        ended: Seen::new(),
+        calls: EventLog::new(),
+        closed_connections: EventLog::new(),
     };
     let gateway = Gateway::start(&ready(&engine));
-    let answer = Client::connect(&gateway).ask(&statement("load", 1, 2000));
+    let answer = Client::connect(&gateway).execute(&statement("load", 1, 2000));
     let Answer::Error(1203, text) = answer else {
         panic!("{answer:?}")
     };
@@ -170,103 +174,117 @@
 #[test_case("lookup", 1203; "an idempotent statement is rejected")]
 #[test_case("load", 1105; "a load fails")]
 fn an_engine_that_never_ends_is_given_up_in_time_and_started_once(kind: &str, code: u16) {
-    let engine = Engine::busy();
+    let engine = FakeEngine::never_completing();
     let gateway = Gateway::start(&ready(&engine));
     assert_eq!(
         Client::connect(&gateway)
-            .ask(&statement(kind, 1, 400))
-            .code(),
+            .execute(&statement(kind, 1, 400))
+            .error_code(),
         code
     );
     engine.calls.wait("give-up", |c| {
-        c.is("DELETE") && c.path == "/c/0000000000000001"
+        c.has_method("DELETE") && c.path == "/c/0000000000000001"
     });
-    assert_eq!(engine.starts(), 1);
+    assert_eq!(engine.start_count(), 1);
 }
 
 #[test]
 fn a_statement_on_a_silent_engine_is_answered_in_time() {
-    let engine = Engine::start(|_, _| Reply::Silence);
+    let engine = FakeEngine::start(|_, _| Reply::NoResponse);
     let gateway = Gateway::start(&ready(&engine));
     assert_eq!(
         Client::connect(&gateway)
-            .ask(&statement("load", 1, 400))
-            .code(),
+            .execute(&statement("load", 1, 400))
+            .error_code(),
         1105
     );
 }
 
 #[test]
 fn an_idempotent_statement_that_is_lost_runs_on_another_engine_after_the_first_gave_it_up() {
-    let (silent, served) = (Engine::start(|_, _| Reply::Silence), Engine::served());
+    let (silent, served) = (
+        FakeEngine::start(|_, _| Reply::NoResponse),
+        FakeEngine::completing(),
+    );
     let list = [
         silent.row("s-1", "in_service"),
         served.row("s-2", "in_service"),
     ];
     let gateway = Gateway::start(&list);
     for req in 1..=8 {
-        let answer = Client::connect(&gateway).ask(&statement("lookup", req, 20_000));
+        let answer = Client::connect(&gateway).execute(&statement("lookup", req, 20_000));
         assert_eq!(answer, rows(&[["a", "b", "c"]]));
     }
-    let given_up = silent.calls.all().iter().filter(|c| c.is("DELETE")).count();
+    let given_up = silent
+        .calls
+        .all()
+        .iter()
+        .filter(|c| c.has_method("DELETE"))
+        .count();
     assert!(
-        given_up >= silent.starts(),
+        given_up >= silent.start_count(),
         "each that was started is given up"
     );
 }
 
 #[test]
 fn kill_query_ends_the_statement_and_gives_it_up() {
-    let engine = Engine::busy();
+    let engine = FakeEngine::never_completing();
     let gateway = Gateway::start(&ready(&engine));
     let (mut client, mut killer) = (Client::connect(&gateway), Client::connect(&gateway));
     client.send(&query(&statement("load", 1, 20_000)));
-    engine.calls.wait("start", |c| c.is("POST"));
-    assert_eq!(killer.ask(&format!("KILL QUERY {}", client.connection)), OK);
-    assert_eq!(client.answer(1).code(), 1317);
-    engine.calls.wait("give-up", |c| c.is("DELETE"));
+    engine.calls.wait("start", |c| c.has_method("POST"));
+    assert_eq!(
+        killer.execute(&format!("KILL QUERY {}", client.connection)),
+        OK
+    );
+    assert_eq!(client.read_answer(1).error_code(), 1317);
+    engine.calls.wait("give-up", |c| c.has_method("DELETE"));
     assert_eq!(client.ping(), OK);
 }
 
 #[test]
 fn a_give_up_during_the_start_takes_effect_when_the_start_is_answered() {
-    let killed = Seen::<()>::new();
+    let killed = EventLog::<()>::new();
     let wait = killed.clone();
-    let engine = Engine::start(move |call, _| {
-        if call.is("POST") {
+    let engine = FakeEngine::start(move |call, _| {
+        if call.has_method("POST") {
             wait.wait("kill", |_| true);
         }
-        say(if call.is("DELETE") { 204 } else { 202 }, "", "")
+        response(if call.has_method("DELETE") { 204 } else { 202 }, "", "")
     });
     let gateway = Gateway::start(&ready(&engine));
     let (mut client, mut killer) = (Client::connect(&gateway), Client::connect(&gateway));
     client.send(&query(&statement("load", 1, 20_000)));
-    engine.calls.wait("start", |c| c.is("POST"));
-    assert_eq!(killer.ask(&format!("KILL QUERY {}", client.connection)), OK);
-    assert_eq!(client.answer(1).code(), 1317);
+    engine.calls.wait("start", |c| c.has_method("POST"));
+    assert_eq!(
+        killer.execute(&format!("KILL QUERY {}", client.connection)),
+        OK
+    );
+    assert_eq!(client.read_answer(1).error_code(), 1317);
     killed.push(());
-    engine.calls.wait("give-up", |c| c.is("DELETE"));
+    engine.calls.wait("give-up", |c| c.has_method("DELETE"));
 }
 
 #[test_case(|c| drop(c.stream.shutdown(Shutdown::Write)); "its half is closed")]
 #[test_case(|c| c.send(&packet(0, &[1])); "it quits")]
 fn a_client_that_leaves_has_its_execution_given_up(leave: fn(&mut Client)) {
-    let engine = Engine::busy();
+    let engine = FakeEngine::never_completing();
     let gateway = Gateway::start(&ready(&engine));
     let mut client = Client::connect(&gateway);
     client.send(&query(&statement("lookup", 1, 20_000)));
-    engine.calls.wait("start", |c| c.is("POST"));
+    engine.calls.wait("start", |c| c.has_method("POST"));
     leave(&mut client);
-    engine.calls.wait("give-up", |c| c.is("DELETE"));
+    engine.calls.wait("give-up", |c| c.has_method("DELETE"));
 }
 
 #[test]
 fn sigterm_serves_the_overlap_answers_all_and_exits_with_0() {
-    let engine = Engine::busy();
+    let engine = FakeEngine::never_completing();
     let mut gateway = Gateway::start(&ready(&engine));
     let mut client = Client::connect(&gateway);
     client.send(&query(&statement("lookup", 1, 20_000)));
-    engine.calls.wait("start", |c| c.is("POST"));
+    engine.calls.wait("start", |c| c.has_method("POST"));
     gateway.terminate();
     gateway.log.wait("overlap", |l| {
         is_event(
@@ -276,8 +294,11 @@
         )
     });
     let mut late = Client::connect(&gateway);
-    assert_eq!(late.ask(&statement("load", 2, 20_000)).code(), 1105);
-    assert_eq!(client.answer(1).code(), 1203);
+    assert_eq!(
+        late.execute(&statement("load", 2, 20_000)).error_code(),
+        1105
+    );
+    assert_eq!(client.read_answer(1).error_code(), 1203);
     assert_eq!(gateway.exit_code(), Some(0));
     gateway.log.wait("stop", |l| {
         is_event(
@@ -295,34 +316,37 @@
 
 #[test]
 fn a_gateway_that_was_killed_starts_again_at_its_address() {
-    let engine = Engine::served();
+    let engine = FakeEngine::completing();
     let mut gateway = Gateway::start(&ready(&engine));
     assert_eq!(
-        Client::connect(&gateway).ask(&statement("lookup", 1, 5000)),
+        Client::connect(&gateway).execute(&statement("lookup", 1, 5000)),
         rows(&[["a", "b", "c"]])
     );
     gateway.kill();
-    let again = Gateway::with(&gateway.address.to_string(), &ready(&engine), None, 1024);
+    let again = Gateway::start_with(&gateway.address.to_string(), &ready(&engine), None, 1024);
     assert_eq!(
-        Client::connect(&again).ask(&statement("lookup", 2, 5000)),
+        Client::connect(&again).execute(&statement("lookup", 2, 5000)),
         rows(&[["a", "b", "c"]])
     );
 }
 
 #[test]
 fn the_list_is_followed_over_broken_lines_and_gaps_from_the_last_good_number() {
-    let (old, new) = (Engine::served(), Engine::served());
+    let (old, new) = (FakeEngine::completing(), FakeEngine::completing());
     let changed = [old.row("s-1", "terminating"), new.row("s-2", "in_service")];
-    let journal = Journal::start(&[
+    let journal = FakeDiscoveryServer::start(&[
         format!(
             "{}{{\"pos\":3,",
-            event(2, false, &[new.row("s-2", "in_service")])
+            endpoint_event(2, false, &[new.row("s-2", "in_service")])
         ) + "\nbroken\n!",
-        event(5, false, &[old.row("s-1", "terminated")]),
+        endpoint_event(5, false, &[old.row("s-1", "terminated")]),
         "{\"pos\":3,\"hosts!".into(),
-        event(3, false, &changed) + &event(1, false, &[]) + &event(2, false, &[]) + "3\n",
+        endpoint_event(3, false, &changed)
+            + &endpoint_event(1, false, &[])
+            + &endpoint_event(2, false, &[])
+            + "3\n",
     ]);
-    let gateway = Gateway::with(
+    let gateway = Gateway::start_with(
         "127.0.0.1:0",
         &[old.row("s-1", "in_service")],
         Some(&journal),
@@ -335,15 +359,19 @@
         is_event(l, "endpoint watch resumed", &[("position", "3")])
     });
     assert_eq!(
-        journal.tails.all()[..4],
+        journal.watch_requests.all()[..4],
         ["tail 1\n", "tail 2\n", "tail 2\n", "tail 2\n"]
     );
-    let before = old.starts();
+    let before = old.start_count();
     for req in 1..=20 {
-        let answer = Client::connect(&gateway).ask(&statement("lookup", req, 5000));
+        let answer = Client::connect(&gateway).execute(&statement("lookup", req, 5000));
         assert_eq!(answer, rows(&[["a", "b", "c"]]));
     }
-    assert_eq!(old.starts(), before, "a draining engine gets nothing new");
+    assert_eq!(
+        old.start_count(),
+        before,
+        "a draining engine gets nothing new"
+    );
 }
 
 #[test_case("SELECT a FROM sales_17.orders"; "no comment")]
@@ -364,17 +392,21 @@
 #[test_case("/* kind=lookup,req=0000000000000001,timeout=100 */ SELECT a FROM staging.orders"; "staging alone")]
 #[test_case(""; "empty")]
 fn what_cannot_be_used_gets_an_error_goes_to_no_engine_and_leaves_the_session_usable(text: &str) {
-    let engine = Engine::served();
+    let engine = FakeEngine::completing();
     let gateway = Gateway::start(&ready(&engine));
     let mut client = Client::connect(&gateway);
-    assert_eq!(client.ask(text).code(), 1064);
+    assert_eq!(client.execute(text).error_code(), 1064);
     client.send(&packet(0, &[0x16, 1, 2, 3]));
-    assert_eq!(client.answer(1).code(), 1047, "an unknown command");
     assert_eq!(
-        client.ask(&statement("lookup", 2, 5000)),
+        client.read_answer(1).error_code(),
+        1047,
+        "an unknown command"
+    );
+    assert_eq!(
+        client.execute(&statement("lookup", 2, 5000)),
         rows(&[["a", "b", "c"]])
     );
-    assert_eq!(engine.starts(), 1);
+    assert_eq!(engine.start_count(), 1);
 }
 
 #[test_case(&[0xff, 0xff, 0xff, 0, 3, 3, 3], 1835; "an oversized packet")]
@@ -382,75 +414,83 @@
 #[test_case(&query(&statement("lookup", 1, 5000)).repeat(300), 1156; "hundreds of statements at once")]
 #[test_case(&[2, 0, 0, 0, 3], 0; "a message that never ends")]
 fn what_is_broken_ends_that_session_alone(bytes: &[u8], code: u16) {
-    let engine = Engine::served();
+    let engine = FakeEngine::completing();
     let gateway = Gateway::start(&ready(&engine));
     let mut broken = Client::connect(&gateway);
     broken.send(bytes);
     if code > 0 {
-        assert_eq!(broken.answer(1).code(), code);
+        assert_eq!(broken.read_answer(1).error_code(), code);
     }
-    assert_eq!(broken.answer(1), Answer::Closed);
-    let mut denied = Client::bare(&gateway);
+    assert_eq!(broken.read_answer(1), Answer::Closed);
+    let mut denied = Client::connect_without_login(&gateway);
     denied.send(&login("root"));
-    assert_eq!(denied.greeted().code(), 1045);
+    assert_eq!(denied.finish_login().error_code(), 1045);
     assert_eq!(
-        Client::connect(&gateway).ask(&statement("lookup", 1, 5000)),
+        Client::connect(&gateway).execute(&statement("lookup", 1, 5000)),
         rows(&[["a", "b", "c"]])
     );
 }
 
 #[test]
 fn a_session_that_came_as_there_were_too_many_is_served_all_the_same() {
-    let engine = Engine::served();
+    let engine = FakeEngine::completing();
     // 16 clients and 3 more that may be told.
-    let gateway = Gateway::with("127.0.0.1:0", &ready(&engine), None, 48);
+    let gateway = Gateway::start_with("127.0.0.1:0", &ready(&engine), None, 48);
     let mut clients: Vec<Client> = (0..19).map(|_| Client::connect(&gateway)).collect();
     let last = clients.last_mut().unwrap();
     assert_eq!(
-        last.ask(&statement("lookup", 1, 5000)),
+        last.execute(&statement("lookup", 1, 5000)),
         rows(&[["a", "b", "c"]])
     );
 }
 
 #[test]
 fn silent_crowds_are_closed_and_usual_clients_served_beside_them() {
-    let crowd_is_there = Seen::<()>::new();
+    let crowd_is_there = EventLog::<()>::new();
     let wait = crowd_is_there.clone();
-    let engine = Engine::start(move |call, _| {
+    let engine = FakeEngine::start(move |call, _| {
         if call.header("Via-Id") == Some("0000000000000001") {
             wait.wait("crowd", |_| true);
         }
-        good("a\tb\tc\n")
+        success_response("a\tb\tc\n")
     });
     // 16 clients and 3 more.
-    let gateway = Gateway::with("127.0.0.1:0", &ready(&engine), None, 48);
+    let gateway = Gateway::start_with("127.0.0.1:0", &ready(&engine), None, 48);
     let mut usual = Client::connect(&gateway);
     usual.send(&query(&statement("lookup", 1, 20_000)));
-    engine.calls.wait("start", |c| c.is("POST"));
-    let mut crowd: Vec<Client> = (0..200).map(|_| Client::bare(&gateway)).collect();
+    engine.calls.wait("start", |c| c.has_method("POST"));
+    let mut crowd: Vec<Client> = (0..200)
+        .map(|_| Client::connect_without_login(&gateway))
+        .collect();
     for req in 2..=20 {
-        let answer = Client::connect(&gateway).ask(&statement("lookup", req, 5000));
+        let answer = Client::connect(&gateway).execute(&statement("lookup", req, 5000));
         assert_eq!(answer, rows(&[["a", "b", "c"]]));
     }
     // Its statement is open, so it stays.
     crowd_is_there.push(());
-    assert_eq!(usual.answer(1), rows(&[["a", "b", "c"]]));
+    assert_eq!(usual.read_answer(1), rows(&[["a", "b", "c"]]));
     for silent in &mut crowd {
-        while silent.packet().is_some() {}
+        while silent.read_packet().is_some() {}
     }
 }
 
 #[test]
 fn the_id_of_an_open_statement_is_not_taken_twice() {
-    let engine = Engine::busy();
+    let engine = FakeEngine::never_completing();
     let gateway = Gateway::start(&ready(&engine));
     let (mut client, mut other) = (Client::connect(&gateway), Client::connect(&gateway));
     client.send(&query(&statement("load", 1, 20_000)));
-    engine.calls.wait("start", |c| c.is("POST"));
-    assert_eq!(other.ask(&statement("lookup", 1, 5000)).code(), 1062);
-    assert_eq!(engine.starts(), 1);
-    assert_eq!(other.ask(&format!("KILL QUERY {}", client.connection)), OK);
-    assert_eq!(client.answer(1).code(), 1317);
+    engine.calls.wait("start", |c| c.has_method("POST"));
+    assert_eq!(
+        other.execute(&statement("lookup", 1, 5000)).error_code(),
+        1062
+    );
+    assert_eq!(engine.start_count(), 1);
+    assert_eq!(
+        other.execute(&format!("KILL QUERY {}", client.connection)),
+        OK
+    );
+    assert_eq!(client.read_answer(1).error_code(), 1317);
 }
 
 /// How an engine spoils the first answer to each call; the result is had whole all the same, and runs once.
@@ -467,12 +507,12 @@
 #[test_case(""; "silence")]
 fn a_spoilt_answer_is_asked_for_again_and_never_served(spoilt: &'static str) {
     let spoil = std::sync::Mutex::new(std::collections::HashSet::new());
-    let engine = Engine::start(move |call, _| {
+    let engine = FakeEngine::start(move |call, _| {
         let (status, headers, body) = match call.path.rsplit('/').next() {
             Some("1") => (200, "Page-No: 1\r\n", "d\te\tf\n"),
             _ => (200, "Page-Count: 2\r\n", "a\tb\tc\n"),
         };
-        let Reply::Say(good) = say(status, headers, body) else {
+        let Reply::Response(good) = response(status, headers, body) else {
             panic!()
         };
         match spoilt {
@@ -481,27 +521,27 @@
                 .unwrap()
                 .insert((call.method.clone(), call.path.clone())) =>
             {
-                Reply::Say(good)
+                Reply::Response(good)
             }
             "!" => Reply::Close,
-            "" => Reply::Silence,
-            _ => Reply::Say(spoilt.replace("{}", &good)),
+            "" => Reply::NoResponse,
+            _ => Reply::Response(spoilt.replace("{}", &good)),
         }
     });
     let gateway = Gateway::start(&ready(&engine));
-    let answer = Client::connect(&gateway).ask(&statement("load", 1, 20_000));
+    let answer = Client::connect(&gateway).execute(&statement("load", 1, 20_000));
     assert_eq!(answer, rows(&[["a", "b", "c"], ["d", "e", "f"]]));
-    assert_eq!(engine.starts(), 1);
+    assert_eq!(engine.start_count(), 1);
 }
 
 #[test]
 fn an_engine_that_answers_for_what_it_cannot_know_has_no_connection_kept() {
-    let engine = Engine::served();
+    let engine = FakeEngine::completing();
     let gateway = Gateway::start(&ready(&engine));
     let mut client = Client::connect(&gateway);
     for req in 1..=5 {
         assert_eq!(
-            client.ask(&statement("lookup", req, 5000)),
+            client.execute(&statement("lookup", req, 5000)),
             rows(&[["a", "b", "c"]])
         );
     }
@@ -509,7 +549,7 @@
     let carried = |c: usize| {
         calls
             .iter()
-            .filter(|call| call.connection == c && call.is("POST"))
+            .filter(|call| call.connection == c && call.has_method("POST"))
             .count()
     };
     assert!((0..5).all(|connection| carried(connection) == 1));
@@ -517,9 +557,12 @@
 
 #[test]
 fn an_execution_at_an_engine_whose_address_passes_to_another_ends_as_the_answers_prove() {
-    let (engine, later) = (Engine::start(|_, _| Reply::Silence), Engine::served());
+    let (engine, later) = (
+        FakeEngine::start(|_, _| Reply::NoResponse),
+        FakeEngine::completing(),
+    );
     let there = |id: &str, state: &str| engine.row(id, state);
-    let journal = Journal::start(&[event(
+    let journal = FakeDiscoveryServer::start(&[endpoint_event(
         2,
         false,
         &[
@@ -528,7 +571,7 @@
             later.row("s-3", "in_service"),
         ],
     )]);
-    let gateway = Gateway::with(
+    let gateway = Gateway::start_with(
         "127.0.0.1:0",
         &[there("s-1", "in_service")],
         Some(&journal),
@@ -536,7 +579,7 @@
     );
     let mut client = Client::connect(&gateway);
     client.send(&query(&statement("lookup", 1, 20_000)));
-    assert_eq!(client.answer(1), rows(&[["a", "b", "c"]]));
+    assert_eq!(client.read_answer(1), rows(&[["a", "b", "c"]]));
     gateway.log.wait("the new engine", |l| {
         is_event(l, "engine added", &[("id", "s-2")])
     });
@@ -544,10 +587,10 @@
 
 #[test]
 fn tables_hold_the_engines_there_are_and_not_all_that_ever_were() {
-    let engine = Engine::served();
+    let engine = FakeEngine::completing();
     let id = |n: u64| format!("s-{n}");
     let events = (2..2000).map(|n| {
-        event(
+        endpoint_event(
             n,
             false,
             &[
@@ -556,8 +599,8 @@
             ],
         )
     });
-    let journal = Journal::start(&[events.collect::<String>()]);
-    let gateway = Gateway::with(
+    let journal = FakeDiscoveryServer::start(&[events.collect::<String>()]);
+    let gateway = Gateway::start_with(
         "127.0.0.1:0",
         &[engine.row("s-1", "in_service")],
         Some(&journal),
@@ -573,18 +616,20 @@
         "{last}"
     );
     assert_eq!(
-        Client::connect(&gateway).ask(&statement("lookup", 1, 5000)),
+        Client::connect(&gateway).execute(&statement("lookup", 1, 5000)),
         rows(&[["a", "b", "c"]])
     );
 }
 
 #[test]
 fn a_repeated_event_is_passed_over_and_its_connection_kept() {
-    let (old, new) = (Engine::served(), Engine::served());
+    let (old, new) = (FakeEngine::completing(), FakeEngine::completing());
     let third = [old.row("s-1", "terminated"), new.row("s-3", "in_service")];
-    let twice = event(2, false, &[new.row("s-2", "in_service")]).repeat(2);
-    let journal = Journal::start(&[twice + &event(3, false, &third) + &event(2, false, &[])]);
-    let gateway = Gateway::with(
+    let twice = endpoint_event(2, false, &[new.row("s-2", "in_service")]).repeat(2);
+    let journal = FakeDiscoveryServer::start(&[twice
+        + &endpoint_event(3, false, &third)
+        + &endpoint_event(2, false, &[])]);
+    let gateway = Gateway::start_with(
         "127.0.0.1:0",
         &[old.row("s-1", "in_service")],
         Some(&journal),
@@ -599,59 +644,65 @@
         .wait("loss", |l| l.contains("endpoint watch lost"));
     let fields = [("position", "3"), ("reason", "silent")];
     assert!(is_event(&lost, "endpoint watch lost", &fields), "{lost}");
-    journal.tails.wait("the next question", |t| t == "tail 3\n");
+    journal
+        .watch_requests
+        .wait("the next question", |t| t == "tail 3\n");
 }
 
 #[test]
 fn a_give_up_whose_answer_is_noise_is_repeated_until_it_is_heard() {
-    let engine = Engine::start(|call, _| match call.method.as_str() {
-        "DELETE" => Reply::Say("noise\r\n\r\n".into()),
-        _ => say(202, "", ""),
+    let engine = FakeEngine::start(|call, _| match call.method.as_str() {
+        "DELETE" => Reply::Response("noise\r\n\r\n".into()),
+        _ => response(202, "", ""),
     });
     let gateway = Gateway::start(&ready(&engine));
     assert_eq!(
         Client::connect(&gateway)
-            .ask(&statement("load", 1, 400))
-            .code(),
+            .execute(&statement("load", 1, 400))
+            .error_code(),
         1105
     );
-    engine.calls.wait_for("give-ups", 2, |c| c.is("DELETE"));
+    engine
+        .calls
+        .wait_for_nth("give-ups", 2, |c| c.has_method("DELETE"));
 }
 
 #[test]
 fn a_reload_follows_the_journal_at_its_new_address_from_the_same_number() {
-    let (old, new) = (Engine::served(), Engine::served());
-    let first = Journal::start(&[event(1, false, &[]) + &event(2, false, &[])]);
-    let second = Journal::start(&[event(
+    let (old, new) = (FakeEngine::completing(), FakeEngine::completing());
+    let first = FakeDiscoveryServer::start(&[
+        endpoint_event(1, false, &[]) + &endpoint_event(2, false, &[])
+    ]);
+    let second = FakeDiscoveryServer::start(&[endpoint_event(
         3,
         false,
         &[old.row("s-1", "terminated"), new.row("s-2", "in_service")],
     )]);
-    let mut gateway = Gateway::with(
+    let mut gateway = Gateway::start_with(
         "127.0.0.1:0",
         &[old.row("s-1", "in_service")],
         Some(&first),
         1024,
     );
-    first.tails.wait("tail", |t| t == "tail 1\n");
-    gateway.configure("{ half");
+    first.watch_requests.wait("tail", |t| t == "tail 1\n");
+    gateway.write_config("{ half");
     gateway.signal("HUP");
     gateway.log.wait("a reload that changes nothing", |l| {
         l.contains("configuration not reloaded")
     });
-    gateway.configure_journal(&second);
+    gateway.write_discovery_address(&second);
     gateway.signal("HUP");
     second
-        .tails
+        .watch_requests
         .wait("tail", |t| t == "tail 2\n" || t == "tail 1\n");
     gateway.log.wait("the new engine", |l| {
         is_event(l, "engine added", &[("id", "s-2")])
     });
     assert_eq!(
-        Client::connect(&gateway).ask(&statement("lookup", 1, 5000)),
+        Client::connect(&gateway).execute(&statement("lookup", 1, 5000)),
         rows(&[["a", "b", "c"]])
     );
-    assert_eq!((old.starts(), new.starts()), (0, 1));
+    assert_eq!((old.start_count(), new.start_count()), (0, 1));
     gateway.signal("HUP");
     gateway.terminate();
     gateway.log.wait("overlap", |l| {
@@ -669,7 +720,7 @@
 #[test_case(r#"{"listen":"nowhere","settings":{}}"#, "listen"; "no address")]
 #[test_case(r#"{"listen":"127.0.0.1:0","settings":{}}"#, "settings"; "no settings")]
 fn a_configuration_that_cannot_be_used_ends_the_program_with_one_line(config: &str, word: &str) {
-    let (mut child, log, _) = spawn(config);
+    let (mut child, log, _) = spawn_gateway(config);
     assert_eq!(child.wait().unwrap().code(), Some(1));
     let line = log.wait("line", |_| true);
     assert!(line.contains("ERROR") && line.contains(word), "{line}");
--- a/crates/ivypitch-cli/tests/sharing.rs
+++ b/crates/ivypitch-cli/tests/sharing.rs
@@ -1,8 +1,8 @@
 //! What gateways share, on fleets of real gateways with a relay on every link between them. Engines count what they get.
 
-use ivypitch_testbed::processes::relay::End;
-use ivypitch_testbed::processes::{Engines, Fleet, Setup};
-use ivypitch_testbed::stand_ins::*;
+use ivypitch_testbed::processes::relay::LinkEnd;
+use ivypitch_testbed::processes::{Fleet, FleetConfig, FleetEngines};
+use ivypitch_testbed::test_servers::*;
 use serde_json::Value;
 
 const LONGEST: u64 = 6000;
@@ -10,25 +10,26 @@
 const PEERS: &str = r#""period_ms":200,"suspicion_ms":700,"custody":{"enabled":false},
     "shares":{"enabled":true,"span_ms":1000}"#;
 
-fn start(gateways: usize, held: &[&Held], direct_engines: bool) -> Fleet {
-    let engines = Engines::At(held.iter().map(|held| held.addresses.clone()).collect());
-    let setup = Setup {
+fn start(gateways: usize, held: &[&ControlledEngine], direct_engines: bool) -> Fleet {
+    let engines = FleetEngines::External(held.iter().map(|held| held.addresses.clone()).collect());
+    let setup = FleetConfig {
         gateways,
         engines,
-        peers: Some(PEERS.into()),
-        longest_ms: LONGEST,
+        peer_settings: Some(PEERS.into()),
+        max_statement_timeout_ms: LONGEST,
         direct_engines,
         // A customer whose whole allowance is small enough to ask for more than a part of it.
-        settings: |settings| {
+        change_config: |settings| {
             settings.replace("\"allowance-per-s\":100000", "\"allowance-per-s\":100")
         },
-        ..Setup::default()
+        ..FleetConfig::default()
     };
     Fleet::start(setup).unwrap()
 }
 
 fn view(fleet: &Fleet, g: usize) -> Value {
-    let Answer::Rows(rows) = Client::at(fleet.seats[g].address).ask("SHOW FLEET") else {
+    let Answer::Rows(rows) = Client::connect_to(fleet.gateways[g].address).execute("SHOW FLEET")
+    else {
         panic!("no view")
     };
     serde_json::from_str(&rows[0][0]).unwrap()
@@ -36,7 +37,7 @@
 
 /// Looked at until it is so: a view, not a span of time, ends the wait.
 fn wait_view(fleet: &Fleet, g: usize, what: &str, is: impl Fn(&Value) -> bool) -> Value {
-    let until = std::time::Instant::now() + PATIENCE;
+    let until = std::time::Instant::now() + WAIT_TIMEOUT;
     loop {
         let seen = view(fleet, g);
         if is(&seen) {
@@ -48,10 +49,10 @@
 }
 
 fn lookups(fleet: &Fleet, g: usize, reqs: std::ops::Range<u64>) -> usize {
-    let mut client = Client::at(fleet.seats[g].address);
+    let mut client = Client::connect_to(fleet.gateways[g].address);
     let rows = |req| {
         matches!(
-            client.ask(&statement("lookup", req, LONGEST)),
+            client.execute(&statement("lookup", req, LONGEST)),
             Answer::Rows(_)
         )
     };
@@ -63,42 +64,46 @@
 
 #[test]
 fn a_drain_told_to_one_member_only_reaches_all() {
-    let (first, second) = (Held::start(4), Held::start(4));
+    let (first, second) = (ControlledEngine::start(4), ControlledEngine::start(4));
     let fleet = start(4, &[&first, &second], true);
     // The others' journals have fallen silent.
     for g in 1..4 {
-        fleet.net.silence(End::Journal, End::Gateway(g));
+        fleet.network.block(LinkEnd::Journal, LinkEnd::Gateway(g));
     }
-    fleet.tell_state_to(0, 0, "terminating");
+    fleet.publish_engine_state_to(0, 0, "terminating");
     for g in 1..4 {
         wait_view(&fleet, g, "event", |v| v["journal"] == 2);
     }
-    let before = first.starts_by(0);
+    let before = first.start_count_by_gateway(0);
     for g in 0..4 {
         assert_eq!(lookups(&fleet, g, g as u64 * 100..g as u64 * 100 + 10), 10);
     }
     assert_eq!(
-        first.starts_by(0),
+        first.start_count_by_gateway(0),
         before,
         "nothing goes to a draining engine"
     );
     // The journal speaks again and tells the same event: it is one.
-    fleet.net.hear(End::Journal, End::Gateway(1));
-    fleet.tell_state_to(1, 0, "terminating");
-    fleet.tell_state_to(1, 0, "in_service");
+    fleet.network.unblock(LinkEnd::Journal, LinkEnd::Gateway(1));
+    fleet.publish_engine_state_to(1, 0, "terminating");
+    fleet.publish_engine_state_to(1, 0, "in_service");
     wait_view(&fleet, 3, "third event", |v| v["journal"] == 3);
     lookups(&fleet, 3, 900..930);
     assert!(
-        first.starts_by(0) > before,
+        first.start_count_by_gateway(0) > before,
         "back in service by a later event of a number of its own"
     );
 }
 
 #[test]
 fn a_failing_engine_is_left_out_by_one_that_never_met_it() {
-    let held = [Held::start(5), Held::start(5), Held::start(5)];
+    let held = [
+        ControlledEngine::start(5),
+        ControlledEngine::start(5),
+        ControlledEngine::start(5),
+    ];
     let fleet = start(5, &[&held[0], &held[1], &held[2]], false);
-    held[0].fail_starts(true);
+    held[0].set_starts_failing(true);
     // Four that have traffic find out; the fifth has none.
     let id = |v: &Value| {
         v["engines"]
@@ -116,13 +121,16 @@
         }
         assert!(n < 3000, "{}", view(&fleet, 4));
     }
-    let before = held[0].starts_by(4);
+    let before = held[0].start_count_by_gateway(4);
     assert_eq!(before, 0, "it never met it");
     // Kept warm by the others while it begins.
     lookups(&fleet, 4, 10_000..10_010);
-    assert!(held[0].starts_by(4) <= 1, "no more than a trial");
+    assert!(
+        held[0].start_count_by_gateway(4) <= 1,
+        "no more than a trial"
+    );
     // Well again: all use it again.
-    held[0].fail_starts(false);
+    held[0].set_starts_failing(false);
     n = 20_000;
     while id(&view(&fleet, 4)).is_some() {
         for g in 0..4 {
@@ -135,7 +143,7 @@
 
 #[test]
 fn parts_follow_the_traffic_and_both_sides_of_a_cut_hold_no_more_than_the_whole() {
-    let held = Held::start(4);
+    let held = ControlledEngine::start(4);
     let mut fleet = start(4, &[&held], false);
     // Of the customer's allowance; all gateways began a loan's span ago.
     let bound = |v: &Value| v["bounds"][1].clone();
@@ -163,7 +171,7 @@
     // All traffic is at one gateway, and more than its even part.
     busy(&fleet, &|held| held > 150);
     // Cut off, it goes back to its home as the loans end, and no further.
-    fleet.cut(|a, b| a == 0 || b == 0, true);
+    fleet.set_partition(|a, b| a == 0 || b == 0, true);
     busy(&fleet, &|held| held == 100);
     for g in 1..4 {
         wait_view(&fleet, g, "floor", |v| {
@@ -171,7 +179,7 @@
         });
     }
     // Healed: it borrows again. A lender that is killed takes nothing back early.
-    fleet.cut(|a, b| a == 0 || b == 0, false);
+    fleet.set_partition(|a, b| a == 0 || b == 0, false);
     busy(&fleet, &|held| held > 150);
     fleet.kill(1);
     let rest = |fleet: &Fleet| {
@@ -190,17 +198,19 @@
 
 #[test]
 fn without_the_own_file_nothing_is_shown_and_nobody_is_spoken_to() {
-    let held = Held::start(1);
-    let setup = Setup {
+    let held = ControlledEngine::start(1);
+    let setup = FleetConfig {
         gateways: 1,
-        engines: Engines::At(vec![held.addresses.clone()]),
-        peers: None,
-        ..Setup::default()
+        engines: FleetEngines::External(vec![held.addresses.clone()]),
+        peer_settings: None,
+        ..FleetConfig::default()
     };
     let fleet = Fleet::start(setup).unwrap();
     assert_eq!(
-        Client::at(fleet.seats[0].address).ask("SHOW FLEET").code(),
+        Client::connect_to(fleet.gateways[0].address)
+            .execute("SHOW FLEET")
+            .error_code(),
         1064
     );
-    assert!(std::net::TcpStream::connect(fleet.seats[0].peers_at).is_err());
+    assert!(std::net::TcpStream::connect(fleet.gateways[0].peer_address).is_err());
 }
--- a/crates/ivypitch-cli/tests/takeover/lost_gateways.rs
+++ b/crates/ivypitch-cli/tests/takeover/lost_gateways.rs
@@ -4,7 +4,7 @@
 
 use ivypitch_ownership::VoterAssignment;
 use ivypitch_testbed::log_lines::is_event;
-use ivypitch_testbed::stand_ins::*;
+use ivypitch_testbed::test_servers::*;
 
 use crate::scene::*;
 
@@ -16,16 +16,18 @@
     // It comes back before the loss is known, twice at once at two gateways.
     let (mut back, mut also) = (s.sent(1, "load", 1), s.sent(2, "load", 1));
     s.wait_lost(1, 0);
-    s.held.end(1);
-    assert_eq!(back.answer(1), rows(1));
-    assert_eq!(also.answer(1), rows(1));
+    s.held.complete(1);
+    assert_eq!(back.read_answer(1), rows(1));
+    assert_eq!(also.read_answer(1), rows(1));
     // Later, anywhere, the same; and another statement under the id is refused.
-    assert_eq!(s.client(3).ask(&statement("load", 1, LONGEST)), rows(1));
+    assert_eq!(s.client(3).execute(&statement("load", 1, LONGEST)), rows(1));
     assert_eq!(
-        s.client(4).ask(&statement("lookup", 1, LONGEST)).code(),
+        s.client(4)
+            .execute(&statement("lookup", 1, LONGEST))
+            .error_code(),
         1062
     );
-    assert_eq!(s.held.starts(1), 1, "it ran once");
+    assert_eq!(s.held.start_count(1), 1, "it ran once");
 }
 
 #[test]
@@ -35,10 +37,13 @@
     s.fleet.kill(0);
     s.wait_lost(3, 0);
     let (mut one, mut other) = (s.sent(3, "load", 1), s.sent(4, "load", 1));
-    s.held.wait_ask(1, 0, &[0]);
-    s.held.end(1);
-    assert_eq!((one.answer(1), other.answer(1)), (rows(1), rows(1)));
-    assert_eq!(s.held.starts(1), 1);
+    s.held.wait_for_poll(1, 0, &[0]);
+    s.held.complete(1);
+    assert_eq!(
+        (one.read_answer(1), other.read_answer(1)),
+        (rows(1), rows(1))
+    );
+    assert_eq!(s.held.start_count(1), 1);
 }
 
 #[test]
@@ -48,14 +53,14 @@
     s.running(0, req);
     s.fleet.kill(0);
     s.fleet.kill(usize::from(witnesses[0]));
-    s.held.wait_ask(req, 0, &[0]);
-    s.held.end(req);
+    s.held.wait_for_poll(req, 0, &[0]);
+    s.held.complete(req);
     assert_eq!(
         s.client(usize::from(witnesses[2]))
-            .ask(&statement("load", req, LONGEST)),
+            .execute(&statement("load", req, LONGEST)),
         rows(req)
     );
-    assert_eq!(s.held.starts(req), 1);
+    assert_eq!(s.held.start_count(req), 1);
 }
 
 #[test]
@@ -68,10 +73,13 @@
     for g in [0, 1, 4] {
         s.fleet.kill(g);
     }
-    s.held.wait_ask(req, 0, &[0]);
-    s.held.end(req);
-    assert_eq!(s.client(2).ask(&statement("load", req, LONGEST)), rows(req));
-    assert_eq!(s.held.starts(req), 1);
+    s.held.wait_for_poll(req, 0, &[0]);
+    s.held.complete(req);
+    assert_eq!(
+        s.client(2).execute(&statement("load", req, LONGEST)),
+        rows(req)
+    );
+    assert_eq!(s.held.start_count(req), 1);
 }
 
 #[test]
@@ -82,18 +90,18 @@
     let mut lost = vec![0];
     s.fleet.kill(0);
     for _ in 0..2 {
-        let claimer = s.held.wait_ask(req, 0, &lost);
+        let claimer = s.held.wait_for_poll(req, 0, &lost);
         s.fleet.kill(claimer);
         lost.push(claimer);
     }
-    let third = s.held.wait_ask(req, 0, &lost);
-    s.held.end(req);
+    let third = s.held.wait_for_poll(req, 0, &lost);
+    s.held.complete(req);
     let other = (0..7).find(|g| !lost.contains(g) && *g != third).unwrap();
     assert_eq!(
-        s.client(other).ask(&statement("load", req, LONGEST)),
+        s.client(other).execute(&statement("load", req, LONGEST)),
         rows(req)
     );
-    assert_eq!(s.held.starts(req), 1);
+    assert_eq!(s.held.start_count(req), 1);
 }
 
 #[test]
@@ -104,12 +112,12 @@
     s.fleet.start_gateway(0).unwrap();
     // The new process has forgotten all, and is asked first.
     thread::scope(|scope| {
-        let back = scope.spawn(|| s.client(0).ask(&statement("load", 1, LONGEST)));
-        s.held.wait_ask(1, 0, &[0]);
-        s.held.end(1);
+        let back = scope.spawn(|| s.client(0).execute(&statement("load", 1, LONGEST)));
+        s.held.wait_for_poll(1, 0, &[0]);
+        s.held.complete(1);
         assert_eq!(back.join().unwrap(), rows(1));
     });
-    assert_eq!(s.held.starts(1), 1);
+    assert_eq!(s.held.start_count(1), 1);
 }
 
 #[test]
@@ -117,20 +125,25 @@
     let mut s = scene(5).voting();
     s.running(0, 1);
     s.fleet.kill(0);
-    s.fleet.cut(|_, b| b == 0, true);
+    s.fleet.set_partition(|_, b| b == 0, true);
     s.fleet.start_gateway(0).unwrap();
     // It hears nobody, so that it can't know, and sends nothing.
-    assert_eq!(s.client(0).ask(&statement("load", 1, LONGEST)).code(), 1105);
-    s.held.wait_ask(1, 0, &[0]);
-    s.held.end(1);
-    s.fleet.cut(|_, b| b == 0, false);
+    assert_eq!(
+        s.client(0)
+            .execute(&statement("load", 1, LONGEST))
+            .error_code(),
+        1105
+    );
+    s.held.wait_for_poll(1, 0, &[0]);
+    s.held.complete(1);
+    s.fleet.set_partition(|_, b| b == 0, false);
     for g in 1..5 {
-        s.fleet.seats[0].log.wait_for("member", 2, |l| {
+        s.fleet.gateways[0].log.wait_for_nth("member", 2, |l| {
             is_event(l, "member is up", &[("member", &format!("n{g}"))])
         });
     }
-    assert_eq!(s.client(0).ask(&statement("load", 1, LONGEST)), rows(1));
-    assert_eq!(s.held.starts(1), 1);
+    assert_eq!(s.client(0).execute(&statement("load", 1, LONGEST)), rows(1));
+    assert_eq!(s.held.start_count(1), 1);
 }
 
 #[test]
@@ -156,7 +169,7 @@
     thread::scope(|scope| {
         let back = |&g: &usize| {
             let (s, req) = (&s, 1 + g as u64);
-            scope.spawn(move || s.client(10 + g).ask(&statement("load", req, LONGEST)))
+            scope.spawn(move || s.client(10 + g).execute(&statement("load", req, LONGEST)))
         };
         let back: Vec<_> = lost.iter().map(back).collect();
         for req in lost
@@ -164,8 +177,8 @@
             .filter(|&&g| can_be_known(g))
             .map(|&g| 1 + g as u64)
         {
-            s.held.wait_ask(req, 0, &lost);
-            s.held.end(req);
+            s.held.wait_for_poll(req, 0, &lost);
+            s.held.complete(req);
         }
         for (&g, back) in lost.iter().zip(back) {
             let (answer, req) = (back.join().unwrap(), 1 + g as u64);
@@ -174,13 +187,13 @@
                 if can_be_known(g) {
                     answer == rows(req)
                 } else {
-                    answer.code() == 1105
+                    answer.error_code() == 1105
                 },
                 "{answer:?}"
             );
         }
     });
-    assert!(lost.iter().all(|&g| s.held.starts(1 + g as u64) == 1));
+    assert!(lost.iter().all(|&g| s.held.start_count(1 + g as u64) == 1));
     let without_majority = lost.iter().filter(|&&g| !can_be_known(g)).count();
     assert!((1..5).contains(&without_majority), "{without_majority}");
 }
--- a/crates/ivypitch-cli/tests/takeover/member_lists.rs
+++ b/crates/ivypitch-cli/tests/takeover/member_lists.rs
@@ -11,7 +11,7 @@
 };
 use ivypitch_ownership::VERSION;
 use ivypitch_testbed::log_lines::is_event;
-use ivypitch_testbed::stand_ins::*;
+use ivypitch_testbed::test_servers::*;
 use ivypitch_types::Incarnation;
 use ivypitch_types::MemberId;
 use ivypitch_types::ProcessId;
@@ -27,7 +27,7 @@
         let member = |g: usize| MemberAddress {
             name: format!("n{g}"),
             zone: g as u16,
-            address: s.fleet.seats[g].peers_at,
+            address: s.fleet.gateways[g].peer_address,
         };
         let members = MemberList {
             members: (0..3).map(member).collect(),
@@ -46,7 +46,7 @@
     };
     let (members, old) = hello(VERSION - 1);
     for _ in 0..3 {
-        let mut link = TcpStream::connect(s.fleet.seats[0].peers_at).unwrap();
+        let mut link = TcpStream::connect(s.fleet.gateways[0].peer_address).unwrap();
         link.write_all(&old).unwrap();
         let mut nothing = Vec::new();
         // Closed with no word.
@@ -60,7 +60,7 @@
             &[("member", "n1")],
         )
     };
-    let log = &s.fleet.seats[0].log;
+    let log = &s.fleet.gateways[0].log;
     log.wait("refusal", refused);
     // A datagram of such a member.
     let mut stranger = Membership::new(MembershipParams {
@@ -79,7 +79,9 @@
         stranger.on_timer(round * 250_000_000);
         while let Some(OutgoingDatagram { to, data }) = stranger.pop_datagram() {
             if to == MemberId(0) {
-                socket.send_to(&data, s.fleet.seats[0].peers_at).unwrap();
+                socket
+                    .send_to(&data, s.fleet.gateways[0].peer_address)
+                    .unwrap();
             }
         }
     }
@@ -103,7 +105,7 @@
 fn a_gateway_that_the_list_does_not_name_does_not_start() {
     let own = r#"{"peers":{"gateways":[{"name":"a","address":"127.0.0.1:1"},{"name":"a","address":"x"}],"custody":{"witnesses":4}}}"#;
     let config = configuration("127.0.0.1:0", &[], None, 1024);
-    let (mut child, log, _) = spawn_with(&config, Some(own));
+    let (mut child, log, _) = spawn_gateway_with_settings(&config, Some(own));
     assert_eq!(child.wait().unwrap().code(), Some(1));
     let line = log.wait("line", |_| true);
     for word in [
--- a/crates/ivypitch-cli/tests/takeover/partitions.rs
+++ b/crates/ivypitch-cli/tests/takeover/partitions.rs
@@ -2,7 +2,7 @@
 
 use ivypitch_gateway::log_events::MEMBER_LOST;
 use ivypitch_testbed::log_lines::is_event;
-use ivypitch_testbed::stand_ins::*;
+use ivypitch_testbed::test_servers::*;
 
 use crate::scene::*;
 
@@ -10,19 +10,22 @@
 fn a_cut_leaves_the_owner_with_its_engine_and_the_client_on_the_other_side() {
     let s = scene(5).voting();
     let mut first = s.running(0, 1);
-    s.fleet.cut(|a, b| a == 0 || b == 0, true);
+    s.fleet.set_partition(|a, b| a == 0 || b == 0, true);
     s.wait_lost(1, 0);
-    s.held.wait_ask(1, 0, &[0]);
+    s.held.wait_for_poll(1, 0, &[0]);
     // Alone it sends nothing that the others may have sent.
-    let code = s.client(0).ask(&statement("load", 2, LONGEST)).code();
+    let code = s
+        .client(0)
+        .execute(&statement("load", 2, LONGEST))
+        .error_code();
     assert!([1105, 1203].contains(&code), "{code}");
-    s.held.end(1);
-    assert_eq!(s.client(1).ask(&statement("load", 1, LONGEST)), rows(1));
-    assert_eq!(first.answer(1), rows(1));
-    assert_eq!((s.held.starts(1), s.held.starts(2)), (1, 0));
+    s.held.complete(1);
+    assert_eq!(s.client(1).execute(&statement("load", 1, LONGEST)), rows(1));
+    assert_eq!(first.read_answer(1), rows(1));
+    assert_eq!((s.held.start_count(1), s.held.start_count(2)), (1, 0));
     // Healed: it sends again.
-    s.fleet.cut(|a, b| a == 0 || b == 0, false);
-    s.fleet.seats[1].log.wait_for("return", 2, |l| {
+    s.fleet.set_partition(|a, b| a == 0 || b == 0, false);
+    s.fleet.gateways[1].log.wait_for_nth("return", 2, |l| {
         is_event(l, "member is up", &[("member", "n0")])
     });
     ask_until_votes(&s.fleet, 0);
@@ -33,13 +36,13 @@
     let s = scene(5).voting();
     let mut first = s.running(0, 1);
     // It hears the others and is not heard.
-    s.fleet.cut(|a, _| a == 0, true);
+    s.fleet.set_partition(|a, _| a == 0, true);
     s.wait_lost(1, 0);
-    s.held.wait_ask(1, 0, &[0]);
-    s.held.end(1);
-    assert_eq!(s.client(2).ask(&statement("load", 1, LONGEST)), rows(1));
-    assert_eq!(first.answer(1), rows(1));
-    assert_eq!(s.held.starts(1), 1);
+    s.held.wait_for_poll(1, 0, &[0]);
+    s.held.complete(1);
+    assert_eq!(s.client(2).execute(&statement("load", 1, LONGEST)), rows(1));
+    assert_eq!(first.read_answer(1), rows(1));
+    assert_eq!(s.held.start_count(1), 1);
 }
 
 #[test]
@@ -47,15 +50,20 @@
     let mut s = scene(3).voting();
     s.fleet.kill(1);
     s.fleet.kill(2);
-    s.fleet.seats[0]
+    s.fleet.gateways[0]
         .log
-        .wait_for("losses", 2, |l| is_event(l, MEMBER_LOST, &[]));
-    assert_eq!(s.client(0).ask(&statement("load", 3, LONGEST)).code(), 1105);
-    assert_eq!(s.held.starts(3), 0);
+        .wait_for_nth("losses", 2, |l| is_event(l, MEMBER_LOST, &[]));
+    assert_eq!(
+        s.client(0)
+            .execute(&statement("load", 3, LONGEST))
+            .error_code(),
+        1105
+    );
+    assert_eq!(s.held.start_count(3), 0);
     // What is harmless goes on.
-    s.held.end(4);
+    s.held.complete(4);
     assert!(matches!(
-        s.client(0).ask(&statement("lookup", 4, LONGEST)),
+        s.client(0).execute(&statement("lookup", 4, LONGEST)),
         Answer::Rows(_)
     ));
 }
--- a/crates/ivypitch-cli/tests/takeover/scene.rs
+++ b/crates/ivypitch-cli/tests/takeover/scene.rs
@@ -3,16 +3,16 @@
 use ivypitch_gateway::log_events::MEMBER_LOST;
 use ivypitch_ownership::VoterAssignment;
 use ivypitch_testbed::log_lines::is_event;
-use ivypitch_testbed::processes::Engines;
 use ivypitch_testbed::processes::Fleet;
-use ivypitch_testbed::processes::Setup;
-use ivypitch_testbed::processes::relay::End;
-use ivypitch_testbed::stand_ins::*;
+use ivypitch_testbed::processes::FleetConfig;
+use ivypitch_testbed::processes::FleetEngines;
+use ivypitch_testbed::processes::relay::LinkEnd;
+use ivypitch_testbed::test_servers::*;
 
-pub const ENGINE: End = End::Engine(0);
+pub const ENGINE: LinkEnd = LinkEnd::Engine(0);
 
-pub fn gateway(g: usize) -> End {
-    End::Gateway(g)
+pub fn gateway(g: usize) -> LinkEnd {
+    LinkEnd::Gateway(g)
 }
 
 /// Of each statement's time, in milliseconds.
@@ -23,22 +23,22 @@
 pub const SLOW_PEERS: &str =
     r#""period_ms":500,"suspicion_ms":1500,"custody":{"remembered_ms":400,"asks_from_ms":0}"#;
 
-pub fn fleet(gateways: usize, held: &[&Held], peers: &str) -> Fleet {
-    let engines = Engines::At(held.iter().map(|held| held.addresses.clone()).collect());
+pub fn fleet(gateways: usize, held: &[&ControlledEngine], peers: &str) -> Fleet {
+    let engines = FleetEngines::External(held.iter().map(|held| held.addresses.clone()).collect());
     let peers = Some(peers.to_owned());
-    Fleet::start(Setup {
+    Fleet::start(FleetConfig {
         gateways,
         engines,
-        peers,
-        longest_ms: LONGEST,
-        ..Setup::default()
+        peer_settings: peers,
+        max_statement_timeout_ms: LONGEST,
+        ..FleetConfig::default()
     })
     .unwrap()
 }
 
 pub struct Scene {
     pub fleet: Fleet,
-    pub held: Held,
+    pub held: ControlledEngine,
 }
 
 /// Gateways before one engine whose queries end when the test says so.
@@ -47,7 +47,7 @@
 }
 
 pub fn scene_of(gateways: usize, peers: &str) -> Scene {
-    let held = Held::start(gateways);
+    let held = ControlledEngine::start(gateways);
     let fleet = fleet(gateways, &[&held], peers);
     Scene { fleet, held }
 }
@@ -55,14 +55,14 @@
 impl Scene {
     /// The same once witnesses vote: those that began lately do not.
     pub fn voting(self) -> Scene {
-        for g in 0..self.fleet.setup.gateways {
+        for g in 0..self.fleet.config.gateways {
             ask_until_votes(&self.fleet, g);
         }
         self
     }
 
     pub fn client(&self, g: usize) -> Client {
-        Client::at(self.fleet.seats[g].address)
+        Client::connect_to(self.fleet.gateways[g].address)
     }
 
     /// A client that has sent its statement and waits.
@@ -75,12 +75,12 @@
     /// A load whose execution runs, sent by this gateway.
     pub fn running(&self, g: usize, req: u64) -> Client {
         let client = self.sent(g, "load", req);
-        assert_eq!(self.held.wait_start(req), g);
+        assert_eq!(self.held.wait_for_start(req), g);
         client
     }
 
     pub fn wait_lost(&self, at: usize, lost: usize) {
-        self.fleet.seats[at].log.wait("loss", |l| {
+        self.fleet.gateways[at].log.wait("loss", |l| {
             is_event(l, MEMBER_LOST, &[("member", &format!("n{lost}"))])
         });
     }
@@ -88,7 +88,8 @@
 
 pub fn ask_until_votes(fleet: &Fleet, g: usize) {
     for req in (1 << 32) + (g as u64) * 1000.. {
-        let answer = Client::at(fleet.seats[g].address).ask(&statement("load", req, LONGEST));
+        let answer =
+            Client::connect_to(fleet.gateways[g].address).execute(&statement("load", req, LONGEST));
         if matches!(answer, Answer::Rows(_)) {
             return;
         }
--- a/crates/ivypitch-cli/tests/teams.rs
+++ b/crates/ivypitch-cli/tests/teams.rs
@@ -3,7 +3,7 @@
 use std::process::{Command, Output};
 
 use ivypitch_testbed::log_lines::is_event;
-use ivypitch_testbed::stand_ins::*;
+use ivypitch_testbed::test_servers::*;
 use test_case::test_case;
 
 /// One engine of two cores: three threads are out at once, as the team is bound, and more waits.
@@ -19,12 +19,12 @@
     )
 }
 
-fn start(engine: &Engine, teams: &str) -> Gateway {
-    Gateway::owned(&[engine.row("s-1", "in_service")], small, Some(&own(teams)))
+fn start(engine: &FakeEngine, teams: &str) -> Gateway {
+    Gateway::start_with_own_settings(&[engine.row("s-1", "in_service")], small, Some(&own(teams)))
 }
 
 /// Clients whose statements fill the window: they run and never end.
-fn fill(gateway: &Gateway, engine: &Engine) -> Vec<Client> {
+fn fill(gateway: &Gateway, engine: &FakeEngine) -> Vec<Client> {
     let clients: Vec<Client> = (1..=3)
         .map(|req| {
             let mut client = Client::connect(gateway);
@@ -32,11 +32,13 @@
             client
         })
         .collect();
-    engine.calls.wait_for("starts", 3, |c| c.is("POST"));
+    engine
+        .calls
+        .wait_for_nth("starts", 3, |c| c.has_method("POST"));
     clients
 }
 
-fn loads_started(engine: &Engine) -> usize {
+fn loads_started(engine: &FakeEngine) -> usize {
     engine
         .calls
         .all()
@@ -46,7 +48,7 @@
 }
 
 fn shown(gateway: &Gateway, ask: &str) -> Vec<Vec<String>> {
-    match Client::connect(gateway).ask(ask) {
+    match Client::connect(gateway).execute(ask) {
         Answer::Rows(rows) => rows,
         other => panic!("{ask}: {other:?}"),
     }
@@ -66,7 +68,7 @@
 
 #[test]
 fn what_finds_no_room_waits_is_shown_and_goes_on_as_room_comes() {
-    let engine = Engine::busy();
+    let engine = FakeEngine::never_completing();
     let gateway = start(&engine, r#""most_queued":50"#);
     let running = fill(&gateway, &engine);
     let mut client = Client::connect(&gateway);
@@ -105,7 +107,7 @@
 #[test_case("gone", 0; "its client goes")]
 #[test_case("timeout", 1203; "its time is over")]
 fn what_waits_can_leave_and_no_engine_hears_of_it(way: &str, code: u16) {
-    let engine = Engine::busy();
+    let engine = FakeEngine::never_completing();
     let gateway = start(&engine, r#""most_queued":50"#);
     let _running = fill(&gateway, &engine);
     let mut client = Client::connect(&gateway);
@@ -118,7 +120,7 @@
         "kill" => {
             let kill = format!("KILL QUERY {}", client.connection);
             assert_eq!(
-                Client::connect(&gateway).ask(&kill),
+                Client::connect(&gateway).execute(&kill),
                 Answer::Rows(Vec::new())
             );
         }
@@ -126,7 +128,7 @@
         _ => {}
     }
     if code > 0 {
-        assert_eq!(client.answer(1).code(), code);
+        assert_eq!(client.read_answer(1).error_code(), code);
     }
     waiting(&gateway, 0);
     assert_eq!(loads_started(&engine), 0);
@@ -134,7 +136,7 @@
 
 #[test]
 fn over_its_bound_a_team_is_refused_at_once_with_when_to_come_back() {
-    let engine = Engine::busy();
+    let engine = FakeEngine::never_completing();
     let gateway = start(
         &engine,
         r#""by_name":{"acme":{"most_released_threads":3,"most_queued":1}}"#,
@@ -143,7 +145,8 @@
     let mut waits = Client::connect(&gateway);
     waits.send(&query(&statement("load", 4, 20_000)));
     waiting(&gateway, 1);
-    let Answer::Error(1203, text) = Client::connect(&gateway).ask(&statement("load", 5, 20_000))
+    let Answer::Error(1203, text) =
+        Client::connect(&gateway).execute(&statement("load", 5, 20_000))
     else {
         panic!("not refused")
     };
@@ -165,7 +168,7 @@
 
 #[test]
 fn sigterm_with_a_full_queue_answers_all_and_exits_with_0() {
-    let engine = Engine::busy();
+    let engine = FakeEngine::never_completing();
     let mut gateway = start(&engine, r#""most_queued":50"#);
     let _running = fill(&gateway, &engine);
     let mut clients: Vec<Client> = (10..30)
@@ -180,7 +183,7 @@
         .wait("mode", |l| l.contains("Direct -> Queueing"));
     gateway.terminate();
     for client in &mut clients {
-        let code = client.answer(1).code();
+        let code = client.read_answer(1).error_code();
         assert!([1203, 1040].contains(&code), "{code}: it never ran");
     }
     assert_eq!(gateway.exit_code(), Some(0));
@@ -192,7 +195,7 @@
 
 #[test]
 fn sighup_takes_new_budgets_and_keeps_the_old_ones_where_the_file_is_no_good() {
-    let engine = Engine::busy();
+    let engine = FakeEngine::never_completing();
     let gateway = start(
         &engine,
         r#""by_name":{"acme":{"most_released_threads":3,"most_queued":1}}"#,
@@ -201,7 +204,7 @@
     let mut waits = Client::connect(&gateway);
     waits.send(&query(&statement("load", 4, 20_000)));
     waiting(&gateway, 1);
-    gateway.configure_own(&own(
+    gateway.write_own_settings(&own(
         r#""by_name":{"acme":{"most_released_threads":3,"most_queued":-1}}"#,
     ));
     gateway.signal("HUP");
@@ -214,11 +217,11 @@
     );
     assert_eq!(
         Client::connect(&gateway)
-            .ask(&statement("load", 5, 20_000))
-            .code(),
+            .execute(&statement("load", 5, 20_000))
+            .error_code(),
         1203
     );
-    gateway.configure_own(&own(
+    gateway.write_own_settings(&own(
         r#""by_name":{"acme":{"most_released_threads":3,"most_queued":9}}"#,
     ));
     gateway.signal("HUP");
@@ -232,9 +235,12 @@
 
 #[test]
 fn without_an_own_file_nothing_waits_and_show_is_no_statement() {
-    let engine = Engine::served();
+    let engine = FakeEngine::completing();
     let gateway = Gateway::start(&[engine.row("s-1", "in_service")]);
-    assert_eq!(Client::connect(&gateway).ask("SHOW QUEUE").code(), 1064);
+    assert_eq!(
+        Client::connect(&gateway).execute("SHOW QUEUE").error_code(),
+        1064
+    );
 }
 
 // ---- the own settings file ----
@@ -242,7 +248,7 @@
 fn check(name: &str, text: &str, more: &[&str]) -> Output {
     let path = std::env::temp_dir().join(format!("own-{}-{name}", std::process::id()));
     std::fs::write(&path, text).unwrap();
-    let output = Command::new(program())
+    let output = Command::new(ivypitch_program())
         .arg("check")
         .arg(&path)
         .args(more)
@@ -333,7 +339,7 @@
 #[test]
 fn the_file_under_deploy_is_good_and_every_field_is_described() {
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/ivypitch.ncl");
-    let output = Command::new(program())
+    let output = Command::new(ivypitch_program())
         .args(["check", file])
         .output()
         .unwrap();
@@ -342,7 +348,7 @@
         "{}",
         String::from_utf8_lossy(&output.stderr)
     );
-    let fields = Command::new(program())
+    let fields = Command::new(ivypitch_program())
         .args(["check", "--fields"])
         .output()
         .unwrap();
@@ -355,9 +361,14 @@
 
 #[test]
 fn a_file_of_records_is_evaluated_by_a_child_as_the_program_starts_and_logs_as_it_says() {
-    let engine = Engine::served();
+    let engine = FakeEngine::completing();
     let text = "{ teams = { show = true }, log = { format = \"json\" } }";
-    let gateway = Gateway::owned_by(&[engine.row("s-1", "in_service")], small, "ncl", text);
+    let gateway = Gateway::start_with_own_settings_file(
+        &[engine.row("s-1", "in_service")],
+        small,
+        "ncl",
+        text,
+    );
     assert!(shown(&gateway, "SHOW QUEUE").is_empty());
     let line = gateway
         .log
--- a/crates/ivypitch-testbed/src/command.rs
+++ b/crates/ivypitch-testbed/src/command.rs
@@ -70,10 +70,10 @@
                 ExitCode::SUCCESS
             }
             What::Run(run) => run.play(),
-            What::Demo => demo::play(),
+            What::Demo => demo::run(),
             What::Engine(engine) => engine.run(),
             What::HollowGateways => crate::processes::simulated_gateways::serve(),
-            What::HollowEngines => crate::processes::hollow_engines::serve(),
+            What::HollowEngines => crate::processes::simulated_engines::serve(),
         }
     }
 }
--- a/crates/ivypitch-testbed/src/demo.rs
+++ b/crates/ivypitch-testbed/src/demo.rs
@@ -5,13 +5,13 @@
 use ivypitch_types::SECOND;
 
 use crate::experiments::team_flood::{TEAMS, teams};
-use crate::processes::sockets::{self, Plan};
+use crate::processes::loopback_run::{self, RunPlan};
 use crate::virtual_time::engine::Model;
 use crate::virtual_time::traffic::{self, Flood};
 
 const SECONDS: u64 = 16;
 
-pub fn play() -> ExitCode {
+pub fn run() -> ExitCode {
     let works = traffic::workloads(0.1);
     let model = Model {
         cores: 8.0,
@@ -31,17 +31,17 @@
         all.len(),
         all[1].name
     );
-    let played = sockets::play(Plan {
+    let played = loopback_run::run(RunPlan {
         engines,
         statements: traffic::statements(&works, &all, span, 1),
-        works,
+        workloads: works,
         teams: all.iter().map(|t| t.name.clone()).collect(),
-        own: Some(sockets::own(&TEAMS)),
-        allowances: TEAMS.iter().map(|(_, share)| share * cores).collect(),
+        own_settings: Some(loopback_run::team_settings(&TEAMS)),
+        quota_cores: TEAMS.iter().map(|(_, share)| share * cores).collect(),
         model,
         new_connections: false,
         seed: 1,
-        live: true,
+        prints_progress: true,
     });
     match played {
         Ok(figures) => {
--- a/crates/ivypitch-testbed/src/experiments/custody_cost.rs
+++ b/crates/ivypitch-testbed/src/experiments/custody_cost.rs
@@ -9,8 +9,8 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::processes::clients::{self, Ask, Manners, Story};
-use crate::processes::{Engines, Fleet, Setup};
+use crate::processes::clients::{self, ClientConfig, PlannedStatement, StatementHistory};
+use crate::processes::{Fleet, FleetConfig, FleetEngines};
 use crate::report::{Bound, Report};
 use crate::virtual_time::faults::Plan;
 use crate::virtual_time::ownership_fleet;
@@ -32,19 +32,19 @@
     idle_bytes: f64,
 }
 
-fn traffic(span: u64, gap: u64, seed: u64) -> Vec<Ask> {
+fn traffic(span: u64, gap: u64, seed: u64) -> Vec<PlannedStatement> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let all = Arc::new(Vec::new());
     let (mut asks, mut at) = (Vec::new(), 0);
     while at < span {
-        asks.push(Ask {
-            at,
+        asks.push(PlannedStatement {
+            at_ms: at,
             req: rng.random::<u64>() & 0xff_ffff_ffff,
-            load: rng.random_bool(0.4),
+            is_bulk_load: rng.random_bool(0.4),
             work_ms: rng.random_range(2..12),
             timeout_ms: LONGEST_MS,
-            asked_twice: false,
-            prefers: all.clone(),
+            has_second_client: false,
+            gateway_weights: all.clone(),
             owner: "acme",
         });
         at += rng.random_range(1..=2 * gap);
@@ -54,36 +54,40 @@
 
 fn run(gateways: usize, peers: bool, span: u64, seed: u64) -> Result<Cost, String> {
     let custody = format!(r#""custody":{{"remembered_ms":{REMEMBERED_MS}}}"#);
-    let mut fleet = Fleet::start(Setup {
+    let mut fleet = Fleet::start(FleetConfig {
         gateways,
-        engines: Engines::Processes {
+        engines: FleetEngines::Processes {
             count: 4,
             cores: 16.0,
         },
-        longest_ms: LONGEST_MS,
-        peers: peers.then_some(custody),
+        max_statement_timeout_ms: LONGEST_MS,
+        peer_settings: peers.then_some(custody),
         seed,
-        ..Setup::default()
+        ..FleetConfig::default()
     })?;
     // Witnesses vote after this; what members say at rest is counted in its second half.
     let warm = Duration::from_millis(LONGEST_MS + REMEMBERED_MS + 1000);
     thread::sleep(warm / 2);
-    let (before, _) = fleet.net.between_gateways();
+    let (before, _) = fleet.network.gateway_traffic();
     thread::sleep(warm / 2);
-    let (after, _) = fleet.net.between_gateways();
+    let (after, _) = fleet.network.gateway_traffic();
     let idle_rate = (after - before) as f64 / (warm / 2).as_secs_f64();
     let asks = traffic(span, 8, seed);
-    let addresses: Vec<_> = fleet.seats.iter().map(|seat| seat.address).collect();
-    let (cpu, (bytes, _), begun) = (fleet.cpu(), fleet.net.between_gateways(), Instant::now());
-    let manners = Manners {
-        patience: Duration::from_secs(4),
+    let addresses: Vec<_> = fleet.gateways.iter().map(|seat| seat.address).collect();
+    let (cpu, (bytes, _), begun) = (
+        fleet.cpu_time_us(),
+        fleet.network.gateway_traffic(),
+        Instant::now(),
+    );
+    let manners = ClientConfig {
+        answer_timeout: Duration::from_secs(4),
         seed,
     };
-    let stories: Vec<Story> = clients::play(&asks, &addresses, manners, begun);
+    let stories: Vec<StatementHistory> = clients::run_clients(&asks, &addresses, manners, begun);
     let took = begun.elapsed().as_secs_f64();
-    let used = fleet.cpu() - cpu;
-    let said = (fleet.net.between_gateways().0 - bytes) as f64 - idle_rate * took;
-    fleet.finish();
+    let used = fleet.cpu_time_us() - cpu;
+    let said = (fleet.network.gateway_traffic().0 - bytes) as f64 - idle_rate * took;
+    fleet.shut_down();
     if let Some(crash) = fleet.crashes.first() {
         return Err(crash.clone());
     }
@@ -91,15 +95,18 @@
         let all = asks
             .iter()
             .zip(&stories)
-            .filter(|(ask, _)| ask.load == load);
-        let mut times: Vec<u64> = all.filter_map(|(_, story)| story.served).collect();
+            .filter(|(ask, _)| ask.is_bulk_load == load);
+        let mut times: Vec<u64> = all.filter_map(|(_, story)| story.served_after_us).collect();
         times.sort_unstable();
         times
     };
     Ok(Cost {
         loads: of(true),
         lookups: of(false),
-        unserved: stories.iter().filter(|s| s.served.is_none()).count(),
+        unserved: stories
+            .iter()
+            .filter(|s| s.served_after_us.is_none())
+            .count(),
         cpu: used as f64 / asks.len() as f64,
         bytes: said.max(0.0) / asks.len() as f64,
         idle_bytes: idle_rate / gateways as f64,
--- a/crates/ivypitch-testbed/src/experiments/fleet_cut.rs
+++ b/crates/ivypitch-testbed/src/experiments/fleet_cut.rs
@@ -8,9 +8,9 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::processes::clients::{self, Ask, Manners};
-use crate::processes::story::{Verdict, judge};
-use crate::processes::{Engines, Fleet, Said, Setup};
+use crate::processes::clients::{self, ClientConfig, PlannedStatement};
+use crate::processes::verdict::{Verdict, judge};
+use crate::processes::{EngineEvent, Fleet, FleetConfig, FleetEngines};
 use crate::report::{Bound, Report};
 use crate::virtual_time::faults::{Field, Plan, What};
 
@@ -21,20 +21,20 @@
 /// Two gateways are asked ten times as often as the others.
 const HEAVY: usize = 2;
 
-fn traffic(span: u64, uneven: bool, seed: u64) -> Vec<Ask> {
+fn traffic(span: u64, uneven: bool, seed: u64) -> Vec<PlannedStatement> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0xc07);
     let weight = |g: usize| if uneven && g < HEAVY { 10.0 } else { 1.0 };
     let prefers = Arc::new((0..GATEWAYS).map(weight).collect::<Vec<f64>>());
     let (mut asks, mut at) = (Vec::new(), 0);
     while at < span {
-        asks.push(Ask {
-            at,
+        asks.push(PlannedStatement {
+            at_ms: at,
             req: rng.random::<u64>() & 0xff_ffff_ffff,
-            load: rng.random_bool(0.1),
+            is_bulk_load: rng.random_bool(0.1),
             work_ms: rng.random_range(20..220),
             timeout_ms: LONGEST_MS,
-            asked_twice: false,
-            prefers: prefers.clone(),
+            has_second_client: false,
+            gateway_weights: prefers.clone(),
             owner: "acme",
         });
         at += rng.random_range(4..=16);
@@ -50,36 +50,44 @@
 
 fn run(plan: &Plan, span: u64, uneven: bool, shares: bool, seed: u64) -> Result<Run, String> {
     let peers = format!(r#""custody":{{"enabled":false}},"shares":{{"enabled":{shares}}}"#);
-    let mut fleet = Fleet::start(Setup {
+    let mut fleet = Fleet::start(FleetConfig {
         gateways: GATEWAYS,
-        engines: Engines::Processes {
+        engines: FleetEngines::Processes {
             count: ENGINES,
             cores: CORES,
         },
-        longest_ms: LONGEST_MS,
-        peers: Some(peers),
-        own: r#""teams":{"enabled":true},"#.into(),
+        max_statement_timeout_ms: LONGEST_MS,
+        peer_settings: Some(peers),
+        own_settings: r#""teams":{"enabled":true},"#.into(),
         seed,
-        settings: |settings| settings.replace("\"cores-by-kind\":[64]", "\"cores-by-kind\":[4]"),
+        change_config: |settings| {
+            settings.replace("\"cores-by-kind\":[64]", "\"cores-by-kind\":[4]")
+        },
         direct_engines: true,
-        ..Setup::default()
+        ..FleetConfig::default()
     })?;
     let from = Instant::now() + Duration::from_millis(3500);
-    let addresses: Vec<_> = fleet.seats.iter().map(|seat| seat.address).collect();
-    let manners = Manners {
-        patience: Duration::from_millis(2500),
+    let addresses: Vec<_> = fleet.gateways.iter().map(|seat| seat.address).collect();
+    let manners = ClientConfig {
+        answer_timeout: Duration::from_millis(2500),
         seed,
     };
     let asks = traffic(span, uneven, seed);
     let theirs = asks.clone();
-    let playing = thread::spawn(move || clients::play(&theirs, &addresses, manners, from));
-    fleet.play(plan, from);
+    let playing = thread::spawn(move || clients::run_clients(&theirs, &addresses, manners, from));
+    fleet.inject_faults(plan, from);
     let stories = playing
         .join()
         .map_err(|_| "the clients' thread failed".to_owned())?;
-    fleet.finish();
-    let said = fleet.said.all();
-    let verdict = judge(&asks, &stories, &said, &fleet.done, &fleet.crashes);
+    fleet.shut_down();
+    let said = fleet.engine_events.all();
+    let verdict = judge(
+        &asks,
+        &stories,
+        &said,
+        &fleet.injected_faults,
+        &fleet.crashes,
+    );
     Ok(Run {
         verdict,
         drained_ms: drained(&fleet, &said),
@@ -87,19 +95,19 @@
 }
 
 /// The latest start at an engine after its drain was told, in milliseconds; 0: none.
-fn drained(fleet: &Fleet, said: &[Said]) -> f64 {
+fn drained(fleet: &Fleet, said: &[EngineEvent]) -> f64 {
     let mut latest = 0;
-    for done in &fleet.done {
+    for done in &fleet.injected_faults {
         let What::EngineDrains { engine, span } = done.fault.what else {
             continue;
         };
-        let until = done.at + span * 1000;
+        let until = done.at_us + span * 1000;
         let starts = said
             .iter()
-            .filter(|s| s.engine == engine && s.what == "start");
+            .filter(|s| s.engine == engine && s.kind == "start");
         let after = starts
-            .filter(|s| s.at > done.at && s.at < until)
-            .map(|s| s.at - done.at);
+            .filter(|s| s.at_us > done.at_us && s.at_us < until)
+            .map(|s| s.at_us - done.at_us);
         latest = latest.max(after.max().unwrap_or(0));
     }
     latest as f64 / 1000.0
--- a/crates/ivypitch-testbed/src/experiments/gateway_loss.rs
+++ b/crates/ivypitch-testbed/src/experiments/gateway_loss.rs
@@ -8,9 +8,9 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::processes::clients::{self, Ask, Manners};
-use crate::processes::story::{Verdict, judge};
-use crate::processes::{Engines, Fleet, Setup};
+use crate::processes::clients::{self, ClientConfig, PlannedStatement};
+use crate::processes::verdict::{Verdict, judge};
+use crate::processes::{Fleet, FleetConfig, FleetEngines};
 use crate::report::{Bound, Report};
 use crate::virtual_time::faults::{Fault, Field, Plan, What};
 
@@ -22,25 +22,25 @@
 const GAP_MS: u64 = 25;
 const LOSS_EACH_MS: u64 = 3000;
 
-pub fn traffic(span: u64, gap: u64, seed: u64) -> Vec<Ask> {
+pub fn traffic(span: u64, gap: u64, seed: u64) -> Vec<PlannedStatement> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x7aff1c);
     let all = Arc::new(Vec::new());
     let (mut asks, mut at) = (Vec::new(), 0);
     while at < span {
         let load = rng.random_bool(0.4);
-        asks.push(Ask {
-            at,
+        asks.push(PlannedStatement {
+            at_ms: at,
             // The upper bits count how often a refused one has asked anew.
             req: rng.random::<u64>() & 0xff_ffff_ffff,
-            load,
+            is_bulk_load: load,
             work_ms: if load {
                 rng.random_range(100..2500)
             } else {
                 rng.random_range(5..800)
             },
             timeout_ms: rng.random_range(LONGEST_MS * 3 / 4..LONGEST_MS),
-            asked_twice: rng.random_bool(0.1),
-            prefers: all.clone(),
+            has_second_client: rng.random_bool(0.1),
+            gateway_weights: all.clone(),
             owner: "acme",
         });
         at += rng.random_range(1..=2 * gap);
@@ -48,24 +48,24 @@
     asks
 }
 
-pub fn setup(seed: u64, peers: bool) -> Setup {
+pub fn setup(seed: u64, peers: bool) -> FleetConfig {
     let custody = format!(r#""custody":{{"remembered_ms":{REMEMBERED_MS},"asks_from_ms":0}}"#);
-    Setup {
+    FleetConfig {
         gateways: GATEWAYS,
-        engines: Engines::Processes {
+        engines: FleetEngines::Processes {
             count: ENGINES,
             cores: 16.0,
         },
-        longest_ms: LONGEST_MS,
-        peers: peers.then_some(custody),
+        max_statement_timeout_ms: LONGEST_MS,
+        peer_settings: peers.then_some(custody),
         seed,
-        ..Setup::default()
+        ..FleetConfig::default()
     }
 }
 
 /// One run of processes under a plan.
-pub fn run(setup: Setup, plan: &Plan, span: u64, seed: u64) -> Result<Verdict, String> {
-    let peers = setup.peers.is_some();
+pub fn run(setup: FleetConfig, plan: &Plan, span: u64, seed: u64) -> Result<Verdict, String> {
+    let peers = setup.peer_settings.is_some();
     let mut fleet = Fleet::start(setup)?;
     let warm = if peers {
         LONGEST_MS + REMEMBERED_MS + 1000
@@ -73,24 +73,24 @@
         200
     };
     let from = Instant::now() + Duration::from_millis(warm);
-    let addresses: Vec<_> = fleet.seats.iter().map(|seat| seat.address).collect();
-    let manners = Manners {
-        patience: Duration::from_millis(3500),
+    let addresses: Vec<_> = fleet.gateways.iter().map(|seat| seat.address).collect();
+    let manners = ClientConfig {
+        answer_timeout: Duration::from_millis(3500),
         seed,
     };
     let asks = traffic(span, GAP_MS, seed);
     let theirs = asks.clone();
-    let playing = thread::spawn(move || clients::play(&theirs, &addresses, manners, from));
-    fleet.play(plan, from);
+    let playing = thread::spawn(move || clients::run_clients(&theirs, &addresses, manners, from));
+    fleet.inject_faults(plan, from);
     let stories = playing
         .join()
         .map_err(|_| "the clients' thread failed".to_owned())?;
-    fleet.finish();
+    fleet.shut_down();
     Ok(judge(
         &asks,
         &stories,
-        &fleet.said.all(),
-        &fleet.done,
+        &fleet.engine_events.all(),
+        &fleet.injected_faults,
         &fleet.crashes,
     ))
 }
--- a/crates/ivypitch-testbed/src/experiments/scale/module.rs
+++ b/crates/ivypitch-testbed/src/experiments/scale/module.rs
@@ -9,7 +9,7 @@
 use ivypitch_types::{EngineIndex, Nanos, Outcome, SECOND, StatementIndex};
 
 use super::slope::Measure;
-use crate::stand_ins::{event, row_at};
+use crate::test_servers::{endpoint_event, row_at};
 use crate::virtual_time::cost;
 
 const MS: Nanos = 1_000_000;
@@ -203,7 +203,7 @@
             1_790_000_000_000 + e as u64,
         )
     };
-    event(1, full, &(0..engines).map(row).collect::<Vec<String>>())
+    endpoint_event(1, full, &(0..engines).map(row).collect::<Vec<String>>())
 }
 
 pub const SIZES: [usize; 5] = [80, 800, 1833, 8000, 44_000];
--- a/crates/ivypitch-testbed/src/experiments/scale/processes.rs
+++ b/crates/ivypitch-testbed/src/experiments/scale/processes.rs
@@ -5,13 +5,13 @@
 use std::time::{Duration, Instant};
 
 use super::slope::Measure;
-use crate::processes::child::LabProcess;
-use crate::processes::hollow_engines::id_at;
+use crate::processes::simulated_engines::id_for_gateway;
 use crate::processes::simulated_gateways::GATEWAYS_PER_THREAD;
+use crate::processes::testbed_process::TestbedProcess;
 use crate::processes::usage::{Sample, TICK_NS, cpu_ticks_ns};
-use crate::processes::{Engines, Fleet, Setup};
+use crate::processes::{Fleet, FleetConfig, FleetEngines};
 use crate::report::Bound;
-use crate::stand_ins::{Client, statement};
+use crate::test_servers::{Client, statement};
 
 /// The real gateways of a fleet: statements come to the first, the second bears witness as the hollow ones do.
 const REAL: usize = 2;
@@ -132,11 +132,11 @@
     }
 
     fn bytes_out(&self) -> f64 {
-        self.rate(|s| s.own.bytes_out)
+        self.rate(|s| s.traffic.bytes_out)
     }
 
     fn bytes_in(&self) -> f64 {
-        self.rate(|s| s.own.bytes_in)
+        self.rate(|s| s.traffic.bytes_in)
     }
 
     /// The same by the relays and the engines.
@@ -182,12 +182,12 @@
         }
         thread::sleep(due.saturating_duration_since(Instant::now()));
         if client.is_none() {
-            client = Client::reach(address);
+            client = Client::try_connect(address);
         }
-        let text = statement("lookup", id_at(0, n), TIMEOUT_MS);
+        let text = statement("lookup", id_for_gateway(0, n), TIMEOUT_MS);
         if client
             .as_mut()
-            .is_some_and(|client| client.try_ask(&text).is_none())
+            .is_some_and(|client| client.try_execute(&text).is_none())
         {
             client = None;
         }
@@ -213,7 +213,7 @@
         } else {
             "in_service"
         };
-        fleet.tell_state((n / 2) as usize % size.engines, state);
+        fleet.publish_engine_state((n / 2) as usize % size.engines, state);
     }
     0
 }
@@ -221,7 +221,7 @@
 fn settle(fleet: &Fleet, spans: Spans) {
     let said = || {
         fleet
-            .seats
+            .gateways
             .iter()
             .map(|seat| seat.log.all().len())
             .sum::<usize>()
@@ -238,21 +238,21 @@
 }
 
 fn play(size: Size, spans: Spans, seed: u64) -> Result<Played, String> {
-    let mut fleet = Fleet::start(Setup {
+    let mut fleet = Fleet::start(FleetConfig {
         gateways: REAL,
-        hollow: size.peers + 1 - REAL,
-        engines: Engines::Hollow {
+        simulated_gateways: size.peers + 1 - REAL,
+        engines: FleetEngines::Simulated {
             count: size.engines,
-            spare: 0,
+            unlisted: 0,
         },
         direct_engines: true,
-        longest_ms: spans.longest_ms,
-        peers: Some(format!(
+        max_statement_timeout_ms: spans.longest_ms,
+        peer_settings: Some(format!(
             r#""suspicion_ms":{SUSPICION_MS},"custody":{{"remembered_ms":{}}},"shares":{{"enabled":true}}"#,
             spans.remembered_ms
         )),
         seed,
-        ..Setup::default()
+        ..FleetConfig::default()
     })?;
     settle(&fleet, spans);
     let sample = |fleet: &mut Fleet| {
@@ -262,23 +262,31 @@
     };
     // Traffic runs before the window begins and goes on behind it.
     let until = Instant::now() + spans.window + Duration::from_secs(2);
-    let address = fleet.seats[0].address;
+    let address = fleet.gateways[0].address;
     let asking: Vec<_> = (0..SESSIONS)
         .map(|s| thread::spawn(move || ask(address, size, s, until)))
         .collect();
     change(&fleet, size, until - spans.window - Duration::from_secs(1));
-    let crowd = fleet.crowd.as_ref().map_or(0, LabProcess::id);
+    let crowd = fleet
+        .simulated_gateways
+        .as_ref()
+        .map_or(0, TestbedProcess::id);
     let begin = sample(&mut fleet)?;
     let (from, crowd_began) = (Instant::now(), cpu_ticks_ns(crowd).unwrap_or(0));
     let events = change(&fleet, size, from + spans.window);
     let crowd_used = cpu_ticks_ns(crowd).unwrap_or(0).saturating_sub(crowd_began) as f64 * 1e-9;
     let seconds = from.elapsed().as_secs_f64();
-    let crowd = crowd_used / seconds / fleet.setup.hollow.div_ceil(GATEWAYS_PER_THREAD) as f64;
+    let crowd = crowd_used
+        / seconds
+        / fleet
+            .config
+            .simulated_gateways
+            .div_ceil(GATEWAYS_PER_THREAD) as f64;
     let end = sample(&mut fleet)?;
     for asking in asking {
         asking.join().map_err(|_| "a client failed".to_owned())?;
     }
-    fleet.finish();
+    fleet.shut_down();
     if let Some(crash) = fleet.crashes.first() {
         return Err(crash.clone());
     }
@@ -331,7 +339,7 @@
             );
             // Where the machine is too busy for the hollow ones they are taken for lost and links break: what that
             // costs is not the cost of rest.
-            let lost = (used.end.lost - used.begin.lost) as f64;
+            let lost = (used.end.lost_members - used.begin.lost_members) as f64;
             bounds.push(Bound::new(
                 &format!("{place}: members lost though they lived"),
                 lost,
@@ -357,7 +365,11 @@
                 ),
                 (
                     "memory, status and mappings",
-                    apart(end.resident as f64, end.mapped_resident as f64, 0.0),
+                    apart(
+                        end.resident_bytes as f64,
+                        end.mapped_resident_bytes as f64,
+                        0.0,
+                    ),
                 ),
                 (
                     "bytes out, gateway and those it met",
@@ -389,7 +401,9 @@
 
 const FIGURES: [(&str, &str, Of); 5] = [
     ("processor time", "us/s", Used::cpu_us),
-    ("memory", "bytes", |used| used.end.usage.resident as f64),
+    ("memory", "bytes", |used| {
+        used.end.usage.resident_bytes as f64
+    }),
     ("descriptors", "", |used| used.end.usage.descriptors as f64),
     ("bytes out", "bytes/s", Used::bytes_out),
     ("bytes in", "bytes/s", Used::bytes_in),
--- a/crates/ivypitch-testbed/src/experiments/soak/checker.rs
+++ b/crates/ivypitch-testbed/src/experiments/soak/checker.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 
 use super::observations::{Observations, Outcome, Process, ProcessEnd, Request};
-use crate::processes::Said;
+use crate::processes::EngineEvent;
 
 const MS: u64 = 1000;
 /// An answer may come so long after the request's time; it earns nothing then.
@@ -123,8 +123,8 @@
     verdict
 }
 
-fn lines_by_id(lines: &[Said]) -> BTreeMap<&str, Vec<&Said>> {
-    let mut by_id: BTreeMap<&str, Vec<&Said>> = BTreeMap::new();
+fn lines_by_id(lines: &[EngineEvent]) -> BTreeMap<&str, Vec<&EngineEvent>> {
+    let mut by_id: BTreeMap<&str, Vec<&EngineEvent>> = BTreeMap::new();
     for line in lines {
         by_id.entry(line.id.as_str()).or_default().push(line);
     }
@@ -132,7 +132,12 @@
 }
 
 /// One final answer in time, or a loss that is allowed.
-fn judge_answer(run: &Observations, request: &Request, lines: &[&Said], verdict: &mut Verdict) {
+fn judge_answer(
+    run: &Observations,
+    request: &Request,
+    lines: &[&EngineEvent],
+    verdict: &mut Verdict,
+) {
     let answer_by = request.sent_at + request.timeout + LATE_ANSWER + OBSERVATION_SLACK;
     let is_late = request.ended_at > answer_by;
     match &request.outcome {
@@ -152,7 +157,11 @@
 }
 
 /// The loss that explains a request without an answer; `None`: it is not allowed.
-fn allowed_loss(run: &Observations, request: &Request, lines: &[&Said]) -> Option<AllowedLoss> {
+fn allowed_loss(
+    run: &Observations,
+    request: &Request,
+    lines: &[&EngineEvent],
+) -> Option<AllowedLoss> {
     let killed = run.processes.iter().find(|process| {
         let was_killed = matches!(
             process.end,
@@ -176,7 +185,7 @@
     }
     let took = request.ended_at.saturating_sub(request.sent_at);
     // A client sends what crossed a close again: none of it may have run.
-    let has_run = lines.iter().any(|line| line.what == "start");
+    let has_run = lines.iter().any(|line| line.kind == "start");
     if request.outcome == Outcome::Closed && !has_run && took <= CROSSED_CLOSE + OBSERVATION_SLACK {
         if !request.is_first {
             return Some(AllowedLoss::CrossedClose);
@@ -189,16 +198,21 @@
 }
 
 /// No attempt begins once the client has gone. Where gateways talk, statements outlive their clients.
-fn judge_attempts(run: &Observations, request: &Request, lines: &[&Said], verdict: &mut Verdict) {
+fn judge_attempts(
+    run: &Observations,
+    request: &Request,
+    lines: &[&EngineEvent],
+    verdict: &mut Verdict,
+) {
     let Some(left_at) = request.left_at.filter(|_| !run.has_peers) else {
         return;
     };
     let last = left_at + ATTEMPT_AFTER_CLIENT + OBSERVATION_SLACK;
     if let Some(start) = lines
         .iter()
-        .find(|line| line.what == "start" && line.at > last)
+        .find(|line| line.kind == "start" && line.at_us > last)
     {
-        let after_ms = (start.at - left_at) / MS;
+        let after_ms = (start.at_us - left_at) / MS;
         verdict.add(
             FindingKind::LateAttempt,
             format!("{after_ms} ms after its client had gone: {request:?}"),
@@ -209,7 +223,7 @@
 /// A load has no effect twice, and none where its client was told that nothing ran.
 fn judge_effects(
     run: &Observations,
-    lines_by_id: &BTreeMap<&str, Vec<&Said>>,
+    lines_by_id: &BTreeMap<&str, Vec<&EngineEvent>>,
     verdict: &mut Verdict,
 ) {
     for request in run.requests.iter().filter(|request| request.is_load) {
@@ -217,7 +231,7 @@
         let Some(lines) = lines_by_id.get(text.as_str()) else {
             continue;
         };
-        let starts = lines.iter().filter(|line| line.what == "start").count();
+        let starts = lines.iter().filter(|line| line.kind == "start").count();
         if starts > 1 {
             verdict.add(
                 FindingKind::EffectTwice,
@@ -237,14 +251,14 @@
 fn judge_drains(run: &Observations, verdict: &mut Verdict) {
     for drain in &run.drains {
         let from = drain.told_at + START_AFTER_DRAIN + OBSERVATION_SLACK;
-        let is_late = |line: &&Said| {
-            line.what == "start"
+        let is_late = |line: &&EngineEvent| {
+            line.kind == "start"
                 && line.engine == drain.engine
-                && line.at > from
-                && line.at < drain.until
+                && line.at_us > from
+                && line.at_us < drain.until
         };
         if let Some(start) = run.engine_lines.iter().find(is_late) {
-            let after_ms = (start.at - drain.told_at) / MS;
+            let after_ms = (start.at_us - drain.told_at) / MS;
             verdict.add(
                 FindingKind::StartAtDrainingEngine,
                 format!("{after_ms} ms after the word: {start:?} {drain:?}"),
@@ -288,17 +302,17 @@
     else {
         return;
     };
-    let is_own = |line: &&Said| {
-        line.by == process.gateway && line.at >= process.spawned_at && line.at < ended_at
+    let is_own = |line: &&EngineEvent| {
+        line.gateway == process.gateway && line.at_us >= process.spawned_at && line.at_us < ended_at
     };
-    let starts = run.engine_lines.iter().filter(|line| line.what == "start");
+    let starts = run.engine_lines.iter().filter(|line| line.kind == "start");
     for start in starts.filter(is_own) {
         let end = run.engine_lines.iter().find(|line| {
             line.id == start.id
-                && line.at >= start.at
-                && matches!(line.what.as_str(), "end" | "fail" | "drop" | "stop")
+                && line.at_us >= start.at_us
+                && matches!(line.kind.as_str(), "end" | "fail" | "drop" | "stop")
         });
-        let runs_until = end.map_or(u64::MAX, |line| line.at);
+        let runs_until = end.map_or(u64::MAX, |line| line.at_us);
         if runs_until > ended_at + OBSERVATION_SLACK {
             verdict.add(
                 FindingKind::Orphan,
--- a/crates/ivypitch-testbed/src/experiments/soak/clients.rs
+++ b/crates/ivypitch-testbed/src/experiments/soak/clients.rs
@@ -15,9 +15,9 @@
 
 use super::frontend::Frontend;
 use super::observations::{Outcome, Request};
-use crate::processes::engine::stamp;
+use crate::processes::engine::timestamp_us;
 use crate::processes::session::{Reply, Session, first_column};
-use crate::stand_ins::query;
+use crate::test_servers::query;
 
 /// A client that has less time left does not come back.
 const MIN_TIME_TO_RETURN: Duration = Duration::from_millis(30);
@@ -280,7 +280,7 @@
             _ => 1,
         };
         let written = session.write_in_pieces(&message, pieces).await;
-        let sent_at = stamp();
+        let sent_at = timestamp_us();
         let answered = match (written, behaviour) {
             (Err(_), _) => Answered::without_session(Outcome::Closed),
             (Ok(()), Behaviour::Leaves(ms)) => leave(&mut session, statement, ms).await,
@@ -308,7 +308,7 @@
             sent_at,
             timeout: statement.timeout_ms * 1000,
             outcome: answered.outcome,
-            ended_at: stamp(),
+            ended_at: timestamp_us(),
             left_at: answered.left_at,
             is_first,
         }
@@ -327,7 +327,7 @@
         while Instant::now() < self.params.until {
             let gateway = self.rng.random_range(0..self.params.addresses.len());
             if self.params.frontend.accepts(gateway) {
-                let opened = Session::open(self.params.addresses[gateway]);
+                let opened = Session::connect(self.params.addresses[gateway]);
                 if let Ok(session) = in_time(CONNECT_TIMEOUT, opened).await {
                     self.gateway = gateway;
                     self.session = Some(session);
@@ -375,13 +375,13 @@
         let address = self.params.addresses[self.gateway];
         let kill = query(&format!("KILL QUERY {connection}"));
         let killed = async {
-            let killer = Session::open(address).await?;
+            let killer = Session::connect(address).await?;
             killer.write(&kill).await?;
             Ok(killer)
         };
         let killer = in_time(CONNECT_TIMEOUT, killed).await;
         SentKill {
-            at: stamp(),
+            at: timestamp_us(),
             is_sent: killer.is_ok(),
         }
     }
@@ -406,13 +406,13 @@
         }
         let address = self.params.addresses[gateway];
         let text = statement.text();
-        let opened = in_time(CONNECT_TIMEOUT, Session::open_with(address, &text)).await;
+        let opened = in_time(CONNECT_TIMEOUT, Session::connect_and_send(address, &text)).await;
         let mut session = opened.ok()?;
         self.gateway = gateway;
-        let sent_at = stamp();
+        let sent_at = timestamp_us();
         let kill = self.kill(session.connection).await;
         let answer = async {
-            match session.logged_in().await {
+            match session.read_login_answer().await {
                 Ok(()) => wait_for_answer(&mut session, statement).await,
                 Err(_) => Answered::without_session(Outcome::Closed),
             }
@@ -456,7 +456,7 @@
         return answered;
     }
     session.close();
-    Answered::left_at(stamp())
+    Answered::left_at(timestamp_us())
 }
 
 async fn wait_for_answer(session: &mut Session, statement: &NewStatement) -> Answered {
@@ -465,7 +465,7 @@
         Timer::after(wait).await;
         None
     };
-    let answer = async { Some(session.answer().await) };
+    let answer = async { Some(session.read_answer().await) };
     match answer.or(silent).await {
         None => Answered::without_session(Outcome::Silence),
         Some(Err(_)) => Answered::without_session(Outcome::Closed),
--- a/crates/ivypitch-testbed/src/experiments/soak/frontend.rs
+++ b/crates/ivypitch-testbed/src/experiments/soak/frontend.rs
@@ -2,7 +2,7 @@
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use crate::processes::engine::stamp;
+use crate::processes::engine::timestamp_us;
 
 /// By gateway: new connections come until this time, in microseconds of the system's clock.
 pub struct Frontend {
@@ -29,6 +29,6 @@
 
     /// Whether a gateway gets new connections now.
     pub fn accepts(&self, gateway: usize) -> bool {
-        stamp() < self.accepts_until[gateway].load(Ordering::Relaxed)
+        timestamp_us() < self.accepts_until[gateway].load(Ordering::Relaxed)
     }
 }
--- a/crates/ivypitch-testbed/src/experiments/soak/mod.rs
+++ b/crates/ivypitch-testbed/src/experiments/soak/mod.rs
@@ -19,7 +19,7 @@
 use self::observations::{Limits, Observations};
 use self::operator::{Operator, OperatorRecord};
 use self::plan::{SoakPlan, SoakSize};
-use crate::processes::{Engines, Fleet, Setup};
+use crate::processes::{Fleet, FleetConfig, FleetEngines};
 use crate::report::{Bound, Report};
 
 const GATEWAYS: usize = 3;
@@ -82,7 +82,7 @@
     let from = Instant::now();
     let frontend = Arc::new(Frontend::new(GATEWAYS));
     let params = ClientParams {
-        addresses: fleet.seats.iter().map(|seat| seat.address).collect(),
+        addresses: fleet.gateways.iter().map(|seat| seat.address).collect(),
         frontend: frontend.clone(),
         clients: CLIENTS,
         until: from + Duration::from_millis(plan.span),
@@ -109,14 +109,14 @@
         requests,
         processes: record.processes.clone(),
         drains: record.drains.clone(),
-        engine_lines: fleet.said.all(),
+        engine_lines: fleet.engine_events.all(),
     };
     let mut verdict = judge(&observations);
     add_panics(&fleet, &mut verdict);
     Ok(summary(verdict, &record))
 }
 
-fn setup(plan: &SoakPlan, seed: u64) -> Setup {
+fn setup(plan: &SoakPlan, seed: u64) -> FleetConfig {
     let peers = format!(
         r#""period_ms":200,"suspicion_ms":700,"custody":{{"remembered_ms":{RETENTION_MS},"asks_from_ms":0}}"#
     );
@@ -125,17 +125,17 @@
     } else {
         |config| config
     };
-    Setup {
+    FleetConfig {
         gateways: GATEWAYS,
-        engines: Engines::Processes {
+        engines: FleetEngines::Processes {
             count: ENGINES,
             cores: ENGINE_CORES,
         },
-        longest_ms: MAX_TIMEOUT_MS,
-        peers: plan.has_peers.then_some(peers),
+        max_statement_timeout_ms: MAX_TIMEOUT_MS,
+        peer_settings: plan.has_peers.then_some(peers),
         seed,
-        settings,
-        ..Setup::default()
+        change_config: settings,
+        ..FleetConfig::default()
     }
 }
 
@@ -148,7 +148,7 @@
 }
 
 fn add_panics(fleet: &Fleet, verdict: &mut Verdict) {
-    for (gateway, seat) in fleet.seats.iter().enumerate() {
+    for (gateway, seat) in fleet.gateways.iter().enumerate() {
         for line in seat.log.all() {
             if line.contains("panicked") {
                 let lines = verdict.broken.entry(FindingKind::ExitCode).or_default();
--- a/crates/ivypitch-testbed/src/experiments/soak/observations.rs
+++ b/crates/ivypitch-testbed/src/experiments/soak/observations.rs
@@ -1,7 +1,7 @@
 //! What a run of the soak recorded: requests as clients saw them, processes, drains, and the engines' lines. All times are
 //! microseconds of the system's clock.
 
-use crate::processes::Said;
+use crate::processes::EngineEvent;
 
 /// What became of a request, as its client saw it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -98,5 +98,5 @@
     pub requests: Vec<Request>,
     pub processes: Vec<Process>,
     pub drains: Vec<Drain>,
-    pub engine_lines: Vec<Said>,
+    pub engine_lines: Vec<EngineEvent>,
 }
--- a/crates/ivypitch-testbed/src/experiments/soak/operator.rs
+++ b/crates/ivypitch-testbed/src/experiments/soak/operator.rs
@@ -12,8 +12,8 @@
 use super::observations::{Drain, Process, ProcessEnd};
 use super::plan::{DrainSignal, Operation, Restart, SoakPlan};
 use crate::processes::Fleet;
-use crate::processes::engine::stamp;
-use crate::processes::relay::End;
+use crate::processes::engine::timestamp_us;
+use crate::processes::relay::LinkEnd;
 use crate::processes::restarts::ConfigurationChange;
 
 const TICK: Duration = Duration::from_millis(5);
@@ -82,8 +82,8 @@
         frontend: Arc<Frontend>,
         kill_after: Duration,
     ) -> Operator<'a> {
-        let gateways = fleet.setup.gateways;
-        let started_at = stamp();
+        let gateways = fleet.config.gateways;
+        let started_at = timestamp_us();
         let processes = (0..gateways)
             .map(|gateway| new_process(gateway, started_at, Some(started_at)))
             .collect();
@@ -143,19 +143,21 @@
             Step::Signal { process, signal } => self.signal(process, signal),
             Step::KillOverdue { process } => self.kill_overdue(process),
             Step::EndDrain { engine } => {
-                self.fleet.tell_state(engine, "in_service");
+                self.fleet.publish_engine_state(engine, "in_service");
                 let drains = self.record.drains.iter_mut();
                 if let Some(drain) = drains.rev().find(|drain| drain.engine == engine) {
-                    drain.until = stamp();
+                    drain.until = timestamp_us();
                 }
             }
-            Step::EndHang { engine } => self.fleet.order(engine, "mute 0"),
+            Step::EndHang { engine } => self.fleet.send_command(engine, "mute 0"),
             Step::EndSilentWatch { gateway } => {
-                self.fleet.net.hear(End::Journal, End::Gateway(gateway));
+                self.fleet
+                    .network
+                    .unblock(LinkEnd::Journal, LinkEnd::Gateway(gateway));
             }
             Step::EndCutOff { gateway } => self
                 .fleet
-                .cut(|a, b| (a == gateway) != (b == gateway), false),
+                .set_partition(|a, b| (a == gateway) != (b == gateway), false),
         }
     }
 
@@ -177,30 +179,32 @@
                 if self.record.drains.iter().any(is_draining) {
                     return;
                 }
-                self.fleet.tell_state(engine, "terminating");
+                self.fleet.publish_engine_state(engine, "terminating");
                 self.record.drains.push(Drain {
                     engine,
-                    told_at: stamp(),
+                    told_at: timestamp_us(),
                     until: u64::MAX,
                 });
                 self.after(span, Step::EndDrain { engine });
             }
             Operation::Hang { engine, span } => {
-                self.fleet.order(engine, "mute 1");
+                self.fleet.send_command(engine, "mute 1");
                 self.after(span, Step::EndHang { engine });
             }
             Operation::Reset { gateway, engine } => {
                 self.fleet
-                    .net
-                    .reset(End::Gateway(gateway), End::Engine(engine));
+                    .network
+                    .reset(LinkEnd::Gateway(gateway), LinkEnd::Engine(engine));
             }
             Operation::SilentWatch { gateway, span } => {
-                self.fleet.net.silence(End::Journal, End::Gateway(gateway));
+                self.fleet
+                    .network
+                    .block(LinkEnd::Journal, LinkEnd::Gateway(gateway));
                 self.after(span, Step::EndSilentWatch { gateway });
             }
             Operation::CutOff { gateway, span } => {
                 self.fleet
-                    .cut(|a, b| (a == gateway) != (b == gateway), true);
+                    .set_partition(|a, b| (a == gateway) != (b == gateway), true);
                 self.after(span, Step::EndCutOff { gateway });
             }
         }
@@ -227,13 +231,13 @@
     fn begin_restart(&mut self, restart: Restart) {
         let gateway = restart.gateway;
         let process = self.current[gateway];
-        let now = stamp();
+        let now = timestamp_us();
         let closes_at = now + restart.new_connections_for * 1000;
         let usage = self.fleet.usage(gateway);
         let record = &mut self.record.processes[process];
         if let Some(usage) = usage {
             record.descriptors = usage.descriptors;
-            record.resident_bytes = usage.resident;
+            record.resident_bytes = usage.resident_bytes;
         }
         record.terminated_at = Some(now);
         self.fleet.signal(gateway, Signal::TERM);
@@ -296,7 +300,7 @@
 
     fn record_end(&mut self, gateway: usize, end: ProcessEnd) {
         let process = &mut self.record.processes[self.current[gateway]];
-        process.ended_at = Some(stamp());
+        process.ended_at = Some(timestamp_us());
         process.end = Some(end);
     }
 
@@ -314,14 +318,14 @@
         if let Some(ms) = term_after {
             self.end_while_starting(gateway, ms);
         }
-        let spawned_at = stamp();
+        let spawned_at = timestamp_us();
         self.current[gateway] = self.record.processes.len();
         self.record
             .processes
             .push(new_process(gateway, spawned_at, None));
         match self.fleet.start_gateway(gateway) {
             Ok(()) => {
-                self.record.processes[self.current[gateway]].ready_at = Some(stamp());
+                self.record.processes[self.current[gateway]].ready_at = Some(timestamp_us());
                 self.frontend.open(gateway);
             }
             Err(error) => self.crash(gateway, &error),
@@ -329,14 +333,14 @@
     }
 
     fn end_while_starting(&mut self, gateway: usize, after_ms: u64) {
-        let spawned_at = stamp();
+        let spawned_at = timestamp_us();
         if let Err(error) = self.fleet.spawn_gateway(gateway) {
             self.crash(gateway, &error);
             return;
         }
         thread::sleep(Duration::from_millis(after_ms));
         let mut process = new_process(gateway, spawned_at, None);
-        process.terminated_at = Some(stamp());
+        process.terminated_at = Some(timestamp_us());
         self.fleet.signal(gateway, Signal::TERM);
         let until = Instant::now() + END_WHILE_STARTING;
         let status = loop {
@@ -348,7 +352,7 @@
             }
             thread::sleep(TICK);
         };
-        process.ended_at = Some(stamp());
+        process.ended_at = Some(timestamp_us());
         let Some(status) = status else {
             self.fleet.kill(gateway);
             process.end = Some(ProcessEnd::KilledAfterTerm);
--- a/crates/ivypitch-testbed/src/experiments/team_flood.rs
+++ b/crates/ivypitch-testbed/src/experiments/team_flood.rs
@@ -5,7 +5,7 @@
 use ivypitch_types::SECOND;
 
 use crate::figures::Figures;
-use crate::processes::sockets;
+use crate::processes::loopback_run;
 use crate::report::{Bound, Report};
 use crate::virtual_time::engine::Model;
 use crate::virtual_time::fleet::{Fleet, Plan as FleetPlan};
@@ -286,17 +286,17 @@
     let shares = TEAMS;
     let run = |flood: Flood, queues: bool, new_connections: bool| {
         let all = teams(cores, flood);
-        sockets::play(sockets::Plan {
+        loopback_run::run(loopback_run::RunPlan {
             engines,
             model: model.clone(),
-            works: works.clone(),
+            workloads: works.clone(),
             teams: all.iter().map(|t| t.name.clone()).collect(),
             statements: traffic::statements(&works, &all, span, seed),
-            own: queues.then(|| sockets::own(&shares)),
-            allowances: shares.iter().map(|(_, share)| share * cores).collect(),
+            own_settings: queues.then(|| loopback_run::team_settings(&shares)),
+            quota_cores: shares.iter().map(|(_, share)| share * cores).collect(),
             new_connections,
             seed,
-            live: false,
+            prints_progress: false,
         })
     };
     let (calm, without, with) = std::thread::scope(|scope| {
--- a/crates/ivypitch-testbed/src/processes/journal.rs
+++ b/crates/ivypitch-testbed/src/processes/discovery_server.rs
@@ -7,23 +7,26 @@
 use std::thread;
 use std::time::Duration;
 
-use crate::stand_ins::event;
+use crate::test_servers::endpoint_event;
 
 const BEAT: Duration = Duration::from_millis(100);
 
 type Events = Arc<(Mutex<Vec<String>>, Condvar)>;
 
-pub struct Journal {
+pub struct DiscoveryServer {
     pub address: SocketAddr,
     events: Events,
 }
 
-impl Journal {
+impl DiscoveryServer {
     /// `rows`: the first event, the whole list.
-    pub fn start(rows: &[String]) -> std::io::Result<Journal> {
+    pub fn start(rows: &[String]) -> std::io::Result<DiscoveryServer> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        let events: Events = Arc::new((Mutex::new(vec![event(1, true, rows)]), Condvar::new()));
+        let events: Events = Arc::new((
+            Mutex::new(vec![endpoint_event(1, true, rows)]),
+            Condvar::new(),
+        ));
         let shared = events.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -31,11 +34,11 @@
                 thread::spawn(move || follow(stream, &events));
             }
         });
-        Ok(Journal { address, events })
+        Ok(DiscoveryServer { address, events })
     }
 
     /// All events so far, as a configuration holds them.
-    pub fn known(&self) -> String {
+    pub fn snapshot(&self) -> String {
         let events = lock(&self.events);
         let entries: Vec<&str> = events.iter().map(|event| event.trim_end()).collect();
         format!(
@@ -46,10 +49,10 @@
     }
 
     /// Another event: these rows have changed.
-    pub fn tell(&self, rows: &[String]) {
+    pub fn publish(&self, rows: &[String]) {
         let mut events = lock(&self.events);
         let pos = events.len() as u64 + 1;
-        events.push(event(pos, false, rows));
+        events.push(endpoint_event(pos, false, rows));
         drop(events);
         self.events.1.notify_all();
     }
--- a/crates/ivypitch-testbed/src/processes/engine.rs
+++ b/crates/ivypitch-testbed/src/processes/engine.rs
@@ -20,7 +20,7 @@
 use smol::io::AsyncWriteExt;
 use smol::{Async, LocalExecutor, Timer};
 
-use crate::processes::sockets::{Call, answer, next_call};
+use crate::processes::loopback_run::{Call, answer, next_call};
 use crate::virtual_time::engine::{Ended, Engine, Model, Query};
 
 const NEWS: Duration = Duration::from_millis(250);
@@ -62,7 +62,7 @@
 }
 
 /// Microseconds of the system's clock: the laboratory lays events of several processes beside each other.
-pub fn stamp() -> u64 {
+pub fn timestamp_us() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |span| span.as_micros() as u64)
@@ -70,7 +70,7 @@
 
 fn say(what: &str, id: &str, by: usize) {
     // Who reads it may have gone.
-    let _ = writeln!(io::stdout().lock(), "{} {what} {id} {by}", stamp());
+    let _ = writeln!(io::stdout().lock(), "{} {what} {id} {by}", timestamp_us());
 }
 
 impl EngineProcess {
@@ -129,7 +129,7 @@
                 let _ = told.try_send(line);
             }
         });
-        println!("{} ready - 0", stamp());
+        println!("{} ready - 0", timestamp_us());
         smol::block_on(executor.run(async {
             let model = emulated.clone().run();
             let heeding = async {
--- a/crates/ivypitch-testbed/src/processes/sockets.rs
+++ b/crates/ivypitch-testbed/src/processes/loopback_run.rs
@@ -21,8 +21,8 @@
 
 use crate::figures::{Figures, TeamFigures};
 use crate::log_lines;
-use crate::processes::session::{Reply, Session, holdoff_ms};
-use crate::stand_ins::spawn_with;
+use crate::processes::session::{Reply, Session, retry_after_ms};
+use crate::test_servers::spawn_gateway_with_settings;
 use crate::virtual_time::engine::{Ended, Engine, Model, Query};
 use crate::virtual_time::traffic::{Statement, Work};
 
@@ -39,20 +39,20 @@
 /// And for how long.
 const IDLE: Duration = Duration::from_secs(4);
 
-pub struct Plan {
+pub struct RunPlan {
     pub engines: usize,
     pub model: Model,
-    pub works: Vec<Work>,
+    pub workloads: Vec<Work>,
     pub teams: Vec<String>,
     pub statements: Vec<Statement>,
     /// The own settings of the gateway, as JSON.
-    pub own: Option<String>,
-    pub allowances: Vec<f64>,
+    pub own_settings: Option<String>,
+    pub quota_cores: Vec<f64>,
     /// Every statement comes on a connection of its own.
     pub new_connections: bool,
     pub seed: u64,
     /// A line a second.
-    pub live: bool,
+    pub prints_progress: bool,
 }
 
 // ---- engines ----
@@ -365,9 +365,9 @@
 }
 
 async fn ask(session: &mut Session, text: &str) -> io::Result<Answered> {
-    Ok(match session.reply(text).await? {
+    Ok(match session.execute(text).await? {
         Reply::Rows(_) => Answered::Rows,
-        Reply::Error(1040 | 1203 | 1226, text) => Answered::Refused(holdoff_ms(&text) * MS),
+        Reply::Error(1040 | 1203 | 1226, text) => Answered::Refused(retry_after_ms(&text) * MS),
         Reply::Error(..) => Answered::Failed,
     })
 }
@@ -440,7 +440,7 @@
         let was_kept = kept.is_some();
         let mut session = match kept {
             Some(session) => session,
-            None => Session::open(self.address).await?,
+            None => Session::connect(self.address).await?,
         };
         let id = (stmt as u64) << 8 | u64::from(attempt);
         let text = format!(
@@ -453,7 +453,7 @@
         let answered = match ask(&mut session, &text).await {
             // It crossed the close of a connection that had been idle: once more, on a new one.
             Err(_) if was_kept => {
-                session = Session::open(self.address).await?;
+                session = Session::connect(self.address).await?;
                 ask(&mut session, &text).await?
             }
             answered => answered?,
@@ -470,12 +470,12 @@
 // ---- a run ----
 
 /// The platform's configuration of a gateway before these engines.
-pub fn configuration(plan: &Plan, engines: &[SocketAddr]) -> String {
+pub fn configuration(plan: &RunPlan, engines: &[SocketAddr]) -> String {
     let ns = |span: Nanos| span.to_string();
-    let parts: f64 = plan.works.iter().map(|w| w.part).sum();
-    let mean: f64 = plan.works.iter().map(|w| w.work * w.part / parts).sum();
+    let parts: f64 = plan.workloads.iter().map(|w| w.part).sum();
+    let mean: f64 = plan.workloads.iter().map(|w| w.work * w.part / parts).sum();
     let categories: Vec<String> = plan
-        .works
+        .workloads
         .iter()
         .map(|w| {
             let effect = if w.effect == Idempotency::NonIdempotent { "unsafe" } else { "safe" };
@@ -492,7 +492,7 @@
     let tenants: Vec<String> = plan
         .teams
         .iter()
-        .zip(&plan.allowances)
+        .zip(&plan.quota_cores)
         .map(|(name, cores)| {
             format!(
                 r#"{{"name":"{name}","allowance-per-s":{:.3}}}"#,
@@ -509,9 +509,13 @@
             )
         })
         .collect();
-    let dop: Vec<String> = plan.works.iter().map(|w| w.threads.to_string()).collect();
+    let dop: Vec<String> = plan
+        .workloads
+        .iter()
+        .map(|w| w.threads.to_string())
+        .collect();
     let loads: Vec<String> = plan
-        .works
+        .workloads
         .iter()
         .map(|w| (w.effect == Idempotency::NonIdempotent).to_string())
         .collect();
@@ -537,7 +541,7 @@
 }
 
 /// Plays the plan against a gateway of its own; `None` where that did not start.
-pub fn play(plan: Plan) -> Result<Figures, String> {
+pub fn run(plan: RunPlan) -> Result<Figures, String> {
     let executor = Rc::new(LocalExecutor::new());
     smol::block_on(executor.clone().run(async move {
         let shared = Rc::new(Shared {
@@ -545,7 +549,7 @@
             starts: RefCell::new(vec![0; plan.statements.len()]),
             used: RefCell::new(vec![0.0; plan.teams.len()]),
             statements: plan.statements.clone(),
-            works: plan.works.clone(),
+            works: plan.workloads.clone(),
         });
         let mut addresses = Vec::new();
         let mut engines = Vec::new();
@@ -579,8 +583,10 @@
                 })
                 .detach();
         }
-        let (mut child, log, _) =
-            spawn_with(&configuration(&plan, &addresses), plan.own.as_deref());
+        let (mut child, log, _) = spawn_gateway_with_settings(
+            &configuration(&plan, &addresses),
+            plan.own_settings.as_deref(),
+        );
         let line = smol::unblock({
             let log = log.clone();
             move || {
@@ -613,7 +619,7 @@
                 Timer::at(at).await;
             }
             executor.spawn(clients.clone().ask(stmt)).detach();
-            if plan.live && plan.statements[stmt].at >= second * SECOND {
+            if plan.prints_progress && plan.statements[stmt].at >= second * SECOND {
                 live(second, &clients, &shared, begun, &mut shown);
                 second += 1;
             }
@@ -680,7 +686,7 @@
 }
 
 fn count(
-    plan: &Plan,
+    plan: &RunPlan,
     clients: &Clients,
     shared: &Shared,
     engines: &[Rc<Emulated>],
@@ -695,7 +701,7 @@
     let starts = shared.starts.borrow();
     for (stmt, told) in clients.told.borrow().iter().enumerate() {
         let asked = &plan.statements[stmt];
-        let work = &plan.works[asked.workload];
+        let work = &plan.workloads[asked.workload];
         let took = told.served.map(|at| at.saturating_sub(begun + asked.at));
         teams[asked.team].count(work.priority_weight, asked.slo, took, told.tries);
         teams[asked.team].refused_waiting += u64::from(told.refused);
@@ -733,7 +739,7 @@
     figures
 }
 
-pub fn own(shares: &[(&str, f64)]) -> String {
+pub fn team_settings(shares: &[(&str, f64)]) -> String {
     let teams: Vec<String> = shares
         .iter()
         .map(|(name, share)| format!(r#""{name}":{{"share":{share}}}"#))
--- a/crates/ivypitch-testbed/src/processes/relay.rs
+++ b/crates/ivypitch-testbed/src/processes/relay.rs
@@ -18,11 +18,11 @@
 use smol::io::{AsyncReadExt, AsyncWriteExt};
 use smol::{Async, LocalExecutor, Timer};
 
-use crate::stand_ins::Seen;
+use crate::test_servers::EventLog;
 
 /// Where a link begins or ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum End {
+pub enum LinkEnd {
     Gateway(usize),
     Engine(usize),
     Journal,
@@ -31,20 +31,20 @@
 
 /// What is wrong with one way.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Way {
+pub struct PathState {
     /// So many faults at once say that nothing arrives.
-    pub silent: u32,
-    pub late: Duration,
+    pub block_count: u32,
+    pub delay: Duration,
     /// Up to so much later still, drawn for each piece.
-    pub spread: Duration,
+    pub jitter: Duration,
     /// Part of the datagrams that are lost.
-    pub drop: f64,
+    pub datagram_loss: f64,
     /// Bytes a second; 0: as fast as they come.
-    pub slow: u64,
+    pub bytes_per_s: u64,
     /// How often its links were broken.
     resets: u64,
     /// The next piece goes half, then the link breaks.
-    torn: bool,
+    breaks_mid_message: bool,
     pub bytes: u64,
     pub datagrams: u64,
     /// Connections of this way that are up.
@@ -53,7 +53,7 @@
 
 /// Of all ways from and to one end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sums {
+pub struct LinkTotals {
     pub bytes_from: u64,
     pub bytes_to: u64,
     /// Connections that are up, whoever opened them.
@@ -67,35 +67,40 @@
 const MOST_LATE: usize = 64;
 const CONNECT: Duration = Duration::from_secs(1);
 
-type Ways = BTreeMap<(End, End), Way>;
+type PathStates = BTreeMap<(LinkEnd, LinkEnd), PathState>;
 
 struct Shared {
-    ways: Mutex<Ways>,
+    ways: Mutex<PathStates>,
     changed: Event,
     /// Where dials come in, for what waits there as a link is reset. As many as were opened.
-    doors: Mutex<BTreeMap<(End, End), Vec<TcpListener>>>,
+    doors: Mutex<BTreeMap<(LinkEnd, LinkEnd), Vec<TcpListener>>>,
     /// Pieces that came while their way was silent, the head of each.
-    stuck: Seen<((End, End), Vec<u8>)>,
+    stuck: EventLog<((LinkEnd, LinkEnd), Vec<u8>)>,
 }
 
 impl Shared {
-    fn ways(&self) -> MutexGuard<'_, Ways> {
+    fn ways(&self) -> MutexGuard<'_, PathStates> {
         self.ways
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    fn doors(&self) -> MutexGuard<'_, BTreeMap<(End, End), Vec<TcpListener>>> {
+    fn doors(&self) -> MutexGuard<'_, BTreeMap<(LinkEnd, LinkEnd), Vec<TcpListener>>> {
         self.doors
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    fn way(&self, from: End, to: End) -> Way {
+    fn way(&self, from: LinkEnd, to: LinkEnd) -> PathState {
         self.ways().get(&(from, to)).copied().unwrap_or_default()
     }
 
-    async fn until(&self, from: End, to: End, is: impl Fn(&Way) -> bool) -> Way {
+    async fn until(
+        &self,
+        from: LinkEnd,
+        to: LinkEnd,
+        is: impl Fn(&PathState) -> bool,
+    ) -> PathState {
         loop {
             let changed = self.changed.listen();
             let way = self.way(from, to);
@@ -107,9 +112,9 @@
     }
 
     /// Returns once the way is heard. An error: its links were broken before that, however soon after it was heard.
-    async fn open(&self, (from, to): (End, End), resets: u64) -> io::Result<()> {
+    async fn open(&self, (from, to): (LinkEnd, LinkEnd), resets: u64) -> io::Result<()> {
         let way = self
-            .until(from, to, |way| way.silent == 0 || way.resets != resets)
+            .until(from, to, |way| way.block_count == 0 || way.resets != resets)
             .await;
         if way.resets == resets {
             Ok(())
@@ -120,26 +125,26 @@
 }
 
 struct Opened {
-    from: End,
-    to: End,
+    from: LinkEnd,
+    to: LinkEnd,
     target: SocketAddr,
     listener: TcpListener,
     datagrams: Option<UdpSocket>,
 }
 
 /// All relays of a run. Their thread ends with it.
-pub struct Net {
+pub struct RelayNetwork {
     shared: Arc<Shared>,
     opened: Sender<Opened>,
 }
 
-impl Net {
-    pub fn start(seed: u64) -> Net {
+impl RelayNetwork {
+    pub fn start(seed: u64) -> RelayNetwork {
         let shared = Arc::new(Shared {
             ways: Mutex::default(),
             changed: Event::new(),
             doors: Mutex::default(),
-            stuck: Seen::new(),
+            stuck: EventLog::new(),
         });
         let (opened, to_open) = channel::unbounded();
         let on = shared.clone();
@@ -147,14 +152,14 @@
             let executor = Rc::new(LocalExecutor::new());
             smol::block_on(executor.clone().run(serve(on, to_open, executor, seed)))
         });
-        Net { shared, opened }
+        RelayNetwork { shared, opened }
     }
 
     /// The address under which `from` reaches `to`, which listens at `target`.
     pub fn open(
         &self,
-        from: End,
-        to: End,
+        from: LinkEnd,
+        to: LinkEnd,
         target: SocketAddr,
         datagrams: bool,
     ) -> io::Result<SocketAddr> {
@@ -188,27 +193,29 @@
         }
     }
 
-    pub fn way(&self, from: End, to: End) -> Way {
+    pub fn path_state(&self, from: LinkEnd, to: LinkEnd) -> PathState {
         self.shared.way(from, to)
     }
 
-    pub fn change(&self, from: End, to: End, change: impl FnOnce(&mut Way)) {
+    pub fn change(&self, from: LinkEnd, to: LinkEnd, change: impl FnOnce(&mut PathState)) {
         change(self.shared.ways().entry((from, to)).or_default());
         self.shared.changed.notify(usize::MAX);
     }
 
     /// Nothing arrives from one at the other; what is written waits as in a network's buffers.
-    pub fn silence(&self, from: End, to: End) {
-        self.change(from, to, |way| way.silent += 1);
+    pub fn block(&self, from: LinkEnd, to: LinkEnd) {
+        self.change(from, to, |way| way.block_count += 1);
     }
 
-    pub fn hear(&self, from: End, to: End) {
-        self.change(from, to, |way| way.silent = way.silent.saturating_sub(1));
+    pub fn unblock(&self, from: LinkEnd, to: LinkEnd) {
+        self.change(from, to, |way| {
+            way.block_count = way.block_count.saturating_sub(1)
+        });
     }
 
     /// All links between the two break, and dials that were not taken up yet; what waits on them is lost, whatever is
     /// done to their way next.
-    pub fn reset(&self, a: End, b: End) {
+    pub fn reset(&self, a: LinkEnd, b: LinkEnd) {
         let mut ways = self.shared.ways();
         for ends in [(a, b), (b, a)] {
             ways.entry(ends).or_default().resets += 1;
@@ -221,12 +228,12 @@
     }
 
     /// The next piece from one to the other is cut in two, and the link breaks behind its first half.
-    pub fn tear(&self, from: End, to: End) {
-        self.change(from, to, |way| way.torn = true);
+    pub fn break_mid_message(&self, from: LinkEnd, to: LinkEnd) {
+        self.change(from, to, |way| way.breaks_mid_message = true);
     }
 
     /// Returns once a piece has come for a way that is silent, with these bytes in its head.
-    pub fn wait_stuck(&self, from: End, to: End, bytes: &str) {
+    pub fn wait_for_blocked_data(&self, from: LinkEnd, to: LinkEnd, bytes: &str) {
         let is = |piece: &[u8]| {
             piece
                 .windows(bytes.len())
@@ -239,8 +246,8 @@
     }
 
     /// All that passed from one end and to it.
-    pub fn sums(&self, end: End) -> Sums {
-        let mut sums = Sums::default();
+    pub fn totals(&self, end: LinkEnd) -> LinkTotals {
+        let mut sums = LinkTotals::default();
         for (&(from, to), way) in self.shared.ways().iter() {
             sums.bytes_from += if from == end { way.bytes } else { 0 };
             sums.bytes_to += if to == end { way.bytes } else { 0 };
@@ -254,11 +261,11 @@
     }
 
     /// Bytes and datagrams passed on between gateways.
-    pub fn between_gateways(&self) -> (u64, u64) {
+    pub fn gateway_traffic(&self) -> (u64, u64) {
         let ways = self.shared.ways();
-        let among = ways
-            .iter()
-            .filter(|((a, b), _)| matches!(a, End::Gateway(_)) && matches!(b, End::Gateway(_)));
+        let among = ways.iter().filter(|((a, b), _)| {
+            matches!(a, LinkEnd::Gateway(_)) && matches!(b, LinkEnd::Gateway(_))
+        });
         among.fold((0, 0), |(bytes, datagrams), (_, way)| {
             (bytes + way.bytes, datagrams + way.datagrams)
         })
@@ -331,8 +338,8 @@
 
 async fn pass_datagrams(
     shared: Arc<Shared>,
-    from: End,
-    to: End,
+    from: LinkEnd,
+    to: LinkEnd,
     target: SocketAddr,
     socket: Async<UdpSocket>,
     executor: Rc<LocalExecutor<'static>>,
@@ -346,7 +353,7 @@
             continue;
         };
         let way = shared.way(from, to);
-        if way.silent > 0 || rng.random_bool(way.drop) {
+        if way.block_count > 0 || rng.random_bool(way.datagram_loss) {
             continue;
         }
         {
@@ -355,7 +362,7 @@
             way.bytes += n as u64;
             way.datagrams += 1;
         }
-        let after = way.late + way.spread.mul_f64(rng.random());
+        let after = way.delay + way.jitter.mul_f64(rng.random());
         if after.is_zero() {
             let _ = socket.send_to(&datagram[..n], target).await;
             continue;
@@ -372,8 +379,8 @@
 /// One connection, until either end or the plan ends it.
 async fn pass(
     shared: Arc<Shared>,
-    from: End,
-    to: End,
+    from: LinkEnd,
+    to: LinkEnd,
     target: SocketAddr,
     stream: Async<TcpStream>,
     seed: u64,
@@ -418,7 +425,7 @@
 /// One way of one connection. An error breaks both.
 async fn carry(
     shared: &Shared,
-    (from, to): (End, End),
+    (from, to): (LinkEnd, LinkEnd),
     source: &Async<TcpStream>,
     sink: &Async<TcpStream>,
     seed: u64,
@@ -435,13 +442,13 @@
                 return Ok(());
             }
             let way = shared.way(from, to);
-            if way.silent > 0 {
+            if way.block_count > 0 {
                 shared
                     .stuck
                     .push(((from, to), piece[..n.min(STUCK_HEAD)].to_vec()));
             }
             // Nothing overtakes on one connection.
-            last = last.max(Instant::now() + way.late + way.spread.mul_f64(rng.random()));
+            last = last.max(Instant::now() + way.delay + way.jitter.mul_f64(rng.random()));
             if pieces.send((last, piece[..n].to_vec())).await.is_err() {
                 return Ok(());
             }
@@ -457,7 +464,7 @@
                 let mut ways = shared.ways();
                 let way = ways.entry((from, to)).or_default();
                 way.bytes += piece.len() as u64;
-                (std::mem::take(&mut way.torn), way.slow)
+                (std::mem::take(&mut way.breaks_mid_message), way.bytes_per_s)
             };
             if torn {
                 (&*sink).write_all(&piece[..piece.len() / 2]).await?;
--- a/crates/ivypitch-testbed/src/processes/restarts.rs
+++ b/crates/ivypitch-testbed/src/processes/restarts.rs
@@ -4,7 +4,7 @@
 use std::process::ExitStatus;
 
 use super::Fleet;
-use super::relay::End;
+use super::relay::LinkEnd;
 use super::usage::Usage;
 
 /// What an operator writes before a SIGHUP.
@@ -22,20 +22,20 @@
     /// Writes a gateway's configuration file anew.
     pub fn write_configuration(&mut self, g: usize, change: ConfigurationChange) -> io::Result<()> {
         if change == ConfigurationChange::Moved {
-            let discovery = self.seats[g].journal.address;
-            self.seats[g].journal_at =
-                self.net
-                    .open(End::Gateway(g), End::Journal, discovery, false)?;
+            let discovery = self.gateways[g].discovery.address;
+            self.gateways[g].discovery_address =
+                self.network
+                    .open(LinkEnd::Gateway(g), LinkEnd::Journal, discovery, false)?;
         }
-        let seat = &self.seats[g];
-        let text = std::fs::read_to_string(&seat.config)?;
-        let whole = if seat.whole_config.is_empty() {
+        let seat = &self.gateways[g];
+        let text = std::fs::read_to_string(&seat.config_path)?;
+        let whole = if seat.complete_config.is_empty() {
             text
         } else {
-            seat.whole_config.clone()
+            seat.complete_config.clone()
         };
-        let journal = format!("\"journal\":\"{}\"", seat.journal_at);
-        let known = format!("\"known\":{},\"settings\":", seat.journal.known());
+        let journal = format!("\"journal\":\"{}\"", seat.discovery_address);
+        let known = format!("\"known\":{},\"settings\":", seat.discovery.snapshot());
         let text = replace_between(&whole, "\"journal\":\"", "\"", &journal)
             .and_then(|text| replace_between(&text, "\"known\":", ",\"settings\":", &known))
             .ok_or(io::Error::from(io::ErrorKind::InvalidData))?;
@@ -43,21 +43,21 @@
             ConfigurationChange::Broken => &text[..text.len() / 2],
             ConfigurationChange::Same | ConfigurationChange::Moved => &text,
         };
-        std::fs::write(&seat.config, written)?;
-        self.seats[g].whole_config = text;
+        std::fs::write(&seat.config_path, written)?;
+        self.gateways[g].complete_config = text;
         Ok(())
     }
 
     /// How its process has ended, if it has; it is forgotten then.
     pub fn try_wait(&mut self, g: usize) -> Option<ExitStatus> {
-        let status = self.seats[g].child.as_mut()?.try_wait().ok().flatten()?;
-        self.seats[g].child = None;
+        let status = self.gateways[g].child.as_mut()?.try_wait().ok().flatten()?;
+        self.gateways[g].child = None;
         Some(status)
     }
 
     /// What its process uses now.
     pub fn usage(&self, g: usize) -> Option<Usage> {
-        Usage::of(self.seats[g].child.as_ref()?.id())
+        Usage::of(self.gateways[g].child.as_ref()?.id())
     }
 }
 
--- a/crates/ivypitch-testbed/src/processes/session.rs
+++ b/crates/ivypitch-testbed/src/processes/session.rs
@@ -10,7 +10,7 @@
 use smol::io::AsyncWriteExt;
 use smol::{Async, Timer};
 
-use crate::stand_ins::{login, query};
+use crate::test_servers::{login, query};
 
 const MAX_PACKET_BYTES: usize = 1 << 20;
 /// Pause between the pieces of a message that is written slowly.
@@ -38,21 +38,21 @@
 
 impl Session {
     /// Connects and logs in.
-    pub async fn open(address: SocketAddr) -> io::Result<Session> {
-        let mut session = Session::greeted(address).await?;
+    pub async fn connect(address: SocketAddr) -> io::Result<Session> {
+        let mut session = Session::connect_without_login(address).await?;
         session.write(&login("app")).await?;
-        session.logged_in().await?;
+        session.read_login_answer().await?;
         Ok(session)
     }
 
     /// Connects, and sends the login together with the first statement.
-    pub async fn open_with(address: SocketAddr, text: &str) -> io::Result<Session> {
-        let session = Session::greeted(address).await?;
+    pub async fn connect_and_send(address: SocketAddr, text: &str) -> io::Result<Session> {
+        let session = Session::connect_without_login(address).await?;
         session.write(&[login("app"), query(text)].concat()).await?;
         Ok(session)
     }
 
-    async fn greeted(address: SocketAddr) -> io::Result<Session> {
+    async fn connect_without_login(address: SocketAddr) -> io::Result<Session> {
         let stream = Async::<TcpStream>::connect(address).await?;
         stream.get_ref().set_nodelay(true)?;
         let mut session = Session {
@@ -61,15 +61,15 @@
             connection: 0,
             used_at: Instant::now(),
         };
-        let greeting = session.packet().await?;
+        let greeting = session.read_packet().await?;
         session.connection =
             connection_id(&greeting).ok_or(io::Error::from(io::ErrorKind::ConnectionRefused))?;
         Ok(session)
     }
 
     /// Reads the answer to the login.
-    pub async fn logged_in(&mut self) -> io::Result<()> {
-        match self.packet().await?.first() {
+    pub async fn read_login_answer(&mut self) -> io::Result<()> {
+        match self.read_packet().await?.first() {
             Some(0) => Ok(()),
             _ => Err(io::ErrorKind::ConnectionRefused.into()),
         }
@@ -102,7 +102,7 @@
         Ok(())
     }
 
-    async fn packet(&mut self) -> io::Result<Bytes> {
+    async fn read_packet(&mut self) -> io::Result<Bytes> {
         loop {
             let bad = |_| io::Error::from(io::ErrorKind::InvalidData);
             if let Some(packet) =
@@ -117,17 +117,17 @@
     }
 
     /// Sends a statement and reads its answer.
-    pub async fn reply(&mut self, text: &str) -> io::Result<Reply> {
+    pub async fn execute(&mut self, text: &str) -> io::Result<Reply> {
         self.write(&query(text)).await?;
-        self.answer().await
+        self.read_answer().await
     }
 
     /// Reads the answer to the statement that was sent last; OK reads as no rows.
-    pub async fn answer(&mut self) -> io::Result<Reply> {
+    pub async fn read_answer(&mut self) -> io::Result<Reply> {
         let mut rows = Vec::new();
         let mut ends = 0;
         loop {
-            let payload = self.packet().await?;
+            let payload = self.read_packet().await?;
             match payload.first() {
                 Some(0xff) if payload.len() >= 3 => {
                     let code = u16::from_le_bytes([payload[1], payload[2]]);
@@ -164,7 +164,7 @@
 }
 
 /// When a refused client is to come back, in milliseconds; 0 where it is not told.
-pub(crate) fn holdoff_ms(text: &str) -> u64 {
+pub(crate) fn retry_after_ms(text: &str) -> u64 {
     text.split("holdoff=")
         .nth(1)
         .and_then(|n| n.trim().parse().ok())
--- a/crates/ivypitch-testbed/src/processes/hollow_engines.rs
+++ b/crates/ivypitch-testbed/src/processes/simulated_engines.rs
@@ -15,14 +15,14 @@
 use smol::io::AsyncWriteExt;
 use smol::{Async, LocalExecutor};
 
-use super::engine::stamp;
-use super::sockets::{answer, next_call};
+use super::engine::timestamp_us;
+use super::loopback_run::{answer, next_call};
 
 const KNOWN_FOR: Duration = Duration::from_secs(2);
 
 /// One line of JSON: the process' first.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Park {
+pub struct SimulatedEngines {
     pub listen: Vec<SocketAddr>,
     /// A line for each start: `TIME start ENGINE ID`.
     pub tells_starts: bool,
@@ -42,11 +42,11 @@
 }
 
 /// The gateway to which this statement's client went.
-pub fn gateway_of(id: &str) -> usize {
+pub fn gateway_of_id(id: &str) -> usize {
     u64::from_str_radix(id, 16).map_or(0, |id| (id >> 56) as usize)
 }
 
-pub fn id_at(gateway: usize, number: u64) -> u64 {
+pub fn id_for_gateway(gateway: usize, number: u64) -> u64 {
     (gateway as u64) << 56 | number
 }
 
@@ -92,7 +92,7 @@
         order.push_back((Instant::now(), id.to_owned()));
         self.count(gateway, |counts| counts.starts += 1);
         if self.tells_starts {
-            println!("{} start {} {id}", stamp(), self.number);
+            println!("{} start {} {id}", timestamp_us(), self.number);
         }
     }
 
@@ -115,7 +115,7 @@
                     "POST" => call.header("Via-Id"),
                     _ => call.path.split('/').nth(2).unwrap_or_default().to_owned(),
                 };
-                let gateway = gateway_of(&id);
+                let gateway = gateway_of_id(&id);
                 if by.is_none() {
                     by = Some(gateway);
                     self.count(gateway, |counts| counts.open += 1);
@@ -162,7 +162,7 @@
         .lock()
         .read_line(&mut first)
         .map_err(|e| e.to_string())?;
-    let park: Park = serde_json::from_str(&first).map_err(|e| e.to_string())?;
+    let park: SimulatedEngines = serde_json::from_str(&first).map_err(|e| e.to_string())?;
     let executor = Rc::new(LocalExecutor::new());
     let mut engines = Vec::new();
     for (number, address) in park.listen.iter().enumerate() {
@@ -186,18 +186,20 @@
         executor.spawn(task).detach();
     }
     println!("ready");
-    smol::block_on(executor.run(super::child::heed(|line| match line {
-        "count" => {
-            let counts: Vec<Counts> = engines
-                .iter()
-                .flat_map(|e| e.counts.borrow().values().copied().collect::<Vec<_>>())
-                .collect();
-            println!(
-                "counts {}",
-                serde_json::to_string(&counts).unwrap_or_default()
-            );
-        }
-        other => eprintln!("hollow engines: {other:?} not understood"),
-    })));
+    smol::block_on(
+        executor.run(super::testbed_process::handle_commands(|line| match line {
+            "count" => {
+                let counts: Vec<Counts> = engines
+                    .iter()
+                    .flat_map(|e| e.counts.borrow().values().copied().collect::<Vec<_>>())
+                    .collect();
+                println!(
+                    "counts {}",
+                    serde_json::to_string(&counts).unwrap_or_default()
+                );
+            }
+            other => eprintln!("hollow engines: {other:?} not understood"),
+        })),
+    );
     Ok(())
 }
--- a/crates/ivypitch-testbed/src/processes/simulated_gateways/gateway.rs
+++ b/crates/ivypitch-testbed/src/processes/simulated_gateways/gateway.rs
@@ -16,7 +16,7 @@
 use smol::future::FutureExt;
 
 use super::links::{Inbox, LinkMessage, SharedState};
-use crate::processes::engine::stamp;
+use crate::processes::engine::timestamp_us;
 use ivypitch_gateway::wire::peer_frames::Frame;
 
 /// States of an endpoint in the discovery service's words.
@@ -145,7 +145,7 @@
             self.shared
                 .count(self.member, |counts| counts.last_event = position);
             if self.shared.prints_events {
-                println!("{} event {} {position}", stamp(), self.member.0);
+                println!("{} event {} {position}", timestamp_us(), self.member.0);
             }
         }
         if let Some(coordination) = &mut self.coordination {
@@ -190,7 +190,7 @@
         self.reachable.insert(process.member, process.incarnation);
         let is_new = self.met.insert(process.member);
         if is_new && self.met.len() + 1 == self.shared.members {
-            println!("{} joined {}", stamp(), self.member.0);
+            println!("{} joined {}", timestamp_us(), self.member.0);
         }
     }
 
--- a/crates/ivypitch-testbed/src/processes/simulated_gateways/mod.rs
+++ b/crates/ivypitch-testbed/src/processes/simulated_gateways/mod.rs
@@ -110,10 +110,12 @@
         result.recv_blocking().map_err(|_| ServeError::Thread)??;
     }
     println!("ready");
-    smol::block_on(super::child::heed(|order| match order {
-        "count" => println!("counts {}", shared.counts_as_json()),
-        other => eprintln!("hollow gateways: {other:?} not understood"),
-    }));
+    smol::block_on(super::testbed_process::handle_commands(
+        |order| match order {
+            "count" => println!("counts {}", shared.counts_as_json()),
+            other => eprintln!("hollow gateways: {other:?} not understood"),
+        },
+    ));
     Ok(())
 }
 
--- a/crates/ivypitch-testbed/src/processes/child.rs
+++ b/crates/ivypitch-testbed/src/processes/testbed_process.rs
@@ -5,19 +5,19 @@
 use std::process::{Child, ChildStdin, Command, Stdio};
 use std::thread;
 
-use crate::stand_ins::{Seen, program};
+use crate::test_servers::{EventLog, ivypitch_program};
 
-pub struct LabProcess {
+pub struct TestbedProcess {
     child: Child,
-    orders: Option<ChildStdin>,
+    commands: Option<ChildStdin>,
     /// All it said; `ready` before anything else.
-    pub lines: Seen<String>,
+    pub lines: EventLog<String>,
 }
 
-impl LabProcess {
+impl TestbedProcess {
     /// `ivypitch lab NAME`, and the first line that it is told; returns once it is ready.
-    pub fn start(name: &str, first: &str) -> Result<LabProcess, String> {
-        let mut child = Command::new(program())
+    pub fn start(name: &str, first: &str) -> Result<TestbedProcess, String> {
+        let mut child = Command::new(ivypitch_program())
             .args(["lab", name])
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
@@ -28,10 +28,10 @@
             .take()
             .map(|stdout| BufReader::new(stdout).lines());
         let orders = child.stdin.take();
-        let mut process = LabProcess {
+        let mut process = TestbedProcess {
             child,
-            orders,
-            lines: Seen::new(),
+            commands: orders,
+            lines: EventLog::new(),
         };
         let said = process.lines.clone();
         thread::spawn(move || {
@@ -43,7 +43,7 @@
             // Whoever waits for a word of it is not left waiting.
             said.push("ended".into());
         });
-        process.order(first);
+        process.send_command(first);
         let line = process
             .lines
             .wait(name, |line| line == "ready" || line == "ended");
@@ -54,18 +54,18 @@
         }
     }
 
-    pub fn order(&mut self, line: &str) {
-        if let Some(orders) = &mut self.orders {
+    pub fn send_command(&mut self, line: &str) {
+        if let Some(orders) = &mut self.commands {
             let _ = writeln!(orders, "{line}");
         }
     }
 
     /// The order's answer: the next line that begins so, without that.
-    pub fn ask(&mut self, order: &str, begins: &str) -> String {
+    pub fn request(&mut self, order: &str, begins: &str) -> String {
         let is = |line: &String| line.starts_with(begins);
         let before = self.lines.all().iter().filter(|line| is(line)).count();
-        self.order(order);
-        let line = self.lines.wait_for(begins, before + 1, is);
+        self.send_command(order);
+        let line = self.lines.wait_for_nth(begins, before + 1, is);
         line[begins.len()..].trim().to_owned()
     }
 
@@ -78,7 +78,7 @@
     }
 }
 
-impl Drop for LabProcess {
+impl Drop for TestbedProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -86,7 +86,7 @@
 }
 
 /// In such a process: each order, until they end.
-pub async fn heed(mut obey: impl FnMut(&str)) {
+pub async fn handle_commands(mut obey: impl FnMut(&str)) {
     let (told, orders) = smol::channel::unbounded();
     thread::spawn(move || {
         for line in io::stdin().lock().lines().map_while(Result::ok) {
--- a/crates/ivypitch-testbed/src/processes/usage.rs
+++ b/crates/ivypitch-testbed/src/processes/usage.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Instant;
 
-use crate::processes::relay::Sums;
+use crate::processes::relay::LinkTotals;
 
 /// Of one process at one moment.
 #[derive(Clone, Copy, Debug)]
@@ -15,8 +15,8 @@
     /// The same by `stat`, in steps of 10 ms.
     pub cpu_ticks_ns: u64,
     /// Resident bytes by `status`, and by the sum over its mappings.
-    pub resident: u64,
-    pub mapped_resident: u64,
+    pub resident_bytes: u64,
+    pub mapped_resident_bytes: u64,
     pub descriptors: u64,
 }
 
@@ -57,8 +57,8 @@
             at: Instant::now(),
             cpu_ns: threads.flatten().filter_map(ran).sum(),
             cpu_ticks_ns: cpu_ticks_ns(pid)?,
-            resident: kilobytes(&proc.join("status"), "VmRSS:")?,
-            mapped_resident: kilobytes(&proc.join("smaps_rollup"), "Rss:")?,
+            resident_bytes: kilobytes(&proc.join("status"), "VmRSS:")?,
+            mapped_resident_bytes: kilobytes(&proc.join("smaps_rollup"), "Rss:")?,
             descriptors: fs::read_dir(proc.join("fd")).ok()?.flatten().count() as u64,
         })
     }
@@ -66,16 +66,16 @@
 
 /// What a gateway counted itself, clients apart.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Own {
+pub struct GatewayTraffic {
     pub bytes_out: u64,
     pub bytes_in: u64,
     pub to_engines: u64,
     pub from_engines: u64,
 }
 
-impl Own {
+impl GatewayTraffic {
     /// Of the row of `SHOW FLEET`.
-    pub fn read(view: &serde_json::Value) -> Option<Own> {
+    pub fn read(view: &serde_json::Value) -> Option<GatewayTraffic> {
         let traffic = view.get("traffic")?.as_object()?;
         let all = |name: &str| {
             traffic
@@ -84,7 +84,7 @@
                 .sum::<u64>()
         };
         let engines = |name: &str| traffic.get("engines").and_then(|kind| kind[name].as_u64());
-        Some(Own {
+        Some(GatewayTraffic {
             bytes_out: all("bytes_out"),
             bytes_in: all("bytes_in"),
             to_engines: engines("bytes_out")?,
@@ -97,16 +97,16 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Sample {
     pub usage: Usage,
-    pub own: Own,
-    pub relay: Sums,
+    pub traffic: GatewayTraffic,
+    pub relay: LinkTotals,
     /// By what the hollow engines counted.
-    pub engines: Engines,
+    pub engines: EngineTraffic,
     /// Members that it told as lost since its start.
-    pub lost: u64,
+    pub lost_members: u64,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Engines {
+pub struct EngineTraffic {
     pub starts: u64,
     pub bytes_in: u64,
     pub bytes_out: u64,
--- a/crates/ivypitch-testbed/src/processes/story.rs
+++ b/crates/ivypitch-testbed/src/processes/verdict.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeMap;
 
-use super::clients::{Ask, Heard, Story};
-use super::{Done, Said};
+use super::clients::{Outcome, PlannedStatement, StatementHistory};
+use super::{EngineEvent, InjectedFault};
 use crate::virtual_time::faults::What;
 
 /// What a run came to.
@@ -59,10 +59,10 @@
 
 /// `longest`: microseconds that a loss may still be told of after it happened.
 pub fn judge(
-    asks: &[Ask],
-    stories: &[Story],
-    said: &[Said],
-    done: &[Done],
+    asks: &[PlannedStatement],
+    stories: &[StatementHistory],
+    said: &[EngineEvent],
+    done: &[InjectedFault],
     crashes: &[String],
 ) -> Verdict {
     let mut verdict = Verdict {
@@ -70,8 +70,8 @@
         crashes: crashes.to_vec(),
         ..Verdict::default()
     };
-    let mut by_id: BTreeMap<&str, Vec<&Said>> = BTreeMap::new();
-    for line in said.iter().filter(|line| line.what != "ready") {
+    let mut by_id: BTreeMap<&str, Vec<&EngineEvent>> = BTreeMap::new();
+    for line in said.iter().filter(|line| line.kind != "ready") {
         by_id.entry(line.id.as_str()).or_default().push(line);
     }
     let away = away(done);
@@ -87,44 +87,46 @@
             if verdict.broken.len() < MOST_LINES {
                 verdict.broken.push(format!(
                     "{what}: {id:016x} {:?} {:?}",
-                    story.visits, story.second
+                    story.attempts, story.second_client
                 ));
             }
         };
-        verdict.loads += u64::from(ask.load);
-        let mut ids: Vec<u64> = story.visits.iter().map(|v| v.req).collect();
+        verdict.loads += u64::from(ask.is_bulk_load);
+        let mut ids: Vec<u64> = story.attempts.iter().map(|v| v.req).collect();
         ids.dedup();
         for req in ids {
             let text = format!("{req:016x}");
             let lines = by_id.get(text.as_str()).map_or(&[][..], Vec::as_slice);
-            let starts = lines.iter().filter(|l| l.what == "start").count() as u64;
+            let starts = lines.iter().filter(|l| l.kind == "start").count() as u64;
             verdict.starts += starts;
             // A second client of what is harmless may have it run anew once the first has its end.
             let ended_at = story
-                .visits
+                .attempts
                 .last()
-                .filter(|_| story.served.is_some())
-                .map_or(u64::MAX, |v| v.ended);
-            let for_first = |l: &&&Said| l.what == "start" && l.at <= ended_at;
+                .filter(|_| story.served_after_us.is_some())
+                .map_or(u64::MAX, |v| v.ended_us);
+            let for_first = |l: &&&EngineEvent| l.kind == "start" && l.at_us <= ended_at;
             verdict.again += (lines.iter().filter(for_first).count() as u64).saturating_sub(1);
-            if ask.load && starts > 1 {
+            if ask.is_bulk_load && starts > 1 {
                 verdict.doubled += 1;
                 broken("started twice", req);
             }
-            let words = || story.visits.iter().filter(|v| v.req == req);
-            let refused = words().any(|v| v.heard == Heard::Refused);
-            if ask.load && refused && starts > 0 {
+            let words = || story.attempts.iter().filter(|v| v.req == req);
+            let refused = words().any(|v| v.outcome == Outcome::Refused);
+            if ask.is_bulk_load && refused && starts > 0 {
                 verdict.refused_and_ran += 1;
                 broken("refused and ran", req);
             }
-            let second = story.second.iter().filter(|v| v.req == req);
-            let ended =
-                |v: &&super::clients::Visit| matches!(v.heard, Heard::Rows(_) | Heard::Completed);
-            let no_end = |v: &super::clients::Visit| v.heard == Heard::Refused && ask.load;
-            let unsure = |v: &super::clients::Visit| v.heard == Heard::Unknown && ask.load;
+            let second = story.second_client.iter().filter(|v| v.req == req);
+            let ended = |v: &&super::clients::Attempt| {
+                matches!(v.outcome, Outcome::Rows(_) | Outcome::Completed)
+            };
+            let no_end =
+                |v: &super::clients::Attempt| v.outcome == Outcome::Refused && ask.is_bulk_load;
+            let unsure =
+                |v: &super::clients::Attempt| v.outcome == Outcome::Unknown && ask.is_bulk_load;
             verdict.unsure += u64::from(second.clone().any(unsure));
-            let wrong =
-                |v: &super::clients::Visit| matches!(&v.heard, Heard::Rows(row) if *row != text);
+            let wrong = |v: &super::clients::Attempt| matches!(&v.outcome, Outcome::Rows(row) if *row != text);
             let both = words().any(|v| ended(&v)) && second.clone().any(no_end);
             if both || words().chain(second).any(wrong) {
                 verdict.two_ends += 1;
@@ -132,45 +134,53 @@
             }
             // Running at an engine as the gateway that had started it, or asked last, was lost.
             for &(gateway, at) in &losses {
-                let running = |l: &&&Said| l.at < at && matches!(l.what.as_str(), "start" | "ask");
-                let Some(last) = lines.iter().rfind(running).filter(|l| l.by == gateway) else {
+                let running =
+                    |l: &&&EngineEvent| l.at_us < at && matches!(l.kind.as_str(), "start" | "ask");
+                let Some(last) = lines.iter().rfind(running).filter(|l| l.gateway == gateway)
+                else {
                     continue;
                 };
-                let over = |l: &&Said| {
-                    l.at < at && matches!(l.what.as_str(), "end" | "fail" | "drop" | "stop")
+                let over = |l: &&EngineEvent| {
+                    l.at_us < at && matches!(l.kind.as_str(), "end" | "fail" | "drop" | "stop")
                 };
-                let back = words().any(|v| v.begun > at);
-                if lines.iter().any(over) || last.at > at || !back {
+                let back = words().any(|v| v.started_us > at);
+                if lines.iter().any(over) || last.at_us > at || !back {
                     continue;
                 }
                 verdict.caught += 1;
                 let again = lines
                     .iter()
                     .filter(for_first)
-                    .filter(|l| l.at >= at)
+                    .filter(|l| l.at_us >= at)
                     .count();
-                verdict.carried += u64::from(again == 0 && story.served.is_some());
-                let ask = lines.iter().find(|l| l.what == "ask" && l.at >= at);
-                asked_after.extend(ask.map(|l| (l.at - at) / 1000));
+                verdict.carried += u64::from(again == 0 && story.served_after_us.is_some());
+                let ask = lines.iter().find(|l| l.kind == "ask" && l.at_us >= at);
+                asked_after.extend(ask.map(|l| (l.at_us - at) / 1000));
             }
         }
-        for visit in story.visits.iter().filter(|v| v.heard == Heard::Silence) {
-            let by = story.visits.first().map_or(0, |v| v.begun) + ask.timeout_ms * 1000;
-            if visit.ended > by + SLACK && !was_away(visit.gateway, visit.begun, visit.ended) {
+        for visit in story
+            .attempts
+            .iter()
+            .filter(|v| v.outcome == Outcome::Silence)
+        {
+            let by = story.attempts.first().map_or(0, |v| v.started_us) + ask.timeout_ms * 1000;
+            if visit.ended_us > by + SLACK
+                && !was_away(visit.gateway, visit.started_us, visit.ended_us)
+            {
                 verdict.silent += 1;
                 broken("no word from a gateway that was there", visit.req);
             }
         }
-        match story.served {
+        match story.served_after_us {
             Some(time) => {
                 verdict.served += 1;
                 times.push(time / 1000);
             }
             None => {
                 let last = story
-                    .visits
+                    .attempts
                     .last()
-                    .map_or("never asked".to_owned(), |v| format!("{:?}", v.heard));
+                    .map_or("never asked".to_owned(), |v| format!("{:?}", v.outcome));
                 *verdict.unserved.entry(last).or_default() += 1;
             }
         }
@@ -190,27 +200,27 @@
 }
 
 /// When which gateway was killed, or stopped for so long that others take it for lost.
-fn losses(done: &[Done]) -> Vec<(usize, u64)> {
-    let lost = |done: &Done| match done.fault.what {
-        What::Kill { gateway, .. } => Some((gateway, done.at)),
-        What::Stop { gateway, span } if span >= 2000 => Some((gateway, done.at)),
+fn losses(done: &[InjectedFault]) -> Vec<(usize, u64)> {
+    let lost = |done: &InjectedFault| match done.fault.what {
+        What::Kill { gateway, .. } => Some((gateway, done.at_us)),
+        What::Stop { gateway, span } if span >= 2000 => Some((gateway, done.at_us)),
         _ => None,
     };
     done.iter().filter_map(lost).collect()
 }
 
 /// Gateways that were not there, from and until when; links that failed count for both of their ends.
-fn away(done: &[Done]) -> Vec<(usize, u64, u64)> {
+fn away(done: &[InjectedFault]) -> Vec<(usize, u64, u64)> {
     let mut away = Vec::new();
     for done in done {
-        let until = done.at + (done.fault.span().unwrap_or(0) + 1500) * 1000;
+        let until = done.at_us + (done.fault.span().unwrap_or(0) + 1500) * 1000;
         let whose: Vec<usize> = match done.fault.what {
             What::Kill { gateway, .. } | What::Stop { gateway, .. } | What::End { gateway, .. } => {
                 vec![gateway]
             }
             _ => Vec::new(),
         };
-        away.extend(whose.into_iter().map(|g| (g, done.at, until)));
+        away.extend(whose.into_iter().map(|g| (g, done.at_us, until)));
     }
     away
 }
