--- a/crates/ivypitch-testbed/src/stand_ins.rs
+++ b/crates/ivypitch-testbed/src/test_servers.rs
@@ -15,49 +15,49 @@
 use crate::log_lines;
 
 /// Far longer than anything takes on a busy machine; a test that waits so long has failed.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Things that happened, in order, for others to wait for.
-pub struct Seen<T>(Arc<(Mutex<Vec<T>>, Condvar)>);
+pub struct EventLog<T>(Arc<(Mutex<Vec<T>>, Condvar)>);
 
-impl<T> Clone for Seen<T> {
+impl<T> Clone for EventLog<T> {
     fn clone(&self) -> Self {
-        Seen(self.0.clone())
+        EventLog(self.0.clone())
     }
 }
 
-impl<T> Default for Seen<T> {
+impl<T> Default for EventLog<T> {
     fn default() -> Self {
-        Seen(Arc::new((Mutex::new(Vec::new()), Condvar::new())))
+        EventLog(Arc::new((Mutex::new(Vec::new()), Condvar::new())))
     }
 }
 
-impl<T: Clone> Seen<T> {
+impl<T: Clone> EventLog<T> {
     pub fn new() -> Self {
-        Seen::default()
+        EventLog::default()
     }
     /// Also after a wait that failed: else the failed test's fleet could not be ended, and its processes would stay.
-    fn seen(&self) -> MutexGuard<'_, Vec<T>> {
+    fn lock(&self) -> MutexGuard<'_, Vec<T>> {
         self.0
             .0
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
     pub fn push(&self, what: T) {
-        self.seen().push(what);
+        self.lock().push(what);
         self.0.1.notify_all();
     }
     pub fn all(&self) -> Vec<T> {
-        self.seen().clone()
+        self.lock().clone()
     }
     /// The first that fits, waited for.
     pub fn wait(&self, what: &str, fits: impl Fn(&T) -> bool) -> T {
-        self.wait_for(what, 1, fits)
+        self.wait_for_nth(what, 1, fits)
     }
     /// The last of so many that fit.
-    pub fn wait_for(&self, what: &str, count: usize, fits: impl Fn(&T) -> bool) -> T {
-        let until = Instant::now() + PATIENCE;
-        let mut seen = self.seen();
+    pub fn wait_for_nth(&self, what: &str, count: usize, fits: impl Fn(&T) -> bool) -> T {
+        let until = Instant::now() + WAIT_TIMEOUT;
+        let mut seen = self.lock();
         loop {
             if let Some(found) = seen.iter().filter(|t| fits(t)).nth(count - 1) {
                 return found.clone();
@@ -86,7 +86,7 @@
 }
 
 impl Call {
-    pub fn is(&self, method: &str) -> bool {
+    pub fn has_method(&self, method: &str) -> bool {
         self.method == method
     }
     pub fn header(&self, name: &str) -> Option<&str> {
@@ -101,60 +101,60 @@
 }
 
 pub enum Reply {
-    Say(String),
+    Response(String),
     /// Nothing, the connection stays open.
-    Silence,
+    NoResponse,
     /// The connection is closed with no answer.
     Close,
 }
 
 /// An answer of an engine.
-pub fn say(status: u16, headers: &str, body: &str) -> Reply {
-    Reply::Say(format!(
+pub fn response(status: u16, headers: &str, body: &str) -> Reply {
+    Reply::Response(format!(
         "HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n{body}",
         body.len()
     ))
 }
 
 /// A good end with one page.
-pub fn good(body: &str) -> Reply {
-    say(
+pub fn success_response(body: &str) -> Reply {
+    response(
         200,
         "Page-Count: 1\r\nWork-Ms: 12.5\r\nPeak-Mb: 64\r\nSrv-Load: waiting:0;active:1;x0:0.1\r\n",
         body,
     )
 }
 
-pub struct Engine {
+pub struct FakeEngine {
     pub address: SocketAddr,
-    pub calls: Seen<Call>,
+    pub calls: EventLog<Call>,
     /// Its connections, as they end.
-    pub ended: Seen<usize>,
+    pub closed_connections: EventLog<usize>,
 }
 
-impl Engine {
+impl FakeEngine {
     /// Answers each call as `reply` says; it is also told how many calls came before.
-    pub fn start(reply: impl Fn(&Call, usize) -> Reply + Send + Sync + 'static) -> Engine {
-        Engine::on(TcpListener::bind("127.0.0.1:0").unwrap(), reply)
+    pub fn start(reply: impl Fn(&Call, usize) -> Reply + Send + Sync + 'static) -> FakeEngine {
+        FakeEngine::on_listener(TcpListener::bind("127.0.0.1:0").unwrap(), reply)
     }
 
     /// The same behind a listener that is there already.
-    pub fn on(
+    pub fn on_listener(
         listener: TcpListener,
         reply: impl Fn(&Call, usize) -> Reply + Send + Sync + 'static,
-    ) -> Engine {
+    ) -> FakeEngine {
         let address = listener.local_addr().unwrap();
-        let engine = Engine {
+        let engine = FakeEngine {
             address,
-            calls: Seen::new(),
-            ended: Seen::new(),
+            calls: EventLog::new(),
+            closed_connections: EventLog::new(),
         };
         let (calls, reply, count) = (
             engine.calls.clone(),
             Arc::new(reply),
             Arc::new(AtomicUsize::new(0)),
         );
-        let ended = engine.ended.clone();
+        let ended = engine.closed_connections.clone();
         thread::spawn(move || {
             for (connection, stream) in listener.incoming().flatten().enumerate() {
                 let (calls, reply, count, ended) =
@@ -166,10 +166,10 @@
                         let number = count.fetch_add(1, Ordering::SeqCst);
                         calls.push(call.clone());
                         match reply(&call, number) {
-                            Reply::Say(text) => {
+                            Reply::Response(text) => {
                                 writer.write_all(text.as_bytes()).unwrap_or_default()
                             }
-                            Reply::Silence => {}
+                            Reply::NoResponse => {}
                             Reply::Close => break,
                         }
                     }
@@ -181,27 +181,33 @@
         engine
     }
 
-    pub fn served() -> Engine {
-        Engine::start(|call, _| {
-            if call.is("DELETE") {
-                say(204, "", "")
+    pub fn completing() -> FakeEngine {
+        FakeEngine::start(|call, _| {
+            if call.has_method("DELETE") {
+                response(204, "", "")
             } else {
-                good("a\tb\tc\n")
+                success_response("a\tb\tc\n")
             }
         })
     }
 
     /// Takes the statement and never ends it.
-    pub fn busy() -> Engine {
-        Engine::start(|call, _| say(if call.is("DELETE") { 204 } else { 202 }, "", ""))
+    pub fn never_completing() -> FakeEngine {
+        FakeEngine::start(|call, _| {
+            response(if call.has_method("DELETE") { 204 } else { 202 }, "", "")
+        })
     }
 
     pub fn row(&self, id: &str, state: &str) -> String {
         row_at(self.address, id, state, 0)
     }
 
-    pub fn starts(&self) -> usize {
-        self.calls.all().iter().filter(|c| c.is("POST")).count()
+    pub fn start_count(&self) -> usize {
+        self.calls
+            .all()
+            .iter()
+            .filter(|c| c.has_method("POST"))
+            .count()
     }
 }
 
@@ -209,26 +215,26 @@
 
 /// An engine whose queries end when the test says so. It has an address for each gateway, so that it knows who calls.
 /// Ids from 1 << 32 on end at once.
-pub struct Held {
+pub struct ControlledEngine {
     pub addresses: Vec<SocketAddr>,
     /// Who called, and what.
-    pub calls: Seen<(usize, Call)>,
-    shared: Arc<Mutex<HeldQueries>>,
+    pub calls: EventLog<(usize, Call)>,
+    shared: Arc<Mutex<ControlledQueries>>,
 }
 
 #[derive(Default)]
-struct HeldQueries {
+struct ControlledQueries {
     /// By id: the pages of its end, where it has ended.
     known: BTreeMap<u64, Option<Vec<String>>>,
     mute_starts: bool,
     /// Answers to starts wait for this.
-    starts_released: Option<Seen<()>>,
+    starts_released: Option<EventLog<()>>,
     mute_pages: bool,
     close_polls: bool,
     fail_starts: bool,
 }
 
-impl HeldQueries {
+impl ControlledQueries {
     fn reply(&mut self, call: &Call) -> Reply {
         let path: Vec<&str> = call.path.split('/').collect();
         let id = call
@@ -237,21 +243,21 @@
             .unwrap_or_default()
             .to_owned();
         let number = u64::from_str_radix(&id, 16).unwrap_or(0);
-        if call.is("DELETE") {
+        if call.has_method("DELETE") {
             self.known.remove(&number);
-            return say(204, "", "");
+            return response(204, "", "");
         }
-        if call.is("POST") && self.fail_starts {
-            return say(500, "", "");
+        if call.has_method("POST") && self.fail_starts {
+            return response(500, "", "");
         }
-        if call.is("GET") && self.close_polls {
+        if call.has_method("GET") && self.close_polls {
             return Reply::Close;
         }
-        if call.is("POST") {
+        if call.has_method("POST") {
             let auto = (number >= 1 << 32).then(|| vec![format!("{id}\tb\tc\n")]);
             self.known.entry(number).or_insert(auto);
             if self.mute_starts {
-                return Reply::Silence;
+                return Reply::NoResponse;
             }
         }
         let page = path
@@ -259,9 +265,9 @@
             .and_then(|page| page.parse::<usize>().ok())
             .unwrap_or(0);
         match self.known.get(&number) {
-            None => say(500, "", ""),
-            Some(None) => say(202, "", ""),
-            Some(Some(_)) if page > 0 && self.mute_pages => Reply::Silence,
+            None => response(500, "", ""),
+            Some(None) => response(202, "", ""),
+            Some(Some(_)) if page > 0 && self.mute_pages => Reply::NoResponse,
             Some(Some(pages)) => {
                 let count = pages.len();
                 let head = format!(
@@ -269,28 +275,28 @@
                 );
                 pages
                     .get(page)
-                    .map_or_else(|| say(500, "", ""), |body| say(200, &head, body))
+                    .map_or_else(|| response(500, "", ""), |body| response(200, &head, body))
             }
         }
     }
 }
 
-impl Held {
-    pub fn start(gateways: usize) -> Held {
-        let shared: Arc<Mutex<HeldQueries>> = Arc::default();
-        let calls = Seen::new();
+impl ControlledEngine {
+    pub fn start(gateways: usize) -> ControlledEngine {
+        let shared: Arc<Mutex<ControlledQueries>> = Arc::default();
+        let calls = EventLog::new();
         let one = |gateway: usize| {
             let (shared, calls) = (shared.clone(), calls.clone());
-            let engine = Engine::start(move |call, _| {
+            let engine = FakeEngine::start(move |call, _| {
                 let (reply, released) = {
                     let mut queries = shared.lock().unwrap();
                     (queries.reply(call), queries.starts_released.clone())
                 };
                 calls.push((gateway, call.clone()));
-                if let Some(released) = released.filter(|_| call.is("POST")) {
+                if let Some(released) = released.filter(|_| call.has_method("POST")) {
                     released.wait("release of the answers to starts", |_| true);
                 }
-                if matches!(&reply, Reply::Say(text) if text.contains(" 202 ")) {
+                if matches!(&reply, Reply::Response(text) if text.contains(" 202 ")) {
                     // An engine holds back that there is no news.
                     thread::sleep(NO_NEWS);
                 }
@@ -298,86 +304,86 @@
             });
             engine.address
         };
-        Held {
+        ControlledEngine {
             addresses: (0..gateways).map(one).collect(),
             calls,
             shared,
         }
     }
 
-    pub fn end(&self, req: u64) {
-        self.end_with(req, vec![format!("{req:016x}\tb\tc\n")]);
+    pub fn complete(&self, req: u64) {
+        self.complete_with_pages(req, vec![format!("{req:016x}\tb\tc\n")]);
     }
 
-    pub fn end_with(&self, req: u64, pages: Vec<String>) {
+    pub fn complete_with_pages(&self, req: u64, pages: Vec<String>) {
         self.shared.lock().unwrap().known.insert(req, Some(pages));
     }
 
     /// Starts are taken and not answered.
-    pub fn mute_starts(&self, is: bool) {
+    pub fn set_starts_unanswered(&self, is: bool) {
         self.shared.lock().unwrap().mute_starts = is;
     }
 
     /// Starts are taken, and answered once the returned is pushed to.
-    pub fn hold_starts(&self) -> Seen<()> {
-        let released = Seen::new();
+    pub fn delay_start_responses(&self) -> EventLog<()> {
+        let released = EventLog::new();
         self.shared.lock().unwrap().starts_released = Some(released.clone());
         released
     }
 
     /// Starts end in an error.
-    pub fn fail_starts(&self, is: bool) {
+    pub fn set_starts_failing(&self, is: bool) {
         self.shared.lock().unwrap().fail_starts = is;
     }
 
     /// Connections close at every question.
-    pub fn close_polls(&self, is: bool) {
+    pub fn set_polls_closing(&self, is: bool) {
         self.shared.lock().unwrap().close_polls = is;
     }
 
     /// Starts that came through this gateway's address.
-    pub fn starts_by(&self, gateway: usize) -> usize {
+    pub fn start_count_by_gateway(&self, gateway: usize) -> usize {
         self.calls
             .all()
             .iter()
-            .filter(|(by, c)| *by == gateway && c.is("POST"))
+            .filter(|(by, c)| *by == gateway && c.has_method("POST"))
             .count()
     }
 
     /// Pages but the first are not answered.
-    pub fn mute_pages(&self, is: bool) {
+    pub fn set_later_pages_unanswered(&self, is: bool) {
         self.shared.lock().unwrap().mute_pages = is;
     }
 
     /// Its process begins anew.
-    pub fn forget(&self) {
+    pub fn forget_queries(&self) {
         self.shared.lock().unwrap().known.clear();
     }
 
-    pub fn starts(&self, req: u64) -> usize {
+    pub fn start_count(&self, req: u64) -> usize {
         let id = format!("{req:016x}");
         self.calls
             .all()
             .iter()
-            .filter(|(_, c)| c.is("POST") && c.header("Via-Id") == Some(&id))
+            .filter(|(_, c)| c.has_method("POST") && c.header("Via-Id") == Some(&id))
             .count()
     }
 
-    pub fn wait_start(&self, req: u64) -> usize {
+    pub fn wait_for_start(&self, req: u64) -> usize {
         let id = format!("{req:016x}");
         self.calls
             .wait("start", |(_, c)| {
-                c.is("POST") && c.header("Via-Id") == Some(&id)
+                c.has_method("POST") && c.header("Via-Id") == Some(&id)
             })
             .0
     }
 
     /// A question for this page by a gateway that is none of these.
-    pub fn wait_ask(&self, req: u64, page: usize, not: &[usize]) -> usize {
+    pub fn wait_for_poll(&self, req: u64, page: usize, not: &[usize]) -> usize {
         let path = format!("/c/{req:016x}/{page}");
         self.calls
             .wait("question", |(by, c)| {
-                c.is("GET") && c.path == path && !not.contains(by)
+                c.has_method("GET") && c.path == path && !not.contains(by)
             })
             .0
     }
@@ -410,7 +416,7 @@
 
 /// An address that refuses connections for as long as the socket is held: bound and never listened on, so that no
 /// other listener can come by it.
-pub fn refusing() -> (OwnedFd, SocketAddr) {
+pub fn refusing_address() -> (OwnedFd, SocketAddr) {
     use rustix::net::{AddressFamily, SocketType, bind, getsockname, socket};
     let held = socket(AddressFamily::INET, SocketType::STREAM, None).unwrap();
     bind(&held, &SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
@@ -419,21 +425,21 @@
 }
 
 /// A way to an engine whose dials do not come up until it is opened: its queue of connections is full.
-pub struct Door {
+pub struct BlockedListener {
     pub address: SocketAddr,
     listener: TcpListener,
     filler: TcpStream,
 }
 
-impl Door {
-    pub fn shut() -> Door {
+impl BlockedListener {
+    pub fn start() -> BlockedListener {
         use rustix::net::{AddressFamily, SocketType, bind, listen, socket};
         let held = socket(AddressFamily::INET, SocketType::STREAM, None).unwrap();
         bind(&held, &SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
         listen(&held, 0).unwrap();
         let listener = TcpListener::from(held);
         let address = listener.local_addr().unwrap();
-        Door {
+        BlockedListener {
             address,
             listener,
             filler: TcpStream::connect(address).unwrap(),
@@ -441,15 +447,15 @@
     }
 
     /// Waits until somebody dials it.
-    pub fn dialled(&self) {
-        until("a dial", || dials(self.address, "02"));
+    pub fn wait_for_connection_attempt(&self) {
+        wait_until("a dial", || dials(self.address, "02"));
     }
 
     /// Dials come up from now on, as they are tried again. Returns once the one has that waits.
-    pub fn open(self) -> TcpListener {
+    pub fn unblock(self) -> TcpListener {
         drop(self.filler);
         self.listener.accept().unwrap();
-        until("the dial that waited", || !dials(self.address, "02"));
+        wait_until("the dial that waited", || !dials(self.address, "02"));
         self.listener
     }
 }
@@ -469,7 +475,7 @@
 }
 
 /// Waits until the other side has read all that was sent on this connection.
-pub fn is_read(stream: &TcpStream) {
+pub fn wait_until_read(stream: &TcpStream) {
     let (from, to) = (stream.peer_addr().unwrap(), stream.local_addr().unwrap());
     let ends = format!(
         ":{:04X} {:08X}:{:04X} 01 ",
@@ -477,7 +483,7 @@
         u32::from_le_bytes([127, 0, 0, 1]),
         to.port()
     );
-    until("reader", || {
+    wait_until("reader", || {
         let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
         table
             .lines()
@@ -486,8 +492,8 @@
 }
 
 /// Waits for a condition that nobody tells of.
-pub fn until(what: &str, holds: impl Fn() -> bool) {
-    let end = Instant::now() + PATIENCE;
+pub fn wait_until(what: &str, holds: impl Fn() -> bool) {
+    let end = Instant::now() + WAIT_TIMEOUT;
     while !holds() {
         assert!(Instant::now() < end, "no {what}");
         thread::sleep(Duration::from_millis(2));
@@ -496,11 +502,11 @@
 
 /// The journal service: each connection's first line is kept, and gets the next of the scripts; then a line
 /// with the last number each tenth of a second, until it is told to close.
-pub struct Journal {
+pub struct FakeDiscoveryServer {
     pub address: SocketAddr,
-    pub tails: Seen<String>,
+    pub watch_requests: EventLog<String>,
     scripts: Arc<Mutex<VecDeque<String>>>,
-    told: Arc<Mutex<Told>>,
+    sent: Arc<Mutex<Told>>,
 }
 
 /// What each connection is told, and the one that is there.
@@ -510,19 +516,19 @@
     stream: Option<TcpStream>,
 }
 
-impl Journal {
+impl FakeDiscoveryServer {
     /// `scripts`: what one connection after the other is told; a script that ends in `!` closes it.
-    pub fn start(scripts: &[String]) -> Journal {
+    pub fn start(scripts: &[String]) -> FakeDiscoveryServer {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let journal = Journal {
+        let journal = FakeDiscoveryServer {
             address,
-            tails: Seen::new(),
+            watch_requests: EventLog::new(),
             scripts: Arc::new(Mutex::new(scripts.iter().cloned().collect())),
-            told: Arc::default(),
+            sent: Arc::default(),
         };
-        let (tails, scripts) = (journal.tails.clone(), journal.scripts.clone());
-        let told = journal.told.clone();
+        let (tails, scripts) = (journal.watch_requests.clone(), journal.scripts.clone());
+        let told = journal.sent.clone();
         thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
                 let mut line = String::new();
@@ -543,13 +549,13 @@
     }
 
     /// Tells nothing but what the test does.
-    pub fn held() -> Journal {
-        Journal::start(&[])
+    pub fn without_script() -> FakeDiscoveryServer {
+        FakeDiscoveryServer::start(&[])
     }
 
     /// On the connection that is there, and on each that follows.
-    pub fn tell(&self, line: &str) {
-        let mut told = self.told.lock().unwrap();
+    pub fn send(&self, line: &str) {
+        let mut told = self.sent.lock().unwrap();
         told.lines += line;
         if let Some(stream) = &mut told.stream {
             let _ = stream.write_all(line.as_bytes());
@@ -557,7 +563,7 @@
     }
 }
 
-pub fn event(pos: u64, full: bool, rows: &[String]) -> String {
+pub fn endpoint_event(pos: u64, full: bool, rows: &[String]) -> String {
     format!(
         "{{\"pos\":{pos},\"hosts\":{{\"version\":{pos},\"full\":{full},\"servers\":[{}]}}}}\n",
         rows.join(",")
@@ -588,25 +594,25 @@
     path: PathBuf,
     config: String,
     pub address: SocketAddr,
-    pub log: Seen<String>,
+    pub log: EventLog<String>,
 }
 
 impl Gateway {
     /// Starts the program with the list `rows` known to it, and waits until it serves.
     pub fn start(rows: &[String]) -> Gateway {
-        Gateway::with("127.0.0.1:0", rows, None, 1024)
+        Gateway::start_with("127.0.0.1:0", rows, None, 1024)
     }
 
-    pub fn with(
+    pub fn start_with(
         listen: &str,
         rows: &[String],
-        journal: Option<&Journal>,
+        journal: Option<&FakeDiscoveryServer>,
         sockets: usize,
     ) -> Gateway {
-        Gateway::spawned(configuration(listen, rows, journal, sockets), None)
+        Gateway::spawn(configuration(listen, rows, journal, sockets), None)
     }
 
-    fn spawned(config: String, own: Option<(&str, &str)>) -> Gateway {
+    fn spawn(config: String, own: Option<(&str, &str)>) -> Gateway {
         let (mut child, log, path) = spawn_own(&config, own);
         let line = log.wait("line of the start", |l| {
             l.contains("gateway started") || l.contains("ERROR")
@@ -626,20 +632,24 @@
     }
 
     /// Before these engines, with a configuration changed by `change` and own settings as JSON.
-    pub fn owned(rows: &[String], change: impl Fn(String) -> String, own: Option<&str>) -> Gateway {
+    pub fn start_with_own_settings(
+        rows: &[String],
+        change: impl Fn(String) -> String,
+        own: Option<&str>,
+    ) -> Gateway {
         let config = change(configuration("127.0.0.1:0", rows, None, 1024));
-        Gateway::spawned(config, own.map(|own| ("json", own)))
+        Gateway::spawn(config, own.map(|own| ("json", own)))
     }
 
     /// The same as a fleet's member or with a journal: the whole configuration is the test's.
-    pub fn configured(config: String) -> Gateway {
-        Gateway::spawned(config, None)
+    pub fn start_with_config(config: String) -> Gateway {
+        Gateway::spawn(config, None)
     }
 
     /// Stops the process as it stands: what happens meanwhile it meets all at once.
-    pub fn held<T>(&self, meanwhile: impl FnOnce() -> T) -> T {
+    pub fn while_stopped<T>(&self, meanwhile: impl FnOnce() -> T) -> T {
         self.signal("STOP");
-        until("the stop", || {
+        wait_until("the stop", || {
             let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
             stat.rsplit(") ")
                 .next()
@@ -651,18 +661,18 @@
     }
 
     /// The same with a file of this ending.
-    pub fn owned_by(
+    pub fn start_with_own_settings_file(
         rows: &[String],
         change: impl Fn(String) -> String,
         ending: &str,
         own: &str,
     ) -> Gateway {
         let config = change(configuration("127.0.0.1:0", rows, None, 1024));
-        Gateway::spawned(config, Some((ending, own)))
+        Gateway::spawn(config, Some((ending, own)))
     }
 
     /// Replaces the file of its own settings.
-    pub fn configure_own(&self, own: &str) {
+    pub fn write_own_settings(&self, own: &str) {
         std::fs::write(self.path.with_extension("own.json"), own).unwrap();
     }
 
@@ -682,14 +692,14 @@
     }
 
     /// Replaces the file of its configuration.
-    pub fn configure(&self, config: &str) {
+    pub fn write_config(&self, config: &str) {
         std::fs::write(&self.path, config).unwrap();
     }
 
-    pub fn configure_journal(&self, journal: &Journal) {
+    pub fn write_discovery_address(&self, journal: &FakeDiscoveryServer) {
         let (head, rest) = self.config.split_once("\"journal\":\"").unwrap();
         let tail = rest.split_once('"').unwrap().1;
-        self.configure(&format!("{head}\"journal\":\"{}\"{tail}", journal.address));
+        self.write_config(&format!("{head}\"journal\":\"{}\"{tail}", journal.address));
     }
 
     pub fn kill(&mut self) {
@@ -712,11 +722,11 @@
 pub fn configuration(
     listen: &str,
     rows: &[String],
-    journal: Option<&Journal>,
+    journal: Option<&FakeDiscoveryServer>,
     sockets: usize,
 ) -> String {
     let journal = journal.map_or(String::new(), |j| j.address.to_string());
-    let entry = event(1, true, rows);
+    let entry = endpoint_event(1, true, rows);
     format!(
         r#"{{"name":"n0","listen":"{listen}","seed":"8c1f30d27a5be964","limits":{{"sockets":{sockets}}},
          "journal":"{journal}","known":{{"pos":1,"entries":[{entry}]}},"settings":{SETTINGS}}}"#
@@ -724,7 +734,7 @@
 }
 
 /// The command `ivypitch` that was built beside this test or is this program.
-pub fn program() -> PathBuf {
+pub fn ivypitch_program() -> PathBuf {
     let this = std::env::current_exe().unwrap();
     let beside = this
         .parent()
@@ -734,17 +744,20 @@
 }
 
 /// The program with this configuration, its log, and where the configuration is.
-pub fn spawn(config: &str) -> (Child, Seen<String>, PathBuf) {
-    spawn_with(config, None)
+pub fn spawn_gateway(config: &str) -> (Child, EventLog<String>, PathBuf) {
+    spawn_gateway_with_settings(config, None)
 }
 
 /// The same with own settings, as JSON.
-pub fn spawn_with(config: &str, own: Option<&str>) -> (Child, Seen<String>, PathBuf) {
+pub fn spawn_gateway_with_settings(
+    config: &str,
+    own: Option<&str>,
+) -> (Child, EventLog<String>, PathBuf) {
     spawn_own(config, own.map(|own| ("json", own)))
 }
 
 /// Own settings by the ending of their file and its text.
-fn spawn_own(config: &str, own: Option<(&str, &str)>) -> (Child, Seen<String>, PathBuf) {
+fn spawn_own(config: &str, own: Option<(&str, &str)>) -> (Child, EventLog<String>, PathBuf) {
     static NUMBER: AtomicUsize = AtomicUsize::new(0);
     let name = format!(
         "gateway-{}-{}.json",
@@ -753,7 +766,7 @@
     );
     let path = std::env::temp_dir().join(name);
     std::fs::write(&path, config).unwrap();
-    let mut command = Command::new(program());
+    let mut command = Command::new(ivypitch_program());
     command.arg("serve").env("PROXY_CONFIG", &path);
     let own_path = path.with_extension(format!("own.{}", own.map_or("json", |(ending, _)| ending)));
     if let Some((_, own)) = own {
@@ -761,7 +774,7 @@
         command.env("IVYPITCH_OWN", &own_path);
     }
     let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
-    let log = Seen::new();
+    let log = EventLog::new();
     let (lines, seen, file) = (
         BufReader::new(child.stderr.take().unwrap()).lines(),
         log.clone(),
@@ -783,7 +796,7 @@
 }
 
 impl Answer {
-    pub fn code(&self) -> u16 {
+    pub fn error_code(&self) -> u16 {
         if let Answer::Error(code, _) = self {
             *code
         } else {
@@ -829,24 +842,24 @@
 
 impl Client {
     pub fn connect(gateway: &Gateway) -> Client {
-        Client::at(gateway.address)
+        Client::connect_to(gateway.address)
     }
 
-    pub fn at(address: SocketAddr) -> Client {
-        let mut client = Client::bare_at(address);
+    pub fn connect_to(address: SocketAddr) -> Client {
+        let mut client = Client::connect_without_login_to(address);
         client.send(&login("app"));
-        client.greeted();
+        client.finish_login();
         client
     }
 
     /// Connected, nothing written or read.
-    pub fn bare(gateway: &Gateway) -> Client {
-        Client::bare_at(gateway.address)
+    pub fn connect_without_login(gateway: &Gateway) -> Client {
+        Client::connect_without_login_to(gateway.address)
     }
 
-    fn bare_at(address: SocketAddr) -> Client {
+    fn connect_without_login_to(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         // Else the system holds small writes back, behind what was not acknowledged yet.
         stream.set_nodelay(true).unwrap();
         Client {
@@ -856,13 +869,13 @@
     }
 
     /// Reads the greeting and the answer to the login.
-    pub fn greeted(&mut self) -> Answer {
-        self.greeting();
-        self.answer(2)
+    pub fn finish_login(&mut self) -> Answer {
+        self.read_greeting();
+        self.read_answer(2)
     }
 
-    pub fn greeting(&mut self) {
-        let greeting = self.packet().expect("a greeting").1;
+    pub fn read_greeting(&mut self) {
+        let greeting = self.read_packet().expect("a greeting").1;
         let version = greeting.iter().position(|&b| b == 0).unwrap();
         self.connection =
             u32::from_le_bytes(greeting[version + 1..version + 5].try_into().unwrap());
@@ -872,15 +885,15 @@
         self.stream.write_all(bytes).unwrap();
     }
 
-    pub fn ask(&mut self, text: &str) -> Answer {
+    pub fn execute(&mut self, text: &str) -> Answer {
         self.send(&query(text));
-        self.answer(1)
+        self.read_answer(1)
     }
 
     /// Logged in, where a gateway is there and takes it in.
-    pub fn reach(address: SocketAddr) -> Option<Client> {
+    pub fn try_connect(address: SocketAddr) -> Option<Client> {
         let stream = TcpStream::connect(address).ok()?;
-        stream.set_read_timeout(Some(PATIENCE)).ok()?;
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).ok()?;
         stream.set_nodelay(true).ok()?;
         let mut client = Client {
             stream,
@@ -888,31 +901,31 @@
         };
         client.stream.write_all(&login("app")).ok()?;
         client
-            .packet()
+            .read_packet()
             .filter(|(_, payload)| payload.first() == Some(&10))?;
-        (client.answer(2).code() == 0).then_some(client)
+        (client.read_answer(2).error_code() == 0).then_some(client)
     }
 
     /// Login and statement in one write, as clients may send them, and the answer to the statement.
-    pub fn ask_at_once(address: SocketAddr, text: &str) -> Answer {
-        let mut client = Client::bare_at(address);
+    pub fn login_and_execute(address: SocketAddr, text: &str) -> Answer {
+        let mut client = Client::connect_without_login_to(address);
         client.send(&[login("app"), query(text)].concat());
-        client.greeted();
-        client.answer(1)
+        client.finish_login();
+        client.read_answer(1)
     }
 
     /// `None`: its gateway has gone.
-    pub fn try_ask(&mut self, text: &str) -> Option<Answer> {
+    pub fn try_execute(&mut self, text: &str) -> Option<Answer> {
         self.stream.write_all(&query(text)).ok()?;
-        Some(self.answer(1))
+        Some(self.read_answer(1))
     }
 
     pub fn ping(&mut self) -> Answer {
         self.send(&packet(0, &[0x0e]));
-        self.answer(1)
+        self.read_answer(1)
     }
 
-    pub fn packet(&mut self) -> Option<(u8, Vec<u8>)> {
+    pub fn read_packet(&mut self) -> Option<(u8, Vec<u8>)> {
         let mut head = [0; 4];
         self.stream.read_exact(&mut head).ok()?;
         let mut payload = vec![0; u32::from_le_bytes([head[0], head[1], head[2], 0]) as usize];
@@ -921,10 +934,10 @@
     }
 
     /// The answer to one command; its packets are numbered from `sequence`. OK reads as no rows.
-    pub fn answer(&mut self, mut sequence: u8) -> Answer {
+    pub fn read_answer(&mut self, mut sequence: u8) -> Answer {
         let (mut rows, mut ends) = (Vec::new(), 0);
         loop {
-            let Some((number, payload)) = self.packet() else {
+            let Some((number, payload)) = self.read_packet() else {
                 return Answer::Closed;
             };
             assert_eq!(number, sequence, "sequence number");
--- a/crates/ivypitch-testbed/tests/relay.rs
+++ b/crates/ivypitch-testbed/tests/relay.rs
@@ -4,18 +4,18 @@
 use std::net::{TcpListener, TcpStream};
 use std::thread;
 
-use ivypitch_testbed::processes::relay::{End, Net};
-use ivypitch_testbed::stand_ins::{PATIENCE, Seen};
+use ivypitch_testbed::processes::relay::{LinkEnd, RelayNetwork};
+use ivypitch_testbed::test_servers::{EventLog, WAIT_TIMEOUT};
 use test_case::test_case;
 
-const FROM: End = End::Gateway(0);
-const TO: End = End::Engine(0);
+const FROM: LinkEnd = LinkEnd::Gateway(0);
+const TO: LinkEnd = LinkEnd::Engine(0);
 const ROUNDS: usize = 20;
 
 /// Reads one connection after the other to its end.
-fn sink() -> (std::net::SocketAddr, Seen<String>) {
+fn sink() -> (std::net::SocketAddr, EventLog<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (address, seen) = (listener.local_addr().unwrap(), Seen::new());
+    let (address, seen) = (listener.local_addr().unwrap(), EventLog::new());
     let all = seen.clone();
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
@@ -29,7 +29,7 @@
 
 fn written(at: std::net::SocketAddr, text: &str) -> TcpStream {
     let mut stream = TcpStream::connect(at).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     stream.write_all(text.as_bytes()).unwrap();
     stream
 }
@@ -40,26 +40,26 @@
 #[test_case(true; "a dial that it has not taken up")]
 fn a_reset_loses_what_waits_though_the_way_is_open_at_once(held: bool) {
     let (target, seen) = sink();
-    let net = Net::start(1);
+    let net = RelayNetwork::start(1);
     let at = net.open(FROM, TO, target, false).unwrap();
     for round in 1..=ROUNDS {
         let text = format!("lost {round}.");
-        net.silence(FROM, TO);
+        net.block(FROM, TO);
         let mut lost = if held {
             let mut dialled = None;
             net.change(FROM, TO, |_| dialled = Some(written(at, &text)));
             dialled.unwrap()
         } else {
             let lost = written(at, &text);
-            net.wait_stuck(FROM, TO, &text);
+            net.wait_for_blocked_data(FROM, TO, &text);
             lost
         };
         net.reset(FROM, TO);
-        net.hear(FROM, TO);
+        net.unblock(FROM, TO);
         assert!(!matches!(lost.read(&mut [0]), Ok(1)));
         // A link that is made after the reset is whole.
         drop(written(at, "whole"));
-        seen.wait_for("whole link", round, |came| came == "whole");
+        seen.wait_for_nth("whole link", round, |came| came == "whole");
     }
     let arrived = seen
         .all()
--- a/crates/ivypitch-testbed/tests/soak_checker.rs
+++ b/crates/ivypitch-testbed/tests/soak_checker.rs
@@ -2,19 +2,19 @@
 
 use ivypitch_testbed::experiments::soak::checker::{AllowedLoss, FindingKind, judge};
 use ivypitch_testbed::experiments::soak::observations::*;
-use ivypitch_testbed::processes::Said;
+use ivypitch_testbed::processes::EngineEvent;
 use test_case::test_case;
 
 const SECOND: u64 = 1_000_000;
 const ID: u64 = 7;
 
-fn line(at: u64, what: &str) -> Said {
-    Said {
-        at,
+fn line(at: u64, what: &str) -> EngineEvent {
+    EngineEvent {
+        at_us: at,
         engine: 0,
-        what: what.to_owned(),
+        kind: what.to_owned(),
         id: format!("{ID:016x}"),
-        by: 0,
+        gateway: 0,
     }
 }
 
@@ -89,7 +89,7 @@
 #[test_case(|run| run.processes[0].descriptors = 2000, FindingKind::OverLimit; "more descriptors than allowed")]
 #[test_case(|run| run.processes[0].resident_bytes = 200 << 20, FindingKind::OverLimit; "more memory than allowed")]
 #[test_case(|run| restarted_with(run, 200), FindingKind::DescriptorGrowth; "a descriptor that leaks from restart to restart")]
-#[test_case(|run| run.engine_lines[1].at = 5 * SECOND, FindingKind::Orphan; "an orphan at an engine")]
+#[test_case(|run| run.engine_lines[1].at_us = 5 * SECOND, FindingKind::Orphan; "an orphan at an engine")]
 fn a_planted_fault_is_found(plant: fn(&mut Observations), kind: FindingKind) {
     let mut run = in_order();
     plant(&mut run);
