--- a/crates/ivypitch-cli/tests/scale.rs
+++ b/crates/ivypitch-cli/tests/scale.rs
@@ -11,7 +11,7 @@
 use ivypitch_testbed::processes::relay::End;
 use ivypitch_testbed::processes::{Engines, Fleet, Setup, row};
 use ivypitch_testbed::stand_ins::*;
-use ivypitch_testbed::virtual_time::faults::{Fault, Plan, What};
+use ivypitch_testbed::virtual_time::faults::{Fault, FaultKind, FaultPlan};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use test_case::test_case;
@@ -35,7 +35,7 @@
     "shares":{"enabled":true,"span_ms":1000}"#;
 
 struct Faults {
-    plan: Plan,
+    plan: FaultPlan,
     /// Its journal says nothing until the end: it hears of changes from members alone.
     silent: usize,
     /// Its link to the journal breaks in the middle of the burst.
@@ -51,10 +51,10 @@
     let span = CHANGES * APART;
     let back = rng.random_range(100..span / 3);
     let mut faults = vec![Fault {
-        at: rng.random_range(span / 6..span / 2),
-        what: What::Kill {
+        at_ms: rng.random_range(span / 6..span / 2),
+        kind: FaultKind::Kill {
             gateway: killed,
-            back,
+            restart_after_ms: back,
         },
     }];
     for n in 0..8 {
@@ -62,32 +62,36 @@
         let to = (from + rng.random_range(1..REAL + HOLLOW)) % (REAL + HOLLOW);
         let span = rng.random_range(200..900);
         let what = match n % 3 {
-            0 => What::Mute { from, to, span },
-            1 => What::Late {
+            0 => FaultKind::DropMessages {
                 from,
                 to,
-                by: rng.random_range(20..600),
-                span,
+                duration_ms: span,
             },
-            _ => What::Reset {
+            1 => FaultKind::DelayMessages {
+                from,
+                to,
+                delay_ms: rng.random_range(20..600),
+                duration_ms: span,
+            },
+            _ => FaultKind::ResetLinks {
                 from: from % REAL,
                 to,
             },
         };
         faults.push(Fault {
-            at: rng.random_range(0..CHANGES * APART),
-            what,
+            at_ms: rng.random_range(0..CHANGES * APART),
+            kind: what,
         });
     }
     faults.push(Fault {
-        at: span / 2,
-        what: What::CutOff {
+        at_ms: span / 2,
+        kind: FaultKind::PartitionGateway {
             gateway: broken,
-            span: 400,
+            duration_ms: 400,
         },
     });
     Faults {
-        plan: Plan { faults },
+        plan: FaultPlan { faults },
         silent,
         broken,
         drop: rng.random_range(0.01..0.1),
@@ -258,12 +262,16 @@
 }
 
 /// Engines come and go by the seed; at last all that were listed drain, and one that nobody knew is listed.
-fn burst(fleet: &mut Fleet, plan: &Plan, broken: usize, seed: u64) {
+fn burst(fleet: &mut Fleet, plan: &FaultPlan, broken: usize, seed: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0xb0);
     let mut steps: Vec<(u64, bool, Fault)> = Vec::new();
     for &fault in &plan.faults {
-        steps.push((fault.at, true, fault));
-        steps.extend(fault.span().map(|span| (fault.at + span, false, fault)));
+        steps.push((fault.at_ms, true, fault));
+        steps.extend(
+            fault
+                .duration_ms()
+                .map(|span| (fault.at_ms + span, false, fault)),
+        );
     }
     steps.sort_by_key(|&(at, begins, _)| (at, begins));
     let mut steps = steps.into_iter().peekable();
--- a/crates/ivypitch-testbed/src/demo.rs
+++ b/crates/ivypitch-testbed/src/demo.rs
@@ -6,21 +6,21 @@
 
 use crate::experiments::team_flood::{TEAMS, teams};
 use crate::processes::sockets::{self, Plan};
-use crate::virtual_time::engine::Model;
+use crate::virtual_time::engine::EngineConfig;
 use crate::virtual_time::traffic::{self, Flood};
 
 const SECONDS: u64 = 16;
 
 pub fn play() -> ExitCode {
     let works = traffic::workloads(0.1);
-    let model = Model {
+    let model = EngineConfig {
         cores: 8.0,
-        ..Model::default()
+        ..EngineConfig::default()
     };
     let (engines, span) = (4, SECONDS * SECOND);
     let cores = engines as f64 * model.cores;
     let flood = Flood::Step {
-        times: 10.0,
+        rate_factor: 10.0,
         from: 5 * SECOND,
         until: 12 * SECOND,
     };
@@ -33,7 +33,7 @@
     );
     let played = sockets::play(Plan {
         engines,
-        statements: traffic::statements(&works, &all, span, 1),
+        statements: traffic::draw_statements(&works, &all, span, 1),
         works,
         teams: all.iter().map(|t| t.name.clone()).collect(),
         own: Some(sockets::own(&TEAMS)),
--- a/crates/ivypitch-testbed/src/experiments/custody.rs
+++ b/crates/ivypitch-testbed/src/experiments/custody.rs
@@ -40,17 +40,17 @@
             fleet.gateways, fleet.engines, fleet.fault_gap_ms
         );
         let play = |seed: u64| {
-            ownership_fleet::play(
+            ownership_fleet::run(
                 fleet,
-                &ownership_fleet::draw(fleet, seed, losses_only),
+                &ownership_fleet::draw_faults(fleet, seed, losses_only),
                 seed,
             )
         };
         let all = side_by_side(plans, seed, play);
         if let Some(first) = all.iter().position(|verdict| !verdict.holds()) {
             let seed = seed + first as u64;
-            let plan = ownership_fleet::draw(fleet, seed, losses_only);
-            let least = plan.cut_down(40, |plan| !ownership_fleet::play(fleet, plan, seed).holds());
+            let plan = ownership_fleet::draw_faults(fleet, seed, losses_only);
+            let least = plan.minimize(40, |plan| !ownership_fleet::run(fleet, plan, seed).holds());
             println!("seed {seed} breaks a promise; the least plan that does:\n{least}");
         }
         let sum = |of: fn(&ownership_fleet::Verdict) -> u64| all.iter().map(of).sum::<u64>() as f64;
--- a/crates/ivypitch-testbed/src/experiments/custody_cost.rs
+++ b/crates/ivypitch-testbed/src/experiments/custody_cost.rs
@@ -12,7 +12,7 @@
 use crate::processes::clients::{self, Ask, Manners, Story};
 use crate::processes::{Engines, Fleet, Setup};
 use crate::report::{Bound, Report};
-use crate::virtual_time::faults::Plan;
+use crate::virtual_time::faults::FaultPlan;
 use crate::virtual_time::ownership_fleet;
 
 const LONGEST_MS: u64 = 3000;
@@ -200,7 +200,7 @@
             counts_bytes: true,
             ..ownership_fleet::Fleet::default()
         };
-        let verdict = ownership_fleet::play(&fleet, &Plan::default(), seed);
+        let verdict = ownership_fleet::run(&fleet, &FaultPlan::default(), seed);
         let place = format!("virtual time, {gateways} gateways, no faults");
         let all = verdict.statements.max(1) as f64;
         let mut bound = |what: &str, is: f64, least: f64, most: f64| {
--- a/crates/ivypitch-testbed/src/experiments/fleet_cut.rs
+++ b/crates/ivypitch-testbed/src/experiments/fleet_cut.rs
@@ -12,7 +12,7 @@
 use crate::processes::story::{Verdict, judge};
 use crate::processes::{Engines, Fleet, Said, Setup};
 use crate::report::{Bound, Report};
-use crate::virtual_time::faults::{Field, Plan, What};
+use crate::virtual_time::faults::{FaultKind, FaultPlan, FaultPlanParams};
 
 const GATEWAYS: usize = 12;
 const ENGINES: usize = 6;
@@ -48,7 +48,7 @@
     drained_ms: f64,
 }
 
-fn run(plan: &Plan, span: u64, uneven: bool, shares: bool, seed: u64) -> Result<Run, String> {
+fn run(plan: &FaultPlan, span: u64, uneven: bool, shares: bool, seed: u64) -> Result<Run, String> {
     let peers = format!(r#""custody":{{"enabled":false}},"shares":{{"enabled":{shares}}}"#);
     let mut fleet = Fleet::start(Setup {
         gateways: GATEWAYS,
@@ -90,7 +90,11 @@
 fn drained(fleet: &Fleet, said: &[Said]) -> f64 {
     let mut latest = 0;
     for done in &fleet.done {
-        let What::EngineDrains { engine, span } = done.fault.what else {
+        let FaultKind::DrainEngine {
+            engine,
+            duration_ms: span,
+        } = done.fault.kind
+        else {
             continue;
         };
         let until = done.at + span * 1000;
@@ -112,19 +116,19 @@
         "{GATEWAYS} gateways, {ENGINES} engines as processes, {} s, {seeds} seeds",
         span / 1000
     );
-    let field = Field {
+    let field = FaultPlanParams {
         gateways: GATEWAYS,
         zones: 3,
         engines: ENGINES,
-        span,
-        gap: 1500,
-        losses_only: false,
+        duration_ms: span,
+        mean_gap_ms: 1500,
+        has_only_losses: false,
     };
     let (mut least, mut gains, mut drained_ms, mut broken, mut crashes) =
         (f64::MAX, 0.0, 0.0f64, 0, 0);
     let mut drains = 0;
     for seed in seed..seed + seeds {
-        let plan = Plan::draw(field, seed);
+        let plan = FaultPlan::draw(field, seed);
         let runs = thread::scope(|scope| {
             let with = scope.spawn(|| run(&plan, span, true, true, seed));
             let without = scope.spawn(|| run(&plan, span, true, false, seed));
@@ -155,7 +159,7 @@
         drains += plan
             .faults
             .iter()
-            .filter(|f| matches!(f.what, What::EngineDrains { .. }))
+            .filter(|f| matches!(f.kind, FaultKind::DrainEngine { .. }))
             .count();
         least = least.min(a - b);
         gains += a - b;
--- a/crates/ivypitch-testbed/src/experiments/gateway_loss.rs
+++ b/crates/ivypitch-testbed/src/experiments/gateway_loss.rs
@@ -12,7 +12,7 @@
 use crate::processes::story::{Verdict, judge};
 use crate::processes::{Engines, Fleet, Setup};
 use crate::report::{Bound, Report};
-use crate::virtual_time::faults::{Fault, Field, Plan, What};
+use crate::virtual_time::faults::{Fault, FaultKind, FaultPlan, FaultPlanParams};
 
 const GATEWAYS: usize = 8;
 const ENGINES: usize = 6;
@@ -64,7 +64,7 @@
 }
 
 /// One run of processes under a plan.
-pub fn run(setup: Setup, plan: &Plan, span: u64, seed: u64) -> Result<Verdict, String> {
+pub fn run(setup: Setup, plan: &FaultPlan, span: u64, seed: u64) -> Result<Verdict, String> {
     let peers = setup.peers.is_some();
     let mut fleet = Fleet::start(setup)?;
     let warm = if peers {
@@ -98,25 +98,28 @@
 pub fn play(quick: bool, seed: u64) -> Report {
     let mut report = Report::new("gateway-loss", seed);
     let span = if quick { 12_000 } else { 60_000 };
-    let field = Field {
+    let field = FaultPlanParams {
         gateways: GATEWAYS,
         zones: 3,
         engines: ENGINES,
-        span,
-        gap: LOSS_EACH_MS,
-        losses_only: true,
+        duration_ms: span,
+        mean_gap_ms: LOSS_EACH_MS,
+        has_only_losses: true,
     };
-    let plan = Plan::draw(field, seed);
-    let none = Plan::default();
+    let plan = FaultPlan::draw(field, seed);
+    let none = FaultPlan::default();
     // One gateway after the other, as a release does.
     let each = span / (GATEWAYS as u64 + 2);
     let rolled = (0..GATEWAYS)
         .map(|gateway| Fault {
-            at: 500 + each * gateway as u64,
-            what: What::End { gateway, back: 400 },
+            at_ms: 500 + each * gateway as u64,
+            kind: FaultKind::ShutDown {
+                gateway,
+                restart_after_ms: 400,
+            },
         })
         .collect();
-    let rolled = Plan { faults: rolled };
+    let rolled = FaultPlan { faults: rolled };
     let runs = thread::scope(|scope| {
         let with = scope.spawn(|| run(setup(seed, true), &plan, span, seed));
         let calm = scope.spawn(|| run(setup(seed, true), &none, span, seed));
--- a/crates/ivypitch-testbed/src/experiments/members.rs
+++ b/crates/ivypitch-testbed/src/experiments/members.rs
@@ -27,7 +27,7 @@
             partition_ms: None,
             config: ivypitch_membership::MembershipConfig::default(),
         };
-        let told = membership_fleet::play(hour, seed);
+        let told = membership_fleet::run(hour, seed);
         let what =
             "virtual time, 300 members, 5% of datagrams dropped, an hour: living members told lost";
         report
@@ -60,9 +60,9 @@
             ..calm
         };
         let (calm, losses, cut) = std::thread::scope(|scope| {
-            let calm = scope.spawn(|| membership_fleet::play(calm, seed));
-            let cut = scope.spawn(|| membership_fleet::play(cut, seed));
-            let losses = membership_fleet::play(losses, seed);
+            let calm = scope.spawn(|| membership_fleet::run(calm, seed));
+            let cut = scope.spawn(|| membership_fleet::run(cut, seed));
+            let losses = membership_fleet::run(losses, seed);
             (
                 calm.join().unwrap_or_default(),
                 losses,
--- a/crates/ivypitch-testbed/src/experiments/scale/changes.rs
+++ b/crates/ivypitch-testbed/src/experiments/scale/changes.rs
@@ -6,7 +6,7 @@
 use super::peers::GATEWAYS;
 use super::slope::Measure;
 use crate::report::{Bound, Report};
-use crate::virtual_time::discovery_fleet::{Fleet, Outage, Verdict, play};
+use crate::virtual_time::discovery_fleet::{Fleet, Outage, Verdict, run};
 
 /// Budget: a change is in force everywhere within so long.
 pub const EVERYWHERE_MS: f64 = 6000.0;
@@ -46,7 +46,7 @@
     let (mut last, mut bytes, mut server) = (Vec::new(), Vec::new(), Vec::new());
     for &gateways in &GATEWAYS {
         let fleet = calm(gateways, quick);
-        let reached = play(fleet, seed);
+        let reached = run(fleet, seed);
         last.push((gateways as f64, f64::from(reached.latency_ms(1.0))));
         bytes.push((
             gateways as f64,
@@ -98,7 +98,7 @@
         judge(
             report,
             &format!("{target} gateways, {name}"),
-            &play(fleet, seed),
+            &run(fleet, seed),
         );
     }
     let relay = |what, unit, points| Measure {
--- a/crates/ivypitch-testbed/src/experiments/scale/coordination.rs
+++ b/crates/ivypitch-testbed/src/experiments/scale/coordination.rs
@@ -14,8 +14,8 @@
 use super::module::SIZES;
 use super::peers::{GATEWAYS, Points, ZONES, measure};
 use super::slope::Measure;
-use crate::virtual_time::faults::Plan;
-use crate::virtual_time::{coordination_fleet, cost};
+use crate::virtual_time::faults::FaultPlan;
+use crate::virtual_time::{coordination_fleet, resource_usage};
 
 /// The gateway starts at 0 and has reached the others by then.
 const REST_FROM: Nanos = 20 * SECOND;
@@ -124,7 +124,7 @@
     let mut now = 60 * SECOND;
     let mut next = seed as usize;
     let calls = (4_000_000 / engines).clamp(200, 20_000);
-    cost::middle_us(BATCHES, calls, || {
+    resource_usage::median_call_us(BATCHES, calls, || {
         now += MILLISECOND / 4;
         next += 7919;
         let engine = engine_number(next % engines);
@@ -142,7 +142,7 @@
             datagram_loss: 0.01,
             ..coordination_fleet::Fleet::default()
         };
-        let verdict = coordination_fleet::play(&fleet, &Plan::default(), seed);
+        let verdict = coordination_fleet::run(&fleet, &FaultPlan::default(), seed);
         bytes.push((gateways as f64, verdict.gossip_bytes + verdict.link_bytes));
     }
     measure(
@@ -166,7 +166,7 @@
             }
         }
         let mut consensus = OutlierConsensus::default();
-        let us = cost::middle_us(BATCHES, calls, || {
+        let us = resource_usage::median_call_us(BATCHES, calls, || {
             black_box(consensus.evaluate(4 * SECOND, &table, &zones, &ready));
         });
         evaluating.push((gateways as f64, us));
@@ -226,12 +226,12 @@
     let mut sent = SentCounts::default();
     let mut now = REST_FROM;
     let end = now + seconds * SECOND;
-    let cpu_before = cost::thread_s();
+    let cpu_before = resource_usage::thread_cpu_s();
     while now < end {
         coordinator.on_timer(now, &mut sent);
         now = coordinator.next_timer().max(now + 1);
     }
-    let cpu = cost::thread_s() - cpu_before;
+    let cpu = resource_usage::thread_cpu_s() - cpu_before;
     let seconds = seconds as f64;
     Rest {
         cpu_us_per_second: cpu / seconds * 1e6,
--- a/crates/ivypitch-testbed/src/experiments/scale/module.rs
+++ b/crates/ivypitch-testbed/src/experiments/scale/module.rs
@@ -10,7 +10,7 @@
 
 use super::slope::Measure;
 use crate::stand_ins::{event, row_at};
-use crate::virtual_time::cost;
+use crate::virtual_time::resource_usage;
 
 const MS: Nanos = 1_000_000;
 /// Statements in hand at a time.
@@ -219,7 +219,7 @@
                 .map(|_| Played::new(size, seed))
                 .collect::<Vec<_>>()
         };
-        let (bytes, made) = cost::memory(make);
+        let (bytes, made) = resource_usage::measure_memory(make);
         held.push(made);
         costs[5].push((size as f64, bytes / copies as f64));
     }
@@ -229,16 +229,25 @@
         // Warm up: as many sends as are counted as recent, as far as there is time for it.
         let calls = (if quick { 400_000 } else { 4_000_000 } / size).clamp(400, 4000);
         (0..(4 * calls).max(4 * IN_HAND)).for_each(|_| played.statement());
-        costs[0].push((x, cost::middle_us(BATCHES, calls, || played.statement())));
-        costs[1].push((x, cost::middle_us(BATCHES, calls, || played.change(size))));
+        costs[0].push((
+            x,
+            resource_usage::median_call_us(BATCHES, calls, || played.statement()),
+        ));
+        costs[1].push((
+            x,
+            resource_usage::median_call_us(BATCHES, calls, || played.change(size)),
+        ));
         let rows = rows(size);
         let again = if size > 10_000 { 1 } else { 3 };
-        costs[2].push((x, cost::middle_us(again, 1, || played.whole_list(&rows))));
+        costs[2].push((
+            x,
+            resource_usage::median_call_us(again, 1, || played.whole_list(&rows)),
+        ));
         let line = line(size, true);
         costs[3].push((x, line.len() as f64));
         costs[4].push((
             x,
-            cost::middle_us(3, 1, || drop(discovery::parse_line(line.as_bytes()))),
+            resource_usage::median_call_us(3, 1, || drop(discovery::parse_line(line.as_bytes()))),
         ));
     }
     let told = [
--- a/crates/ivypitch-testbed/src/experiments/scale/peers.rs
+++ b/crates/ivypitch-testbed/src/experiments/scale/peers.rs
@@ -7,9 +7,9 @@
 use ivypitch_ownership::VoterAssignment;
 
 use super::slope::Measure;
-use crate::virtual_time::faults::Plan;
+use crate::virtual_time::faults::FaultPlan;
 use crate::virtual_time::membership_fleet::TransitTime;
-use crate::virtual_time::{cost, membership_fleet, ownership_fleet};
+use crate::virtual_time::{membership_fleet, ownership_fleet, resource_usage};
 
 pub const GATEWAYS: [usize; 5] = [30, 100, 300, 1000, 3800];
 pub(super) const ZONES: usize = 24;
@@ -70,7 +70,7 @@
             partition_ms: None,
             config: MembershipConfig::default(),
         };
-        let verdict = membership_fleet::play(fleet, seed);
+        let verdict = membership_fleet::run(fleet, seed);
         let costs = [
             verdict.bytes_per_member_second,
             verdict.datagrams_per_member_second,
@@ -144,7 +144,10 @@
             id = id.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
             black_box(voters.voters_of(id));
         };
-        assigning.push((gateways as f64, cost::middle_us(5, calls, &mut choose)));
+        assigning.push((
+            gateways as f64,
+            resource_usage::median_call_us(5, calls, &mut choose),
+        ));
     }
     let (mut messages, mut bytes) = (Vec::new(), Vec::new());
     for &gateways in GATEWAYS
@@ -162,7 +165,7 @@
             counts_bytes: true,
             ..ownership_fleet::Fleet::default()
         };
-        let verdict = ownership_fleet::play(&fleet, &Plan::default(), seed);
+        let verdict = ownership_fleet::run(&fleet, &FaultPlan::default(), seed);
         let statements = verdict.statements.max(1) as f64;
         messages.push((gateways as f64, verdict.messages as f64 / statements));
         bytes.push((gateways as f64, verdict.bytes as f64 / statements));
--- a/crates/ivypitch-testbed/src/experiments/shares.rs
+++ b/crates/ivypitch-testbed/src/experiments/shares.rs
@@ -3,7 +3,7 @@
 use super::side_by_side;
 use crate::report::{Bound, Report};
 use crate::virtual_time::coordination_fleet;
-use crate::virtual_time::faults::Plan;
+use crate::virtual_time::faults::FaultPlan;
 
 /// Fault plans over fleets that share; then engines that fail, with and without, and members that are wrong.
 pub fn play(quick: bool, seed: u64) -> Report {
@@ -22,14 +22,14 @@
     let (plans, large_plans) = if quick { (60, 2) } else { (5000, 5000) };
     for (fleet, plans) in [(&small, plans), (&base, plans), (&large, large_plans)] {
         let play = |seed: u64| {
-            coordination_fleet::play(fleet, &coordination_fleet::draw(fleet, seed), seed)
+            coordination_fleet::run(fleet, &coordination_fleet::draw_faults(fleet, seed), seed)
         };
         let all = side_by_side(plans, seed, play);
         if let Some(first) = all.iter().position(|verdict| !verdict.holds()) {
             let seed = seed + first as u64;
-            let plan = coordination_fleet::draw(fleet, seed);
-            let least = plan.cut_down(30, |plan| {
-                !coordination_fleet::play(fleet, plan, seed).holds()
+            let plan = coordination_fleet::draw_faults(fleet, seed);
+            let least = plan.minimize(30, |plan| {
+                !coordination_fleet::run(fleet, plan, seed).holds()
             });
             println!("seed {seed} passes a bound; the least plan that does:\n{least}");
         }
@@ -105,9 +105,9 @@
             failing_engines: 1,
             ..with.clone()
         };
-        let none = Plan::default();
+        let none = FaultPlan::default();
         let [with, without, liars] = [&with, &without, &liars]
-            .map(|f| side_by_side(plans, seed, |seed| coordination_fleet::play(f, &none, seed)));
+            .map(|f| side_by_side(plans, seed, |seed| coordination_fleet::run(f, &none, seed)));
         let place =
             format!("virtual time, {gateways} gateways, {engines} engines, no faults of links");
         let mean = |all: &[coordination_fleet::Verdict],
--- a/crates/ivypitch-testbed/src/experiments/team_flood.rs
+++ b/crates/ivypitch-testbed/src/experiments/team_flood.rs
@@ -7,9 +7,9 @@
 use crate::figures::Figures;
 use crate::processes::sockets;
 use crate::report::{Bound, Report};
-use crate::virtual_time::engine::Model;
-use crate::virtual_time::fleet::{Fleet, Plan as FleetPlan};
-use crate::virtual_time::traffic::{self, Flood, Team, Work};
+use crate::virtual_time::engine::EngineConfig;
+use crate::virtual_time::scheduler_fleet::{Fleet, FleetConfig};
+use crate::virtual_time::traffic::{self, Flood, Team, WorkloadParams};
 
 pub const TEAMS: [(&str, f64); 3] = [("retail", 0.5), ("merchant", 0.35), ("agents", 0.15)];
 /// The team that floods.
@@ -18,19 +18,19 @@
 const USUAL: f64 = 0.6;
 const TIMES: f64 = 10.0;
 
-fn budgets(works: &[Work], shares: &[f64]) -> Budgets {
+fn budgets(works: &[WorkloadParams], shares: &[f64]) -> Budgets {
     let least = works
         .iter()
         .map(|w| w.priority_weight)
         .fold(f64::INFINITY, f64::min);
-    let terms = |w: &Work| WorkloadQueueParams {
+    let terms = |w: &WorkloadParams| WorkloadQueueParams {
         priority_weight: w.priority_weight,
-        latency_objective: w.slo,
+        latency_objective: w.latency_objective,
         threads: w.threads,
-        is_bulk_load: w.effect == ivypitch_scheduler::Idempotency::NonIdempotent,
-        usual_work: w.slo / 3,
-        slack: WorkloadQueueParams::default_slack(w.slo, w.priority_weight, least),
-        max_wait: (w.slo as f64 * 0.4) as u64,
+        is_bulk_load: w.idempotency == ivypitch_scheduler::Idempotency::NonIdempotent,
+        usual_work: w.latency_objective / 3,
+        slack: WorkloadQueueParams::default_slack(w.latency_objective, w.priority_weight, least),
+        max_wait: (w.latency_objective as f64 * 0.4) as u64,
     };
     Budgets {
         workloads: works.iter().map(terms).collect(),
@@ -53,9 +53,9 @@
 pub fn teams(cores: f64, flood: Flood) -> Vec<Team> {
     let team = |(i, (name, share)): (usize, &(&str, f64))| Team {
         name: (*name).to_owned(),
-        demand: cores * USUAL * share,
+        demand_cores: cores * USUAL * share,
         flood: if i == FLOODS { flood } else { Flood::None },
-        tells: 1.0,
+        estimate_factor: 1.0,
     };
     TEAMS.iter().enumerate().map(team).collect()
 }
@@ -71,31 +71,31 @@
 fn virtual_flood(report: &mut Report, quick: bool, seed: u64) {
     let (gateways, engines, seconds) = if quick { (30, 12, 20) } else { (300, 60, 30) };
     let works = traffic::workloads(1.0);
-    let model = Model {
+    let model = EngineConfig {
         cores: 16.0,
-        ..Model::default()
+        ..EngineConfig::default()
     };
     let cores = engines as f64 * model.cores;
     let span = seconds * SECOND;
     let flood = Flood::Step {
-        times: TIMES,
+        rate_factor: TIMES,
         from: 5 * SECOND,
         until: span,
     };
     let shares: Vec<f64> = TEAMS.iter().map(|t| t.1).collect();
     let play = |flood: Flood, queues: bool| {
         let teams = teams(cores, flood);
-        let statements = traffic::statements(&works, &teams, span, seed);
-        let fleet = Fleet::new(FleetPlan {
+        let statements = traffic::draw_statements(&works, &teams, span, seed);
+        let fleet = Fleet::new(FleetConfig {
             gateways,
             engines,
-            model: model.clone(),
-            works: &works,
+            engine_config: model.clone(),
+            workloads: &works,
             teams: teams.iter().map(|t| t.name.clone()).collect(),
             statements: &statements,
             budgets: queues.then(|| budgets(&works, &shares)),
             seed,
-            allowances: shares.iter().map(|share| share * cores).collect(),
+            tenant_quotas: shares.iter().map(|share| share * cores).collect(),
         });
         fleet.run()
     };
@@ -124,7 +124,7 @@
         (
             "ramp",
             Flood::Ramp {
-                times: TIMES,
+                rate_factor: TIMES,
                 from: 5 * SECOND,
                 until: span,
             },
@@ -132,7 +132,7 @@
         (
             "pulses",
             Flood::Pulses {
-                times: TIMES,
+                rate_factor: TIMES,
                 from: 5 * SECOND,
                 until: span,
             },
@@ -157,31 +157,31 @@
     const MANY: usize = 1000;
     let (gateways, engines, span) = (4, 4, 10 * SECOND);
     let works = traffic::workloads(0.1);
-    let model = Model {
+    let model = EngineConfig {
         cores: 16.0,
-        ..Model::default()
+        ..EngineConfig::default()
     };
     let cores = engines as f64 * model.cores;
     let play = |teams: usize| {
         let all: Vec<Team> = (0..teams)
             .map(|t| Team {
                 name: format!("team-{t}"),
-                demand: if t == 0 { 2.0 * cores } else { 0.0001 },
+                demand_cores: if t == 0 { 2.0 * cores } else { 0.0001 },
                 flood: Flood::None,
-                tells: 1.0,
+                estimate_factor: 1.0,
             })
             .collect();
-        let statements = traffic::statements(&works, &all, span, seed);
-        let fleet = Fleet::new(FleetPlan {
+        let statements = traffic::draw_statements(&works, &all, span, seed);
+        let fleet = Fleet::new(FleetConfig {
             gateways,
             engines,
-            model: model.clone(),
-            works: &works,
+            engine_config: model.clone(),
+            workloads: &works,
             teams: all.iter().map(|t| t.name.clone()).collect(),
             statements: &statements,
             budgets: Some(budgets(&works, &vec![1.0; teams])),
             seed,
-            allowances: vec![cores; teams],
+            tenant_quotas: vec![cores; teams],
         });
         fleet.run().teams[0].used
     };
@@ -272,14 +272,14 @@
 fn flood_on_sockets(report: &mut Report, quick: bool, seed: u64) {
     let (engines, seconds) = if quick { (4, 14) } else { (4, 40) };
     let works = traffic::workloads(0.1);
-    let model = Model {
+    let model = EngineConfig {
         cores: 8.0,
-        ..Model::default()
+        ..EngineConfig::default()
     };
     let cores = engines as f64 * model.cores;
     let span = seconds * SECOND;
     let step = Flood::Step {
-        times: 10.0,
+        rate_factor: 10.0,
         from: 3 * SECOND,
         until: span,
     };
@@ -291,7 +291,7 @@
             model: model.clone(),
             works: works.clone(),
             teams: all.iter().map(|t| t.name.clone()).collect(),
-            statements: traffic::statements(&works, &all, span, seed),
+            statements: traffic::draw_statements(&works, &all, span, seed),
             own: queues.then(|| sockets::own(&shares)),
             allowances: shares.iter().map(|(_, share)| share * cores).collect(),
             new_connections,
--- a/crates/ivypitch-testbed/src/processes/engine.rs
+++ b/crates/ivypitch-testbed/src/processes/engine.rs
@@ -21,7 +21,7 @@
 use smol::{Async, LocalExecutor, Timer};
 
 use crate::processes::sockets::{Call, answer, next_call};
-use crate::virtual_time::engine::{Ended, Engine, Model, Query};
+use crate::virtual_time::engine::{Engine, EngineConfig, Query, QueryEnd};
 
 const NEWS: Duration = Duration::from_millis(250);
 const UNASKED: Duration = Duration::from_secs(2);
@@ -45,7 +45,7 @@
     id: String,
     asked_at: Instant,
     by: usize,
-    ended: Option<Ended>,
+    ended: Option<QueryEnd>,
 }
 
 struct Emulated {
@@ -85,11 +85,11 @@
     }
 
     fn serve(self) -> io::Result<()> {
-        let model = Model {
+        let model = EngineConfig {
             cores: self.cores,
-            warm_up: self.warm_up * 1_000_000,
-            places: 10_000,
-            ..Model::default()
+            warm_up_duration: self.warm_up * 1_000_000,
+            max_queries: 10_000,
+            ..EngineConfig::default()
         };
         let started = u64::from(self.warm_up > 0);
         let emulated = Rc::new(Emulated {
@@ -203,10 +203,10 @@
     }
 
     fn advance(&self) {
-        let ended = self.engine.borrow_mut().advance(self.now());
+        let ended = self.engine.borrow_mut().take_ended(self.now());
         for (number, end) in ended {
             if let Some(held) = self.held.borrow_mut().get_mut(&number) {
-                let well = matches!(end, Ended::Good(_));
+                let well = matches!(end, QueryEnd::Completed(_));
                 say(if well { "end" } else { "fail" }, &held.id, held.by);
                 held.ended = Some(end);
             }
@@ -221,7 +221,7 @@
         if held.ended.is_none() {
             say(why, &held.id, held.by);
         }
-        self.engine.borrow_mut().withdraw(self.now(), number);
+        self.engine.borrow_mut().cancel(self.now(), number);
         self.changed.notify(usize::MAX);
     }
 
@@ -253,10 +253,10 @@
         self.last.set(number);
         let query = Query {
             id: number,
-            work: work / 1000.0,
+            work_core_s: work / 1000.0,
             threads: 1.0,
             priority: call.header("Rank").parse().unwrap_or(1),
-            group: 0,
+            table_group: 0,
         };
         self.advance();
         say("start", id, by);
@@ -269,7 +269,7 @@
             .fold(7u64, |h, b| h.wrapping_mul(31) + u64::from(b))
             % 1000) as f64
             / 1000.0;
-        let ended = (draw < self.fails.get()).then_some(Ended::Error);
+        let ended = (draw < self.fails.get()).then_some(QueryEnd::Error);
         let held = Held {
             id: id.to_owned(),
             asked_at: Instant::now(),
@@ -302,7 +302,7 @@
             };
             match end {
                 _ if self.mute.get() => {}
-                Some(Ended::Good(work)) => {
+                Some(QueryEnd::Completed(work)) => {
                     let head = format!(
                         "Page-Count: 1\r\nWork-Ms: {:.3}\r\nPeak-Mb: 16\r\nSrv-Load: waiting:0;active:{};x0:0.1\r\n",
                         work * 1000.0,
@@ -310,7 +310,7 @@
                     );
                     return answer(200, &head, &format!("{id}\tb\tc\n"));
                 }
-                Some(Ended::Error) => return answer(500, "", ""),
+                Some(QueryEnd::Error) => return answer(500, "", ""),
                 None if Instant::now() >= until => return answer(202, "", ""),
                 None => {}
             }
--- a/crates/ivypitch-testbed/src/processes/mod.rs
+++ b/crates/ivypitch-testbed/src/processes/mod.rs
@@ -28,7 +28,7 @@
 
 use crate::log_lines::is_event;
 use crate::stand_ins::{Answer, Client, PATIENCE, Seen, configuration, program};
-use crate::virtual_time::faults::{Fault, Plan, What};
+use crate::virtual_time::faults::{Fault, FaultKind, FaultPlan};
 use child::LabProcess;
 use engine::stamp;
 use hollow_engines::Park;
@@ -598,16 +598,16 @@
         if begins {
             self.done.push(Done { at: stamp(), fault });
         }
-        match fault.what {
-            What::Kill { gateway, .. } if begins => self.kill(gateway),
-            What::Stop { gateway, .. } if begins => self.stop(gateway),
-            What::Stop { gateway, .. } => self.go_on(gateway),
-            What::End { gateway, .. } if begins => {
+        match fault.kind {
+            FaultKind::Kill { gateway, .. } if begins => self.kill(gateway),
+            FaultKind::Suspend { gateway, .. } if begins => self.stop(gateway),
+            FaultKind::Suspend { gateway, .. } => self.go_on(gateway),
+            FaultKind::ShutDown { gateway, .. } if begins => {
                 self.check(gateway);
                 self.signal(gateway, Signal::TERM);
             }
-            What::Kill { gateway, .. } | What::End { gateway, .. } => {
-                if let What::End { .. } = fault.what
+            FaultKind::Kill { gateway, .. } | FaultKind::ShutDown { gateway, .. } => {
+                if let FaultKind::ShutDown { .. } = fault.kind
                     && let Some(code) = self.seats[gateway]
                         .child
                         .take()
@@ -624,33 +624,40 @@
                         .push(format!("n{gateway} did not start again: {e}"));
                 }
             }
-            What::CutZone { zone, .. } => {
+            FaultKind::PartitionZone { zone, .. } => {
                 self.cut(|a, b| (a % zones == zone) != (b % zones == zone), begins);
             }
-            What::CutOff { gateway, .. } => {
+            FaultKind::PartitionGateway { gateway, .. } => {
                 self.cut(|a, b| (a == gateway) != (b == gateway), begins)
             }
-            What::Mute { from, to, .. } => self.cut(|a, b| (a, b) == (from, to), begins),
-            What::Late { from, to, by, .. } => {
+            FaultKind::DropMessages { from, to, .. } => {
+                self.cut(|a, b| (a, b) == (from, to), begins)
+            }
+            FaultKind::DelayMessages {
+                from,
+                to,
+                delay_ms: by,
+                ..
+            } => {
                 let late = Duration::from_millis(if begins { by } else { 0 });
                 self.net
                     .change(End::Gateway(from), End::Gateway(to), |way| way.late = late);
             }
-            What::Reset { from, to } if begins => {
+            FaultKind::ResetLinks { from, to } if begins => {
                 self.net.reset(End::Gateway(from), End::Gateway(to))
             }
-            What::EngineDies { engine } if begins => {
+            FaultKind::CrashEngine { engine } if begins => {
                 self.kill_engine(engine);
                 if let Err(e) = self.start_engine(engine) {
                     self.crashes
                         .push(format!("engine {engine} did not start again: {e}"));
                 }
             }
-            What::EngineDrains { engine, .. } => {
+            FaultKind::DrainEngine { engine, .. } => {
                 let state = if begins { "terminating" } else { "in_service" };
                 self.tell_state(engine, state);
             }
-            What::Reset { .. } | What::EngineDies { .. } => {}
+            FaultKind::ResetLinks { .. } | FaultKind::CrashEngine { .. } => {}
         }
     }
 
@@ -686,12 +693,12 @@
     }
 
     /// Plays the plan's faults at their times, counted from `from`, until the last is over.
-    pub fn play(&mut self, plan: &Plan, from: Instant) {
+    pub fn play(&mut self, plan: &FaultPlan, from: Instant) {
         let mut steps: Vec<(u64, bool, Fault)> = Vec::new();
         for &fault in &plan.faults {
-            steps.push((fault.at, true, fault));
-            if let Some(span) = fault.span() {
-                steps.push((fault.at + span, false, fault));
+            steps.push((fault.at_ms, true, fault));
+            if let Some(span) = fault.duration_ms() {
+                steps.push((fault.at_ms + span, false, fault));
             }
         }
         steps.sort_by_key(|&(at, begins, _)| (at, begins));
--- a/crates/ivypitch-testbed/src/processes/sockets.rs
+++ b/crates/ivypitch-testbed/src/processes/sockets.rs
@@ -23,8 +23,8 @@
 use crate::log_lines;
 use crate::processes::session::{Reply, Session, holdoff_ms};
 use crate::stand_ins::spawn_with;
-use crate::virtual_time::engine::{Ended, Engine, Model, Query};
-use crate::virtual_time::traffic::{Statement, Work};
+use crate::virtual_time::engine::{Engine, EngineConfig, Query, QueryEnd};
+use crate::virtual_time::traffic::{Statement, WorkloadParams};
 
 const MS: Nanos = 1_000_000;
 /// An engine holds its news back for so long.
@@ -41,8 +41,8 @@
 
 pub struct Plan {
     pub engines: usize,
-    pub model: Model,
-    pub works: Vec<Work>,
+    pub model: EngineConfig,
+    pub works: Vec<WorkloadParams>,
     pub teams: Vec<String>,
     pub statements: Vec<Statement>,
     /// The own settings of the gateway, as JSON.
@@ -60,7 +60,7 @@
 struct Asked {
     number: u64,
     asked_at: Instant,
-    ended: Option<Ended>,
+    ended: Option<QueryEnd>,
 }
 
 struct Emulated {
@@ -77,7 +77,7 @@
 struct Shared {
     started: Instant,
     statements: Vec<Statement>,
-    works: Vec<Work>,
+    works: Vec<WorkloadParams>,
     /// Starts of each statement at engines, and core-seconds done by team.
     starts: RefCell<Vec<u32>>,
     used: RefCell<Vec<f64>>,
@@ -92,7 +92,7 @@
 impl Emulated {
     /// Moves the engine on; tells those who wait what has ended.
     fn advance(&self) {
-        let ended = self.engine.borrow_mut().advance(self.shared.now());
+        let ended = self.engine.borrow_mut().take_ended(self.shared.now());
         if ended.is_empty() {
             return;
         }
@@ -145,7 +145,7 @@
     fn give_up(&self, id: &str, number: u64) {
         self.queries.borrow_mut().remove(id);
         self.ids.borrow_mut().remove(&number);
-        self.engine.borrow_mut().withdraw(self.shared.now(), number);
+        self.engine.borrow_mut().cancel(self.shared.now(), number);
         self.changed.notify(usize::MAX);
     }
 
@@ -173,10 +173,10 @@
         self.last.set(number);
         let query = Query {
             id: number,
-            work: asked.work,
+            work_core_s: asked.work_core_s,
             threads: self.shared.works[asked.workload].threads,
             priority: call.header("Rank").parse().unwrap_or(1),
-            group: asked.group,
+            table_group: asked.table_group,
         };
         self.advance();
         if !self.engine.borrow_mut().start(self.shared.now(), query) {
@@ -210,7 +210,7 @@
                 asked.ended
             };
             match end {
-                Some(Ended::Good(work)) => {
+                Some(QueryEnd::Completed(work)) => {
                     if let Some(team) = stmt_team {
                         self.shared.used.borrow_mut()[team] += work;
                     }
@@ -221,7 +221,7 @@
                     );
                     return answer(200, &head, "a\tb\tc\n");
                 }
-                Some(Ended::Error) => return answer(500, "", ""),
+                Some(QueryEnd::Error) => return answer(500, "", ""),
                 None if Instant::now() >= until => return answer(202, "", ""),
                 None => {
                     let late = async {
@@ -396,7 +396,7 @@
         self.open.set(self.open.get() + 1);
         let asked = &self.shared.statements[stmt];
         let work = &self.shared.works[asked.workload];
-        let by = asked.at + work.timeout;
+        let by = asked.arrives_at + work.timeout;
         for attempt in 0..TRIES {
             self.told.borrow_mut()[stmt].tries += 1;
             let left = by.saturating_sub(self.shared.now()) / MS;
@@ -419,7 +419,7 @@
                     break;
                 }
                 Ok(Answered::Refused(after))
-                    if self.shared.now() + after < asked.at + work.timeout / 2 =>
+                    if self.shared.now() + after < asked.arrives_at + work.timeout / 2 =>
                 {
                     Timer::after(Duration::from_nanos(after.max(MS))).await;
                 }
@@ -447,8 +447,8 @@
             "/* kind={},req={id:016x},timeout={left},owner={},ms={:.3} */ SELECT a FROM sales_{}.orders WHERE stmt = {stmt} ",
             work.name,
             self.names[asked.team],
-            asked.told_work * 1000.0,
-            asked.group
+            asked.estimated_work_core_s * 1000.0,
+            asked.table_group
         );
         let answered = match ask(&mut session, &text).await {
             // It crossed the close of a connection that had been idle: once more, on a new one.
@@ -472,18 +472,22 @@
 /// The platform's configuration of a gateway before these engines.
 pub fn configuration(plan: &Plan, engines: &[SocketAddr]) -> String {
     let ns = |span: Nanos| span.to_string();
-    let parts: f64 = plan.works.iter().map(|w| w.part).sum();
-    let mean: f64 = plan.works.iter().map(|w| w.work * w.part / parts).sum();
+    let parts: f64 = plan.works.iter().map(|w| w.statement_weight).sum();
+    let mean: f64 = plan
+        .works
+        .iter()
+        .map(|w| w.mean_work_core_s * w.statement_weight / parts)
+        .sum();
     let categories: Vec<String> = plan
         .works
         .iter()
         .map(|w| {
-            let effect = if w.effect == Idempotency::NonIdempotent { "unsafe" } else { "safe" };
+            let effect = if w.idempotency == Idempotency::NonIdempotent { "unsafe" } else { "safe" };
             format!(
                 r#"{{"name":"{}","goal-time-ns":{},"aim-stretch":{},"give-up-ns":{},"effect":"{effect}","key-scope":"all","worth":{}}}"#,
                 w.name,
-                ns(w.slo),
-                w.stretch,
+                ns(w.latency_objective),
+                w.latency_objective_stretch,
                 ns(w.timeout),
                 w.priority_weight
             )
@@ -513,7 +517,7 @@
     let loads: Vec<String> = plan
         .works
         .iter()
-        .map(|w| (w.effect == Idempotency::NonIdempotent).to_string())
+        .map(|w| (w.idempotency == Idempotency::NonIdempotent).to_string())
         .collect();
     format!(
         r#"{{"name":"lab","listen":"127.0.0.1:0","seed":"{:x}","limits":{{"sockets":2048,"memory_mb":192}},
@@ -608,12 +612,13 @@
         let mut second = 1;
         let mut shown = vec![(0u64, 0u64); plan.teams.len()];
         for stmt in 0..plan.statements.len() {
-            let at = shared.started + Duration::from_nanos(begun + plan.statements[stmt].at);
+            let at =
+                shared.started + Duration::from_nanos(begun + plan.statements[stmt].arrives_at);
             if at > Instant::now() {
                 Timer::at(at).await;
             }
             executor.spawn(clients.clone().ask(stmt)).detach();
-            if plan.live && plan.statements[stmt].at >= second * SECOND {
+            if plan.live && plan.statements[stmt].arrives_at >= second * SECOND {
                 live(second, &clients, &shared, begun, &mut shown);
                 second += 1;
             }
@@ -659,7 +664,7 @@
     for (told, asked) in clients.told.borrow().iter().zip(&shared.statements) {
         let served = told
             .served
-            .is_some_and(|at| at <= begun + asked.at + asked.slo);
+            .is_some_and(|at| at <= begun + asked.arrives_at + asked.latency_objective);
         now[asked.team].0 += u64::from(told.tries > 0);
         now[asked.team].1 += u64::from(served);
     }
@@ -696,17 +701,28 @@
     for (stmt, told) in clients.told.borrow().iter().enumerate() {
         let asked = &plan.statements[stmt];
         let work = &plan.works[asked.workload];
-        let took = told.served.map(|at| at.saturating_sub(begun + asked.at));
-        teams[asked.team].count(work.priority_weight, asked.slo, took, told.tries);
+        let took = told
+            .served
+            .map(|at| at.saturating_sub(begun + asked.arrives_at));
+        teams[asked.team].count(
+            work.priority_weight,
+            asked.latency_objective,
+            took,
+            told.tries,
+        );
         teams[asked.team].refused_waiting += u64::from(told.refused);
         teams[asked.team].refused_later += u64::from(told.failed);
-        figures.doubled += u64::from(work.effect == Idempotency::NonIdempotent && starts[stmt] > 1);
+        figures.doubled +=
+            u64::from(work.idempotency == Idempotency::NonIdempotent && starts[stmt] > 1);
         figures.unanswered += u64::from(told.answers < told.tries);
     }
     for (team, used) in teams.iter_mut().zip(shared.used.borrow().iter()) {
         team.used = *used;
     }
-    figures.wasted = engines.iter().map(|e| e.engine.borrow().wasted).sum();
+    figures.wasted = engines
+        .iter()
+        .map(|e| e.engine.borrow().wasted_core_s)
+        .sum();
     figures.teams = teams;
     figures
 }
--- a/crates/ivypitch-testbed/src/processes/story.rs
+++ b/crates/ivypitch-testbed/src/processes/story.rs
@@ -5,7 +5,7 @@
 
 use super::clients::{Ask, Heard, Story};
 use super::{Done, Said};
-use crate::virtual_time::faults::What;
+use crate::virtual_time::faults::FaultKind;
 
 /// What a run came to.
 #[derive(Clone, Debug, Default, serde::Serialize)]
@@ -191,9 +191,12 @@
 
 /// When which gateway was killed, or stopped for so long that others take it for lost.
 fn losses(done: &[Done]) -> Vec<(usize, u64)> {
-    let lost = |done: &Done| match done.fault.what {
-        What::Kill { gateway, .. } => Some((gateway, done.at)),
-        What::Stop { gateway, span } if span >= 2000 => Some((gateway, done.at)),
+    let lost = |done: &Done| match done.fault.kind {
+        FaultKind::Kill { gateway, .. } => Some((gateway, done.at)),
+        FaultKind::Suspend {
+            gateway,
+            duration_ms: span,
+        } if span >= 2000 => Some((gateway, done.at)),
         _ => None,
     };
     done.iter().filter_map(lost).collect()
@@ -203,9 +206,11 @@
 fn away(done: &[Done]) -> Vec<(usize, u64, u64)> {
     let mut away = Vec::new();
     for done in done {
-        let until = done.at + (done.fault.span().unwrap_or(0) + 1500) * 1000;
-        let whose: Vec<usize> = match done.fault.what {
-            What::Kill { gateway, .. } | What::Stop { gateway, .. } | What::End { gateway, .. } => {
+        let until = done.at + (done.fault.duration_ms().unwrap_or(0) + 1500) * 1000;
+        let whose: Vec<usize> = match done.fault.kind {
+            FaultKind::Kill { gateway, .. }
+            | FaultKind::Suspend { gateway, .. }
+            | FaultKind::ShutDown { gateway, .. } => {
                 vec![gateway]
             }
             _ => Vec::new(),
--- a/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/faults.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/faults.rs
@@ -9,7 +9,7 @@
 use super::event::Event;
 use super::network::Direction;
 use super::simulation::Simulation;
-use crate::virtual_time::faults::{Fault, What};
+use crate::virtual_time::faults::{Fault, FaultKind};
 
 /// A loss is noticed after so many milliseconds.
 const LOSS_NOTICED_MS: Range<u64> = 300..1000;
@@ -20,60 +20,71 @@
 
 impl Simulation<'_> {
     pub(super) fn begin_fault(&mut self, fault: Fault) {
-        match fault.what {
-            What::Kill { gateway, back } | What::End { gateway, back } => {
-                self.stop_process(gateway, back);
+        match fault.kind {
+            FaultKind::Kill {
+                gateway,
+                restart_after_ms,
+            }
+            | FaultKind::ShutDown {
+                gateway,
+                restart_after_ms,
+            } => {
+                self.stop_process(gateway, restart_after_ms);
                 return;
             }
-            What::Stop { gateway, .. } if self.gateways[gateway].is_up => {
+            FaultKind::Suspend { gateway, .. } if self.gateways[gateway].is_up => {
                 self.gateways[gateway].is_suspended = true;
                 self.check_members_of(&BTreeSet::from([gateway]), LOSS_NOTICED_MS);
             }
-            What::CutZone { .. } | What::CutOff { .. } => {
-                for direction in self.partitioned_directions(fault.what) {
+            FaultKind::PartitionZone { .. } | FaultKind::PartitionGateway { .. } => {
+                for direction in self.partitioned_directions(fault.kind) {
                     *self.network.partitions.entry(direction).or_default() += 1;
                 }
                 self.check_members_of(&self.all_gateways(), LOSS_NOTICED_MS);
             }
-            What::Mute { from, to, .. } => {
+            FaultKind::DropMessages { from, to, .. } => {
                 *self.network.silenced.entry((from, to)).or_default() += 1;
             }
-            What::Late { from, to, by, .. } => {
-                self.network.delays.insert((from, to), by * MILLISECOND);
+            FaultKind::DelayMessages {
+                from, to, delay_ms, ..
+            } => {
+                self.network
+                    .delays
+                    .insert((from, to), delay_ms * MILLISECOND);
             }
             // Without links to break, or engines that restart.
-            What::Stop { .. }
-            | What::Reset { .. }
-            | What::EngineDies { .. }
-            | What::EngineDrains { .. } => {}
+            FaultKind::Suspend { .. }
+            | FaultKind::ResetLinks { .. }
+            | FaultKind::CrashEngine { .. }
+            | FaultKind::DrainEngine { .. } => {}
         }
-        let duration = fault.span().unwrap_or(0) * MILLISECOND;
+        let duration = fault.duration_ms().unwrap_or(0) * MILLISECOND;
         self.schedule(self.now + duration, Event::FaultEnds(fault));
     }
 
     pub(super) fn end_fault(&mut self, fault: Fault) {
-        match fault.what {
-            What::Stop { gateway, .. } if self.gateways[gateway].is_suspended => {
+        match fault.kind {
+            FaultKind::Suspend { gateway, .. } if self.gateways[gateway].is_suspended => {
                 self.resume_process(gateway);
             }
-            What::CutZone { .. } | What::CutOff { .. } => {
-                for direction in self.partitioned_directions(fault.what) {
+            FaultKind::PartitionZone { .. } | FaultKind::PartitionGateway { .. } => {
+                for direction in self.partitioned_directions(fault.kind) {
                     *self.network.partitions.entry(direction).or_default() -= 1;
                 }
                 self.check_members_of(&self.all_gateways(), HEAL_NOTICED_MS);
             }
-            What::Mute { from, to, .. } => {
+            FaultKind::DropMessages { from, to, .. } => {
                 *self.network.silenced.entry((from, to)).or_default() -= 1;
             }
-            What::Late { from, to, .. } => {
+            FaultKind::DelayMessages { from, to, .. } => {
                 self.network.delays.remove(&(from, to));
             }
-            What::Kill { .. }
-            | What::End { .. }
-            | What::Stop { .. }
-            | What::Reset { .. }
-            | What::EngineDies { .. }
-            | What::EngineDrains { .. } => {}
+            FaultKind::Kill { .. }
+            | FaultKind::ShutDown { .. }
+            | FaultKind::Suspend { .. }
+            | FaultKind::ResetLinks { .. }
+            | FaultKind::CrashEngine { .. }
+            | FaultKind::DrainEngine { .. } => {}
         }
     }
 
@@ -104,11 +115,11 @@
         (0..self.fleet.gateways).collect()
     }
 
-    fn partitioned_directions(&self, what: What) -> Vec<Direction> {
+    fn partitioned_directions(&self, kind: FaultKind) -> Vec<Direction> {
         let zones = self.fleet.zones;
-        let is_partitioned = |from: usize, to: usize| match what {
-            What::CutZone { zone, .. } => (from % zones == zone) != (to % zones == zone),
-            What::CutOff { gateway, .. } => (from == gateway) != (to == gateway),
+        let is_partitioned = |from: usize, to: usize| match kind {
+            FaultKind::PartitionZone { zone, .. } => (from % zones == zone) != (to % zones == zone),
+            FaultKind::PartitionGateway { gateway, .. } => (from == gateway) != (to == gateway),
             _ => false,
         };
         let gateways = self.fleet.gateways;
--- a/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/mod.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/mod.rs
@@ -16,7 +16,7 @@
 };
 use ivypitch_types::{MILLISECOND, Nanos, SECOND};
 
-use crate::virtual_time::faults::{Field, Plan};
+use crate::virtual_time::faults::{FaultPlan, FaultPlanParams};
 use simulation::Simulation;
 pub use verdict::Verdict;
 
@@ -85,20 +85,20 @@
 }
 
 /// Draws a fault plan for this fleet.
-pub fn draw(fleet: &Fleet, seed: u64) -> Plan {
-    let field = Field {
+pub fn draw_faults(fleet: &Fleet, seed: u64) -> FaultPlan {
+    let params = FaultPlanParams {
         gateways: fleet.gateways,
         zones: fleet.zones,
         engines: fleet.engines,
-        span: fleet.duration_ms,
-        gap: fleet.fault_gap_ms,
-        losses_only: false,
+        duration_ms: fleet.duration_ms,
+        mean_gap_ms: fleet.fault_gap_ms,
+        has_only_losses: false,
     };
-    Plan::draw(field, seed)
+    FaultPlan::draw(params, seed)
 }
 
 /// Runs the fleet over a fault plan.
-pub fn play(fleet: &Fleet, plan: &Plan, seed: u64) -> Verdict {
+pub fn run(fleet: &Fleet, plan: &FaultPlan, seed: u64) -> Verdict {
     Simulation::new(fleet, plan, seed).run()
 }
 
--- a/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/simulation.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/simulation.rs
@@ -14,7 +14,7 @@
 use super::network::Network;
 use super::quotas::QuotaCounts;
 use super::{Fleet, LEVEL_QUOTA, SPEND_WINDOW, STEP, Verdict, config};
-use crate::virtual_time::faults::Plan;
+use crate::virtual_time::faults::FaultPlan;
 
 /// The first processes have run for so long, and have recovered.
 const START: Nanos = 20 * SECOND;
@@ -60,7 +60,7 @@
 }
 
 impl<'a> Simulation<'a> {
-    pub(super) fn new(fleet: &'a Fleet, plan: &Plan, seed: u64) -> Simulation<'a> {
+    pub(super) fn new(fleet: &'a Fleet, plan: &FaultPlan, seed: u64) -> Simulation<'a> {
         let duration = fleet.duration_ms * MILLISECOND;
         let mut simulation = Simulation {
             fleet,
@@ -89,7 +89,7 @@
         simulation.draw_demand(0);
         simulation.schedule(START, Event::Step);
         for fault in &plan.faults {
-            let at = START + fault.at * MILLISECOND;
+            let at = START + fault.at_ms * MILLISECOND;
             simulation.schedule(at, Event::FaultBegins(*fault));
         }
         simulation
--- a/crates/ivypitch-testbed/src/virtual_time/discovery_fleet/mod.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/discovery_fleet/mod.rs
@@ -92,6 +92,6 @@
 }
 
 /// Runs the fleet.
-pub fn play(fleet: Fleet, seed: u64) -> Verdict {
+pub fn run(fleet: Fleet, seed: u64) -> Verdict {
     Simulation::new(fleet, seed).run()
 }
--- a/crates/ivypitch-testbed/src/virtual_time/engine.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/engine.rs
@@ -19,27 +19,27 @@
 const BAD_PLAN: std::ops::Range<f64> = 5.0..15.0;
 
 #[derive(Clone, Debug)]
-pub struct Model {
+pub struct EngineConfig {
     pub cores: f64,
     /// Queries at once; more are refused as full.
-    pub places: usize,
+    pub max_queries: usize,
     /// Part of queries with a bad plan, and of those that end in an error.
-    pub bad_plans: f64,
-    pub errors: f64,
+    pub bad_plan_fraction: f64,
+    pub error_fraction: f64,
     /// A new process begins at this part of its speed and takes so long to be warm.
-    pub cold_from: f64,
-    pub warm_up: Nanos,
+    pub cold_speed_fraction: f64,
+    pub warm_up_duration: Nanos,
 }
 
-impl Default for Model {
+impl Default for EngineConfig {
     fn default() -> Self {
-        Model {
+        EngineConfig {
             cores: 8.0,
-            places: 200,
-            bad_plans: 0.0,
-            errors: 0.0,
-            cold_from: 0.4,
-            warm_up: 10 * SECOND,
+            max_queries: 200,
+            bad_plan_fraction: 0.0,
+            error_fraction: 0.0,
+            cold_speed_fraction: 0.4,
+            warm_up_duration: 10 * SECOND,
         }
     }
 }
@@ -48,16 +48,16 @@
 pub struct Query {
     pub id: u64,
     /// Core-seconds of all its threads on a warm engine with this group cold.
-    pub work: f64,
+    pub work_core_s: f64,
     pub threads: f64,
     pub priority: u8,
-    pub group: u32,
+    pub table_group: u32,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Ended {
+pub enum QueryEnd {
     /// With its true work in core-seconds.
-    Good(f64),
+    Completed(f64),
     Error,
 }
 
@@ -70,7 +70,7 @@
 }
 
 pub struct Engine {
-    model: Model,
+    model: EngineConfig,
     running: Vec<Running>,
     /// The newest last.
     warm: VecDeque<u32>,
@@ -79,12 +79,12 @@
     stalled_until: Nanos,
     rng: ChaCha8Rng,
     /// Core-seconds done, of queries that ended well and of others.
-    pub useful: f64,
-    pub wasted: f64,
+    pub useful_core_s: f64,
+    pub wasted_core_s: f64,
 }
 
 impl Engine {
-    pub fn new(model: Model, rng: ChaCha8Rng, started: Nanos) -> Engine {
+    pub fn new(model: EngineConfig, rng: ChaCha8Rng, started: Nanos) -> Engine {
         Engine {
             model,
             running: Vec::new(),
@@ -93,8 +93,8 @@
             started,
             stalled_until: 0,
             rng,
-            useful: 0.0,
-            wasted: 0.0,
+            useful_core_s: 0.0,
+            wasted_core_s: 0.0,
         }
     }
 
@@ -102,7 +102,7 @@
         self.running.len()
     }
 
-    pub fn holds(&self, id: u64) -> bool {
+    pub fn has_query(&self, id: u64) -> bool {
         self.running.iter().any(|r| r.query.id == id)
     }
 
@@ -121,7 +121,7 @@
         self.started = now;
         self.warm.clear();
         let lost: Vec<u64> = self.running.iter().map(|r| r.query.id).collect();
-        self.wasted += self
+        self.wasted_core_s += self
             .running
             .iter()
             .map(|r| r.true_work - r.left)
@@ -133,23 +133,23 @@
     /// False: full, it never ran.
     pub fn start(&mut self, now: Nanos, query: Query) -> bool {
         self.advance_to(now);
-        if self.running.len() >= self.model.places || self.holds(query.id) {
+        if self.running.len() >= self.model.max_queries || self.has_query(query.id) {
             return false;
         }
-        let warm = self.warm.contains(&query.group);
-        self.warm.retain(|&group| group != query.group);
-        self.warm.push_back(query.group);
+        let warm = self.warm.contains(&query.table_group);
+        self.warm.retain(|&group| group != query.table_group);
+        self.warm.push_back(query.table_group);
         if self.warm.len() > WARM_GROUPS {
             self.warm.pop_front();
         }
-        let bad = self.rng.random_bool(self.model.bad_plans);
+        let bad = self.rng.random_bool(self.model.bad_plan_fraction);
         let times = if bad {
             self.rng.random_range(BAD_PLAN)
         } else {
             1.0
         };
-        let true_work = query.work * times * if warm { 1.0 - WARM_GAIN } else { 1.0 };
-        let fails = self.rng.random_bool(self.model.errors);
+        let true_work = query.work_core_s * times * if warm { 1.0 - WARM_GAIN } else { 1.0 };
+        let fails = self.rng.random_bool(self.model.error_fraction);
         self.running.push(Running {
             query,
             left: true_work,
@@ -157,17 +157,17 @@
             rate: 0.0,
             fails,
         });
-        self.share_out();
+        self.allocate_cores();
         true
     }
 
-    pub fn withdraw(&mut self, now: Nanos, id: u64) {
+    pub fn cancel(&mut self, now: Nanos, id: u64) {
         self.advance_to(now);
         if let Some(ix) = self.running.iter().position(|r| r.query.id == id) {
             let gone = self.running.swap_remove(ix);
-            self.wasted += gone.true_work - gone.left;
+            self.wasted_core_s += gone.true_work - gone.left;
         }
-        self.share_out();
+        self.allocate_cores();
     }
 
     pub fn set_priority(&mut self, now: Nanos, id: u64, priority: u8) {
@@ -175,11 +175,11 @@
         for running in self.running.iter_mut().filter(|r| r.query.id == id) {
             running.query.priority = priority;
         }
-        self.share_out();
+        self.allocate_cores();
     }
 
     /// What has ended by now.
-    pub fn advance(&mut self, now: Nanos) -> Vec<(u64, Ended)> {
+    pub fn take_ended(&mut self, now: Nanos) -> Vec<(u64, QueryEnd)> {
         self.advance_to(now);
         let mut ended = Vec::new();
         self.running.retain(|r| {
@@ -190,16 +190,16 @@
             false
         });
         if !ended.is_empty() {
-            self.share_out();
+            self.allocate_cores();
         }
         let mut told = Vec::new();
         for (id, work, fails) in ended {
             if fails {
-                self.wasted += work;
-                told.push((id, Ended::Error));
+                self.wasted_core_s += work;
+                told.push((id, QueryEnd::Error));
             } else {
-                self.useful += work;
-                told.push((id, Ended::Good(work)));
+                self.useful_core_s += work;
+                told.push((id, QueryEnd::Completed(work)));
             }
         }
         told
@@ -216,7 +216,7 @@
         Some(self.at.max(self.stalled_until) + (soonest.max(0.0) * 1e9) as Nanos + 1)
     }
 
-    /// Moves work on; ends are taken out by [`Engine::advance`] alone.
+    /// Moves work on; ends are taken out by [`Engine::take_ended`] alone.
     fn advance_to(&mut self, now: Nanos) {
         let from = self.at.max(self.stalled_until.min(now));
         let span = now.saturating_sub(from) as f64 / 1e9;
@@ -224,22 +224,22 @@
         for running in &mut self.running {
             running.left = (running.left - running.rate * span).max(0.0);
         }
-        if self.at < self.started + self.model.warm_up {
-            self.share_out();
+        if self.at < self.started + self.model.warm_up_duration {
+            self.allocate_cores();
         }
     }
 
     fn speed(&self) -> f64 {
-        if self.started == 0 || self.model.warm_up == 0 {
+        if self.started == 0 || self.model.warm_up_duration == 0 {
             return 1.0;
         }
-        let age = (self.at - self.started) as f64 / self.model.warm_up as f64;
-        (self.model.cold_from + (1.0 - self.model.cold_from) * age).min(1.0)
+        let age = (self.at - self.started) as f64 / self.model.warm_up_duration as f64;
+        (self.model.cold_speed_fraction + (1.0 - self.model.cold_speed_fraction) * age).min(1.0)
     }
 
     /// Cores go to queries by priority and threads; nobody gets more than a core a thread, and what that leaves
     /// goes to the others.
-    fn share_out(&mut self) {
+    fn allocate_cores(&mut self) {
         let threads: f64 = self.running.iter().map(|r| r.query.threads).sum();
         let crowd = (threads / self.model.cores / KNEE - 1.0).max(0.0);
         let speed = self.speed();
--- a/crates/ivypitch-testbed/src/virtual_time/faults.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/faults.rs
@@ -9,74 +9,118 @@
 
 /// What happens; gateways and engines by number, zones by number, spans in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum FaultKind {
     /// Killed outright; it starts again after so long with nothing kept.
-    Kill { gateway: usize, back: u64 },
+    Kill {
+        gateway: usize,
+        restart_after_ms: u64,
+    },
     /// Stopped for so long, then goes on where it was.
-    Stop { gateway: usize, span: u64 },
+    Suspend { gateway: usize, duration_ms: u64 },
     /// Told to end; it starts again after so long.
-    End { gateway: usize, back: u64 },
+    ShutDown {
+        gateway: usize,
+        restart_after_ms: u64,
+    },
     /// No link between this zone and the others.
-    CutZone { zone: usize, span: u64 },
+    PartitionZone { zone: usize, duration_ms: u64 },
     /// No link between this gateway and the others; its engines stay.
-    CutOff { gateway: usize, span: u64 },
+    PartitionGateway { gateway: usize, duration_ms: u64 },
     /// Nothing from one to the other arrives; back it does.
-    Mute { from: usize, to: usize, span: u64 },
+    DropMessages {
+        from: usize,
+        to: usize,
+        duration_ms: u64,
+    },
     /// All from one to the other comes so much later.
-    Late {
+    DelayMessages {
         from: usize,
         to: usize,
-        by: u64,
-        span: u64,
+        delay_ms: u64,
+        duration_ms: u64,
     },
     /// All links between the two break once.
-    Reset { from: usize, to: usize },
+    ResetLinks { from: usize, to: usize },
     /// The engine's process dies and begins anew.
-    EngineDies { engine: usize },
+    CrashEngine { engine: usize },
     /// The engine drains for so long, then serves again.
-    EngineDrains { engine: usize, span: u64 },
+    DrainEngine { engine: usize, duration_ms: u64 },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fault {
     /// Milliseconds from the start of the run.
-    pub at: u64,
-    pub what: What,
+    pub at_ms: u64,
+    pub kind: FaultKind,
 }
 
 impl Fault {
     /// Milliseconds until it is over, or what it took away is back; `None` where nothing follows.
-    pub fn span(&self) -> Option<u64> {
-        match self.what {
-            What::Kill { back, .. } | What::End { back, .. } => Some(back),
-            What::Stop { span, .. }
-            | What::CutZone { span, .. }
-            | What::CutOff { span, .. }
-            | What::Mute { span, .. }
-            | What::Late { span, .. }
-            | What::EngineDrains { span, .. } => Some(span),
-            What::Reset { .. } | What::EngineDies { .. } => None,
+    pub fn duration_ms(&self) -> Option<u64> {
+        match self.kind {
+            FaultKind::Kill {
+                restart_after_ms, ..
+            }
+            | FaultKind::ShutDown {
+                restart_after_ms, ..
+            } => Some(restart_after_ms),
+            FaultKind::Suspend { duration_ms, .. }
+            | FaultKind::PartitionZone { duration_ms, .. }
+            | FaultKind::PartitionGateway { duration_ms, .. }
+            | FaultKind::DropMessages { duration_ms, .. }
+            | FaultKind::DelayMessages { duration_ms, .. }
+            | FaultKind::DrainEngine { duration_ms, .. } => Some(duration_ms),
+            FaultKind::ResetLinks { .. } | FaultKind::CrashEngine { .. } => None,
         }
     }
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "at={} ", self.at)?;
-        match self.what {
-            What::Kill { gateway, back } => write!(f, "kill gateway={gateway} back={back}"),
-            What::Stop { gateway, span } => write!(f, "stop gateway={gateway} span={span}"),
-            What::End { gateway, back } => write!(f, "end gateway={gateway} back={back}"),
-            What::CutZone { zone, span } => write!(f, "cut-zone zone={zone} span={span}"),
-            What::CutOff { gateway, span } => write!(f, "cut-off gateway={gateway} span={span}"),
-            What::Mute { from, to, span } => write!(f, "mute from={from} to={to} span={span}"),
-            What::Late { from, to, by, span } => {
-                write!(f, "late from={from} to={to} by={by} span={span}")
+        write!(f, "at={} ", self.at_ms)?;
+        match self.kind {
+            FaultKind::Kill {
+                gateway,
+                restart_after_ms,
+            } => write!(f, "kill gateway={gateway} back={restart_after_ms}"),
+            FaultKind::Suspend {
+                gateway,
+                duration_ms,
+            } => write!(f, "stop gateway={gateway} span={duration_ms}"),
+            FaultKind::ShutDown {
+                gateway,
+                restart_after_ms,
+            } => write!(f, "end gateway={gateway} back={restart_after_ms}"),
+            FaultKind::PartitionZone { zone, duration_ms } => {
+                write!(f, "cut-zone zone={zone} span={duration_ms}")
+            }
+            FaultKind::PartitionGateway {
+                gateway,
+                duration_ms,
+            } => write!(f, "cut-off gateway={gateway} span={duration_ms}"),
+            FaultKind::DropMessages {
+                from,
+                to,
+                duration_ms,
+            } => write!(f, "mute from={from} to={to} span={duration_ms}"),
+            FaultKind::DelayMessages {
+                from,
+                to,
+                delay_ms,
+                duration_ms,
+            } => {
+                write!(
+                    f,
+                    "late from={from} to={to} by={delay_ms} span={duration_ms}"
+                )
             }
-            What::Reset { from, to } => write!(f, "reset from={from} to={to}"),
-            What::EngineDies { engine } => write!(f, "engine-dies engine={engine}"),
-            What::EngineDrains { engine, span } => {
-                write!(f, "engine-drains engine={engine} span={span}")
+            FaultKind::ResetLinks { from, to } => write!(f, "reset from={from} to={to}"),
+            FaultKind::CrashEngine { engine } => write!(f, "engine-dies engine={engine}"),
+            FaultKind::DrainEngine {
+                engine,
+                duration_ms,
+            } => {
+                write!(f, "engine-drains engine={engine} span={duration_ms}")
             }
         }
     }
@@ -96,69 +140,69 @@
                 .ok_or_else(|| format!("{line:?}: {name}=NUMBER is missing"))
         };
         let index = |name: &str| number(name).map(|n| n as usize);
-        let kind = words
+        let name = words
             .iter()
             .find(|w| !w.contains('='))
             .copied()
             .unwrap_or_default();
-        let what = match kind {
-            "kill" => What::Kill {
+        let kind = match name {
+            "kill" => FaultKind::Kill {
                 gateway: index("gateway")?,
-                back: number("back")?,
+                restart_after_ms: number("back")?,
             },
-            "stop" => What::Stop {
+            "stop" => FaultKind::Suspend {
                 gateway: index("gateway")?,
-                span: number("span")?,
+                duration_ms: number("span")?,
             },
-            "end" => What::End {
+            "end" => FaultKind::ShutDown {
                 gateway: index("gateway")?,
-                back: number("back")?,
+                restart_after_ms: number("back")?,
             },
-            "cut-zone" => What::CutZone {
+            "cut-zone" => FaultKind::PartitionZone {
                 zone: index("zone")?,
-                span: number("span")?,
+                duration_ms: number("span")?,
             },
-            "cut-off" => What::CutOff {
+            "cut-off" => FaultKind::PartitionGateway {
                 gateway: index("gateway")?,
-                span: number("span")?,
+                duration_ms: number("span")?,
             },
-            "mute" => What::Mute {
+            "mute" => FaultKind::DropMessages {
                 from: index("from")?,
                 to: index("to")?,
-                span: number("span")?,
+                duration_ms: number("span")?,
             },
-            "late" => What::Late {
+            "late" => FaultKind::DelayMessages {
                 from: index("from")?,
                 to: index("to")?,
-                by: number("by")?,
-                span: number("span")?,
+                delay_ms: number("by")?,
+                duration_ms: number("span")?,
             },
-            "reset" => What::Reset {
+            "reset" => FaultKind::ResetLinks {
                 from: index("from")?,
                 to: index("to")?,
             },
-            "engine-dies" => What::EngineDies {
+            "engine-dies" => FaultKind::CrashEngine {
                 engine: index("engine")?,
             },
-            "engine-drains" => What::EngineDrains {
+            "engine-drains" => FaultKind::DrainEngine {
                 engine: index("engine")?,
-                span: number("span")?,
+                duration_ms: number("span")?,
             },
             other => return Err(format!("{line:?}: no fault is called {other:?}")),
         };
         Ok(Fault {
-            at: number("at")?,
-            what,
+            at_ms: number("at")?,
+            kind,
         })
     }
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Plan {
+pub struct FaultPlan {
     pub faults: Vec<Fault>,
 }
 
-impl fmt::Display for Plan {
+impl fmt::Display for FaultPlan {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         self.faults
             .iter()
@@ -166,11 +210,11 @@
     }
 }
 
-impl FromStr for Plan {
+impl FromStr for FaultPlan {
     type Err = String;
 
     /// A fault a line; empty lines and what follows `#` are passed over.
-    fn from_str(text: &str) -> Result<Plan, String> {
+    fn from_str(text: &str) -> Result<FaultPlan, String> {
         let lines = text
             .lines()
             .map(|line| line.split('#').next().unwrap_or("").trim());
@@ -178,111 +222,129 @@
             .filter(|line| !line.is_empty())
             .map(str::parse)
             .collect::<Result<_, _>>()?;
-        Ok(Plan { faults })
+        Ok(FaultPlan { faults })
     }
 }
 
 /// What a plan is drawn for.
 #[derive(Clone, Copy, Debug)]
-pub struct Field {
+pub struct FaultPlanParams {
     pub gateways: usize,
     pub zones: usize,
     pub engines: usize,
     /// Milliseconds; the last faults leave time for what they do to end.
-    pub span: u64,
+    pub duration_ms: u64,
     /// Mean milliseconds between faults.
-    pub gap: u64,
+    pub mean_gap_ms: u64,
     /// Only gateways are killed, stopped and ended.
-    pub losses_only: bool,
+    pub has_only_losses: bool,
 }
 
-impl Plan {
-    pub fn draw(field: Field, seed: u64) -> Plan {
+impl FaultPlan {
+    pub fn draw(params: FaultPlanParams, seed: u64) -> FaultPlan {
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x5eed_fa17);
         let mut faults = Vec::new();
-        let mut at = field.gap / 2;
+        let mut at_ms = params.mean_gap_ms / 2;
         // A gateway that is away is left alone until it is back.
-        let mut away = vec![0u64; field.gateways];
-        while at + field.span / 6 < field.span {
-            let gateway = rng.random_range(0..field.gateways);
-            let other = (gateway + rng.random_range(1..field.gateways.max(2))) % field.gateways;
-            let span = rng.random_range(300..3000);
-            let back = [80, 400, 1500, 4000][rng.random_range(0..4usize)];
-            let kinds = if field.losses_only { 4 } else { 12 };
-            let what = match rng.random_range(0..kinds) {
-                0 | 1 => What::Kill { gateway, back },
-                2 => What::Stop {
+        let mut down_until_ms = vec![0u64; params.gateways];
+        while at_ms + params.duration_ms / 6 < params.duration_ms {
+            let gateway = rng.random_range(0..params.gateways);
+            let other = (gateway + rng.random_range(1..params.gateways.max(2))) % params.gateways;
+            let duration_ms = rng.random_range(300..3000);
+            let restart_after_ms = [80, 400, 1500, 4000][rng.random_range(0..4usize)];
+            let kinds = if params.has_only_losses { 4 } else { 12 };
+            let kind = match rng.random_range(0..kinds) {
+                0 | 1 => FaultKind::Kill {
                     gateway,
-                    span: [700, 2500, 5000][rng.random_range(0..3usize)],
+                    restart_after_ms,
                 },
-                3 => What::End { gateway, back },
-                4 => What::CutZone {
-                    zone: rng.random_range(0..field.zones.max(1)),
-                    span,
+                2 => FaultKind::Suspend {
+                    gateway,
+                    duration_ms: [700, 2500, 5000][rng.random_range(0..3usize)],
+                },
+                3 => FaultKind::ShutDown {
+                    gateway,
+                    restart_after_ms,
+                },
+                4 => FaultKind::PartitionZone {
+                    zone: rng.random_range(0..params.zones.max(1)),
+                    duration_ms,
                 },
-                5 => What::CutOff { gateway, span },
-                6 | 7 => What::Mute {
+                5 => FaultKind::PartitionGateway {
+                    gateway,
+                    duration_ms,
+                },
+                6 | 7 => FaultKind::DropMessages {
                     from: gateway,
                     to: other,
-                    span,
+                    duration_ms,
                 },
-                8 | 9 => What::Late {
+                8 | 9 => FaultKind::DelayMessages {
                     from: gateway,
                     to: other,
-                    by: rng.random_range(20..2000),
-                    span,
+                    delay_ms: rng.random_range(20..2000),
+                    duration_ms,
                 },
-                10 => What::Reset {
+                10 => FaultKind::ResetLinks {
                     from: gateway,
                     to: other,
                 },
-                _ if rng.random_bool(0.5) => What::EngineDies {
-                    engine: rng.random_range(0..field.engines),
+                _ if rng.random_bool(0.5) => FaultKind::CrashEngine {
+                    engine: rng.random_range(0..params.engines),
                 },
-                _ => What::EngineDrains {
-                    engine: rng.random_range(0..field.engines),
-                    span,
+                _ => FaultKind::DrainEngine {
+                    engine: rng.random_range(0..params.engines),
+                    duration_ms,
                 },
             };
-            let until = match what {
-                What::Kill { back, .. } | What::End { back, .. } => at + back + 1000,
-                What::Stop { span, .. } => at + span + 1000,
+            let until_ms = match kind {
+                FaultKind::Kill {
+                    restart_after_ms, ..
+                }
+                | FaultKind::ShutDown {
+                    restart_after_ms, ..
+                } => at_ms + restart_after_ms + 1000,
+                FaultKind::Suspend { duration_ms, .. } => at_ms + duration_ms + 1000,
                 _ => 0,
             };
-            if until == 0 || away[gateway] <= at {
-                away[gateway] = away[gateway].max(until);
-                faults.push(Fault { at, what });
+            if until_ms == 0 || down_until_ms[gateway] <= at_ms {
+                down_until_ms[gateway] = down_until_ms[gateway].max(until_ms);
+                faults.push(Fault { at_ms, kind });
             }
-            at += rng.random_range(field.gap / 2..field.gap * 3 / 2 + 1);
+            at_ms += rng.random_range(params.mean_gap_ms / 2..params.mean_gap_ms * 3 / 2 + 1);
         }
-        Plan { faults }
+        FaultPlan { faults }
     }
 
     /// The least of it that still fails: faults are left out in halves, then one by one, as long as it does. At most
     /// `most` plays.
-    pub fn cut_down(&self, most: usize, mut fails: impl FnMut(&Plan) -> bool) -> Plan {
-        let mut least = self.clone();
-        let mut size = least.faults.len().div_ceil(2).max(1);
-        let mut plays = 0;
-        while plays < most && !least.faults.is_empty() {
+    pub fn minimize(
+        &self,
+        max_runs: usize,
+        mut fails: impl FnMut(&FaultPlan) -> bool,
+    ) -> FaultPlan {
+        let mut minimal = self.clone();
+        let mut size = minimal.faults.len().div_ceil(2).max(1);
+        let mut runs = 0;
+        while runs < max_runs && !minimal.faults.is_empty() {
             let mut begin = 0;
-            let before = least.faults.len();
-            while begin < least.faults.len() && plays < most {
-                let end = (begin + size).min(least.faults.len());
-                let mut fewer = least.clone();
-                fewer.faults.drain(begin..end);
-                plays += 1;
-                if fails(&fewer) {
-                    least = fewer;
+            let before = minimal.faults.len();
+            while begin < minimal.faults.len() && runs < max_runs {
+                let end = (begin + size).min(minimal.faults.len());
+                let mut candidate = minimal.clone();
+                candidate.faults.drain(begin..end);
+                runs += 1;
+                if fails(&candidate) {
+                    minimal = candidate;
                 } else {
                     begin = end;
                 }
             }
-            if size == 1 && least.faults.len() == before {
+            if size == 1 && minimal.faults.len() == before {
                 break;
             }
             size = (size / 2).max(1);
         }
-        least
+        minimal
     }
 }
--- a/crates/ivypitch-testbed/src/virtual_time/membership_fleet/mod.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/membership_fleet/mod.rs
@@ -8,7 +8,7 @@
 use ivypitch_types::{MILLISECOND, Nanos, SECOND};
 use rand::Rng;
 
-use super::cost;
+use super::resource_usage;
 use measurements::Measurements;
 use simulation::Simulation;
 
@@ -96,15 +96,15 @@
 }
 
 /// Runs the fleet.
-pub fn play(fleet: Fleet, seed: u64) -> Verdict {
+pub fn run(fleet: Fleet, seed: u64) -> Verdict {
     let mut simulation = Simulation::new(fleet, seed);
     let mut verdict = join(&mut simulation);
     let start = simulation.now;
-    let cpu_before = cost::thread_s();
+    let cpu_before = resource_usage::thread_cpu_s();
     let mut measurements = Measurements::new(fleet.partition_ms.is_some());
     run_counted(&mut simulation, &mut measurements, start);
     let member_seconds = fleet.members as f64 * fleet.seconds as f64;
-    verdict.cpu_per_member_second = (cost::thread_s() - cpu_before) / member_seconds;
+    verdict.cpu_per_member_second = (resource_usage::thread_cpu_s() - cpu_before) / member_seconds;
     verdict.datagrams_per_member_second = simulation.sent_datagrams as f64 / member_seconds;
     verdict.bytes_per_member_second = simulation.sent_bytes as f64 / member_seconds;
     measurements.add_to(&mut verdict, fleet.members, simulation.now);
@@ -114,7 +114,7 @@
 /// Starts all members, until all reach all and the updates of the start have travelled.
 fn join(simulation: &mut Simulation) -> Verdict {
     let members = simulation.fleet.members as f64;
-    let memory_before = cost::resident();
+    let memory_before = resource_usage::resident_bytes();
     simulation.start_all();
     let mut verdict = Verdict::default();
     let mut bytes_in_second = 0;
@@ -139,7 +139,8 @@
     }
     verdict.peak_bytes_per_member_second = peak_bytes as f64 / members;
     verdict.start_bytes_per_member = simulation.sent_bytes as f64 / members;
-    verdict.memory_per_member = (cost::resident() - memory_before).max(0.0) / members;
+    verdict.memory_per_member =
+        (resource_usage::resident_bytes() - memory_before).max(0.0) / members;
     simulation.sent_datagrams = 0;
     simulation.sent_bytes = 0;
     verdict
--- a/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/faults.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/faults.rs
@@ -10,7 +10,7 @@
 use super::event::Event;
 use super::membership::{LOSS_NOTICED, PARTITION_END_NOTICED, RETURN_NOTICED};
 use super::simulation::Simulation;
-use crate::virtual_time::faults::What;
+use crate::virtual_time::faults::FaultKind;
 
 /// A gateway that shuts down ends after this time.
 const SHUTDOWN_MS: u64 = 300;
@@ -19,48 +19,59 @@
     pub(super) fn on_fault_begins(&mut self, index: usize) {
         let fault = self.plan.faults[index];
         self.trace(|| format!("fault {fault}"));
-        match fault.what {
-            What::Kill { gateway, back } => {
+        match fault.kind {
+            FaultKind::Kill {
+                gateway,
+                restart_after_ms,
+            } => {
                 if self.is_up(gateway) {
                     self.crash(gateway);
-                    self.schedule_after(back * MILLISECOND, Event::Restart { gateway });
+                    self.schedule_after(restart_after_ms * MILLISECOND, Event::Restart { gateway });
                 }
             }
-            What::End { gateway, back } => {
+            FaultKind::ShutDown {
+                gateway,
+                restart_after_ms,
+            } => {
                 if self.is_up(gateway) && !self.gateways[gateway].is_stopped {
                     self.shut_down(gateway);
                     self.schedule_after(SHUTDOWN_MS * MILLISECOND, Event::FaultEnds(index));
-                    let restart_after = (SHUTDOWN_MS + back) * MILLISECOND;
+                    let restart_after = (SHUTDOWN_MS + restart_after_ms) * MILLISECOND;
                     self.schedule_after(restart_after, Event::Restart { gateway });
                 }
             }
-            What::Stop { gateway, span } => {
+            FaultKind::Suspend {
+                gateway,
+                duration_ms,
+            } => {
                 if self.is_up(gateway) && !self.gateways[gateway].is_stopped {
                     self.gateways[gateway].is_stopped = true;
-                    self.schedule_after(span * MILLISECOND, Event::FaultEnds(index));
+                    self.schedule_after(duration_ms * MILLISECOND, Event::FaultEnds(index));
                     self.schedule_view_updates(&BTreeSet::from([gateway]), LOSS_NOTICED);
                     self.lose_patience(gateway);
                 }
             }
-            What::CutZone { .. } | What::CutOff { .. } => {
-                for link in self.partitioned_links(fault.what) {
+            FaultKind::PartitionZone { .. } | FaultKind::PartitionGateway { .. } => {
+                for link in self.partitioned_links(fault.kind) {
                     *self.partitions.entry(link).or_default() += 1;
                 }
                 let all = (0..self.fleet.gateways).collect();
                 self.schedule_view_updates(&all, LOSS_NOTICED);
                 self.schedule_fault_end(index);
             }
-            What::Mute { from, to, .. } => {
+            FaultKind::DropMessages { from, to, .. } => {
                 *self.broken_links.entry((from, to)).or_default() += 1;
                 self.schedule_fault_end(index);
             }
-            What::Late { from, to, by, .. } => {
-                self.delays.insert((from, to), by * MILLISECOND);
+            FaultKind::DelayMessages {
+                from, to, delay_ms, ..
+            } => {
+                self.delays.insert((from, to), delay_ms * MILLISECOND);
                 self.schedule_fault_end(index);
             }
-            What::Reset { from, to } => self.drop_messages_between(from, to),
-            What::EngineDies { engine } => self.engines[engine].queries.clear(),
-            What::EngineDrains { engine, .. } => {
+            FaultKind::ResetLinks { from, to } => self.drop_messages_between(from, to),
+            FaultKind::CrashEngine { engine } => self.engines[engine].queries.clear(),
+            FaultKind::DrainEngine { engine, .. } => {
                 self.engines[engine].is_draining = true;
                 self.schedule_fault_end(index);
             }
@@ -69,28 +80,30 @@
 
     pub(super) fn on_fault_ends(&mut self, index: usize) {
         let fault = self.plan.faults[index];
-        match fault.what {
-            What::Stop { gateway, .. } => self.resume(gateway),
-            What::End { gateway, .. } => {
+        match fault.kind {
+            FaultKind::Suspend { gateway, .. } => self.resume(gateway),
+            FaultKind::ShutDown { gateway, .. } => {
                 if self.is_up(gateway) && self.gateways[gateway].is_shutting_down {
                     self.crash(gateway);
                 }
             }
-            What::CutZone { .. } | What::CutOff { .. } => {
-                for link in self.partitioned_links(fault.what) {
+            FaultKind::PartitionZone { .. } | FaultKind::PartitionGateway { .. } => {
+                for link in self.partitioned_links(fault.kind) {
                     *self.partitions.entry(link).or_default() -= 1;
                 }
                 let all = (0..self.fleet.gateways).collect();
                 self.schedule_view_updates(&all, PARTITION_END_NOTICED);
             }
-            What::Mute { from, to, .. } => {
+            FaultKind::DropMessages { from, to, .. } => {
                 *self.broken_links.entry((from, to)).or_default() -= 1;
             }
-            What::Late { from, to, .. } => {
+            FaultKind::DelayMessages { from, to, .. } => {
                 self.delays.remove(&(from, to));
             }
-            What::EngineDrains { engine, .. } => self.engines[engine].is_draining = false,
-            What::Kill { .. } | What::Reset { .. } | What::EngineDies { .. } => {}
+            FaultKind::DrainEngine { engine, .. } => self.engines[engine].is_draining = false,
+            FaultKind::Kill { .. }
+            | FaultKind::ResetLinks { .. }
+            | FaultKind::CrashEngine { .. } => {}
         }
     }
 
@@ -110,8 +123,8 @@
     }
 
     fn schedule_fault_end(&mut self, index: usize) {
-        let span_ms = self.plan.faults[index].span().unwrap_or(0);
-        self.schedule_after(span_ms * MILLISECOND, Event::FaultEnds(index));
+        let duration_ms = self.plan.faults[index].duration_ms().unwrap_or(0);
+        self.schedule_after(duration_ms * MILLISECOND, Event::FaultEnds(index));
     }
 
     /// The gateway hands off what it acts for.
@@ -192,11 +205,11 @@
         }
     }
 
-    fn partitioned_links(&self, what: What) -> Vec<(usize, usize)> {
+    fn partitioned_links(&self, kind: FaultKind) -> Vec<(usize, usize)> {
         let zones = self.fleet.zones;
-        let is_apart = |a: usize, b: usize| match what {
-            What::CutZone { zone, .. } => (a % zones == zone) != (b % zones == zone),
-            What::CutOff { gateway, .. } => (a == gateway) != (b == gateway),
+        let is_apart = |a: usize, b: usize| match kind {
+            FaultKind::PartitionZone { zone, .. } => (a % zones == zone) != (b % zones == zone),
+            FaultKind::PartitionGateway { gateway, .. } => (a == gateway) != (b == gateway),
             _ => false,
         };
         let all = 0..self.fleet.gateways;
--- a/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/mod.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/mod.rs
@@ -14,7 +14,7 @@
 
 use ivypitch_ownership::NoQuorumPolicy;
 
-use crate::virtual_time::faults::{Field, Plan};
+use crate::virtual_time::faults::{FaultPlan, FaultPlanParams};
 use simulation::Simulation;
 pub use verdict::Verdict;
 
@@ -64,19 +64,19 @@
 }
 
 /// The fault plan of a run of this fleet. With `losses_only` gateways are lost and nothing else happens.
-pub fn draw(fleet: &Fleet, seed: u64, losses_only: bool) -> Plan {
-    let field = Field {
+pub fn draw_faults(fleet: &Fleet, seed: u64, losses_only: bool) -> FaultPlan {
+    let params = FaultPlanParams {
         gateways: fleet.gateways,
         zones: fleet.zones,
         engines: fleet.engines,
-        span: fleet.duration_ms,
-        gap: fleet.fault_gap_ms,
-        losses_only,
+        duration_ms: fleet.duration_ms,
+        mean_gap_ms: fleet.fault_gap_ms,
+        has_only_losses: losses_only,
     };
-    Plan::draw(field, seed)
+    FaultPlan::draw(params, seed)
 }
 
 /// Runs the fleet over the plan. The same arguments give the same verdict.
-pub fn play(fleet: &Fleet, plan: &Plan, seed: u64) -> Verdict {
+pub fn run(fleet: &Fleet, plan: &FaultPlan, seed: u64) -> Verdict {
     Simulation::new(fleet, plan, seed).run()
 }
--- a/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/simulation.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/simulation.rs
@@ -17,7 +17,7 @@
 use super::event::Event;
 use super::scheduling::LocalStatement;
 use super::verdict::Verdict;
-use crate::virtual_time::faults::Plan;
+use crate::virtual_time::faults::FaultPlan;
 
 /// The first processes started long before the first client comes, so that their voters vote.
 const FIRST_CLIENT_AT: Nanos = 10_000 * MILLISECOND;
@@ -45,7 +45,7 @@
 
 pub(super) struct Simulation<'a> {
     pub(super) fleet: &'a Fleet,
-    pub(super) plan: &'a Plan,
+    pub(super) plan: &'a FaultPlan,
     pub(super) now: Nanos,
     pub(super) rng: ChaCha8Rng,
     queue: BinaryHeap<Reverse<(Nanos, u64)>>,
@@ -80,7 +80,7 @@
 }
 
 impl<'a> Simulation<'a> {
-    pub(super) fn new(fleet: &'a Fleet, plan: &'a Plan, seed: u64) -> Simulation<'a> {
+    pub(super) fn new(fleet: &'a Fleet, plan: &'a FaultPlan, seed: u64) -> Simulation<'a> {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let statements = draw_statements(fleet, &mut rng);
         let by_id = statements
@@ -128,7 +128,7 @@
             self.schedule_at(self.statements[statement].first_arrival, arrival);
         }
         for (index, fault) in self.plan.faults.iter().enumerate() {
-            let begins_at = FIRST_CLIENT_AT + fault.at * MILLISECOND;
+            let begins_at = FIRST_CLIENT_AT + fault.at_ms * MILLISECOND;
             self.schedule_at(begins_at, Event::FaultBegins(index));
         }
         self.connect_all();
--- a/crates/ivypitch-testbed/src/virtual_time/cost.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/resource_usage.rs
@@ -4,17 +4,17 @@
 use rustix::time::{ClockId, clock_gettime};
 
 /// Seconds of processor time that this thread has had.
-pub fn thread_s() -> f64 {
+pub fn thread_cpu_s() -> f64 {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     time.tv_sec as f64 + time.tv_nsec as f64 * 1e-9
 }
 
 /// Microseconds of processor time of a call: the middle one of so many batches of so many calls.
-pub fn middle_us(batches: usize, calls: usize, mut call: impl FnMut()) -> f64 {
+pub fn median_call_us(batches: usize, calls: usize, mut call: impl FnMut()) -> f64 {
     let mut batch = || {
-        let began = thread_s();
+        let began = thread_cpu_s();
         (0..calls).for_each(|_| call());
-        (thread_s() - began) * 1e6 / calls.max(1) as f64
+        (thread_cpu_s() - began) * 1e6 / calls.max(1) as f64
     };
     let mut all: Vec<f64> = (0..batches.max(1)).map(|_| batch()).collect();
     all.sort_by(f64::total_cmp);
@@ -23,13 +23,13 @@
 
 /// Bytes that the process holds more after it, in whole pages as the system counts them, and what was made. What was
 /// freed before and is used again is not counted: sizes rise, and nothing else runs.
-pub fn memory<T>(make: impl FnOnce() -> T) -> (f64, T) {
-    let before = resident();
+pub fn measure_memory<T>(make: impl FnOnce() -> T) -> (f64, T) {
+    let before = resident_bytes();
     let made = make();
-    ((resident() - before).max(0.0), made)
+    ((resident_bytes() - before).max(0.0), made)
 }
 
-pub fn resident() -> f64 {
+pub fn resident_bytes() -> f64 {
     let told = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages: f64 = told
         .split_whitespace()
--- a/crates/ivypitch-testbed/src/virtual_time/fleet.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/scheduler_fleet.rs
@@ -18,8 +18,8 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::figures::{Figures, TeamFigures};
-use crate::virtual_time::engine::{Ended as EngineEnd, Engine, Model, Query};
-use crate::virtual_time::traffic::{Statement, Work};
+use crate::virtual_time::engine::{Engine, EngineConfig, Query, QueryEnd};
+use crate::virtual_time::traffic::{Statement, WorkloadParams};
 
 const NETWORK: Nanos = 500_000;
 /// A refused client tries so often in all.
@@ -27,18 +27,18 @@
 /// After the last arrival the run goes on for so long.
 const AFTER: Nanos = 30 * SECOND;
 
-pub struct Plan<'a> {
+pub struct FleetConfig<'a> {
     pub gateways: usize,
     pub engines: usize,
-    pub model: Model,
-    pub works: &'a [Work],
+    pub engine_config: EngineConfig,
+    pub workloads: &'a [WorkloadParams],
     pub teams: Vec<String>,
     pub statements: &'a [Statement],
     /// `None`: without the teams' queues.
     pub budgets: Option<Budgets>,
     pub seed: u64,
     /// Core-seconds a second that each customer may ask for without being worth less: the module's own allowance.
-    pub allowances: Vec<f64>,
+    pub tenant_quotas: Vec<f64>,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -219,7 +219,7 @@
 }
 
 pub struct Fleet<'a> {
-    plan: Plan<'a>,
+    plan: FleetConfig<'a>,
     now: Nanos,
     events: BinaryHeap<Reverse<(Nanos, u64, Event)>>,
     order: u64,
@@ -237,25 +237,29 @@
 }
 
 /// The facts that a deployment of this plan would be told.
-pub fn facts(plan: &Plan, me: usize) -> Deployment {
-    let workload = |w: &Work| Workload {
-        latency_objective: w.slo,
-        latency_objective_stretch: w.stretch,
+pub fn deployment(plan: &FleetConfig, me: usize) -> Deployment {
+    let workload = |w: &WorkloadParams| Workload {
+        latency_objective: w.latency_objective,
+        latency_objective_stretch: w.latency_objective_stretch,
         statement_timeout: w.timeout,
         priority_weight: w.priority_weight,
-        idempotency: w.effect,
+        idempotency: w.idempotency,
         deduplication_scope: DeduplicationScope::All,
         deduplication_window: 0,
         is_ordered_by_key: false,
         allowed_zones: None,
         allowed_engine_kinds: None,
         threads: w.threads,
-        is_bulk_load: w.effect == Idempotency::NonIdempotent,
+        is_bulk_load: w.idempotency == Idempotency::NonIdempotent,
         waits_for_bulk_loads: false,
     };
     let rate = |core_s: &f64| {
-        let parts: f64 = plan.works.iter().map(|w| w.part).sum();
-        let mean: f64 = plan.works.iter().map(|w| w.work * w.part / parts).sum();
+        let parts: f64 = plan.workloads.iter().map(|w| w.statement_weight).sum();
+        let mean: f64 = plan
+            .workloads
+            .iter()
+            .map(|w| w.mean_work_core_s * w.statement_weight / parts)
+            .sum();
         Tenant {
             quota_per_second: core_s / mean,
         }
@@ -264,12 +268,12 @@
         gateways: plan.gateways,
         member_index: me,
         tick: SECOND / 1000,
-        workloads: plan.works.iter().map(workload).collect(),
+        workloads: plan.workloads.iter().map(workload).collect(),
         engine_kinds: vec![EngineKind {
-            cores: plan.model.cores,
+            cores: plan.engine_config.cores,
             memory_mb: 65536.0,
         }],
-        tenants: plan.allowances.iter().map(rate).collect(),
+        tenants: plan.tenant_quotas.iter().map(rate).collect(),
         over_quota_priority_weight: 0.1,
         max_open_statements: usize::MAX,
         report_fields: vec![ReportField::InFlightAttempts],
@@ -282,8 +286,8 @@
         max_attempts: 4,
         drain_grace: SECOND / 4,
         answer_grace: 5_000_000,
-        slow_start_initial_fraction: plan.model.cold_from,
-        slow_start_duration: plan.model.warm_up,
+        slow_start_initial_fraction: plan.engine_config.cold_speed_fraction,
+        slow_start_duration: plan.engine_config.warm_up_duration,
         overload_factor: 2.5,
         overload_window: 3 * SECOND,
         retry_budget: Some(RetryBudget {
@@ -296,7 +300,7 @@
 }
 
 impl<'a> Fleet<'a> {
-    pub fn new(plan: Plan<'a>) -> Fleet<'a> {
+    pub fn new(plan: FleetConfig<'a>) -> Fleet<'a> {
         let rng = ChaCha8Rng::seed_from_u64(plan.seed);
         let rows: Vec<EngineEndpoint> = (0..plan.engines)
             .map(|e| EngineEndpoint {
@@ -309,7 +313,11 @@
             .collect();
         let engine = |e: usize| {
             let seed = plan.seed.wrapping_mul(31).wrapping_add(e as u64);
-            Engine::new(plan.model.clone(), ChaCha8Rng::seed_from_u64(seed), 0)
+            Engine::new(
+                plan.engine_config.clone(),
+                ChaCha8Rng::seed_from_u64(seed),
+                0,
+            )
         };
         let mut fleet = Fleet {
             now: 0,
@@ -328,7 +336,7 @@
         };
         for me in 0..fleet.plan.gateways {
             let seed = fleet.plan.seed.wrapping_mul(1_000).wrapping_add(me as u64);
-            let module = Scheduler::new(facts(&fleet.plan, me), seed, 0);
+            let module = Scheduler::new(deployment(&fleet.plan, me), seed, 0);
             let teams = fleet
                 .plan
                 .budgets
@@ -348,20 +356,23 @@
             node.module
                 .on_endpoints_updated(0, EndpointUpdateKind::Full, &rows, &mut node.desk);
             if let Some(teams) = &mut node.teams {
-                let cores =
-                    fleet.plan.engines as f64 * fleet.plan.model.cores / fleet.plan.gateways as f64;
+                let cores = fleet.plan.engines as f64 * fleet.plan.engine_config.cores
+                    / fleet.plan.gateways as f64;
                 teams.set_capacity(0, cores, &mut node.teams_desk);
             }
             fleet.settle(me);
         }
         for stmt in 0..fleet.plan.statements.len() {
-            fleet.at(fleet.plan.statements[stmt].at, Event::Arrive { stmt });
+            fleet.at(
+                fleet.plan.statements[stmt].arrives_at,
+                Event::Arrive { stmt },
+            );
         }
         fleet
     }
 
     pub fn run(mut self) -> Figures {
-        let last = self.plan.statements.last().map_or(0, |s| s.at);
+        let last = self.plan.statements.last().map_or(0, |s| s.arrives_at);
         while let Some(Reverse((at, _, event))) = self.events.pop() {
             if at > last + AFTER {
                 break;
@@ -393,7 +404,7 @@
             Event::GiveUp { attempt } => {
                 let engine = self.attempts[attempt].engine;
                 if std::mem::take(&mut self.attempts[attempt].running) {
-                    self.engines[engine].withdraw(now, attempt as u64);
+                    self.engines[engine].cancel(now, attempt as u64);
                     self.engine_moves(engine);
                 }
                 self.tell(attempt, HOW_CANCELLED);
@@ -402,7 +413,7 @@
                 if !self.attempts[attempt].told {
                     let engine = self.attempts[attempt].engine;
                     if std::mem::take(&mut self.attempts[attempt].running) {
-                        self.engines[engine].withdraw(now, attempt as u64);
+                        self.engines[engine].cancel(now, attempt as u64);
                         self.engine_moves(engine);
                     }
                     self.told(attempt, HOW_TIMED_OUT);
@@ -443,7 +454,7 @@
         let now = self.now;
         let asked = &self.plan.statements[stmt];
         let gateway = self.rng.random_range(0..self.plan.gateways);
-        let deadline = asked.at + self.plan.works[asked.workload].timeout;
+        let deadline = asked.arrives_at + self.plan.workloads[asked.workload].timeout;
         self.clients[stmt].tries += 1;
         self.serial += 1;
         let serial = self.serial;
@@ -465,7 +476,7 @@
         });
         let (team, workload) = (asked.team, asked.workload);
         if let Some(teams) = &mut node.teams {
-            let estimated_work = (asked.told_work * 1e9) as Nanos;
+            let estimated_work = (asked.estimated_work_core_s * 1e9) as Nanos;
             let claim = QueueArrival {
                 team,
                 workload,
@@ -497,13 +508,13 @@
         let arrival = Arrival {
             workload: asked.workload,
             key: 0,
-            table_group: asked.group,
+            table_group: asked.table_group,
             time_left: open.deadline.saturating_sub(self.now),
             is_repeat: false,
             // A team within its share has no allowance to go over.
             tenant: if within { usize::MAX } else { asked.team },
             estimated_memory_mb: 0.0,
-            estimated_work: (asked.told_work * 1e9) as Nanos,
+            estimated_work: (asked.estimated_work_core_s * 1e9) as Nanos,
         };
         node.module
             .on_statement_arrived(self.now, StatementIndex(slot), arrival, &mut node.desk);
@@ -625,7 +636,7 @@
         let asked = &self.plan.statements[stmt];
         let Some(retry_after) = refused else { return };
         let again = self.now + 2 * NETWORK + retry_after;
-        let in_time = again < asked.at + self.plan.works[asked.workload].timeout / 2;
+        let in_time = again < asked.arrives_at + self.plan.workloads[asked.workload].timeout / 2;
         if self.clients[stmt].tries < TRIES && in_time {
             self.at(again, Event::Arrive { stmt });
         }
@@ -657,17 +668,17 @@
         }
         let (stmt, engine) = (e.stmt, e.engine);
         let asked = &self.plan.statements[stmt];
-        let work = &self.plan.works[asked.workload];
+        let work = &self.plan.workloads[asked.workload];
         let query = Query {
             id: attempt as u64,
-            work: asked.work,
+            work_core_s: asked.work_core_s,
             threads: work.threads,
             priority: e.priority,
-            group: asked.group,
+            table_group: asked.table_group,
         };
         if self.engines[engine].start(now, query) {
             let client = &mut self.clients[stmt];
-            client.doubled |= client.may_have_run && work.effect == Idempotency::NonIdempotent;
+            client.doubled |= client.may_have_run && work.idempotency == Idempotency::NonIdempotent;
             client.may_have_run = true;
             self.attempts[attempt].running = true;
             self.engine_moves(engine);
@@ -678,16 +689,16 @@
 
     /// Takes out what has ended at an engine and looks again at its next end.
     fn engine_moves(&mut self, engine: usize) {
-        for (id, end) in self.engines[engine].advance(self.now) {
+        for (id, end) in self.engines[engine].take_ended(self.now) {
             let attempt = id as usize;
             self.attempts[attempt].running = false;
             let how = match end {
-                EngineEnd::Good(work) => {
+                QueryEnd::Completed(work) => {
                     self.attempts[attempt].work = work;
                     self.used[self.plan.statements[self.attempts[attempt].stmt].team] += work;
                     HOW_GOOD
                 }
-                EngineEnd::Error => HOW_ERROR,
+                QueryEnd::Error => HOW_ERROR,
             };
             self.tell(attempt, how);
         }
@@ -725,7 +736,7 @@
             return;
         };
         open.out = None;
-        let threads = self.plan.works[self.plan.statements[open.stmt].workload].threads;
+        let threads = self.plan.workloads[self.plan.statements[open.stmt].workload].threads;
         if !outcome.never_ran() {
             let on_engine = (took as f64 * threads) as Nanos;
             let real = if how == HOW_GOOD {
@@ -770,9 +781,14 @@
             .collect();
         let (mut doubled, mut unanswered, mut twice) = (0, 0, 0);
         for (client, asked) in self.clients.iter().zip(self.plan.statements) {
-            let work = &self.plan.works[asked.workload];
-            let took = client.served.map(|at| at - asked.at);
-            teams[asked.team].count(work.priority_weight, asked.slo, took, client.tries);
+            let work = &self.plan.workloads[asked.workload];
+            let took = client.served.map(|at| at - asked.arrives_at);
+            teams[asked.team].count(
+                work.priority_weight,
+                asked.latency_objective,
+                took,
+                client.tries,
+            );
             doubled += u64::from(client.doubled);
             unanswered += u64::from(client.answers < client.tries);
             twice += u64::from(client.answers > client.tries);
@@ -798,7 +814,7 @@
             }
         }
         figures.median_error = errors.value_at_quantile(0.5) as f64 / 100.0;
-        figures.wasted = self.engines.iter().map(|e| e.wasted).sum();
+        figures.wasted = self.engines.iter().map(|e| e.wasted_core_s).sum();
         figures
     }
 }
--- a/crates/ivypitch-testbed/src/virtual_time/traffic.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/traffic.rs
@@ -7,61 +7,61 @@
 use rand_distr::{Distribution, Exp, LogNormal};
 
 #[derive(Clone, Debug)]
-pub struct Work {
+pub struct WorkloadParams {
     pub name: &'static str,
     pub priority_weight: f64,
-    pub slo: Nanos,
+    pub latency_objective: Nanos,
     /// The SLO time grows by this multiple of work over threads.
-    pub stretch: f64,
+    pub latency_objective_stretch: f64,
     pub timeout: Nanos,
-    pub effect: Idempotency,
+    pub idempotency: Idempotency,
     pub threads: f64,
     /// Mean core-seconds, and the coefficient of variation.
-    pub work: f64,
-    pub scatter: f64,
+    pub mean_work_core_s: f64,
+    pub work_variation: f64,
     /// Part of the statements.
-    pub part: f64,
+    pub statement_weight: f64,
 }
 
 /// Lookups, reports and loads; `scale` shortens all alike.
-pub fn workloads(scale: f64) -> Vec<Work> {
+pub fn workloads(scale: f64) -> Vec<WorkloadParams> {
     let s = |seconds: f64| (seconds * scale * SECOND as f64) as Nanos;
     vec![
-        Work {
+        WorkloadParams {
             name: "lookup",
             priority_weight: 1.0,
-            slo: s(0.8),
-            stretch: 2.0,
+            latency_objective: s(0.8),
+            latency_objective_stretch: 2.0,
             timeout: s(4.0),
-            effect: Idempotency::Idempotent,
+            idempotency: Idempotency::Idempotent,
             threads: 1.0,
-            work: 0.14 * scale,
-            scatter: 1.0,
-            part: 13.0,
+            mean_work_core_s: 0.14 * scale,
+            work_variation: 1.0,
+            statement_weight: 13.0,
         },
-        Work {
+        WorkloadParams {
             name: "report",
             priority_weight: 8.0,
-            slo: s(3.0),
-            stretch: 2.5,
+            latency_objective: s(3.0),
+            latency_objective_stretch: 2.5,
             timeout: s(25.0),
-            effect: Idempotency::Idempotent,
+            idempotency: Idempotency::Idempotent,
             threads: 2.0,
-            work: 4.0 * scale,
-            scatter: 1.2,
-            part: 2.5,
+            mean_work_core_s: 4.0 * scale,
+            work_variation: 1.2,
+            statement_weight: 2.5,
         },
-        Work {
+        WorkloadParams {
             name: "load",
             priority_weight: 8.0,
-            slo: s(4.0),
-            stretch: 2.5,
+            latency_objective: s(4.0),
+            latency_objective_stretch: 2.5,
             timeout: s(25.0),
-            effect: Idempotency::NonIdempotent,
+            idempotency: Idempotency::NonIdempotent,
             threads: 2.0,
-            work: 2.2 * scale,
-            scatter: 0.6,
-            part: 0.9,
+            mean_work_core_s: 2.2 * scale,
+            work_variation: 0.6,
+            statement_weight: 0.9,
         },
     ]
 }
@@ -72,46 +72,54 @@
     None,
     /// So many times its rate from a time on until another.
     Step {
-        times: f64,
+        rate_factor: f64,
         from: Nanos,
         until: Nanos,
     },
     /// Rising to that over the whole time.
     Ramp {
-        times: f64,
+        rate_factor: f64,
         from: Nanos,
         until: Nanos,
     },
     /// That for 200 ms in each second.
     Pulses {
-        times: f64,
+        rate_factor: f64,
         from: Nanos,
         until: Nanos,
     },
 }
 
 impl Flood {
-    fn times(self, at: Nanos) -> f64 {
+    fn rate_factor(self, at: Nanos) -> f64 {
         match self {
-            Flood::Step { times, from, until } if (from..until).contains(&at) => times,
-            Flood::Ramp { times, from, until } if (from..until).contains(&at) => {
-                1.0 + (times - 1.0) * (at - from) as f64 / (until - from) as f64
-            }
-            Flood::Pulses { times, from, until }
-                if (from..until).contains(&at) && (at - from) % SECOND < SECOND / 5 =>
-            {
-                times
+            Flood::Step {
+                rate_factor,
+                from,
+                until,
+            } if (from..until).contains(&at) => rate_factor,
+            Flood::Ramp {
+                rate_factor,
+                from,
+                until,
+            } if (from..until).contains(&at) => {
+                1.0 + (rate_factor - 1.0) * (at - from) as f64 / (until - from) as f64
             }
+            Flood::Pulses {
+                rate_factor,
+                from,
+                until,
+            } if (from..until).contains(&at) && (at - from) % SECOND < SECOND / 5 => rate_factor,
             _ => 1.0,
         }
     }
 
-    fn most(self) -> f64 {
+    fn max_rate_factor(self) -> f64 {
         match self {
             Flood::None => 1.0,
-            Flood::Step { times, .. } | Flood::Ramp { times, .. } | Flood::Pulses { times, .. } => {
-                times
-            }
+            Flood::Step { rate_factor, .. }
+            | Flood::Ramp { rate_factor, .. }
+            | Flood::Pulses { rate_factor, .. } => rate_factor,
         }
     }
 }
@@ -120,22 +128,22 @@
 pub struct Team {
     pub name: String,
     /// Core-seconds a second that it usually asks for.
-    pub demand: f64,
+    pub demand_cores: f64,
     pub flood: Flood,
     /// What it says its statements cost, against what they do; 0: says nothing.
-    pub tells: f64,
+    pub estimate_factor: f64,
 }
 
 #[derive(Clone, Debug)]
 pub struct Statement {
-    pub at: Nanos,
+    pub arrives_at: Nanos,
     pub team: usize,
     pub workload: usize,
-    pub group: u32,
+    pub table_group: u32,
     /// Core-seconds.
-    pub work: f64,
-    pub told_work: f64,
-    pub slo: Nanos,
+    pub work_core_s: f64,
+    pub estimated_work_core_s: f64,
+    pub latency_objective: Nanos,
 }
 
 /// Several for each engine at the largest size, or few engines would have all the work.
@@ -145,80 +153,89 @@
 
 /// All statements of a time, in the order of their coming. A team's usual ones are the same whether it floods or
 /// not, and whatever others do.
-pub fn statements(works: &[Work], teams: &[Team], span: Nanos, seed: u64) -> Vec<Statement> {
-    let parts: f64 = works.iter().map(|w| w.part).sum();
-    let mean: f64 = works.iter().map(|w| w.work * w.part / parts).sum();
+pub fn draw_statements(
+    works: &[WorkloadParams],
+    teams: &[Team],
+    span: Nanos,
+    seed: u64,
+) -> Vec<Statement> {
+    let parts: f64 = works.iter().map(|w| w.statement_weight).sum();
+    let mean: f64 = works
+        .iter()
+        .map(|w| w.mean_work_core_s * w.statement_weight / parts)
+        .sum();
     let mut all = Vec::new();
     for (t, team) in teams.iter().enumerate() {
         let mut rng =
             ChaCha8Rng::seed_from_u64(seed.wrapping_mul(1_000_003).wrapping_add(t as u64));
         let mut extra =
             ChaCha8Rng::seed_from_u64(seed.wrapping_mul(7_000_003).wrapping_add(t as u64));
-        let rate = team.demand / mean;
+        let rate = team.demand_cores / mean;
         draw(works, team, t, rate, span, &mut rng, &mut all, |_| 1.0);
         if team.flood != Flood::None {
-            let most = team.flood.most() - 1.0;
+            let max_extra = team.flood.max_rate_factor() - 1.0;
             draw(
                 works,
                 team,
                 t,
-                rate * most,
+                rate * max_extra,
                 span,
                 &mut extra,
                 &mut all,
-                |at| (team.flood.times(at) - 1.0) / most,
+                |at| (team.flood.rate_factor(at) - 1.0) / max_extra,
             );
         }
     }
-    all.sort_by_key(|s| (s.at, s.team));
+    all.sort_by_key(|s| (s.arrives_at, s.team));
     all
 }
 
 #[expect(clippy::too_many_arguments)]
 fn draw(
-    works: &[Work],
+    works: &[WorkloadParams],
     team: &Team,
     t: usize,
     rate: f64,
     span: Nanos,
     rng: &mut ChaCha8Rng,
     all: &mut Vec<Statement>,
-    kept: impl Fn(Nanos) -> f64,
+    keep_probability: impl Fn(Nanos) -> f64,
 ) {
     let Ok(gap) = Exp::new(rate) else { return };
-    let parts: f64 = works.iter().map(|w| w.part).sum();
-    let mut at = 0.0;
+    let parts: f64 = works.iter().map(|w| w.statement_weight).sum();
+    let mut at_s = 0.0;
     loop {
-        at += gap.sample(rng);
-        let when = (at * 1e9) as Nanos;
-        if when >= span {
+        at_s += gap.sample(rng);
+        let arrives_at = (at_s * 1e9) as Nanos;
+        if arrives_at >= span {
             return;
         }
         let mut pick = rng.random_range(0.0..parts);
         let workload = works
             .iter()
             .position(|w| {
-                pick -= w.part;
+                pick -= w.statement_weight;
                 pick < 0.0
             })
             .unwrap_or(0);
-        let w = &works[workload];
-        let sigma2 = (1.0 + w.scatter * w.scatter).ln();
-        let lognormal = LogNormal::new(w.work.ln() - sigma2 / 2.0, sigma2.sqrt());
-        let work = lognormal.map_or(w.work, |d| d.sample(rng));
-        let told = LogNormal::new(0.0, TOLD_SCATTER).map_or(1.0, |d| d.sample(rng));
-        let group = rng.random_range(0..GROUPS).min(rng.random_range(0..GROUPS));
-        if rng.random_bool(kept(when).clamp(0.0, 1.0)) {
-            let slo = w.slo + (w.stretch * work / w.threads * 1e9) as Nanos;
-            let told_work = work * told * team.tells;
+        let params = &works[workload];
+        let sigma2 = (1.0 + params.work_variation * params.work_variation).ln();
+        let lognormal = LogNormal::new(params.mean_work_core_s.ln() - sigma2 / 2.0, sigma2.sqrt());
+        let work_core_s = lognormal.map_or(params.mean_work_core_s, |d| d.sample(rng));
+        let error_factor = LogNormal::new(0.0, TOLD_SCATTER).map_or(1.0, |d| d.sample(rng));
+        let table_group = rng.random_range(0..GROUPS).min(rng.random_range(0..GROUPS));
+        if rng.random_bool(keep_probability(arrives_at).clamp(0.0, 1.0)) {
+            let latency_objective = params.latency_objective
+                + (params.latency_objective_stretch * work_core_s / params.threads * 1e9) as Nanos;
+            let estimated_work_core_s = work_core_s * error_factor * team.estimate_factor;
             all.push(Statement {
-                at: when,
+                arrives_at,
                 team: t,
                 workload,
-                group,
-                work,
-                told_work,
-                slo,
+                table_group,
+                work_core_s,
+                estimated_work_core_s,
+                latency_objective,
             });
         }
     }
--- a/crates/ivypitch-testbed/tests/ownership.rs
+++ b/crates/ivypitch-testbed/tests/ownership.rs
@@ -1,7 +1,7 @@
 //! Ownership of statements in virtual time over fault plans; a plan that breaks a promise is printed, cut down.
 
-use ivypitch_testbed::virtual_time::faults::Plan;
-use ivypitch_testbed::virtual_time::ownership_fleet::{Fleet, draw, play};
+use ivypitch_testbed::virtual_time::faults::FaultPlan;
+use ivypitch_testbed::virtual_time::ownership_fleet::{Fleet, draw_faults, run};
 use test_case::test_case;
 
 #[test_case(false; "all faults")]
@@ -14,10 +14,10 @@
     let mut in_flight = 0;
     let mut completed = 0;
     for seed in 0..12 {
-        let plan = draw(&fleet, seed, losses_only);
-        let verdict = play(&fleet, &plan, seed);
+        let plan = draw_faults(&fleet, seed, losses_only);
+        let verdict = run(&fleet, &plan, seed);
         if !verdict.holds() {
-            let least = plan.cut_down(30, |plan| !play(&fleet, plan, seed).holds());
+            let least = plan.minimize(30, |plan| !run(&fleet, plan, seed).holds());
             panic!("seed {seed}: {verdict:?}\nthe least plan that fails:\n{least}");
         }
         in_flight += verdict.in_flight_at_loss;
@@ -37,7 +37,8 @@
         ..Fleet::default()
     };
     assert!(
-        (0..20).any(|seed| play(&fleet, &draw(&fleet, seed, false), seed).dispatched_twice > 0)
+        (0..20)
+            .any(|seed| run(&fleet, &draw_faults(&fleet, seed, false), seed).dispatched_twice > 0)
     );
 }
 
@@ -48,7 +49,7 @@
         duration_ms: 6000,
         ..Fleet::default()
     };
-    let verdicts = (0..12).map(|seed| play(&fleet, &draw(&fleet, seed, true), seed));
+    let verdicts = (0..12).map(|seed| run(&fleet, &draw_faults(&fleet, seed, true), seed));
     let (twice, completed) = verdicts.fold((0, 0), |(twice, completed), verdict| {
         (
             twice + verdict.dispatched_twice,
@@ -64,13 +65,13 @@
 
 #[test]
 fn a_plan_is_read_back_as_it_was_printed_and_bad_lines_are_reported() {
-    let plan = draw(&Fleet::default(), 5, false);
-    assert_eq!(plan.to_string().parse::<Plan>().unwrap(), plan);
-    let fault = "at=5 kill gateway=1".parse::<Plan>().unwrap_err();
+    let plan = draw_faults(&Fleet::default(), 5, false);
+    assert_eq!(plan.to_string().parse::<FaultPlan>().unwrap(), plan);
+    let fault = "at=5 kill gateway=1".parse::<FaultPlan>().unwrap_err();
     assert!(fault.contains("back=NUMBER is missing"), "{fault}");
     assert!(
         "at=5 explode"
-            .parse::<Plan>()
+            .parse::<FaultPlan>()
             .unwrap_err()
             .contains("no fault is called")
     );
--- a/crates/ivypitch-testbed/tests/scale.rs
+++ b/crates/ivypitch-testbed/tests/scale.rs
@@ -7,7 +7,7 @@
 use ivypitch_testbed::experiments::scale::peers::links;
 use ivypitch_testbed::experiments::scale::slope::{Slope, at, passes_at};
 use ivypitch_testbed::virtual_time::discovery_fleet::{self, Outage, Verdict};
-use ivypitch_testbed::virtual_time::faults::Plan;
+use ivypitch_testbed::virtual_time::faults::FaultPlan;
 use ivypitch_testbed::virtual_time::membership_fleet::TransitTime;
 use ivypitch_testbed::virtual_time::{membership_fleet, ownership_fleet};
 use ivypitch_types::{MemberId, SECOND};
@@ -53,7 +53,7 @@
         partition_ms: None,
         config: ivypitch_membership::MembershipConfig::default(),
     };
-    membership_fleet::play(fleet, seed)
+    membership_fleet::run(fleet, seed)
 }
 
 #[test]
@@ -84,7 +84,7 @@
             counts_bytes: true,
             ..ownership_fleet::Fleet::default()
         };
-        let verdict = ownership_fleet::play(&fleet, &Plan::default(), 1);
+        let verdict = ownership_fleet::run(&fleet, &FaultPlan::default(), 1);
         let statements = verdict.statements as f64;
         (
             verdict.messages as f64 / statements,
@@ -191,8 +191,8 @@
 fn changes_are_in_force_at_every_gateway_that_can_be_reached_within_six_seconds() {
     for seed in 0..4 {
         let base = watches(150);
-        holds("calm", seed, &discovery_fleet::play(base, seed));
-        let restarts = discovery_fleet::play(
+        holds("calm", seed, &discovery_fleet::run(base, seed));
+        let restarts = discovery_fleet::run(
             discovery_fleet::Fleet {
                 restarts_per_second: 2.0,
                 ..base
@@ -204,8 +204,8 @@
             "seed {seed}: restarts were not played"
         );
         holds("restarts", seed, &restarts);
-        let calm = discovery_fleet::play(base, seed);
-        let cut = discovery_fleet::play(
+        let calm = discovery_fleet::run(base, seed);
+        let cut = discovery_fleet::run(
             discovery_fleet::Fleet {
                 region_outage: OUTAGE,
                 ..base
@@ -221,7 +221,7 @@
             zone_outage: OUTAGE,
             ..base
         };
-        holds("a zone lost", seed, &discovery_fleet::play(lost, seed));
+        holds("a zone lost", seed, &discovery_fleet::run(lost, seed));
     }
 }
 
@@ -233,7 +233,7 @@
         ..watches(300)
     };
     assert!(
-        discovery_fleet::play(slow, 1).latency_ms(1.0) > 6000,
+        discovery_fleet::run(slow, 1).latency_ms(1.0) > 6000,
         "the play would pass whatever the servers can do"
     );
 }
