--- a/crates/ivypitch-testbed/src/processes/verdict.rs
+++ b/crates/ivypitch-testbed/src/processes/verdict.rs
@@ -5,7 +5,7 @@
 
 use super::clients::{Outcome, PlannedStatement, StatementHistory};
 use super::{EngineEvent, InjectedFault};
-use crate::virtual_time::faults::What;
+use crate::virtual_time::faults::FaultKind;
 
 /// What a run came to.
 #[derive(Clone, Debug, Default, serde::Serialize)]
@@ -201,9 +201,12 @@
 
 /// When which gateway was killed, or stopped for so long that others take it for lost.
 fn losses(done: &[InjectedFault]) -> Vec<(usize, u64)> {
-    let lost = |done: &InjectedFault| match done.fault.what {
-        What::Kill { gateway, .. } => Some((gateway, done.at_us)),
-        What::Stop { gateway, span } if span >= 2000 => Some((gateway, done.at_us)),
+    let lost = |done: &InjectedFault| match done.fault.kind {
+        FaultKind::Kill { gateway, .. } => Some((gateway, done.at_us)),
+        FaultKind::Suspend {
+            gateway,
+            duration_ms,
+        } if duration_ms >= 2000 => Some((gateway, done.at_us)),
         _ => None,
     };
     done.iter().filter_map(lost).collect()
@@ -213,9 +216,11 @@
 fn away(done: &[InjectedFault]) -> Vec<(usize, u64, u64)> {
     let mut away = Vec::new();
     for done in done {
-        let until = done.at_us + (done.fault.span().unwrap_or(0) + 1500) * 1000;
-        let whose: Vec<usize> = match done.fault.what {
-            What::Kill { gateway, .. } | What::Stop { gateway, .. } | What::End { gateway, .. } => {
+        let until = done.at_us + (done.fault.duration_ms().unwrap_or(0) + 1500) * 1000;
+        let whose: Vec<usize> = match done.fault.kind {
+            FaultKind::Kill { gateway, .. }
+            | FaultKind::Suspend { gateway, .. }
+            | FaultKind::ShutDown { gateway, .. } => {
                 vec![gateway]
             }
             _ => Vec::new(),
