--- a/crates/ivypitch-testbed/src/command.rs
+++ b/crates/ivypitch-testbed/src/command.rs
@@ -66,7 +66,7 @@
             What::List => {
                 experiments::ALL
                     .iter()
-                    .for_each(|e| println!("{}: {}", e.name, e.about));
+                    .for_each(|e| println!("{}: {}", e.name, e.description));
                 ExitCode::SUCCESS
             }
             What::Run(run) => run.play(),
@@ -84,7 +84,11 @@
         let mut failed = 0;
         for seed in first..first + self.seeds {
             let report = (experiment.run)(self.quick, seed);
-            if let Some(why) = report.shows_nothing.as_ref().filter(|_| report.holds()) {
+            if let Some(why) = report
+                .inconclusive_reason
+                .as_ref()
+                .filter(|_| report.holds())
+            {
                 println!("seed {seed} shows nothing: {why}");
             } else if report.holds() {
                 println!("seed {seed} holds: {}", report.notes.join("; "));
@@ -138,7 +142,7 @@
 
 /// A run that broke no bound and shows nothing is told apart from a pass.
 fn exit_code(report: &Report) -> ExitCode {
-    match (report.holds(), &report.shows_nothing) {
+    match (report.holds(), &report.inconclusive_reason) {
         (false, _) => ExitCode::FAILURE,
         (true, Some(_)) => ExitCode::from(SHOWS_NOTHING),
         (true, None) => ExitCode::SUCCESS,
--- a/crates/ivypitch-testbed/src/demo.rs
+++ b/crates/ivypitch-testbed/src/demo.rs
@@ -53,20 +53,20 @@
                 println!(
                     "{:<10} {:>7} {:>7} {:>8} {:>8.3} {:>7} {:>7}",
                     t.name,
-                    t.asked,
+                    t.statements,
                     t.served,
-                    t.in_time,
-                    t.service(),
-                    t.p(0.5),
-                    t.p(0.99)
+                    t.served_in_time,
+                    t.service_ratio(),
+                    t.latency_quantile_ms(0.5),
+                    t.latency_quantile_ms(0.99)
                 );
             }
             println!(
                 "loads run twice: {}; statements unanswered: {}; waits told: {}, {:.0}% of them good",
-                figures.doubled,
+                figures.repeated_bulk_loads,
                 figures.unanswered,
-                figures.told,
-                100.0 * figures.good as f64 / figures.told.max(1) as f64
+                figures.wait_estimates,
+                100.0 * figures.good_wait_estimates as f64 / figures.wait_estimates.max(1) as f64
             );
             ExitCode::SUCCESS
         }
--- a/crates/ivypitch-testbed/src/experiments/gateway_loss.rs
+++ b/crates/ivypitch-testbed/src/experiments/gateway_loss.rs
@@ -263,7 +263,7 @@
     bound("without peers: service", off.service(), 0.0, f64::MAX);
     if with.caught == 0 {
         let why = "the plan has no statement that ran at a loss and was come back for";
-        report.shows_nothing = Some(why.to_owned());
+        report.inconclusive_reason = Some(why.to_owned());
     }
     report
 }
--- a/crates/ivypitch-testbed/src/experiments/mod.rs
+++ b/crates/ivypitch-testbed/src/experiments/mod.rs
@@ -15,54 +15,54 @@
 
 pub struct Experiment {
     pub name: &'static str,
-    pub about: &'static str,
+    pub description: &'static str,
     pub run: fn(quick: bool, seed: u64) -> Report,
 }
 
 pub const ALL: &[Experiment] = &[
     Experiment {
         name: "team-flood",
-        about: "one of three teams at 10 times its traffic, with and without the teams' queues, in virtual time and on sockets",
+        description: "one of three teams at 10 times its traffic, with and without the teams' queues, in virtual time and on sockets",
         run: team_flood::play,
     },
     Experiment {
         name: "members",
-        about: "how soon the loss of a gateway is known to all, and who is taken for lost that lives, in virtual time",
+        description: "how soon the loss of a gateway is known to all, and who is taken for lost that lives, in virtual time",
         run: members::play,
     },
     Experiment {
         name: "custody",
-        about: "fault plans over a fleet whose gateways take each other's statements over, in virtual time",
+        description: "fault plans over a fleet whose gateways take each other's statements over, in virtual time",
         run: custody::play,
     },
     Experiment {
         name: "shares",
-        about: "budgets lent and judgements shared over fault plans, bounds counted where they are used, in virtual time",
+        description: "budgets lent and judgements shared over fault plans, bounds counted where they are used, in virtual time",
         run: shares::play,
     },
     Experiment {
         name: "fleet-cut",
-        about: "real gateways that share, cut and restarted, with traffic ten to one, beside the same without sharing",
+        description: "real gateways that share, cut and restarted, with traffic ten to one, beside the same without sharing",
         run: fleet_cut::play,
     },
     Experiment {
         name: "gateway-loss",
-        about: "real gateways and engines, a gateway lost every 3 s while clients come back, beside the same without losses and without peers",
+        description: "real gateways and engines, a gateway lost every 3 s while clients come back, beside the same without losses and without peers",
         run: gateway_loss::play,
     },
     Experiment {
         name: "custody-cost",
-        about: "latency, processor time and bytes that it costs to outlive a gateway, where nothing is lost",
+        description: "latency, processor time and bytes that it costs to outlive a gateway, where nothing is lost",
         run: custody_cost::play,
     },
     Experiment {
         name: "soak",
-        about: "real gateways restarted, reloaded and signalled in series while clients go on using their connections",
+        description: "real gateways restarted, reloaded and signalled in series while clients go on using their connections",
         run: soak::play,
     },
     Experiment {
         name: "scale",
-        about: "what each part costs at 30 to 3,800 gateways and 80 to 44,000 engines, with slopes, in virtual time",
+        description: "what each part costs at 30 to 3,800 gateways and 80 to 44,000 engines, with slopes, in virtual time",
         run: scale::play,
     },
 ];
--- a/crates/ivypitch-testbed/src/experiments/team_flood.rs
+++ b/crates/ivypitch-testbed/src/experiments/team_flood.rs
@@ -140,7 +140,7 @@
     ] {
         let figures = play(shape, true);
         for t in (0..TEAMS.len()).filter(|&t| t != FLOODS) {
-            let kept = figures.teams[t].service() / calm.teams[t].service().max(1e-9);
+            let kept = figures.teams[t].service_ratio() / calm.teams[t].service_ratio().max(1e-9);
             let what = format!("{place}: {name}: {} keeps of its service", TEAMS[t].0);
             report.bounds.push(Bound::new(&what, kept, 0.95, f64::MAX));
         }
@@ -183,7 +183,7 @@
             seed,
             allowances: vec![cores; teams],
         });
-        fleet.run().teams[0].used
+        fleet.run().teams[0].completed_core_s
     };
     let what = "virtual time, the one busy team of 1,000 gets of what it would alone";
     report.bounds.push(Bound::new(
@@ -209,7 +209,8 @@
     };
     let others = || (0..TEAMS.len()).filter(|&t| t != FLOODS);
     for t in others() {
-        let kept = |f: &Figures| f.teams[t].service() / calm.teams[t].service().max(1e-9);
+        let kept =
+            |f: &Figures| f.teams[t].service_ratio() / calm.teams[t].service_ratio().max(1e-9);
         bound(
             &format!("{} keeps of its service", TEAMS[t].0),
             kept(with),
@@ -223,10 +224,10 @@
             f64::MAX,
         );
     }
-    let used: f64 = with.teams.iter().map(|t| t.used).sum();
+    let used: f64 = with.teams.iter().map(|t| t.completed_core_s).sum();
     bound(
         "the flooding team's part of what is done, over its share",
-        with.teams[FLOODS].used / used / TEAMS[FLOODS].1,
+        with.teams[FLOODS].completed_core_s / used / TEAMS[FLOODS].1,
         0.95,
         f64::MAX,
     );
@@ -238,11 +239,16 @@
     );
     bound(
         "good estimates",
-        with.good as f64 / with.told.max(1) as f64,
+        with.good_wait_estimates as f64 / with.wait_estimates.max(1) as f64,
         0.9,
         1.0,
     );
-    bound("median error of the estimates", with.median_error, 0.0, 0.1);
+    bound(
+        "median error of the estimates",
+        with.median_wait_estimate_error,
+        0.0,
+        0.1,
+    );
     for (name, f) in [
         ("calm", calm),
         ("without queues", without),
@@ -250,7 +256,7 @@
     ] {
         bound(
             &format!("loads run twice, {name}"),
-            f.doubled as f64,
+            f.repeated_bulk_loads as f64,
             0.0,
             0.0,
         );
@@ -262,7 +268,7 @@
         );
         bound(
             &format!("statements answered twice, {name}"),
-            f.twice as f64,
+            f.answered_twice as f64,
             0.0,
             0.0,
         );
@@ -316,7 +322,7 @@
         (Ok(Ok(calm)), Ok(Ok(plain)), Ok(Ok(queued)), Ok(anew)) => {
             let place = format!("sockets, 1 gateway, {engines} engines, {seconds} s");
             for t in (0..TEAMS.len()).filter(|&t| t != FLOODS) {
-                let kept = anew.teams[t].service() / calm.teams[t].service().max(1e-9);
+                let kept = anew.teams[t].service_ratio() / calm.teams[t].service_ratio().max(1e-9);
                 let what = format!(
                     "{place}: new connections: {} keeps of its service",
                     TEAMS[t].0
@@ -327,7 +333,7 @@
             // Both are counted in hundredths of a second: told here, judged over longer runs.
             report.bounds.push(Bound::new(
                 &what,
-                queued.cpu_s / plain.cpu_s.max(1e-9),
+                queued.gateway_cpu_s / plain.gateway_cpu_s.max(1e-9),
                 0.0,
                 f64::MAX,
             ));
--- a/crates/ivypitch-testbed/src/processes/sockets.rs
+++ b/crates/ivypitch-testbed/src/processes/sockets.rs
@@ -624,7 +624,7 @@
         }
         let figures = count(&plan, &clients, &shared, &engines, begun);
         let mut figures = figures;
-        figures.cpu_s = cpu_s(child.id());
+        figures.gateway_cpu_s = cpu_s(child.id());
         let pid = child.id().to_string();
         let _ = smol::unblock(move || {
             std::process::Command::new("kill")
@@ -697,16 +697,17 @@
         let asked = &plan.statements[stmt];
         let work = &plan.works[asked.workload];
         let took = told.served.map(|at| at.saturating_sub(begun + asked.at));
-        teams[asked.team].count(work.priority_weight, asked.slo, took, told.tries);
-        teams[asked.team].refused_waiting += u64::from(told.refused);
-        teams[asked.team].refused_later += u64::from(told.failed);
-        figures.doubled += u64::from(work.effect == Idempotency::NonIdempotent && starts[stmt] > 1);
+        teams[asked.team].record_statement(work.priority_weight, asked.slo, took, told.tries);
+        teams[asked.team].rejected_by_queues += u64::from(told.refused);
+        teams[asked.team].rejected_by_scheduler += u64::from(told.failed);
+        figures.repeated_bulk_loads +=
+            u64::from(work.effect == Idempotency::NonIdempotent && starts[stmt] > 1);
         figures.unanswered += u64::from(told.answers < told.tries);
     }
     for (team, used) in teams.iter_mut().zip(shared.used.borrow().iter()) {
-        team.used = *used;
+        team.completed_core_s = *used;
     }
-    figures.wasted = engines.iter().map(|e| e.engine.borrow().wasted).sum();
+    figures.wasted_core_s = engines.iter().map(|e| e.engine.borrow().wasted).sum();
     figures.teams = teams;
     figures
 }
@@ -726,9 +727,9 @@
         number("good"),
         number("median_error_percent"),
     ) {
-        figures.told = told;
-        figures.good = good;
-        figures.median_error = median as f64 / 100.0;
+        figures.wait_estimates = told;
+        figures.good_wait_estimates = good;
+        figures.median_wait_estimate_error = median as f64 / 100.0;
     }
     figures
 }
--- a/crates/ivypitch-testbed/src/report.rs
+++ b/crates/ivypitch-testbed/src/report.rs
@@ -50,7 +50,8 @@
     pub runs: Vec<Run>,
     pub bounds: Vec<Bound>,
     /// Why the run shows nothing, where it does not: it is neither a pass nor a failure then.
-    pub shows_nothing: Option<String>,
+    #[serde(rename = "shows_nothing")]
+    pub inconclusive_reason: Option<String>,
     /// Lines that stand before the bounds.
     pub notes: Vec<String>,
     pub plots: Vec<Plot>,
@@ -66,7 +67,7 @@
             seed,
             runs: Vec::new(),
             bounds: Vec::new(),
-            shows_nothing: None,
+            inconclusive_reason: None,
             notes: Vec::new(),
             plots: Vec::new(),
             files: Vec::new(),
@@ -115,34 +116,34 @@
                     "  {:<18} {:<10} {:>7} {:>7} {:>7} {:>8} {:>9.3} {:>7.0} {:>7} {:>7} {:>4}+{:<4}",
                     run.name,
                     team.name,
-                    team.asked,
-                    team.tries,
+                    team.statements,
+                    team.attempts,
                     team.served,
-                    team.in_time,
-                    team.service(),
-                    team.used,
-                    team.p(0.5),
-                    team.p(0.99),
-                    team.refused_waiting,
-                    team.refused_later
+                    team.served_in_time,
+                    team.service_ratio(),
+                    team.completed_core_s,
+                    team.latency_quantile_ms(0.5),
+                    team.latency_quantile_ms(0.99),
+                    team.rejected_by_queues,
+                    team.rejected_by_scheduler
                 );
             }
-            if run.figures.cpu_s > 0.0 {
-                let asked: u64 = run.figures.teams.iter().map(|t| t.tries).sum();
-                let each = run.figures.cpu_s * 1e6 / asked.max(1) as f64;
+            if run.figures.gateway_cpu_s > 0.0 {
+                let asked: u64 = run.figures.teams.iter().map(|t| t.attempts).sum();
+                let each = run.figures.gateway_cpu_s * 1e6 / asked.max(1) as f64;
                 let _ = writeln!(
                     text,
                     "  {:<18} gateway's CPU {each:.0} us a statement",
                     run.name
                 );
             }
-            if run.figures.told > 0 {
+            if run.figures.wait_estimates > 0 {
                 let f = &run.figures;
-                let good = f.good as f64 / f.told as f64;
+                let good = f.good_wait_estimates as f64 / f.wait_estimates as f64;
                 let _ = writeln!(
                     text,
                     "  {:<18} {} waits told, {good:.3} good, median error {:.3}",
-                    run.name, f.told, f.median_error
+                    run.name, f.wait_estimates, f.median_wait_estimate_error
                 );
             }
         }
@@ -150,7 +151,7 @@
         for note in &self.notes {
             let _ = writeln!(text, "{note}");
         }
-        if let Some(why) = &self.shows_nothing {
+        if let Some(why) = &self.inconclusive_reason {
             let _ = writeln!(text, "SHOWS NOTHING  {why}");
         }
         for bound in &self.bounds {
@@ -191,7 +192,7 @@
                             t.name,
                             place.split(',').next().unwrap_or("")
                         ),
-                        t.service(),
+                        t.service_ratio(),
                     )
                 };
                 run.figures.teams.iter().map(of).collect::<Vec<_>>()
--- a/crates/ivypitch-testbed/src/virtual_time/fleet.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/fleet.rs
@@ -772,33 +772,33 @@
         for (client, asked) in self.clients.iter().zip(self.plan.statements) {
             let work = &self.plan.works[asked.workload];
             let took = client.served.map(|at| at - asked.at);
-            teams[asked.team].count(work.priority_weight, asked.slo, took, client.tries);
+            teams[asked.team].record_statement(work.priority_weight, asked.slo, took, client.tries);
             doubled += u64::from(client.doubled);
             unanswered += u64::from(client.answers < client.tries);
             twice += u64::from(client.answers > client.tries);
         }
         for ((team, used), refused) in teams.iter_mut().zip(&self.used).zip(&self.refused) {
-            team.used = *used;
-            (team.refused_waiting, team.refused_later) = *refused;
+            team.completed_core_s = *used;
+            (team.rejected_by_queues, team.rejected_by_scheduler) = *refused;
         }
         let mut figures = Figures {
             teams,
-            doubled,
+            repeated_bulk_loads: doubled,
             unanswered,
-            twice,
+            answered_twice: twice,
             ..Figures::default()
         };
         let errors = Histogram::new_with_bounds(1, 10_000, 2);
         let mut errors = errors.unwrap_or_else(|_| unreachable!());
         for node in &self.nodes {
             if let Some(teams) = &node.teams {
-                figures.told += teams.wait_statistics().estimates;
-                figures.good += teams.wait_statistics().good_estimates;
+                figures.wait_estimates += teams.wait_statistics().estimates;
+                figures.good_wait_estimates += teams.wait_statistics().good_estimates;
                 let _ = errors.add(&teams.wait_statistics().errors_percent);
             }
         }
-        figures.median_error = errors.value_at_quantile(0.5) as f64 / 100.0;
-        figures.wasted = self.engines.iter().map(|e| e.wasted).sum();
+        figures.median_wait_estimate_error = errors.value_at_quantile(0.5) as f64 / 100.0;
+        figures.wasted_core_s = self.engines.iter().map(|e| e.wasted).sum();
         figures
     }
 }
