--- a/crates/ivypitch-testbed/src/processes/loopback_run.rs
+++ b/crates/ivypitch-testbed/src/processes/loopback_run.rs
@@ -635,7 +635,7 @@
         }
         let figures = count(&plan, &clients, &shared, &engines, begun);
         let mut figures = figures;
-        figures.cpu_s = cpu_s(child.id());
+        figures.gateway_cpu_s = cpu_s(child.id());
         let pid = child.id().to_string();
         let _ = smol::unblock(move || {
             std::process::Command::new("kill")
@@ -710,22 +710,22 @@
         let took = told
             .served
             .map(|at| at.saturating_sub(begun + asked.arrives_at));
-        teams[asked.team].count(
+        teams[asked.team].record_statement(
             work.priority_weight,
             asked.latency_objective,
             took,
             told.tries,
         );
-        teams[asked.team].refused_waiting += u64::from(told.refused);
-        teams[asked.team].refused_later += u64::from(told.failed);
-        figures.doubled +=
+        teams[asked.team].rejected_by_queues += u64::from(told.refused);
+        teams[asked.team].rejected_by_scheduler += u64::from(told.failed);
+        figures.repeated_bulk_loads +=
             u64::from(work.idempotency == Idempotency::NonIdempotent && starts[stmt] > 1);
         figures.unanswered += u64::from(told.answers < told.tries);
     }
     for (team, used) in teams.iter_mut().zip(shared.used.borrow().iter()) {
-        team.used = *used;
+        team.completed_core_s = *used;
     }
-    figures.wasted = engines
+    figures.wasted_core_s = engines
         .iter()
         .map(|e| e.engine.borrow().wasted_core_s)
         .sum();
@@ -748,9 +748,9 @@
         number("good"),
         number("median_error_percent"),
     ) {
-        figures.told = told;
-        figures.good = good;
-        figures.median_error = median as f64 / 100.0;
+        figures.wait_estimates = told;
+        figures.good_wait_estimates = good;
+        figures.median_wait_estimate_error = median as f64 / 100.0;
     }
     figures
 }
