--- a/crates/ivypitch-cli/tests/teams.rs
+++ b/crates/ivypitch-cli/tests/teams.rs
@@ -296,7 +296,7 @@
         String::from_utf8_lossy(&output.stderr)
     );
     let own = ivypitch_config::operator::read(&output.stdout).unwrap();
-    let given = ivypitch_config::read(SETTINGS.as_bytes()).unwrap();
+    let given = ivypitch_config::read_deployment(SETTINGS.as_bytes()).unwrap();
     let budgets = own.teams.unwrap().budgets(&given, 100).unwrap();
     assert_eq!(
         (budgets.teams[0].share, budgets.teams[0].max_queued),
--- a/crates/ivypitch-config/src/deployment.rs
+++ b/crates/ivypitch-config/src/deployment.rs
@@ -32,18 +32,18 @@
     /// Zones.
     pub zones: Vec<String>,
     /// Engine kinds.
-    pub kinds: Vec<String>,
+    pub engine_kinds: Vec<String>,
     /// Values of a load report.
     pub report_fields: Vec<String>,
 }
 
 /// Limits that concern connections and no decision; 0: not stated.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Limits {
+pub struct ConnectionLimits {
     /// Time within which a connection to an engine must open.
     pub connect_timeout: Nanos,
     /// Time after which engines close an idle connection.
-    pub idle_close: Nanos,
+    pub idle_timeout: Nanos,
 }
 
 /// A deployment's configuration.
@@ -53,8 +53,8 @@
     pub scheduler: Deployment,
     /// The names that its indices stand for.
     pub names: Names,
-    /// Limits on connections.
-    pub limits: Limits,
+    /// Limits on connections to engines.
+    pub connection_limits: ConnectionLimits,
 }
 
 /// Reads the platform's settings.
@@ -62,13 +62,13 @@
 /// # Errors
 ///
 /// The text is no JSON of the expected shape, or names an effect or a key scope that is not known.
-pub fn read(text: &[u8]) -> Result<DeploymentConfig, DeploymentError> {
+pub fn read_deployment(text: &[u8]) -> Result<DeploymentConfig, DeploymentError> {
     let settings: PlatformSettings = serde_json::from_slice(text)?;
     Ok(DeploymentConfig {
         names: names(&settings),
-        limits: Limits {
+        connection_limits: ConnectionLimits {
             connect_timeout: settings.permissions.connect_timeout_ns,
-            idle_close: settings.permissions.idle_timeout_ns,
+            idle_timeout: settings.permissions.idle_timeout_ns,
         },
         scheduler: deployment(&settings)?,
     })
@@ -79,7 +79,7 @@
         workloads: settings.workloads.iter().map(|w| w.name.clone()).collect(),
         tenants: settings.tenants.iter().map(|t| t.name.clone()).collect(),
         zones: settings.zones.clone(),
-        kinds: settings.engine_kinds.clone(),
+        engine_kinds: settings.engine_kinds.clone(),
         report_fields: settings.load_reports.fields.clone(),
     }
 }
@@ -223,12 +223,12 @@
 }
 
 /// A table group's number on a wire as the scheduler's index of it.
-pub fn table_group(number: f32) -> u32 {
+pub fn table_group_index(number: f32) -> u32 {
     number.to_bits()
 }
 
 /// An estimate of memory in MB; what is no number counts as not given.
-pub fn estimated_mb(mb: f32) -> f64 {
+pub fn sanitize_memory_estimate_mb(mb: f32) -> f64 {
     if mb.is_finite() {
         f64::from(mb).max(0.0)
     } else {
--- a/crates/ivypitch-config/src/lib.rs
+++ b/crates/ivypitch-config/src/lib.rs
@@ -1,7 +1,7 @@
 //! Settings, read into types.
 //!
-//! - [`read`] reads the platform's settings of a deployment, the JSON that both hosts of the scheduler get. There is
-//!   no other reader of it.
+//! - [`read_deployment`] reads the platform's settings of a deployment: the JSON that both hosts of the scheduler get.
+//!   It is the only reader of that JSON.
 //! - [`operator`] reads the operator's own settings file, [`schema`] checks and describes it.
 
 #![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used)]
@@ -12,5 +12,6 @@
 pub mod schema;
 
 pub use deployment::{
-    DeploymentConfig, DeploymentError, Limits, Names, estimated_mb, read, table_group,
+    ConnectionLimits, DeploymentConfig, DeploymentError, Names, read_deployment,
+    sanitize_memory_estimate_mb, table_group_index,
 };
--- a/crates/ivypitch-gateway/src/actors/scheduler/context.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/context.rs
@@ -131,7 +131,7 @@
 
 fn engine_table(params: &SchedulerActorParams) -> EngineTable {
     let deployment = &params.deployment.scheduler;
-    let limits = &params.deployment.limits;
+    let limits = &params.deployment.connection_limits;
     let connect_timeout = match limits.connect_timeout {
         0 => DEFAULT_CONNECT_TIMEOUT,
         stated => Duration::from_nanos(stated),
@@ -139,7 +139,7 @@
     let gateways = deployment.gateways.max(1);
     let spawner = EngineSpawner {
         connect_timeout,
-        pool: PoolParams::new(gateways, limits.idle_close),
+        pool: PoolParams::new(gateways, limits.idle_timeout),
         clock: params.clock,
         permits: params.permits.clone(),
         connection_counters: params.connection_counters.clone(),
--- a/crates/ivypitch-gateway/src/actors/scheduler/endpoints.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/endpoints.rs
@@ -169,7 +169,7 @@
             engine,
             id: id_hash,
             zone: index_of_name(&self.names.zones, &endpoint.zone),
-            kind: index_of_name(&self.names.kinds, &endpoint.kind),
+            kind: index_of_name(&self.names.engine_kinds, &endpoint.kind),
             cell: endpoint.cell,
             state,
             weight: endpoint.weight,
--- a/crates/ivypitch-gateway/src/actors/scheduler/statements.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/statements.rs
@@ -1,6 +1,6 @@
 //! Statements from their arrival to their answer, and the ends of their attempts.
 
-use ivypitch_config::{estimated_mb, table_group};
+use ivypitch_config::{sanitize_memory_estimate_mb, table_group_index};
 use ivypitch_queueing::QueueArrival;
 use ivypitch_scheduler::{Arrival, AttemptEnded, AttemptProgress};
 use ivypitch_types::{MILLISECOND, Nanos, Outcome, StatementIndex};
@@ -277,11 +277,11 @@
     Arrival {
         workload: statement.workload,
         key: fields.ordering_key_number(),
-        table_group: table_group(fields.table_group as f32),
+        table_group: table_group_index(fields.table_group as f32),
         time_left,
         is_repeat: fields.is_repeat,
         tenant,
-        estimated_memory_mb: fields.memory_mb.map_or(0.0, estimated_mb),
+        estimated_memory_mb: fields.memory_mb.map_or(0.0, sanitize_memory_estimate_mb),
         estimated_work: estimated_work(statement),
     }
 }
--- a/crates/ivypitch-gateway/src/lifecycle/configuration.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/configuration.rs
@@ -126,7 +126,7 @@
         stated_or(file.limits.sockets, DEFAULT_SOCKETS),
         stated_or(file.limits.memory_mb, DEFAULT_MEMORY_MB),
     );
-    let deployment = ivypitch_config::read(file.settings.get().as_bytes())?;
+    let deployment = ivypitch_config::read_deployment(file.settings.get().as_bytes())?;
     Ok(Configuration {
         path: PathBuf::new(),
         name: file.name,
--- a/crates/ivypitch-simulator-adapter/src/event.rs
+++ b/crates/ivypitch-simulator-adapter/src/event.rs
@@ -3,7 +3,7 @@
 use crate::codec::{Cursor, EngineId};
 use crate::error::{DecodeError, DecodeProblem};
 use crate::ids::RequestId;
-use ivypitch_config::{estimated_mb, table_group};
+use ivypitch_config::{sanitize_memory_estimate_mb, table_group_index};
 use ivypitch_scheduler::{
     Arrival, AttemptProgress, EndpointUpdateKind, EngineEndpoint, EngineState,
 };
@@ -236,11 +236,11 @@
     let arrival = Arrival {
         workload,
         key,
-        table_group: table_group(tables),
+        table_group: table_group_index(tables),
         time_left,
         is_repeat: attributes & IS_REPEAT != 0,
         tenant,
-        estimated_memory_mb: estimated_mb(memory_mb),
+        estimated_memory_mb: sanitize_memory_estimate_mb(memory_mb),
         estimated_work: if has_estimated_work { work } else { 0 },
     };
     Ok(Event::StatementArrived { request, arrival })
--- a/crates/ivypitch-simulator-adapter/src/host.rs
+++ b/crates/ivypitch-simulator-adapter/src/host.rs
@@ -207,7 +207,7 @@
 }
 
 fn begin(now: Nanos, seed: u64, settings: &[u8]) -> Result<Instance, DecodeProblem> {
-    let config = ivypitch_config::read(settings).map_err(DecodeProblem::Settings)?;
+    let config = ivypitch_config::read_deployment(settings).map_err(DecodeProblem::Settings)?;
     Ok(Instance {
         scheduler: Scheduler::new(config.scheduler, seed, now),
         ids: Ids::default(),
