--- a/crates/ivypitch-cli/src/main.rs
+++ b/crates/ivypitch-cli/src/main.rs
@@ -76,7 +76,7 @@
 
 /// Starts a gateway and serves until SIGTERM.
 fn run_gateway(arguments: Serve, clock: Clock) -> Result<(), StartupError> {
-    let stated_format = arguments.log_format.as_deref().and_then(Format::of);
+    let stated_format = arguments.log_format.as_deref().and_then(Format::from_name);
     logger::set_format(stated_format.unwrap_or_default());
     let signals = startup::catch_signals()?;
     let configuration = configuration::from_environment(&arguments.config)?;
@@ -97,7 +97,7 @@
 ) -> Result<LoadedOperatorConfig, OperatorConfigError> {
     let file = OperatorConfigFile { path };
     let config = file.load()?;
-    let format = stated_format.or_else(|| Format::of(&config.log.format));
+    let format = stated_format.or_else(|| Format::from_name(&config.log.format));
     logger::set_format(format.unwrap_or_default());
     Ok(LoadedOperatorConfig { file, config })
 }
--- a/crates/ivypitch-gateway/src/actors/attempt/mod.rs
+++ b/crates/ivypitch-gateway/src/actors/attempt/mod.rs
@@ -19,7 +19,7 @@
 use super::engine_connection::EngineConnection;
 use super::messages::{AttemptEnd, AttemptKey, AttemptMessage, ClientPresence, SchedulerMessage};
 use crate::lifecycle::clock::Clock;
-use crate::wire::http::Start;
+use crate::wire::http::StartRequest;
 
 const NANOS_PER_MS: Nanos = 1_000_000;
 /// Before what brought no response twice is asked for again.
@@ -30,7 +30,7 @@
     /// Names it in messages.
     pub key: AttemptKey,
     /// The request to the engine.
-    pub start: Start,
+    pub start: StartRequest,
     /// Another gateway has started it: it is only polled for.
     pub is_already_started: bool,
     /// The fields of a load report, in the order of the settings.
--- a/crates/ivypitch-gateway/src/actors/attempt/result.rs
+++ b/crates/ivypitch-gateway/src/actors/attempt/result.rs
@@ -27,7 +27,7 @@
         AttemptEnd {
             outcome,
             measured_cost: measured_cost.filter(|_| rows.is_some()),
-            load_report: http::load_report(&response.load, &self.attempt.report_fields),
+            load_report: http::parse_load_report(&response.load, &self.attempt.report_fields),
             rows,
         }
     }
--- a/crates/ivypitch-gateway/src/actors/attempt/start.rs
+++ b/crates/ivypitch-gateway/src/actors/attempt/start.rs
@@ -11,7 +11,7 @@
 use crate::actors::engine_client::POLL_TIMEOUT;
 use crate::actors::engine_connection::{CallError, EngineConnection};
 use crate::actors::messages::{AttemptEnd, AttemptMessage};
-use crate::wire::http::{self, Response, Start, status};
+use crate::wire::http::{self, Response, StartRequest, status};
 
 /// The response to a start that is cancelled is awaited for so long: a cancellation on another connection might
 /// overtake the start.
@@ -32,7 +32,7 @@
     pub(super) async fn start(&mut self) -> Result<Option<Response>, AttemptEnd> {
         let connection = self.connection_for_start().await?;
         let attempt = self.attempt;
-        let start = Start {
+        let start = StartRequest {
             remaining_ms: attempt.gate.remaining_ms(attempt.times_out_at),
             ..attempt.start.clone()
         };
--- a/crates/ivypitch-gateway/src/actors/engine_client.rs
+++ b/crates/ivypitch-gateway/src/actors/engine_client.rs
@@ -111,7 +111,7 @@
             return false;
         };
         let is_unknown =
-            response.status == status::FAILED && !response.never_ran && !response.closes;
+            response.status == status::FAILED && !response.never_ran && !response.closes_connection;
         is_unknown && idle.is_clean()
     }
 
@@ -233,7 +233,7 @@
             }
         };
         match connection.pending() {
-            Pending::Nothing if !response.closes => {
+            Pending::Nothing if !response.closes_connection => {
                 if connection.had_informational_response() {
                     self.on_surprise();
                 } else {
--- a/crates/ivypitch-gateway/src/actors/scheduler/output.rs
+++ b/crates/ivypitch-gateway/src/actors/scheduler/output.rs
@@ -12,7 +12,7 @@
 use crate::actors::engine::EngineMessage;
 use crate::actors::messages::{Answer, AttemptEnd, AttemptKey, AttemptMessage, SchedulerMessage};
 use crate::state::statements::{InFlightAttempt, OpenStatement};
-use crate::wire::http::Start;
+use crate::wire::http::StartRequest;
 
 /// How an attempt begins.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -116,9 +116,9 @@
     }
 }
 
-fn start_request(open: &OpenStatement, timeout: Nanos) -> Start {
+fn start_request(open: &OpenStatement, timeout: Nanos) -> StartRequest {
     let fields = &open.statement.fields;
-    Start {
+    StartRequest {
         statement_id: fields.statement_id.clone(),
         workload: fields.workload.clone(),
         remaining_ms: (timeout / MILLISECOND).max(1),
--- a/crates/ivypitch-gateway/src/actors/session/admission.rs
+++ b/crates/ivypitch-gateway/src/actors/session/admission.rs
@@ -107,7 +107,7 @@
     pub fn admit(self: &Rc<Self>, stream: Async<TcpStream>, executor: &LocalExecutor<'static>) {
         let now = Instant::now();
         let mut table = self.table.borrow_mut();
-        let has_room = table.make_room(now, |handle| handle.presence.is_waiting());
+        let has_room = table.evict_if_full(now, |handle| handle.presence.is_waiting());
         let session = self.new_session(stream, now);
         let connection = session.connection;
         let state = session.state.clone();
@@ -204,7 +204,7 @@
         let table = self.table.borrow();
         let (state, handle) = table.get(connection).ok_or(UnknownConnection)?;
         let has_read_all = state.is_waiting_for_input.get() && handle.presence.is_waiting();
-        if state.is_busy.get() || state.is_over.get() || has_read_all {
+        if state.is_busy.get() || state.is_closing.get() || has_read_all {
             self.notify_scheduler(SchedulerMessage::KillQuery { connection });
         } else {
             state.is_kill_pending.set(true);
--- a/crates/ivypitch-gateway/src/actors/session/closing.rs
+++ b/crates/ivypitch-gateway/src/actors/session/closing.rs
@@ -27,7 +27,7 @@
     pub(super) async fn close(&mut self, end: SessionEnd) {
         self.presence.has_left.set(true);
         self.state.is_busy.set(false);
-        self.state.is_over.set(true);
+        self.state.is_closing.set(true);
         self.input = BytesMut::new();
         if self.send_last(end).await.is_ok() {
             let deadline = Instant::now() + LINGER;
--- a/crates/ivypitch-gateway/src/actors/session/commands.rs
+++ b/crates/ivypitch-gateway/src/actors/session/commands.rs
@@ -93,7 +93,7 @@
     }
 
     async fn on_query(&mut self, text: Bytes, received_at: Nanos) -> Result<(), SessionEnd> {
-        if let Some(connection) = gateway_statements::kill_query(&text) {
+        if let Some(connection) = gateway_statements::parse_kill_query(&text) {
             match self.sessions.kill_query(connection) {
                 Ok(()) => self.writer().ok(),
                 Err(UnknownConnection) => self.writer().error(&unknown_connection(connection)),
@@ -104,7 +104,7 @@
             return self.on_late_query(&text, received_at).await;
         }
         if self.sessions.can_show_queue()
-            && let Some(show) = gateway_statements::show_waits(&text)
+            && let Some(show) = gateway_statements::parse_show_waits(&text)
         {
             return self.show_queue(show).await;
         }
--- a/crates/ivypitch-gateway/src/actors/session/receiving.rs
+++ b/crates/ivypitch-gateway/src/actors/session/receiving.rs
@@ -7,7 +7,7 @@
 
 use super::{Session, SessionEnd};
 use crate::actors::socket::{read_now, read_some};
-use crate::state::sessions::{RECENT, SessionStage};
+use crate::state::sessions::{RECENT_ACTIVITY_PERIOD, SessionStage};
 use crate::wire::mysql::{self, Packet};
 
 /// A connection is owed an answer or a close within 3 s: so long it may take to log in and give its first command.
@@ -119,7 +119,7 @@
             receiving.idle_since
         } else {
             // One that has come just now may be about to send its statement.
-            deadline.min(self.state.since.get() + RECENT)
+            deadline.min(self.state.last_progress_at.get() + RECENT_ACTIVITY_PERIOD)
         }
     }
 
--- a/crates/ivypitch-gateway/src/lifecycle/logger.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/logger.rs
@@ -27,7 +27,7 @@
 
 impl Format {
     /// The format of this name in settings and arguments.
-    pub fn of(name: &str) -> Option<Format> {
+    pub fn from_name(name: &str) -> Option<Format> {
         match name {
             "text" => Some(Format::Text),
             "logfmt" => Some(Format::Logfmt),
--- a/crates/ivypitch-gateway/src/state/sessions.rs
+++ b/crates/ivypitch-gateway/src/state/sessions.rs
@@ -12,7 +12,7 @@
 
 /// A session without an answer that has done something within this time may be about to send its statement; one that has
 /// not is silent.
-pub const RECENT: Duration = Duration::from_millis(200);
+pub const RECENT_ACTIVITY_PERIOD: Duration = Duration::from_millis(200);
 /// So many close outside the table; the descriptors reserved for that are `RESERVED_DESCRIPTORS`'s.
 const MAX_CLOSING: usize = 24;
 
@@ -32,13 +32,13 @@
     /// How far it has come.
     pub stage: Cell<SessionStage>,
     /// When it came so far, or answered last.
-    pub since: Cell<Instant>,
+    pub last_progress_at: Cell<Instant>,
     /// A command has been taken and not been answered yet.
     pub is_busy: Cell<bool>,
     /// Part of a message is there.
     pub has_partial_message: Cell<bool>,
     /// It takes nothing more: nobody loses by its being closed.
-    pub is_over: Cell<bool>,
+    pub is_closing: Cell<bool>,
     /// It has handled all that it read, and waits for more.
     pub is_waiting_for_input: Cell<bool>,
     /// A `KILL QUERY` came before all that its client had sent was read: it ends the statement among that, if there is one.
@@ -52,10 +52,10 @@
     pub fn new(now: Instant) -> Rc<SessionState> {
         Rc::new(SessionState {
             stage: Cell::new(SessionStage::Connected),
-            since: Cell::new(now),
+            last_progress_at: Cell::new(now),
             is_busy: Cell::new(false),
             has_partial_message: Cell::new(false),
-            is_over: Cell::new(false),
+            is_closing: Cell::new(false),
             is_waiting_for_input: Cell::new(false),
             is_kill_pending: Cell::new(false),
             end: async_channel::bounded(1),
@@ -65,7 +65,7 @@
     /// It has come so far at this time.
     pub fn set_stage(&self, stage: SessionStage, now: Instant) {
         self.stage.set(stage);
-        self.since.set(now);
+        self.last_progress_at.set(now);
     }
 
     /// Nothing that its client sent is unread: it waits for more from now on, and a kill that came before has found no
@@ -91,9 +91,10 @@
     }
 
     fn closing_rank(&self, now: Instant) -> ClosingRank {
-        let is_recent = now.saturating_duration_since(self.since.get()) < RECENT;
+        let is_recent =
+            now.saturating_duration_since(self.last_progress_at.get()) < RECENT_ACTIVITY_PERIOD;
         match self.stage.get() {
-            _ if self.is_over.get() => ClosingRank::Over,
+            _ if self.is_closing.get() => ClosingRank::Over,
             SessionStage::Answered if self.has_partial_message.get() => {
                 ClosingRank::RecentOrReceiving
             }
@@ -143,7 +144,7 @@
 
     /// Where the table is full, requests the end of the session that loses least and has nothing open. `has_read_all` says
     /// whether none of what a session's client sent is unread. Returns false if there is no such session.
-    pub fn make_room(&mut self, now: Instant, has_read_all: impl Fn(&T) -> bool) -> bool {
+    pub fn evict_if_full(&mut self, now: Instant, has_read_all: impl Fn(&T) -> bool) -> bool {
         if self.sessions.len() < self.limit {
             return true;
         }
@@ -165,14 +166,18 @@
         let mut candidates: Vec<_> = idle
             .map(|(&connection, entry)| {
                 let state = &entry.state;
-                (state.closing_rank(now), state.since.get(), connection)
+                (
+                    state.closing_rank(now),
+                    state.last_progress_at.get(),
+                    connection,
+                )
             })
             .collect();
         candidates.sort_unstable();
         let can_close = |connection: u32| {
             self.sessions
                 .get(&connection)
-                .is_some_and(|entry| entry.state.is_over.get() || has_read_all(&entry.session))
+                .is_some_and(|entry| entry.state.is_closing.get() || has_read_all(&entry.session))
         };
         candidates
             .into_iter()
--- a/crates/ivypitch-gateway/src/wire/gateway_statements.rs
+++ b/crates/ivypitch-gateway/src/wire/gateway_statements.rs
@@ -14,7 +14,7 @@
 }
 
 /// The connection id of a `KILL QUERY n`.
-pub fn kill_query(statement: &[u8]) -> Option<u32> {
+pub fn parse_kill_query(statement: &[u8]) -> Option<u32> {
     let mut words = statement
         .split(|b| b.is_ascii_whitespace() || *b == b';')
         .filter(|word| !word.is_empty());
@@ -36,7 +36,7 @@
 }
 
 /// Parses `SHOW QUEUE` and `SHOW WAIT 'id'`.
-pub fn show_waits(statement: &[u8]) -> Option<ShowWaits> {
+pub fn parse_show_waits(statement: &[u8]) -> Option<ShowWaits> {
     let mut words = words_of_start(statement)?;
     if !words.next()?.eq_ignore_ascii_case("SHOW") {
         return None;
--- a/crates/ivypitch-gateway/src/wire/http.rs
+++ b/crates/ivypitch-gateway/src/wire/http.rs
@@ -60,7 +60,7 @@
 
 /// The request that starts a statement at an engine.
 #[derive(Clone, Debug)]
-pub struct Start {
+pub struct StartRequest {
     /// 16 hex digits.
     pub statement_id: Bytes,
     /// The workload's name.
@@ -85,7 +85,7 @@
 }
 
 /// The request that starts a statement.
-pub fn write_start(start: &Start, host: &str) -> BytesMut {
+pub fn write_start(start: &StartRequest, host: &str) -> BytesMut {
     use request_header as header;
     let mut head = format!("POST /c HTTP/1.1\r\nHost: {host}\r\n");
     let mut put = |name: &str, value: &dyn std::fmt::Display| {
@@ -156,7 +156,7 @@
     /// A page of rows, or nothing of account.
     pub body: Bytes,
     /// The engine closes the connection after this response.
-    pub closes: bool,
+    pub closes_connection: bool,
 }
 
 /// Why bytes from an engine can't be a response; the connection is of no use any more.
@@ -209,7 +209,7 @@
     };
     let mut head = ResponseHead::default();
     head.response.status = parsed.code.unwrap_or(0);
-    head.response.closes = parsed.version == Some(0);
+    head.response.closes_connection = parsed.version == Some(0);
     for header in parsed.headers.iter() {
         let value = std::str::from_utf8(header.value).map_err(|_| ResponseError::HeaderNotText)?;
         head.read_header(header.name, value.trim())?;
@@ -244,7 +244,7 @@
         } else if is(header::TRANSFER_ENCODING) {
             return Err(ResponseError::TransferEncoding);
         } else if is(header::CONNECTION) {
-            response.closes |= value.eq_ignore_ascii_case("close");
+            response.closes_connection |= value.eq_ignore_ascii_case("close");
         } else if is(header::NEVER_RAN) {
             response.never_ran = value == "1";
         } else if is(header::PAGE_COUNT) {
@@ -306,7 +306,7 @@
 }
 
 /// The values of a load report in the order of `fields`; empty unless it holds a number for each of them.
-pub fn load_report(load: &str, fields: &[String]) -> Vec<f32> {
+pub fn parse_load_report(load: &str, fields: &[String]) -> Vec<f32> {
     let value_of = |name: &String| {
         let mut pairs = load.split(';').filter_map(|pair| pair.split_once(':'));
         let (_, value) = pairs.find(|(key, _)| key.trim() == name)?;
--- a/crates/ivypitch-gateway/tests/sessions.rs
+++ b/crates/ivypitch-gateway/tests/sessions.rs
@@ -33,13 +33,13 @@
     let mut all = SessionTable::new(4);
     let mut states = Vec::new();
     for (connection, (stage, ms)) in (0..).zip(sessions) {
-        assert!(all.make_room(now, |_| true));
+        assert!(all.evict_if_full(now, |_| true));
         let state = SessionState::new(now);
         state.set_stage(stage, now - std::time::Duration::from_millis(ms));
         states.push(state.clone());
         all.insert(connection, state, connection);
     }
-    assert!(all.make_room(now, |_| true));
+    assert!(all.evict_if_full(now, |_| true));
     let told = (0..4).find(|&connection| states[connection as usize].is_end_requested());
     assert_eq!(told, closed);
     assert_eq!(
@@ -51,7 +51,10 @@
     let mut busy = SessionTable::new(1);
     states[0].is_busy.set(true);
     busy.insert(0, states[0].clone(), ());
-    assert!(!busy.make_room(now, |_| true), "all have something open");
+    assert!(
+        !busy.evict_if_full(now, |_| true),
+        "all have something open"
+    );
 }
 
 #[test]
@@ -65,15 +68,15 @@
         all.insert(connection, state.clone(), connection);
     }
     states[1].has_partial_message.set(true);
-    assert!(all.make_room(now, |&connection| connection != 0));
+    assert!(all.evict_if_full(now, |&connection| connection != 0));
     assert!(
         states[2].is_end_requested() && !states[0].is_end_requested(),
         "unread bytes wait on the first"
     );
     all.insert(3, SessionState::new(now), 3);
-    states[0].is_over.set(true);
+    states[0].is_closing.set(true);
     assert!(
-        all.make_room(now, |_| false),
+        all.evict_if_full(now, |_| false),
         "one that is over loses nothing"
     );
     assert!(states[0].is_end_requested() && !states[1].is_end_requested());
--- a/crates/ivypitch-gateway/tests/wire/damaged_input.rs
+++ b/crates/ivypitch-gateway/tests/wire/damaged_input.rs
@@ -42,7 +42,7 @@
         let mut input = BytesMut::from(&bytes[..]);
         while let Ok(Some(packet)) = mysql::next_packet(&mut input, 100) {
             assert!(packet.payload.len() <= 100);
-            let _ = gateway_statements::kill_query(&packet.payload);
+            let _ = gateway_statements::parse_kill_query(&packet.payload);
             read += usize::from(mysql::parse_command(packet.payload).is_ok());
         }
         if let Ok(fields) = fields::parse(&Bytes::from(bytes.clone())) {
--- a/crates/ivypitch-gateway/tests/wire/http.rs
+++ b/crates/ivypitch-gateway/tests/wire/http.rs
@@ -2,12 +2,12 @@
 
 use bytes::{Bytes, BytesMut};
 use ivypitch_gateway::state::rows::Rows;
-use ivypitch_gateway::wire::http::{self, Response, Start};
+use ivypitch_gateway::wire::http::{self, Response, StartRequest};
 use test_case::test_case;
 
 #[test]
 fn requests_carry_their_fields_and_the_statement_unchanged() {
-    let start = Start {
+    let start = StartRequest {
         statement_id: Bytes::from("9b1f03aa5c7e2d41"),
         workload: Bytes::from("report"),
         remaining_ms: 1490,
@@ -20,7 +20,7 @@
     let text = "POST /c HTTP/1.1\r\nHost: e:1\r\nVia-Id: 9b1f03aa5c7e2d41\r\nVia-Class: report\r\nVia-Wait: \
                 1490\r\nRank: 1\r\nContent-Length: 8\r\n\r\nSELECT 1";
     assert_eq!(http::write_start(&start, "e:1"), text);
-    let marked = Start {
+    let marked = StartRequest {
         idempotency_key: Some(Bytes::from("b35f")),
         ordering_key: Some(Bytes::from("0002")),
         ..start
@@ -85,7 +85,7 @@
 #[test_case("", &[]; "none")]
 fn a_load_report_without_all_fields_is_empty(load: &str, values: &[f32]) {
     assert_eq!(
-        http::load_report(load, &["active".into(), "x0".into()]),
+        http::parse_load_report(load, &["active".into(), "x0".into()]),
         values
     );
 }
--- a/crates/ivypitch-gateway/tests/wire/mysql.rs
+++ b/crates/ivypitch-gateway/tests/wire/mysql.rs
@@ -68,7 +68,7 @@
 #[test_case(b"KILL 7", None; "a connection")]
 #[test_case(b"KILL QUERY -7", None; "no id")]
 fn kill_query_names_a_connection(text: &[u8], id: Option<u32>) {
-    assert_eq!(gateway_statements::kill_query(text), id);
+    assert_eq!(gateway_statements::parse_kill_query(text), id);
 }
 
 #[test]
