--- a/crates/ivypitch-connection-pool/src/lib.rs
+++ b/crates/ivypitch-connection-pool/src/lib.rs
@@ -1,7 +1,7 @@
-//! Which idle connections to an engine stay open for the next statement: how many, for how long, and when none.
+//! A pool of idle connections to one engine, kept for reuse by later statements.
 //!
-//! A reused connection must never bring one statement's answer to another, nor occupy a connection slot of the engine that
-//! others need. There is no I/O and no clock.
+//! A reused connection must never deliver one statement's answer to another, nor occupy a
+//! connection slot of the engine that other gateways need. The pool does no I/O and reads no clock.
 
 #![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used)]
 
@@ -9,40 +9,44 @@
 
 use ivypitch_types::{Nanos, SECOND};
 
-/// So many answers in a row must have been exact before connections to an engine are reused. One will do: where many
-/// gateways share many engines, each uses an engine a few times a minute, and a reused connection is checked anyway.
+/// Consecutive exact answers before connections to an engine are reused. One is enough: where many
+/// gateways share many engines, each calls an engine only a few times a minute, and a reused
+/// connection is checked before use anyway.
 const MIN_EXACT_ANSWERS: u32 = 1;
-/// After an unexpected answer so many are needed: an engine that corrupts one answer in fifty is then hardly ever trusted.
+/// The same minimum after an unexpected answer: with 50, connections to an engine that corrupts one
+/// answer in fifty are hardly ever reused.
 const MIN_EXACT_ANSWERS_AFTER_FAULT: u32 = 50;
-/// Bytes that follow an answer arrive within this time, or are found by the check before the next use.
+/// Minimum idle time before reuse. Stray bytes after an answer arrive within this time, or are
+/// found by the check before the next use.
 const MIN_IDLE_TIME: Nanos = SECOND / 50;
-/// A connection is closed at this fraction of the time after which the engine would close it.
+/// Fraction of the engine's own idle timeout after which the pool closes a connection.
 const MAX_IDLE_FRACTION: f64 = 0.8;
-/// Connections that an engine is assumed to hold for all gateways together.
+/// Connections that an engine is assumed to accept from all gateways together.
 const MAX_CONNECTIONS_PER_ENGINE: usize = 1024;
-/// Idle connections of one gateway to one engine.
+/// Maximum idle connections of one gateway to one engine.
 const MAX_IDLE_CONNECTIONS: usize = 8;
 
-/// What holds for all engines of a gateway.
+/// Limits that apply to the pool of each engine.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolParams {
-    /// Idle connections to each engine at most.
+    /// Maximum idle connections per engine.
     pub max_idle: usize,
-    /// How long a connection may be idle.
+    /// Maximum time that a connection may be idle.
     pub max_idle_time: Nanos,
 }
 
 impl PoolParams {
-    /// `idle_close`: after which time engines close idle connections. 0: it is unknown, and no connection is reused.
-    pub fn new(gateways: usize, idle_close: Nanos) -> PoolParams {
-        let fair_share = MAX_CONNECTIONS_PER_ENGINE / gateways.max(1);
+    /// `engine_idle_timeout` is the time after which engines close idle connections; 0 means that
+    /// it is unknown and no connection is reused.
+    pub fn new(gateways: usize, engine_idle_timeout: Nanos) -> PoolParams {
+        let max_per_gateway = MAX_CONNECTIONS_PER_ENGINE / gateways.max(1);
         PoolParams {
-            max_idle: if idle_close == 0 {
+            max_idle: if engine_idle_timeout == 0 {
                 0
             } else {
-                fair_share.clamp(1, MAX_IDLE_CONNECTIONS)
+                max_per_gateway.clamp(1, MAX_IDLE_CONNECTIONS)
             },
-            max_idle_time: (idle_close as f64 * MAX_IDLE_FRACTION) as Nanos,
+            max_idle_time: (engine_idle_timeout as f64 * MAX_IDLE_FRACTION) as Nanos,
         }
     }
 }
@@ -55,16 +59,17 @@
 /// The idle connections to one engine.
 pub struct ConnectionPool<T> {
     params: PoolParams,
-    /// The one that is idle for longest first. Removed when used, expired and after an unexpected answer.
+    /// Ordered by idle time, longest longest_idle. Entries are removed on reuse, on expiry and
+    /// after an unexpected answer.
     idle: VecDeque<IdleConnection<T>>,
-    /// Since the last unexpected answer.
+    /// Exact answers since the last unexpected one.
     exact_answers: u32,
     min_exact_answers: u32,
     is_closed: bool,
 }
 
 impl<T> ConnectionPool<T> {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(params: PoolParams) -> ConnectionPool<T> {
         ConnectionPool {
             params,
@@ -75,22 +80,23 @@
         }
     }
 
-    /// Number of idle connections.
+    /// The number of idle connections.
     pub fn len(&self) -> usize {
         self.idle.len()
     }
 
-    /// Whether no connection is idle.
+    /// Whether the pool has no idle connection.
     pub fn is_empty(&self) -> bool {
         self.idle.is_empty()
     }
 
-    /// An answer was exactly what was asked for, with nothing beside it.
+    /// Records an answer that matched its request, without stray bytes.
     pub fn on_exact_answer(&mut self) {
         self.exact_answers = self.exact_answers.saturating_add(1);
     }
 
-    /// An answer was not asked for, incomplete or missing: the idle connections may be as bad. Returns them to be closed.
+    /// Records an answer that was unsolicited, incomplete or missing. The idle connections may be
+    /// in the same state: they are returned for the caller to close.
     #[must_use]
     pub fn on_unexpected_answer(&mut self) -> Vec<T> {
         self.exact_answers = 0;
@@ -98,20 +104,23 @@
         self.take_all()
     }
 
-    /// The engine is gone: no connection is kept any more. Returns the idle ones to be closed.
+    /// Stops keeping connections because the engine is gone. Returns the idle ones for the caller
+    /// to close.
     #[must_use]
     pub fn close(&mut self) -> Vec<T> {
         self.is_closed = true;
         self.take_all()
     }
 
-    /// Returns all idle connections to be closed: their slots are needed elsewhere.
+    /// Removes all idle connections, because their slots are needed elsewhere, and returns them for
+    /// the caller to close.
     #[must_use]
     pub fn take_all(&mut self) -> Vec<T> {
         self.idle.drain(..).map(|idle| idle.connection).collect()
     }
 
-    /// Keeps a connection that has completed its statement; `Some`: it is not kept and has to be closed.
+    /// Returns a connection to the pool after its statement has completed. `Some` is a connection
+    /// that the pool does not keep and the caller has to close.
     #[must_use]
     pub fn release(&mut self, now: Nanos, connection: T) -> Option<T> {
         let is_trusted = self.exact_answers >= self.min_exact_answers;
@@ -126,17 +135,18 @@
         None
     }
 
-    /// The connection that is idle for longest, if it is for long enough and not for too long.
+    /// Takes the connection that has been idle for longest, if its idle time is within the limits.
     pub fn acquire(&mut self, now: Nanos) -> Option<T> {
-        let first = self.idle.front()?;
-        let idle_time = now.saturating_sub(first.idle_since);
+        let longest_idle = self.idle.front()?;
+        let idle_time = now.saturating_sub(longest_idle.idle_since);
         if idle_time < MIN_IDLE_TIME || idle_time > self.params.max_idle_time {
             return None;
         }
         self.idle.pop_front().map(|idle| idle.connection)
     }
 
-    /// Returns the connections that have been idle for too long, to be closed.
+    /// Removes the connections that have exceeded the maximum idle time and returns them for the
+    /// caller to close.
     #[must_use]
     pub fn take_expired(&mut self, now: Nanos) -> Vec<T> {
         let max_idle_time = self.params.max_idle_time;
@@ -149,7 +159,7 @@
             .collect()
     }
 
-    /// When [`ConnectionPool::take_expired`] is due.
+    /// When the next connection expires; [`ConnectionPool::take_expired`] is to be called then.
     pub fn next_expiry(&self) -> Option<Nanos> {
         self.idle
             .front()
--- a/crates/ivypitch-discovery/src/backoff.rs
+++ b/crates/ivypitch-discovery/src/backoff.rs
@@ -1,23 +1,23 @@
-//! How long to wait before the watch is resubscribed: exponential backoff with jitter.
+//! Exponential backoff with jitter for resubscribing the watch.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use ivypitch_types::{MILLISECOND, Nanos};
 
-/// The first retry comes within this time, at random: hundreds of gateways lose a watch in the same moment. Each further
-/// one waits up to twice as long.
+/// Upper bound of the first backoff, which is random because hundreds of gateways lose their watch
+/// at the same moment. The bound doubles with each retry.
 const INITIAL_BACKOFF: Nanos = 100 * MILLISECOND;
-/// Events that are published after an outage must be received within a second.
+/// Upper bound of every backoff: events published after an outage must be received within a second.
 const MAX_BACKOFF: Nanos = 600 * MILLISECOND;
-/// Limits the shift that doubles the backoff.
+/// Keeps the shift that doubles the backoff from overflowing.
 const MAX_DOUBLINGS: u32 = 16;
 
 pub(crate) struct Backoff {
-    /// Retries since the watch was last served.
+    /// Retries since the last valid line of the watch.
     retries: u32,
     seed: u64,
     /// Random numbers drawn so far.
-    draws: u64,
+    random_draws: u64,
 }
 
 impl Backoff {
@@ -25,31 +25,31 @@
         Backoff {
             retries: 0,
             seed,
-            draws: 0,
+            random_draws: 0,
         }
     }
 
-    /// The watch was served: the next retry is the first again.
+    /// Restarts at the initial backoff, because the watch has received a valid line.
     pub(crate) fn reset(&mut self) {
         self.retries = 0;
     }
 
-    /// How long to wait before the next retry.
+    /// Returns the time to wait before the next retry, and doubles the bound for the one after it.
     pub(crate) fn next(&mut self) -> Nanos {
         let max = INITIAL_BACKOFF
             .saturating_mul(1 << self.retries.min(MAX_DOUBLINGS))
             .min(MAX_BACKOFF);
         self.retries += 1;
-        // The first at any time from now on, later ones from half of their time on.
+        // The first backoff is jittered over its whole range, later ones over the upper half.
         let min_fraction = if self.retries == 1 { 0.0 } else { 0.5 };
         (max as f64 * (min_fraction + (1.0 - min_fraction) * self.random_fraction())) as Nanos
     }
 
-    /// A reproducible number from 0 to 1.
+    /// Returns a reproducible pseudorandom number in 0..1.
     fn random_fraction(&mut self) -> f64 {
-        self.draws += 1;
+        self.random_draws += 1;
         let mut hasher = DefaultHasher::new();
-        (self.seed, self.draws).hash(&mut hasher);
+        (self.seed, self.random_draws).hash(&mut hasher);
         (hasher.finish() >> 11) as f64 / (1u64 << 53) as f64
     }
 }
--- a/crates/ivypitch-discovery/src/endpoint_watch.rs
+++ b/crates/ivypitch-discovery/src/endpoint_watch.rs
@@ -1,98 +1,101 @@
-//! The state of the watch.
+//! State machine of the watch on the endpoint list.
 
 use ivypitch_types::{MILLISECOND, Nanos};
 
 use crate::backoff::Backoff;
 
-/// So many subscriptions in a row may fail at the same position for what is served there; then it is skipped: to miss one
-/// event is better than to miss all that follow.
+/// Consecutive subscriptions that may fail at the same position; after that the position is
+/// skipped, because missing one event is better than missing all later ones.
 const MAX_FAILURES_AT_POSITION: u32 = 3;
-/// A position may be announced so long before its events arrive.
+/// Maximum time between the announcement of a position and the arrival of its events.
 const MISSING_EVENTS_TIMEOUT: Nanos = 250 * MILLISECOND;
 
-/// A line of the watch, as far as it matters here.
+/// A line received on the watch, reduced to its position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchLine {
     /// The position of the service's last event.
     LastPosition(u64),
     /// The event at this position.
     Event(u64),
-    /// A line that cannot be understood.
+    /// A malformed line.
     Unusable,
 }
 
-/// What to do about a line.
+/// How to handle a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchDecision {
-    /// The event is the next one: act on it.
+    /// Apply the event: it is the next one.
     Accept,
-    /// Act on the event although those before it never arrived.
+    /// Apply the event although events before it are missing.
     AcceptOverGap,
-    /// Nothing.
+    /// Do nothing.
     Ignore,
-    /// Close the connection and subscribe again behind the last event accepted.
+    /// Close the connection and resubscribe after the last accepted event.
     Resubscribe,
 }
 
-/// A watch on the endpoint list, over subscriptions that come and go.
+/// A watch on the endpoint list that spans consecutive subscriptions.
 pub struct EndpointWatch {
     last_position: u64,
-    /// Where the subscription started.
-    subscribed_at: u64,
-    /// Subscriptions in a row that brought nothing usable behind that position.
+    /// The position after which the current subscription started.
+    subscription_position: u64,
+    /// Consecutive subscriptions without a usable event after that position.
     failures_at_position: u32,
-    /// Since when a position is announced whose events have not arrived.
-    ahead_since: Option<Nanos>,
+    /// When a position was announced whose events have not arrived yet.
+    events_missing_since: Option<Nanos>,
     backoff: Backoff,
 }
 
 impl EndpointWatch {
-    /// `last_position`: the last event that is known. `seed`: of the backoff's jitter, different at each gateway.
+    /// `last_position` is the position of the last known event; `seed` seeds the backoff's jitter
+    /// and must differ between gateways.
     pub fn new(last_position: u64, seed: u64) -> EndpointWatch {
         EndpointWatch {
             last_position,
-            subscribed_at: last_position,
+            subscription_position: last_position,
             failures_at_position: 0,
-            ahead_since: None,
+            events_missing_since: None,
             backoff: Backoff::new(seed),
         }
     }
 
-    /// The position of the last event accepted; to be subscribed behind.
+    /// The position of the last accepted event; a subscription starts after it.
     pub fn last_position(&self) -> u64 {
         self.last_position
     }
 
-    /// A connection is open and subscribes behind the last event.
+    /// Records a new subscription that starts after the last accepted event.
     pub fn on_subscribed(&mut self) {
-        self.subscribed_at = self.last_position;
-        self.ahead_since = None;
+        self.subscription_position = self.last_position;
+        self.events_missing_since = None;
     }
 
-    /// A line arrived, from the service or relayed by another gateway.
+    /// Decides how to handle a line from the service, or one relayed by another gateway.
     pub fn on_line(&mut self, now: Nanos, line: WatchLine) -> WatchDecision {
-        let is_stuck = self.failures_at_position >= MAX_FAILURES_AT_POSITION;
+        let can_skip_position = self.failures_at_position >= MAX_FAILURES_AT_POSITION;
         match line {
-            WatchLine::Event(position) if position <= self.last_position => self.ignore_served(),
+            WatchLine::Event(position) if position <= self.last_position => {
+                self.ignore_valid_line()
+            }
             WatchLine::Event(position) if position == self.last_position + 1 => {
                 self.accept(position);
                 WatchDecision::Accept
             }
-            WatchLine::Event(position) if is_stuck => {
+            WatchLine::Event(position) if can_skip_position => {
                 self.accept(position);
                 WatchDecision::AcceptOverGap
             }
             WatchLine::LastPosition(position) if position <= self.last_position => {
-                self.ahead_since = None;
-                self.ignore_served()
+                self.events_missing_since = None;
+                self.ignore_valid_line()
             }
-            WatchLine::LastPosition(_) if is_stuck => self.ignore_served(),
-            // Its events may arrive behind it; if not, the watch is resubscribed.
+            WatchLine::LastPosition(_) if can_skip_position => self.ignore_valid_line(),
+            // The events may follow the announcement; if they do not, the watch is resubscribed.
             WatchLine::LastPosition(_) => {
-                self.ahead_since.get_or_insert(now);
+                self.events_missing_since.get_or_insert(now);
                 WatchDecision::Ignore
             }
-            WatchLine::Unusable if is_stuck => WatchDecision::Ignore,
+            WatchLine::Unusable if can_skip_position => WatchDecision::Ignore,
             WatchLine::Event(_) | WatchLine::Unusable => {
                 self.record_failure();
                 WatchDecision::Resubscribe
@@ -100,40 +103,43 @@
         }
     }
 
-    /// When events that were announced are to have arrived; then [`EndpointWatch::on_events_missing`] is due.
+    /// Deadline for announced events; if they have not arrived by then,
+    /// [`EndpointWatch::on_events_missing`] is to be called.
     pub fn missing_events_deadline(&self) -> Option<Nanos> {
-        self.ahead_since.map(|since| since + MISSING_EVENTS_TIMEOUT)
+        self.events_missing_since
+            .map(|since| since + MISSING_EVENTS_TIMEOUT)
     }
 
-    /// They have not: the watch is to be resubscribed.
+    /// Records that announced events did not arrive in time; the caller resubscribes.
     pub fn on_events_missing(&mut self) {
         self.record_failure();
     }
 
-    /// How long to wait before the watch is resubscribed. Grows with each call until the watch is served.
+    /// Returns the time to wait before resubscribing. It grows with each call until a valid line
+    /// arrives.
     pub fn next_backoff(&mut self) -> Nanos {
         self.backoff.next()
     }
 
-    fn ignore_served(&mut self) -> WatchDecision {
+    fn ignore_valid_line(&mut self) -> WatchDecision {
         self.backoff.reset();
         WatchDecision::Ignore
     }
 
     fn accept(&mut self, position: u64) {
         self.last_position = position;
-        self.ahead_since = None;
+        self.events_missing_since = None;
         self.failures_at_position = 0;
         self.backoff.reset();
     }
 
     fn record_failure(&mut self) {
-        let is_same_position = self.last_position == self.subscribed_at;
+        let is_same_position = self.last_position == self.subscription_position;
         self.failures_at_position = if is_same_position {
             self.failures_at_position + 1
         } else {
             1
         };
-        self.subscribed_at = self.last_position;
+        self.subscription_position = self.last_position;
     }
 }
--- a/crates/ivypitch-discovery/src/lib.rs
+++ b/crates/ivypitch-discovery/src/lib.rs
@@ -1,7 +1,9 @@
-//! The watch on the discovery service's numbered events: which of them are accepted, and when the watch is resubscribed.
+//! The watch on the discovery service's numbered events: decides which events are accepted and when
+//! the watch is resubscribed.
 //!
-//! Each event is accepted once and in order; what was accepted stays. A watch that cannot be continued as it is served
-//! must neither be resubscribed in a tight loop nor stop for good. There is no I/O and no clock.
+//! Each event is accepted once and in order, and accepted events are never revoked. A watch that
+//! cannot be continued must neither be resubscribed in a tight loop nor stop for good. This crate
+//! does no I/O and reads no clock.
 
 #![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used)]
 
