--- a/crates/ivypitch-gateway/src/state/connections.rs
+++ b/crates/ivypitch-gateway/src/state/connections.rs
@@ -1,21 +1,21 @@
-//! Counts of the connections to engines since the process started, by purpose and outcome.
+//! Counters of connections to engines since the process started, by purpose and outcome.
 
 use std::cell::Cell;
 
-/// Why a connection to an engine is opened.
+/// The purpose of a connection to an engine.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ConnectPurpose {
-    /// To start an attempt.
+    /// Start an attempt.
     Start,
-    /// To poll for a result that did not arrive completely on an earlier connection.
+    /// Poll for a result that did not arrive completely on an earlier connection.
     Poll,
-    /// To cancel an attempt.
+    /// Cancel an attempt.
     Cancel,
-    /// To change an attempt's priority.
+    /// Change the priority of an attempt.
     Priority,
 }
 
-/// Counters for the log line that the gateway writes as it stops.
+/// The counters, which the gateway logs when it stops.
 #[derive(Debug, Default)]
 pub struct ConnectionCounters {
     starts: Cell<u64>,
@@ -49,22 +49,23 @@
         });
     }
 
-    /// Counts a connection that the engine's host refused: no process listens there.
+    /// Counts a connection that the engine's host refused because no process listens on the port.
     pub fn record_refused(&self) {
         increment(&self.refused);
     }
 
-    /// Counts a connection that was not established in time, or failed for another reason than a refusal.
+    /// Counts a connection that was not established in time, or failed for any reason but a
+    /// refusal.
     pub fn record_timed_out(&self) {
         increment(&self.timed_out);
     }
 
-    /// Counts an idle connection that starts another attempt.
+    /// Counts an idle connection that is reused for another attempt.
     pub fn record_reused(&self) {
         increment(&self.reused);
     }
 
-    /// Counts an idle connection that was found closed or not in a clean state as it was about to be reused.
+    /// Counts an idle connection that was closed or held stray bytes when it was to be reused.
     pub fn record_discarded(&self) {
         increment(&self.discarded);
     }
--- a/crates/ivypitch-gateway/src/state/engines.rs
+++ b/crates/ivypitch-gateway/src/state/engines.rs
@@ -1,20 +1,20 @@
-//! Assigns indices to engines by their ids in the endpoint list.
+//! Assigns an index to each engine id of the endpoint list.
 
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use ivypitch_types::EngineIndex;
 
-/// Ids of the known engines and their indices.
+/// The known engine ids and their indices.
 #[derive(Default)]
 pub struct EngineIds {
-    /// By index; `None` is free for reuse.
+    /// Engine ids by index; `None` marks a free index.
     ids: Vec<Option<String>>,
     indices: HashMap<String, EngineIndex>,
 }
 
 impl EngineIds {
-    /// The index of the engine with this id. An id that is not known yet gets the lowest free index.
+    /// Returns the index of the engine with this id. An unknown id gets the lowest free index.
     pub fn index_of(&mut self, id: &str) -> EngineIndex {
         if let Some(&index) = self.indices.get(id) {
             return index;
@@ -33,7 +33,7 @@
         EngineIndex(self.ids.len() - 1)
     }
 
-    /// Frees the indices of all engines that are not referenced any more.
+    /// Frees the indices of all engines that are no longer referenced.
     pub fn retain(&mut self, is_referenced: impl Fn(EngineIndex) -> bool) {
         for (index, slot) in self.ids.iter_mut().enumerate() {
             if let Some(id) = slot.take_if(|_| !is_referenced(EngineIndex(index))) {
@@ -43,7 +43,7 @@
     }
 }
 
-/// Hash of an engine's id, the same in every gateway. Gateways name engines by it when they talk to each other.
+/// Hash of an engine id, equal in all gateways. Messages between gateways identify engines by it.
 pub fn engine_id_hash(id: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     id.hash(&mut hasher);
--- a/crates/ivypitch-gateway/src/state/mod.rs
+++ b/crates/ivypitch-gateway/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! State that actors keep or share within the process.
+//! State that actors own or share within the process.
 
 pub mod connections;
 pub mod engines;
--- a/crates/ivypitch-gateway/src/state/permits.rs
+++ b/crates/ivypitch-gateway/src/state/permits.rs
@@ -1,23 +1,23 @@
-//! Bounds the number of connections to engines that are open at the same time.
+//! Limits the number of simultaneously open connections to engines.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 use async_channel::{Receiver, Sender};
 
-/// A counting semaphore for the tasks of one thread.
+/// A counting semaphore for tasks on one thread.
 pub struct ConnectionPermits {
     limit: usize,
     available: Cell<usize>,
-    /// Holds one token while a permit may be available to a task that waits.
+    /// Holds one token while a permit may be available to a waiting task.
     released: (Sender<()>, Receiver<()>),
 }
 
-/// The right to have one connection open. Dropping it returns it.
+/// A permit for one open connection, returned when dropped.
 pub struct ConnectionPermit(Rc<ConnectionPermits>);
 
 impl ConnectionPermits {
-    /// Allows up to `limit` connections.
+    /// Creates a semaphore with `limit` permits.
     pub fn new(limit: usize) -> Rc<ConnectionPermits> {
         Rc::new(ConnectionPermits {
             limit,
@@ -26,19 +26,19 @@
         })
     }
 
-    /// Whether more than half of the permits are taken. Idle connections are then closed rather than kept.
+    /// Whether more than half of the permits are taken; idle connections are then closed, not kept.
     pub fn is_scarce(&self) -> bool {
         2 * self.available.get() < self.limit
     }
 
-    /// Waits for a permit and takes it.
+    /// Waits until a permit is available and takes it.
     pub async fn acquire(self: &Rc<Self>) -> ConnectionPermit {
         while self.available.get() == 0 {
             let _ = self.released.1.recv().await;
         }
         self.available.set(self.available.get() - 1);
         if self.available.get() > 0 {
-            // The token stood for one of several permits: wake the next task that waits.
+            // One token stands for all available permits: notify the next waiting task, too.
             self.notify_one();
         }
         ConnectionPermit(self.clone())
--- a/crates/ivypitch-gateway/src/state/rows.rs
+++ b/crates/ivypitch-gateway/src/state/rows.rs
@@ -1,10 +1,11 @@
-//! The result of one attempt: pages of complete rows, as slices of the buffers that they were read into.
+//! The result of an attempt: pages of complete rows, as slices of the receive buffers.
 
 use bytes::Bytes;
 use thiserror::Error;
 
-/// Names of a result's columns, in order.
+/// Column names of every result, in order.
 pub const COLUMNS: [&[u8]; 3] = [b"c1", b"c2", b"c3"];
+/// Maximum size of a result.
 const MAX_RESULT_BYTES: usize = 48_000;
 
 /// Why a page was rejected.
@@ -16,15 +17,16 @@
     /// The page is not UTF-8.
     #[error("page is not UTF-8")]
     NotUtf8,
-    /// The last row has no line end.
+    /// The last row has no terminating newline.
     #[error("last row of the page is incomplete")]
     IncompleteRow,
-    /// A row has a wrong number of columns.
-    #[error("row without {} columns", COLUMNS.len())]
+    /// A row does not have one value per column.
+    #[error("row does not have {} columns", COLUMNS.len())]
     WrongColumnCount,
 }
 
-/// The rows of a result. At most one exists for each open statement; it is dropped once its client has it or has gone.
+/// The rows of a result. Each open statement has at most one; it is dropped once the client has
+/// received it or disconnected.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Rows {
     pages: Vec<Bytes>,
@@ -32,7 +34,7 @@
 }
 
 impl Rows {
-    /// Appends the next page. Nothing is appended on an error.
+    /// Appends the next page; on an error nothing is appended.
     pub fn push_page(&mut self, page: Bytes) -> Result<(), PageError> {
         if self.bytes + page.len() > MAX_RESULT_BYTES {
             return Err(PageError::ResultTooLarge);
@@ -51,17 +53,17 @@
         Ok(())
     }
 
-    /// How many pages have been appended.
+    /// The number of pages appended.
     pub fn page_count(&self) -> usize {
         self.pages.len()
     }
 
-    /// The pages in order.
+    /// Returns the pages in order.
     pub fn into_pages(self) -> impl Iterator<Item = Bytes> {
         self.pages.into_iter()
     }
 
-    /// The rows of one page, each as its columns.
+    /// Iterates over the rows of a page, each an iterator over its columns.
     pub fn rows_of_page(page: &[u8]) -> impl Iterator<Item = impl Iterator<Item = &[u8]>> {
         lines(page).map(|row| row.split(|&byte| byte == b'\t'))
     }
--- a/crates/ivypitch-gateway/src/state/sessions.rs
+++ b/crates/ivypitch-gateway/src/state/sessions.rs
@@ -1,7 +1,7 @@
-//! The table of sessions, up to its bound.
+//! The table of client sessions, limited in size.
 //!
-//! A session leaves the table as it ends, or to make room for another. One that has to make room closes in order, outside
-//! the table; few do so at a time.
+//! A session is removed when it ends, or evicted for a new one. An evicted session closes
+//! gracefully outside the table, where the number of closing sessions is limited as well.
 
 use std::cell::Cell;
 use std::collections::{BTreeMap, VecDeque};
@@ -10,45 +10,46 @@
 
 use async_channel::{Receiver, Sender};
 
-/// A session without an answer that has done something within this time may be about to send its statement; one that has
-/// not is silent.
+/// A session without an answer that made progress within this time may be about to send its
+/// statement; otherwise it counts as inactive.
 pub const RECENT_ACTIVITY_PERIOD: Duration = Duration::from_millis(200);
-/// So many close outside the table; the descriptors reserved for that are `RESERVED_DESCRIPTORS`'s.
+/// Maximum sessions that close outside the table; `RESERVED_DESCRIPTORS` covers their descriptors.
 const MAX_CLOSING: usize = 24;
 
-/// How far a session has come.
+/// The progress of a session.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum SessionStage {
-    /// Connected, not logged in yet.
+    /// Connected but not logged in.
     Connected,
-    /// Logged in, with no statement answered.
+    /// Logged in, no statement answered yet.
     LoggedIn,
     /// At least one statement was answered.
     Answered,
 }
 
-/// What the table sees of a session; the session itself keeps it up to date.
+/// The part of a session's state that the table reads; the session keeps it up to date.
 pub struct SessionState {
-    /// How far it has come.
+    /// The stage that the session has reached.
     pub stage: Cell<SessionStage>,
-    /// When it came so far, or answered last.
+    /// When the session reached its stage, or sent its last answer.
     pub last_progress_at: Cell<Instant>,
-    /// A command has been taken and not been answered yet.
+    /// A command was received and is not answered yet.
     pub is_busy: Cell<bool>,
-    /// Part of a message is there.
+    /// An incomplete message has been received.
     pub has_partial_message: Cell<bool>,
-    /// It takes nothing more: nobody loses by its being closed.
+    /// The session accepts no more commands, so that closing it loses nothing.
     pub is_closing: Cell<bool>,
-    /// It has handled all that it read, and waits for more.
+    /// All input that was read is handled, and the session waits for more.
     pub is_waiting_for_input: Cell<bool>,
-    /// A `KILL QUERY` came before all that its client had sent was read: it ends the statement among that, if there is one.
+    /// A `KILL QUERY` arrived while input of this client was unread: it ends the statement in that
+    /// input, if there is one.
     pub is_kill_pending: Cell<bool>,
-    /// Closed to request the session's end.
+    /// Closing the channel requests the end of the session.
     end: (Sender<()>, Receiver<()>),
 }
 
 impl SessionState {
-    /// Of a session that has just connected.
+    /// The state of a session that has just connected.
     pub fn new(now: Instant) -> Rc<SessionState> {
         Rc::new(SessionState {
             stage: Cell::new(SessionStage::Connected),
@@ -62,58 +63,59 @@
         })
     }
 
-    /// It has come so far at this time.
+    /// Records the stage reached at `now`.
     pub fn set_stage(&self, stage: SessionStage, now: Instant) {
         self.stage.set(stage);
         self.last_progress_at.set(now);
     }
 
-    /// Nothing that its client sent is unread: it waits for more from now on, and a kill that came before has found no
-    /// statement.
+    /// Records that no input of the client is unread: the session waits for more, and a pending
+    /// kill has found no statement.
     pub fn on_input_taken(&self) {
         self.is_waiting_for_input.set(true);
         self.is_kill_pending.set(false);
     }
 
-    /// It is to end once nothing of its client's is open or unread.
+    /// Requests the session to end once no statement is open and no input is unread.
     pub fn request_end(&self) {
         self.end.0.close();
     }
 
-    /// Whether it is to end.
+    /// Whether the end of the session was requested.
     pub fn is_end_requested(&self) -> bool {
         self.end.0.is_closed()
     }
 
-    /// Returns once it is to end.
+    /// Waits until the end of the session is requested.
     pub async fn end_requested(&self) {
         let _ = self.end.1.recv().await;
     }
 
-    fn closing_rank(&self, now: Instant) -> ClosingRank {
+    fn eviction_rank(&self, now: Instant) -> EvictionRank {
         let is_recent =
             now.saturating_duration_since(self.last_progress_at.get()) < RECENT_ACTIVITY_PERIOD;
         match self.stage.get() {
-            _ if self.is_closing.get() => ClosingRank::Over,
+            _ if self.is_closing.get() => EvictionRank::Closing,
             SessionStage::Answered if self.has_partial_message.get() => {
-                ClosingRank::RecentOrReceiving
+                EvictionRank::RecentOrReceiving
             }
-            SessionStage::Answered => ClosingRank::Answered,
-            _ if is_recent => ClosingRank::RecentOrReceiving,
-            _ => ClosingRank::Silent,
+            SessionStage::Answered => EvictionRank::Answered,
+            _ if is_recent => EvictionRank::RecentOrReceiving,
+            _ => EvictionRank::Inactive,
         }
     }
 }
 
-/// Who loses least by being closed, in this order.
+/// Order in which sessions are evicted: those that lose least come first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum ClosingRank {
-    Over,
-    /// Without an answer, and has done nothing for a while.
-    Silent,
-    /// Has its answer.
+enum EvictionRank {
+    /// Accepts no more commands.
+    Closing,
+    /// Has no answer and made no recent progress.
+    Inactive,
+    /// Has received an answer.
     Answered,
-    /// Newly come, or in the middle of a message.
+    /// Recently connected or logged in, or in the middle of a message.
     RecentOrReceiving,
 }
 
@@ -122,17 +124,18 @@
     session: T,
 }
 
-/// The sessions by connection id. `T` is what ends a session as it is dropped.
+/// The sessions by connection id. Dropping a `T` ends its session.
 pub struct SessionTable<T> {
     limit: usize,
     sessions: BTreeMap<u32, Entry<T>>,
-    /// Emptied by their end, or by the next ones. The oldest first.
+    /// Sessions that close outside the table, oldest first. Each is removed when it ends, or
+    /// dropped when the list is full.
     closing: VecDeque<(u32, Entry<T>)>,
     is_ending: bool,
 }
 
 impl<T> SessionTable<T> {
-    /// An empty table for up to `limit` sessions.
+    /// Creates an empty table for up to `limit` sessions.
     pub fn new(limit: usize) -> Self {
         SessionTable {
             limit,
@@ -142,13 +145,14 @@
         }
     }
 
-    /// Where the table is full, requests the end of the session that loses least and has nothing open. `has_read_all` says
-    /// whether none of what a session's client sent is unread. Returns false if there is no such session.
+    /// If the table is full, evicts the first session in `EvictionRank` order that has no open
+    /// statement. `has_read_all` tells whether all input from a session's client was read. Returns
+    /// false if no session can be evicted.
     pub fn evict_if_full(&mut self, now: Instant, has_read_all: impl Fn(&T) -> bool) -> bool {
         if self.sessions.len() < self.limit {
             return true;
         }
-        let Some(connection) = self.loses_least(now, has_read_all) else {
+        let Some(connection) = self.find_session_to_evict(now, has_read_all) else {
             return false;
         };
         if let Some(entry) = self.sessions.remove(&connection) {
@@ -158,7 +162,11 @@
         true
     }
 
-    fn loses_least(&self, now: Instant, has_read_all: impl Fn(&T) -> bool) -> Option<u32> {
+    fn find_session_to_evict(
+        &self,
+        now: Instant,
+        has_read_all: impl Fn(&T) -> bool,
+    ) -> Option<u32> {
         let idle = self
             .sessions
             .iter()
@@ -167,14 +175,14 @@
             .map(|(&connection, entry)| {
                 let state = &entry.state;
                 (
-                    state.closing_rank(now),
+                    state.eviction_rank(now),
                     state.last_progress_at.get(),
                     connection,
                 )
             })
             .collect();
         candidates.sort_unstable();
-        let can_close = |connection: u32| {
+        let can_evict = |connection: u32| {
             self.sessions
                 .get(&connection)
                 .is_some_and(|entry| entry.state.is_closing.get() || has_read_all(&entry.session))
@@ -182,11 +190,12 @@
         candidates
             .into_iter()
             .map(|(_, _, connection)| connection)
-            .find(|&connection| can_close(connection))
+            .find(|&connection| can_evict(connection))
     }
 
-    /// Adds a session that closes outside the table. Past the bound the one is dropped that has had the longest time for
-    /// that and no request; where a request came on all of them as they were to close, this one is.
+    /// Adds a session that closes outside the table. At the limit, the one that has been closing
+    /// for longest without an open request is dropped; if all of them have one, the new one is
+    /// dropped.
     pub fn insert_closing(&mut self, connection: u32, state: Rc<SessionState>, session: T) {
         if self.closing.len() == MAX_CLOSING {
             let idle = self
@@ -202,7 +211,7 @@
             .push_back((connection, Entry { state, session }));
     }
 
-    /// Adds a session; the caller has made room.
+    /// Adds a session; the caller has evicted another if the table was full.
     pub fn insert(&mut self, connection: u32, state: Rc<SessionState>, session: T) {
         if self.is_ending {
             state.request_end();
@@ -210,32 +219,26 @@
         self.sessions.insert(connection, Entry { state, session });
     }
 
-    /// The session of this connection, whether it is in the table or closes outside.
+    /// Returns the session of a connection, whether it is in the table or closing outside it.
     pub fn get(&self, connection: u32) -> Option<(&SessionState, &T)> {
         let closing = || {
-            let (_, entry) = self
-                .closing
-                .iter()
-                .find(|(number, _)| *number == connection)?;
+            let (_, entry) = self.closing.iter().find(|(id, _)| *id == connection)?;
             Some(entry)
         };
         let entry = self.sessions.get(&connection).or_else(closing)?;
         Some((&entry.state, &entry.session))
     }
 
-    /// Removes a session, whether it is in the table or closes outside.
+    /// Removes a session, whether it is in the table or closing outside it.
     pub fn remove(&mut self, connection: u32) -> Option<T> {
         if let Some(entry) = self.sessions.remove(&connection) {
             return Some(entry.session);
         }
-        let index = self
-            .closing
-            .iter()
-            .position(|(number, _)| *number == connection)?;
+        let index = self.closing.iter().position(|(id, _)| *id == connection)?;
         self.closing.remove(index).map(|(_, entry)| entry.session)
     }
 
-    /// Requests the end of all sessions, and of those that come from now on.
+    /// Requests the end of all sessions, including those inserted from now on.
     pub fn end_all(&mut self) {
         self.is_ending = true;
         for entry in self.sessions.values() {
@@ -243,17 +246,17 @@
         }
     }
 
-    /// Whether all sessions are to end.
+    /// Whether the end of all sessions was requested.
     pub fn is_ending(&self) -> bool {
         self.is_ending
     }
 
-    /// The number of sessions, without those that close outside the table.
+    /// The number of sessions, without those closing outside the table.
     pub fn len(&self) -> usize {
         self.sessions.len()
     }
 
-    /// There is none, not even one that closes outside the table.
+    /// Whether there is no session, including those closing outside the table.
     pub fn is_empty(&self) -> bool {
         self.sessions.is_empty() && self.closing.is_empty()
     }
--- a/crates/ivypitch-gateway/src/state/statements.rs
+++ b/crates/ivypitch-gateway/src/state/statements.rs
@@ -1,4 +1,4 @@
-//! The open statements: from their arrival until the scheduler forgets them.
+//! The table of open statements: from arrival until the scheduler has removed them.
 
 use std::collections::HashMap;
 
@@ -7,88 +7,90 @@
 
 use crate::actors::messages::{AttemptKey, AttemptMessage, ClientHandle, ClientStatement};
 
-/// The attempt of a statement that is in flight.
+/// A statement's attempt that is in flight.
 pub struct InFlightAttempt {
-    /// Number of the attempt, from 0 on for each statement.
+    /// Number of the attempt, counted from 0 for each statement.
     pub number: u32,
-    /// The engine that it is made at.
+    /// The engine that runs the attempt.
     pub engine: EngineIndex,
-    /// When it was handed to its engine's actor.
+    /// When the attempt was sent to its engine's actor.
     pub sent_at: Nanos,
-    /// When its timer fires.
+    /// When the timer of the attempt fires.
     pub times_out_at: Nanos,
-    /// Its timeout has passed and it is being cancelled.
+    /// The attempt has timed out and is being cancelled.
     pub has_timed_out: bool,
-    /// Messages to the attempt.
+    /// Mailbox of the attempt.
     pub mailbox: Sender<AttemptMessage>,
 }
 
-/// A statement that the scheduler or its team's queue has.
+/// A statement that the scheduler or its team's queue holds.
 pub struct OpenStatement {
-    /// Tells apart the statements that have had the same index.
+    /// Distinguishes statements that have used the same index.
     pub serial: u64,
-    /// The connection of its client; 0 for one that was taken over from another gateway.
+    /// The client's connection id; 0 for a statement taken over from another gateway.
     pub connection: u32,
-    /// What the client sent.
+    /// The statement as the client sent it.
     pub statement: ClientStatement,
-    /// When its timeout ends.
+    /// When the statement's timeout ends.
     pub deadline: Nanos,
-    /// Where the answer goes, until it has gone there.
+    /// Receives the answer; `None` once the answer was sent.
     pub client: Option<ClientHandle>,
-    /// The token under which ownership knows its client.
+    /// The token by which ownership identifies the client.
     pub client_token: u64,
-    /// How many attempts have been made.
+    /// Number of attempts made.
     pub attempt_count: u32,
     /// The attempt in flight.
     pub attempt: Option<InFlightAttempt>,
-    /// Memory that its attempts may use, in MB; 0 leaves it to the engine.
+    /// Memory that attempts may use, in MB; 0 lets the engine decide.
     pub memory_grant_mb: f64,
-    /// Its priority at the engine.
+    /// Priority at the engine.
     pub priority: u8,
-    /// Work of its attempts that may have run, as engines measured it or else threads times duration.
+    /// Work of all attempts that may have run, as measured by the engines or else threads times
+    /// duration.
     pub work: Option<Nanos>,
-    /// How long its successful attempt took.
+    /// Duration of the successful attempt.
     pub run_time: Option<Nanos>,
 }
 
 impl OpenStatement {
-    /// The client's id of the statement.
+    /// The statement id that the client chose.
     pub fn id(&self) -> u64 {
         self.statement.fields.statement_id_number()
     }
 
-    /// Whether its client has not been answered yet.
+    /// Whether the client has not received its answer yet.
     pub fn is_unanswered(&self) -> bool {
         self.client.is_some()
     }
 }
 
-/// A statement to be opened.
+/// A statement to add to the table.
 pub struct NewStatement {
-    /// The connection of its client; 0 without one.
+    /// The client's connection id; 0 without a client.
     pub connection: u32,
-    /// What the client sent.
+    /// The statement as the client sent it.
     pub statement: ClientStatement,
-    /// When its timeout ends.
+    /// When the statement's timeout ends.
     pub deadline: Nanos,
-    /// Where the answer goes.
+    /// Receives the answer.
     pub client: ClientHandle,
 }
 
-/// All open statements, by index, by id and by the connection that waits for the answer.
+/// All open statements by index, by id and by the connection that waits for the answer.
 #[derive(Default)]
 pub struct StatementTable {
-    /// An entry is emptied as its statement is closed, and then used again.
+    /// A closed statement leaves `None`, which is reused.
     entries: Vec<Option<OpenStatement>>,
-    free: Vec<usize>,
+    /// Indices of the `None` entries.
+    free_indices: Vec<usize>,
     by_connection: HashMap<u32, StatementIndex>,
     by_id: HashMap<u64, StatementIndex>,
     last_serial: u64,
 }
 
 impl StatementTable {
-    /// Opens a statement. Engines name queries by the statement's id: where another open statement has the same one,
-    /// the client is given back.
+    /// Opens a statement. If another open statement has the same id, the client handle is returned
+    /// instead, because engines identify queries by the statement id.
     pub fn open(&mut self, new: NewStatement) -> Result<StatementIndex, ClientHandle> {
         let id = new.statement.fields.statement_id_number();
         if self.by_id.contains_key(&id) {
@@ -116,24 +118,24 @@
     }
 
     fn free_index(&mut self) -> StatementIndex {
-        if let Some(index) = self.free.pop() {
+        if let Some(index) = self.free_indices.pop() {
             return StatementIndex(index);
         }
         self.entries.push(None);
         StatementIndex(self.entries.len() - 1)
     }
 
-    /// The statement at an index.
+    /// Returns the statement at an index.
     pub fn get(&self, index: StatementIndex) -> Option<&OpenStatement> {
         self.entries.get(index.0)?.as_ref()
     }
 
-    /// The statement at an index.
+    /// Returns the statement at an index.
     pub fn get_mut(&mut self, index: StatementIndex) -> Option<&mut OpenStatement> {
         self.entries.get_mut(index.0)?.as_mut()
     }
 
-    /// The statement at an index, unless another has taken the index since.
+    /// Returns the statement at an index, unless the index has been reused by another statement.
     pub fn get_by_serial(&self, index: StatementIndex, serial: u64) -> Option<&OpenStatement> {
         self.get(index).filter(|open| open.serial == serial)
     }
@@ -143,9 +145,11 @@
         self.attempt_in_flight(key).is_some()
     }
 
-    /// Takes an attempt that has ended off its statement; `None` if it was not in flight any more, or is to stay.
+    /// Removes an attempt that has ended from its statement. Returns `None` if the attempt was no
+    /// longer in flight, or must stay in flight.
     ///
-    /// An attempt that timed out and has been cancelled stays: its statement takes no other until its deadline.
+    /// An attempt that timed out and was cancelled stays, so that its statement gets no other
+    /// attempt before its deadline.
     pub fn take_attempt(&mut self, key: AttemptKey, outcome: Outcome) -> Option<InFlightAttempt> {
         self.attempt_in_flight(key)?;
         let slot = &mut self.get_mut(key.statement)?.attempt;
@@ -160,19 +164,19 @@
             .filter(|attempt| attempt.number == key.number)
     }
 
-    /// The statement with a client's id.
+    /// Finds the statement with an id chosen by a client.
     pub fn find_by_id(&self, id: u64) -> Option<StatementIndex> {
         self.by_id.get(&id).copied()
     }
 
-    /// The statement whose answer the client of a connection waits for.
+    /// Finds the statement whose answer a connection waits for.
     pub fn find_by_connection(&self, connection: u32) -> Option<StatementIndex> {
         let index = *self.by_connection.get(&connection)?;
         let open = self.get(index)?;
         open.is_unanswered().then_some(index)
     }
 
-    /// Takes the handle for the statement's one answer; `None` if that was taken before.
+    /// Takes the handle for the statement's only answer; `None` if it was taken before.
     pub fn take_client(&mut self, index: StatementIndex) -> Option<ClientHandle> {
         let open = self.get_mut(index)?;
         let client = open.client.take()?;
@@ -181,13 +185,13 @@
         Some(client)
     }
 
-    /// Forgets a statement; its index is free again.
+    /// Removes a statement and frees its index.
     pub fn close(&mut self, index: StatementIndex) {
         self.take_client(index);
         let Some(closed) = self.entries.get_mut(index.0).and_then(Option::take) else {
             return;
         };
         self.by_id.remove(&closed.id());
-        self.free.push(index.0);
+        self.free_indices.push(index.0);
     }
 }
--- a/crates/ivypitch-gateway/src/state/traffic.rs
+++ b/crates/ivypitch-gateway/src/state/traffic.rs
@@ -1,33 +1,33 @@
-//! Counts of the bytes that the gateway exchanges with everyone but its clients.
+//! Counters of the bytes exchanged with engines, other gateways and the discovery service.
 //!
-//! They cover payloads as they pass to and from the operating system, without the headers of IP, UDP and TCP, and grow
-//! for the lifetime of the process. Field names are keys of the JSON that `SHOW FLEET` answers.
+//! They cover payloads as passed to and from the operating system, without IP, UDP and TCP headers,
+//! since the process started. Field names are keys of the JSON that `SHOW FLEET` returns.
 
 use std::cell::Cell;
 
 use serde::Serialize;
 
-/// Traffic of one kind, in both directions.
+/// Traffic with one kind of peer, in both directions.
 #[derive(Debug, Default, Serialize)]
 pub struct TrafficCounter {
     bytes_out: Cell<u64>,
     bytes_in: Cell<u64>,
-    /// Datagrams sent, or writes on connections.
+    /// Datagrams sent, or writes to connections.
     sends: Cell<u64>,
     /// Datagrams received, or reads from connections.
     receives: Cell<u64>,
 }
 
-/// Traffic by peer.
+/// Traffic by kind of peer.
 #[derive(Debug, Default, Serialize)]
 pub struct Traffic {
-    /// Datagrams among gateways: membership and gossip.
+    /// Datagrams between gateways: membership and gossip.
     pub datagrams: TrafficCounter,
-    /// Links to and from other gateways.
+    /// Links between gateways, in both directions.
     pub links: TrafficCounter,
     /// Connections to engines.
     pub engines: TrafficCounter,
-    /// The watch on the endpoint list.
+    /// The watch on the discovery service's endpoint list.
     pub journal: TrafficCounter,
 }
 
