--- a/crates/ivypitch-gateway/src/wire/fields.rs
+++ b/crates/ivypitch-gateway/src/wire/fields.rs
@@ -1,15 +1,17 @@
-//! The fields of a statement, which stand in a comment ahead of it: `/* kind=report,req=9b1f03aa5c7e2d41,timeout=1500 */`.
+//! The fields of a statement, which a client writes in a comment before it:
+//! `/* kind=report,req=9b1f03aa5c7e2d41,timeout=1500 */`.
 //!
-//! The names that clients write are mapped to the field's terms here and nowhere else.
+//! The field names that clients write are mapped to the terms of this code base here and nowhere
+//! else.
 
 use std::hash::Hasher;
 
 use bytes::Bytes;
 use siphasher::sip::SipHasher13;
 
-use super::table_group::table_group;
+use super::table_group::find_table_group;
 
-/// The names of fields as clients write them.
+/// Field names as clients write them.
 mod name {
     pub(super) const WORKLOAD: &[u8] = b"kind";
     pub(super) const STATEMENT_ID: &[u8] = b"req";
@@ -23,32 +25,34 @@
 }
 
 const STATEMENT_ID_DIGITS: usize = 16;
-/// A day: a longer time is no figure of a statement.
+/// Upper bound of a statement's times: one day.
 const MAX_MS: f64 = 86_400_000.0;
-/// 16 TB: more memory is no figure of a statement.
+/// Upper bound of a statement's memory: 16 TB.
 const MAX_MB: f64 = 16_777_216.0;
+/// Maximum length of idempotency and ordering keys.
 const MAX_KEY_BYTES: usize = 256;
 
-/// The fields of a statement, values still as the client wrote them.
+/// The fields of a statement, with values as the client wrote them.
 #[derive(Debug, Default, PartialEq)]
 pub struct Fields {
     /// The workload's name.
     pub workload: Bytes,
-    /// 16 hex digits.
+    /// The statement id: 16 hex digits.
     pub statement_id: Bytes,
-    /// So long the client waits for its answer.
+    /// How long the client waits for its answer, in ms.
     pub timeout_ms: u64,
     /// The tenant's name.
     pub tenant: Option<Bytes>,
-    /// The client's estimate of the work.
+    /// The client's estimate of the work, in ms.
     pub work_ms: Option<f64>,
-    /// The client's estimate of the memory.
+    /// The client's estimate of the memory, in MB.
     pub memory_mb: Option<f32>,
-    /// The client has sent it before.
+    /// The client has sent the statement before.
     pub is_repeat: bool,
-    /// By which engines know a repeat of it; forwarded unchanged.
+    /// Engines detect repeats of the statement by this key; forwarded unchanged.
     pub idempotency_key: Option<Bytes>,
-    /// Statements of one ordering key run in order, where their workload keeps it; forwarded unchanged.
+    /// Statements with the same ordering key run in order if their workload requires it; forwarded
+    /// unchanged.
     pub ordering_key: Option<Bytes>,
     /// The statement without the comment.
     pub statement: Bytes,
@@ -56,45 +60,45 @@
     pub table_group: u32,
 }
 
-/// Why a statement's fields can't be used, in words for the client.
+/// Why the fields of a statement are rejected, with messages for the client.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
 pub enum FieldsError {
-    /// No `/*` at the begin.
-    #[error("no comment with fields stands ahead of the statement")]
+    /// The text does not begin with `/*`.
+    #[error("no comment with fields before the statement")]
     NoComment,
-    /// No `*/`.
-    #[error("the comment with fields has no end")]
+    /// The comment has no `*/`.
+    #[error("the comment with fields is not terminated")]
     UnterminatedComment,
-    /// No `=`.
+    /// A field has no `=`.
     #[error("a field has no value")]
     NoValue,
-    /// Two fields of one name.
-    #[error("a field stands twice")]
+    /// Two fields have the same name.
+    #[error("a field is given twice")]
     Duplicate,
-    /// `ms`.
-    #[error("the estimate of work is no usable number")]
+    /// `ms` is not a number within its bounds.
+    #[error("ms (estimated work) is not a valid number")]
     WorkEstimate,
-    /// `space`.
-    #[error("the estimate of memory is no usable number")]
+    /// `space` is not a number within its bounds.
+    #[error("space (estimated memory) is not a valid number")]
     MemoryEstimate,
-    /// `opkey`.
-    #[error("the mark against repeats is no usable word")]
+    /// `opkey` cannot be sent as a header value.
+    #[error("opkey is not 1 to {MAX_KEY_BYTES} visible ASCII characters")]
     IdempotencyKey,
-    /// `subject`.
-    #[error("the key is no usable word")]
+    /// `subject` cannot be sent as a header value.
+    #[error("subject is not 1 to {MAX_KEY_BYTES} visible ASCII characters")]
     OrderingKey,
-    /// `req`.
+    /// `req` is missing or not 16 hex digits.
     #[error("req is not 16 hex digits")]
     StatementId,
-    /// `timeout`.
-    #[error("timeout is not a usable number of milliseconds")]
+    /// `timeout` is missing or not a number within its bounds.
+    #[error("timeout is not a valid number of milliseconds")]
     Timeout,
-    /// No schema with a number in its name.
-    #[error("the statement names no group of tables")]
+    /// No schema in the statement has a number in its name.
+    #[error("the statement names no table group")]
     NoTableGroup,
 }
 
-/// Parses the fields ahead of a statement and finds its table group.
+/// Parses the fields before a statement and finds its table group.
 pub fn parse(text: &Bytes) -> Result<Fields, FieldsError> {
     let (comment, statement) = split_comment(text)?;
     let mut fields = Fields {
@@ -114,7 +118,7 @@
         }
         seen.push(name);
         if name == name::TIMEOUT_MS {
-            timeout_ms = number(value, MAX_MS).filter(|ms| *ms >= 1.0);
+            timeout_ms = parse_number(value, MAX_MS).filter(|ms| *ms >= 1.0);
         } else {
             fields.set(name, comment.slice_ref(value))?;
         }
@@ -123,20 +127,20 @@
         return Err(FieldsError::StatementId);
     }
     fields.timeout_ms = timeout_ms.ok_or(FieldsError::Timeout)? as u64;
-    fields.table_group = table_group(&fields.statement).ok_or(FieldsError::NoTableGroup)?;
+    fields.table_group = find_table_group(&fields.statement).ok_or(FieldsError::NoTableGroup)?;
     Ok(fields)
 }
 
-/// The inside of the comment, and the statement behind it.
+/// Returns the content of the comment and the statement after it.
 fn split_comment(text: &Bytes) -> Result<(Bytes, Bytes), FieldsError> {
     let text = text.slice_ref(text.trim_ascii_start());
-    let opened = text.strip_prefix(b"/*").ok_or(FieldsError::NoComment)?;
-    let length = opened
+    let after_open = text.strip_prefix(b"/*").ok_or(FieldsError::NoComment)?;
+    let length = after_open
         .windows(2)
         .position(|pair| pair == b"*/")
         .ok_or(FieldsError::UnterminatedComment)?;
-    let comment = text.slice_ref(&opened[..length]);
-    let statement = text.slice_ref(opened[length + 2..].trim_ascii_start());
+    let comment = text.slice_ref(&after_open[..length]);
+    let statement = text.slice_ref(after_open[length + 2..].trim_ascii_start());
     Ok((comment, statement))
 }
 
@@ -144,8 +148,8 @@
     id.len() == STATEMENT_ID_DIGITS && id.iter().all(u8::is_ascii_hexdigit)
 }
 
-/// Digits, with a fraction perhaps, and no more than `max`.
-fn number(value: &[u8], max: f64) -> Option<f64> {
+/// Parses decimal digits with an optional fraction, up to `max`.
+fn parse_number(value: &[u8], max: f64) -> Option<f64> {
     let text = std::str::from_utf8(value).ok()?;
     let (whole, fraction) = text.split_once('.').unwrap_or((text, "0"));
     let digits = |part: &str| !part.is_empty() && part.bytes().all(|b| b.is_ascii_digit());
@@ -155,12 +159,12 @@
     text.parse().ok().filter(|n| *n <= max)
 }
 
-/// Whether a key can go on as a header of the call to an engine.
+/// Whether a key can be sent to an engine as a header value.
 fn is_header_value(key: &[u8]) -> bool {
     (1..=MAX_KEY_BYTES).contains(&key.len()) && key.iter().all(u8::is_ascii_graphic)
 }
 
-fn key(value: Bytes, error: FieldsError) -> Result<Option<Bytes>, FieldsError> {
+fn parse_key(value: Bytes, error: FieldsError) -> Result<Option<Bytes>, FieldsError> {
     if is_header_value(&value) {
         Ok(Some(value))
     } else {
@@ -169,31 +173,31 @@
 }
 
 impl Fields {
-    /// Sets one field; unknown ones are skipped.
+    /// Sets one field; unknown fields are ignored.
     fn set(&mut self, name: &[u8], value: Bytes) -> Result<(), FieldsError> {
         match name {
             name::WORKLOAD => self.workload = value,
             name::STATEMENT_ID => self.statement_id = value,
             name::TENANT => self.tenant = Some(value),
             name::WORK_MS => {
-                let ms = number(&value, MAX_MS).ok_or(FieldsError::WorkEstimate)?;
+                let ms = parse_number(&value, MAX_MS).ok_or(FieldsError::WorkEstimate)?;
                 self.work_ms = Some(ms);
             }
             name::MEMORY_MB => {
-                let mb = number(&value, MAX_MB).ok_or(FieldsError::MemoryEstimate)?;
+                let mb = parse_number(&value, MAX_MB).ok_or(FieldsError::MemoryEstimate)?;
                 self.memory_mb = Some(mb as f32);
             }
             name::IDEMPOTENCY_KEY => {
-                self.idempotency_key = key(value, FieldsError::IdempotencyKey)?;
+                self.idempotency_key = parse_key(value, FieldsError::IdempotencyKey)?;
             }
-            name::ORDERING_KEY => self.ordering_key = key(value, FieldsError::OrderingKey)?,
+            name::ORDERING_KEY => self.ordering_key = parse_key(value, FieldsError::OrderingKey)?,
             name::IS_REPEAT => self.is_repeat = value[..] != *b"0",
             _ => {}
         }
         Ok(())
     }
 
-    /// The id as a number; [`parse`] has checked its digits.
+    /// The statement id as a number; [`parse`] has checked its digits.
     pub fn statement_id_number(&self) -> u64 {
         std::str::from_utf8(&self.statement_id)
             .ok()
@@ -201,7 +205,7 @@
             .unwrap_or(0)
     }
 
-    /// The ordering key as a number; 0: none.
+    /// Hash of the ordering key; 0 if there is none.
     pub fn ordering_key_number(&self) -> u64 {
         let Some(key) = &self.ordering_key else {
             return 0;
@@ -211,39 +215,39 @@
         hasher.finish().max(1)
     }
 
-    /// The statement as a client would send it, with `timeout_ms` of its time left.
+    /// Writes the statement as a client would send it, with `timeout_ms` as its remaining time.
     pub fn write(&self, timeout_ms: u64) -> Vec<u8> {
         let mut text = b"/* ".to_vec();
-        put_field(&mut text, name::WORKLOAD, &self.workload);
-        put_field(&mut text, name::STATEMENT_ID, &self.statement_id);
-        put_field(
+        append_field(&mut text, name::WORKLOAD, &self.workload);
+        append_field(&mut text, name::STATEMENT_ID, &self.statement_id);
+        append_field(
             &mut text,
             name::TIMEOUT_MS,
             timeout_ms.to_string().as_bytes(),
         );
         if let Some(tenant) = &self.tenant {
-            put_field(&mut text, name::TENANT, tenant);
+            append_field(&mut text, name::TENANT, tenant);
         }
         if let Some(ms) = self.work_ms {
-            put_field(&mut text, name::WORK_MS, ms.to_string().as_bytes());
+            append_field(&mut text, name::WORK_MS, ms.to_string().as_bytes());
         }
         if let Some(mb) = self.memory_mb {
-            put_field(&mut text, name::MEMORY_MB, mb.to_string().as_bytes());
+            append_field(&mut text, name::MEMORY_MB, mb.to_string().as_bytes());
         }
         if let Some(key) = &self.idempotency_key {
-            put_field(&mut text, name::IDEMPOTENCY_KEY, key);
+            append_field(&mut text, name::IDEMPOTENCY_KEY, key);
         }
         if let Some(key) = &self.ordering_key {
-            put_field(&mut text, name::ORDERING_KEY, key);
+            append_field(&mut text, name::ORDERING_KEY, key);
         }
-        // Each field has put a comma behind itself.
+        // Each field ends with a comma; remove the last one.
         text.pop();
         text.extend_from_slice(b" */ ");
         text.extend_from_slice(&self.statement);
         text
     }
 
-    /// Differs where another statement is sent under the same id.
+    /// A digest that tells apart different statements sent under the same id.
     pub fn digest(&self) -> u64 {
         let no_tenant = Bytes::new();
         let tenant = self.tenant.as_ref().unwrap_or(&no_tenant);
@@ -256,7 +260,7 @@
     }
 }
 
-fn put_field(text: &mut Vec<u8>, name: &[u8], value: &[u8]) {
+fn append_field(text: &mut Vec<u8>, name: &[u8], value: &[u8]) {
     text.extend_from_slice(name);
     text.push(b'=');
     text.extend_from_slice(value);
--- a/crates/ivypitch-gateway/src/wire/gateway_statements.rs
+++ b/crates/ivypitch-gateway/src/wire/gateway_statements.rs
@@ -1,19 +1,19 @@
-//! Statements that the gateway answers itself; no engine sees them.
+//! Parses statements that the gateway answers itself, without an engine.
 
-/// A longer statement is none of these.
+/// Only this many bytes of a `SHOW` statement are parsed.
 const MAX_BYTES: usize = 64;
 const STATEMENT_ID_DIGITS: usize = 16;
 
-/// What a client wants to know about statements that wait.
+/// A query about waiting statements.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ShowWaits {
-    /// `SHOW QUEUE`: all of them.
+    /// `SHOW QUEUE`: all waiting statements.
     All,
-    /// `SHOW WAIT 'id'`: the statement of this id.
+    /// `SHOW WAIT 'id'`: the statement with this id.
     One(u64),
 }
 
-/// The connection id of a `KILL QUERY n`.
+/// Parses `KILL QUERY n` and returns the connection id.
 pub fn parse_kill_query(statement: &[u8]) -> Option<u32> {
     let mut words = statement
         .split(|b| b.is_ascii_whitespace() || *b == b';')
@@ -28,16 +28,20 @@
 
 /// Whether this is `SHOW FLEET`.
 pub fn is_show_fleet(statement: &[u8]) -> bool {
-    let Some(mut words) = words_of_start(statement) else {
+    let Some(mut words) = split_start_into_words(statement) else {
         return false;
     };
-    let mut is = |word: &str| words.next().is_some_and(|w| w.eq_ignore_ascii_case(word));
-    is("SHOW") && is("FLEET") && words.next().is_none()
+    let mut next_is = |word: &str| {
+        words
+            .next()
+            .is_some_and(|next| next.eq_ignore_ascii_case(word))
+    };
+    next_is("SHOW") && next_is("FLEET") && words.next().is_none()
 }
 
 /// Parses `SHOW QUEUE` and `SHOW WAIT 'id'`.
 pub fn parse_show_waits(statement: &[u8]) -> Option<ShowWaits> {
-    let mut words = words_of_start(statement)?;
+    let mut words = split_start_into_words(statement)?;
     if !words.next()?.eq_ignore_ascii_case("SHOW") {
         return None;
     }
@@ -45,15 +49,15 @@
     let show = if object.eq_ignore_ascii_case("QUEUE") {
         ShowWaits::All
     } else if object.eq_ignore_ascii_case("WAIT") {
-        ShowWaits::One(statement_id(words.next()?)?)
+        ShowWaits::One(parse_statement_id(words.next()?)?)
     } else {
         return None;
     };
     words.next().is_none().then_some(show)
 }
 
-/// The words of the first [`MAX_BYTES`]; `None`: they are no text.
-fn words_of_start(statement: &[u8]) -> Option<std::str::SplitAsciiWhitespace<'_>> {
+/// Splits the first [`MAX_BYTES`] into words; `None` if they are not UTF-8.
+fn split_start_into_words(statement: &[u8]) -> Option<std::str::SplitAsciiWhitespace<'_>> {
     let start = statement.get(..MAX_BYTES).unwrap_or(statement);
     let text = std::str::from_utf8(start).ok()?;
     Some(
@@ -62,8 +66,8 @@
     )
 }
 
-/// 16 hex digits, perhaps in quotes.
-fn statement_id(word: &str) -> Option<u64> {
+/// Parses a statement id of 16 hex digits, optionally in quotes.
+fn parse_statement_id(word: &str) -> Option<u64> {
     let digits = word.trim_matches(['\'', '"']);
     let is_id =
         digits.len() == STATEMENT_ID_DIGITS && digits.bytes().all(|b| b.is_ascii_hexdigit());
--- a/crates/ivypitch-gateway/src/wire/mod.rs
+++ b/crates/ivypitch-gateway/src/wire/mod.rs
@@ -1,6 +1,8 @@
-//! The protocols that the gateway speaks: parsing and writing on buffers, no sockets and no decisions.
+//! The protocols that the gateway speaks: parsers and writers on buffers, without sockets or
+//! decisions.
 //!
-//! Names that a protocol fixes are mapped to the field's terms here and nowhere else.
+//! Names that a protocol prescribes are mapped to the terms of this code base here and nowhere
+//! else.
 
 pub mod discovery;
 pub mod fields;
--- a/crates/ivypitch-gateway/src/wire/mysql.rs
+++ b/crates/ivypitch-gateway/src/wire/mysql.rs
@@ -1,16 +1,16 @@
-//! The server's side of the MySQL client/server protocol 4.1: packets, login, commands, results. No TLS, an empty
-//! password, EOF packets. Reads and writes buffers, no sockets.
+//! The server side of the MySQL client/server protocol 4.1: packets, login, commands and results on
+//! buffers, without sockets. No TLS, only empty passwords, and EOF packets instead of OK.
 
 use std::borrow::Cow;
 
 use bytes::{BufMut, Bytes, BytesMut};
 
-/// Three bytes of length and the sequence number.
+/// Three bytes of payload length and one byte of sequence number.
 const HEADER_BYTES: usize = 4;
 const PROTOCOL_VERSION: u8 = 10;
 const SERVER_VERSION: &[u8] = b"8.0.0-ivypitch\0";
 const AUTH_PLUGIN: &[u8] = b"mysql_native_password\0";
-/// The length of the greeting's random bytes, and of the zero behind them.
+/// Length of the greeting's random bytes and their terminating zero.
 const AUTH_DATA_BYTES: u8 = 21;
 
 const LONG_PASSWORD: u32 = 1;
@@ -25,26 +25,26 @@
 const AUTOCOMMIT: u16 = 2;
 const UTF8MB4: u8 = 45;
 const TYPE_VAR_STRING: u8 = 253;
-/// Stands for NULL where a length is expected.
+/// Marks NULL in place of a length.
 const NULL: u8 = 0xfb;
 
 const OK_HEADER: u8 = 0;
 const EOF_HEADER: u8 = 0xfe;
 const ERROR_HEADER: u8 = 0xff;
 
-/// An error as a client reads it.
+/// An error as sent to a client.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct ErrorPacket {
-    /// MySQL's error code.
+    /// The MySQL error code.
     pub code: u16,
-    /// Five characters.
+    /// The SQLSTATE, five characters.
     pub sql_state: &'static str,
-    /// In words.
+    /// The error message.
     pub message: Cow<'static, str>,
 }
 
 impl ErrorPacket {
-    /// An error with a constant message.
+    /// Creates an error with a constant message.
     pub const fn new(code: u16, sql_state: &'static str, message: &'static str) -> Self {
         ErrorPacket {
             code,
@@ -54,37 +54,37 @@
     }
 }
 
-/// Why a client's bytes can't be the protocol; its connection is of no use any more.
+/// Why bytes from a client violate the protocol; the connection must be closed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
 pub enum ProtocolError {
-    /// The header states a length over the bound.
+    /// The payload length in the header exceeds the limit.
     #[error("packet too large")]
     PacketTooLarge,
-    /// A login that ends too soon.
-    #[error("login cut short")]
-    LoginCutShort,
-    /// It does not speak protocol 4.1.
-    #[error("client older than protocol 4.1")]
+    /// The login packet ends early.
+    #[error("login packet truncated")]
+    LoginTruncated,
+    /// The client does not support protocol 4.1.
+    #[error("client does not support protocol 4.1")]
     ClientTooOld,
-    /// Over 250 bytes.
+    /// The password is longer than 250 bytes.
     #[error("password too long")]
     PasswordTooLong,
-    /// A packet without a command code.
+    /// The command packet has no command code.
     #[error("empty command")]
     EmptyCommand,
 }
 
-/// One packet: its sequence number and its payload, a slice of the buffer that it was read into.
+/// One packet; the payload is a slice of the receive buffer.
 #[derive(Debug, PartialEq)]
 pub struct Packet {
-    /// The number of the packet in its exchange.
+    /// Sequence number of the packet within its command.
     pub sequence: u8,
-    /// What stands behind the header.
+    /// The bytes after the header.
     pub payload: Bytes,
 }
 
-/// Takes the next complete packet off the front of `input`; `None` until all of it is there. One whose payload is longer
-/// than `max_bytes` is an error as soon as its header is there.
+/// Removes the next complete packet from the front of `input`; `None` if it is incomplete. A
+/// payload longer than `max_bytes` is an error as soon as the header has arrived.
 pub fn next_packet(
     input: &mut BytesMut,
     max_bytes: usize,
@@ -106,16 +106,16 @@
     }))
 }
 
-/// Writes packets that answer one command: each takes the next sequence number.
+/// Writes the packets that answer one command, with consecutive sequence numbers.
 pub struct Writer<'a> {
     /// Packets are appended here.
     pub out: &'a mut BytesMut,
-    /// Of the next packet.
+    /// Sequence number of the next packet.
     pub sequence: u8,
 }
 
 impl Writer<'_> {
-    fn packet(&mut self, fill: impl FnOnce(&mut BytesMut)) {
+    fn write_packet(&mut self, fill: impl FnOnce(&mut BytesMut)) {
         let start = self.out.len();
         self.out.put_slice(&[0, 0, 0, self.sequence]);
         fill(self.out);
@@ -124,9 +124,9 @@
         self.sequence = self.sequence.wrapping_add(1);
     }
 
-    /// The first packet on a connection; `scramble` are its random bytes, none of them zero.
+    /// Writes the first packet of a connection; `scramble` is random and has no zero bytes.
     pub fn greeting(&mut self, connection: u32, scramble: &[u8; 20]) {
-        self.packet(|p| {
+        self.write_packet(|p| {
             p.put_u8(PROTOCOL_VERSION);
             p.put_slice(SERVER_VERSION);
             p.put_u32_le(connection);
@@ -144,18 +144,18 @@
         });
     }
 
-    /// The command was carried out; nothing follows.
+    /// Writes an OK packet, which ends the answer.
     pub fn ok(&mut self) {
-        self.packet(|p| {
+        self.write_packet(|p| {
             p.put_slice(&[OK_HEADER, 0, 0]);
             p.put_u16_le(AUTOCOMMIT);
             p.put_u16_le(0);
         });
     }
 
-    /// The command failed; nothing follows.
+    /// Writes an error packet, which ends the answer.
     pub fn error(&mut self, error: &ErrorPacket) {
-        self.packet(|p| {
+        self.write_packet(|p| {
             p.put_u8(ERROR_HEADER);
             p.put_u16_le(error.code);
             p.put_u8(b'#');
@@ -164,16 +164,16 @@
         });
     }
 
-    /// The end of the columns or of the rows.
+    /// Writes an EOF packet, which ends the columns or the rows.
     pub fn eof(&mut self) {
-        self.packet(|p| {
+        self.write_packet(|p| {
             p.put_slice(&[EOF_HEADER, 0, 0]);
             p.put_u16_le(AUTOCOMMIT);
         });
     }
 
-    fn column(&mut self, name: &[u8]) {
-        self.packet(|p| {
+    fn write_column(&mut self, name: &[u8]) {
+        self.write_packet(|p| {
             for text in [&b"def"[..], b"", b"", b"", name, name] {
                 put_lenenc_bytes(p, text);
             }
@@ -185,22 +185,22 @@
         });
     }
 
-    /// The begin of a result set: the names of its columns. Rows follow, then [`Writer::eof`].
+    /// Writes the start of a result set: its column names. Rows follow, then [`Writer::eof`].
     pub fn columns(&mut self, columns: &[&[u8]]) {
-        self.packet(|p| put_lenenc(p, columns.len() as u64));
+        self.write_packet(|p| put_lenenc(p, columns.len() as u64));
         for name in columns {
-            self.column(name);
+            self.write_column(name);
         }
         self.eof();
     }
 
-    /// One row, with a value for each column: the caller has checked their number.
+    /// Writes one row; the caller has checked that it has one value per column.
     pub fn row<'r>(&mut self, row: impl Iterator<Item = &'r [u8]>) {
-        self.packet(|p| row.for_each(|value| put_lenenc_bytes(p, value)));
+        self.write_packet(|p| row.for_each(|value| put_lenenc_bytes(p, value)));
     }
 }
 
-/// A length-encoded integer.
+/// Appends a length-encoded integer.
 fn put_lenenc(p: &mut BytesMut, n: u64) {
     match n {
         0..=0xfa => p.put_u8(n as u8),
@@ -219,45 +219,46 @@
     }
 }
 
-/// A length-encoded string.
+/// Appends a length-encoded string.
 fn put_lenenc_bytes(p: &mut BytesMut, bytes: &[u8]) {
     put_lenenc(p, bytes.len() as u64);
     p.put_slice(bytes);
 }
 
-/// What a client says of itself as it logs in.
+/// A client's login.
 #[derive(Debug, PartialEq)]
 pub struct Login<'a> {
-    /// The user's name.
+    /// The user name.
     pub user: &'a [u8],
-    /// The password is not empty.
+    /// Whether the password is not empty.
     pub has_password: bool,
-    /// The database to use, if it names one.
+    /// The initial database, if given.
     pub database: Option<&'a [u8]>,
 }
 
-/// Parses the client's answer to the greeting.
+/// Parses the client's response to the greeting.
 pub fn parse_login(payload: &[u8]) -> Result<Login<'_>, ProtocolError> {
-    const CUT: ProtocolError = ProtocolError::LoginCutShort;
-    let (flags, rest) = payload.split_first_chunk::<4>().ok_or(CUT)?;
+    const TRUNCATED: ProtocolError = ProtocolError::LoginTruncated;
+    let (flags, rest) = payload.split_first_chunk::<4>().ok_or(TRUNCATED)?;
     let flags = u32::from_le_bytes(*flags);
     if flags & PROTOCOL_41 == 0 {
         return Err(ProtocolError::ClientTooOld);
     }
-    // The client's largest packet, its character set and 23 reserved bytes.
-    let rest = rest.get(4 + 1 + 23..).ok_or(CUT)?;
-    let (user, rest) = until_nul(rest).ok_or(CUT)?;
+    // Skip the maximum packet size, the character set and 23 reserved bytes.
+    let rest = rest.get(4 + 1 + 23..).ok_or(TRUNCATED)?;
+    let (user, rest) = split_at_nul(rest).ok_or(TRUNCATED)?;
     let (password, rest) = if flags & (SECURE_CONNECTION | PLUGIN_AUTH_LENENC) != 0 {
-        let (&length, rest) = rest.split_first().ok_or(CUT)?;
+        let (&length, rest) = rest.split_first().ok_or(TRUNCATED)?;
         if length >= NULL {
             return Err(ProtocolError::PasswordTooLong);
         }
-        rest.split_at_checked(usize::from(length)).ok_or(CUT)?
+        rest.split_at_checked(usize::from(length))
+            .ok_or(TRUNCATED)?
     } else {
-        until_nul(rest).ok_or(CUT)?
+        split_at_nul(rest).ok_or(TRUNCATED)?
     };
     let database = if flags & CONNECT_WITH_DB != 0 && !rest.is_empty() {
-        Some(until_nul(rest).map_or(rest, |(name, _)| name)).filter(|name| !name.is_empty())
+        Some(split_at_nul(rest).map_or(rest, |(name, _)| name)).filter(|name| !name.is_empty())
     } else {
         None
     };
@@ -268,29 +269,29 @@
     })
 }
 
-fn until_nul(bytes: &[u8]) -> Option<(&[u8], &[u8])> {
+fn split_at_nul(bytes: &[u8]) -> Option<(&[u8], &[u8])> {
     let end = bytes.iter().position(|&b| b == 0)?;
     Some((&bytes[..end], &bytes[end + 1..]))
 }
 
-/// What a client asks for once it is logged in.
+/// A command of a logged-in client.
 #[derive(Debug, PartialEq)]
 pub enum Command {
-    /// The client closes the connection.
+    /// Close the connection.
     Quit,
-    /// Use the database of this name.
+    /// Switch to the database of this name.
     UseDatabase(Bytes),
     /// Run this statement.
     Query(Bytes),
-    /// Nothing but an answer.
+    /// Answer without doing anything.
     Ping,
-    /// Forget the session's state.
+    /// Reset the session state.
     ResetConnection,
-    /// A command code that the gateway does not serve.
+    /// A command that the gateway does not support, by its code.
     Unknown(u8),
 }
 
-/// Parses a command's packet.
+/// Parses the payload of a command packet.
 pub fn parse_command(payload: Bytes) -> Result<Command, ProtocolError> {
     let Some(&code) = payload.first() else {
         return Err(ProtocolError::EmptyCommand);
--- a/crates/ivypitch-gateway/src/wire/peer_frames.rs
+++ b/crates/ivypitch-gateway/src/wire/peer_frames.rs
@@ -1,6 +1,6 @@
-//! What gateways send each other on trusted addresses: frames on links, a length of four bytes followed by a message in
-//! postcard, and gossip datagrams. Both ends run this program, so that postcard needs no schema beside the types; the first
-//! frame of a link states the version.
+//! Messages between gateways on trusted addresses: frames on links, each a length of four bytes and
+//! a message encoded with postcard, and gossip datagrams. Both ends run this program, so that the
+//! types are the only schema; the first frame of a link carries the version.
 
 use bytes::{Buf, Bytes, BytesMut};
 use ivypitch_coordination::{CoordinationMessage, GossipMessage};
@@ -8,51 +8,52 @@
 use ivypitch_types::{Incarnation, MemberId};
 use serde::{Deserialize, Serialize};
 
-/// Enough for a result and what surrounds it; a longer frame ends the link.
+/// Maximum frame size, enough for a result and its metadata; a longer frame closes the link.
 pub const MAX_FRAME_BYTES: usize = 128 << 10;
 const LENGTH_BYTES: usize = size_of::<u32>();
 
-/// A frame on a link. Encoded by position: fields and variants may be renamed, never reordered.
+/// A frame on a link. The encoding is by position: fields and variants may be renamed, never
+/// reordered.
 #[derive(Serialize, Deserialize, Debug)]
 pub enum Frame {
-    /// The first frame of each side.
+    /// The first frame that each side sends.
     Hello {
         /// Version of all messages between gateways.
         version: u16,
-        /// Fingerprint of the sender's member list.
+        /// Fingerprint of the sender's list of members.
         list_fingerprint: u32,
-        /// The sender.
+        /// The sender's member id.
         member: MemberId,
-        /// The sender's process.
+        /// Incarnation of the sender's process.
         incarnation: Incarnation,
     },
-    /// Nothing to send, and still there.
+    /// Shows that an idle sender is alive.
     Heartbeat,
-    /// About the ownership of statements.
+    /// A message about the ownership of statements.
     Ownership(OwnershipMessage),
-    /// About what gateways coordinate.
+    /// A message of the coordination protocol.
     Coordination(CoordinationMessage),
 }
 
-/// Why the bytes of a link are no frame.
+/// Why bytes on a link are not a valid frame.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum FrameError {
     /// The length is zero or above [`MAX_FRAME_BYTES`].
-    #[error("frame of {0} bytes")]
+    #[error("invalid frame length: {0} bytes")]
     Length(usize),
     /// The message cannot be decoded.
-    #[error("frame not understood: {0}")]
+    #[error("malformed frame: {0}")]
     Malformed(#[from] postcard::Error),
 }
 
-/// Encodes a frame with its length.
+/// Encodes a frame, prefixed with its length.
 pub fn encode_frame(frame: &Frame) -> Bytes {
     let body = postcard::to_stdvec(frame).unwrap_or_default();
     let length = (body.len() as u32).to_le_bytes();
     Bytes::from([&length[..], &body].concat())
 }
 
-/// Takes the next complete frame from the front; `None` until all of it is there.
+/// Removes the next complete frame from the front of `input`; `None` if it is incomplete.
 pub fn decode_frame(input: &mut BytesMut) -> Result<Option<Frame>, FrameError> {
     let Some(length) = input.first_chunk::<LENGTH_BYTES>() else {
         return Ok(None);
@@ -69,29 +70,30 @@
     Ok(Some(postcard::from_bytes(&body)?))
 }
 
-/// No datagram of the membership protocol begins so: it begins with a member id, and none is encoded in these bytes.
-const GOSSIP_MARK: [u8; 4] = [0xff; 4];
+/// Prefix of gossip datagrams. Datagrams of the membership protocol begin with a member id, which
+/// is never encoded as these bytes.
+const GOSSIP_PREFIX: [u8; 4] = [0xff; 4];
 
-/// A datagram from another gateway. Those of the membership protocol and gossip share a port.
+/// A datagram from another gateway. The membership protocol and gossip share a port.
 #[derive(Debug, PartialEq)]
 pub enum PeerDatagram<'a> {
-    /// Of the membership protocol, undecoded.
+    /// A datagram of the membership protocol, not decoded.
     Membership(&'a [u8]),
-    /// Gossip.
+    /// A gossip message.
     Gossip(Box<GossipMessage>),
-    /// Gossip that cannot be decoded.
+    /// A gossip message that cannot be decoded.
     MalformedGossip,
 }
 
-/// Encodes a gossip datagram.
+/// Encodes a gossip message as a datagram.
 pub fn encode_gossip(gossip: &GossipMessage) -> Vec<u8> {
     let body = postcard::to_stdvec(gossip).unwrap_or_default();
-    [&GOSSIP_MARK[..], &body].concat()
+    [&GOSSIP_PREFIX[..], &body].concat()
 }
 
-/// Tells the kinds of datagrams apart and decodes gossip.
+/// Distinguishes the kinds of datagrams and decodes gossip.
 pub fn decode_datagram(datagram: &[u8]) -> PeerDatagram<'_> {
-    let Some(body) = datagram.strip_prefix(&GOSSIP_MARK) else {
+    let Some(body) = datagram.strip_prefix(&GOSSIP_PREFIX) else {
         return PeerDatagram::Membership(datagram);
     };
     match postcard::from_bytes(body) {
--- a/crates/ivypitch-gateway/src/wire/table_group.rs
+++ b/crates/ivypitch-gateway/src/wire/table_group.rs
@@ -9,29 +9,30 @@
     Other,
 }
 
-/// The number behind the last underscore in the name of the first schema that has one. Strings and comments don't count,
-/// nor does the schema `staging`. `None`: the statement names no table group.
-pub fn table_group(statement: &[u8]) -> Option<u32> {
+/// Returns the number after the last underscore in the name of the first schema that has one,
+/// outside strings and comments; the schema `staging` is ignored. `None` if the statement names no
+/// table group.
+pub fn find_table_group(statement: &[u8]) -> Option<u32> {
     let mut rest = statement;
-    // The name just read, if what follows may be its dot.
+    // The last name, if a dot after it would make it a schema.
     let mut name: Option<&[u8]> = None;
     // A name that follows a dot is a table or a column.
-    let mut after_dot = false;
+    let mut is_after_dot = false;
     while let Some(token) = next_token(&mut rest) {
         match token {
             Token::Name(text) => {
-                name = (!after_dot).then_some(text);
-                after_dot = false;
+                name = (!is_after_dot).then_some(text);
+                is_after_dot = false;
             }
             Token::Dot => {
                 if let Some(group) = name.take().and_then(group_of_schema) {
                     return Some(group);
                 }
-                after_dot = true;
+                is_after_dot = true;
             }
             Token::Other => {
                 name = None;
-                after_dot = false;
+                is_after_dot = false;
             }
         }
     }
@@ -43,15 +44,15 @@
         return None;
     }
     let digits = &name[name.iter().rposition(|&b| b == b'_')? + 1..];
-    let all_digits = !digits.is_empty() && digits.iter().all(u8::is_ascii_digit);
+    let is_number = !digits.is_empty() && digits.iter().all(u8::is_ascii_digit);
     std::str::from_utf8(digits)
         .ok()
-        .filter(|_| all_digits)?
+        .filter(|_| is_number)?
         .parse()
         .ok()
 }
 
-/// Takes the next token off the front of `rest`; `None` at its end.
+/// Removes the next token from the front of `rest`; `None` at the end.
 fn next_token<'a>(rest: &mut &'a [u8]) -> Option<Token<'a>> {
     loop {
         let text = *rest;
@@ -65,16 +66,16 @@
                 (end.map_or(text.len(), |at| 2 + at + 2), None)
             }
             b'\'' | b'"' => {
-                let (_, length) = quoted(text, Escapes::Backslash);
+                let (_, length) = scan_quoted(text, Escapes::Backslash);
                 (length, Some(Token::Other))
             }
             b'`' => {
-                let (inner, length) = quoted(text, Escapes::None);
+                let (inner, length) = scan_quoted(text, Escapes::None);
                 (length, Some(Token::Name(inner)))
             }
             b'.' => (1, Some(Token::Dot)),
-            b if is_name(b) => {
-                let length = text.iter().take_while(|&&b| is_name(b)).count();
+            b if is_name_byte(b) => {
+                let length = text.iter().take_while(|&&b| is_name_byte(b)).count();
                 (length, Some(Token::Name(&text[..length])))
             }
             _ => (1, Some(Token::Other)),
@@ -86,13 +87,13 @@
     }
 }
 
-/// Two minus signs begin a comment only if a blank or a control character follows.
+/// Two minus signs begin a comment only if whitespace or a control character follows.
 fn starts_line_comment(text: &[u8]) -> bool {
     let after = text.get(2);
     text.starts_with(b"--") && after.is_none_or(|b| b.is_ascii_whitespace() || b.is_ascii_control())
 }
 
-fn is_name(b: u8) -> bool {
+fn is_name_byte(b: u8) -> bool {
     b.is_ascii_alphanumeric() || b == b'_' || b == b'$' || b >= 0x80
 }
 
@@ -102,28 +103,28 @@
         .map_or(text.len(), |at| at + 1)
 }
 
-/// What a quoted text may hold beside doubled quotes.
+/// Escapes that quoted text may contain in addition to doubled quotes.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Escapes {
     None,
-    /// A backslash and any character.
+    /// A backslash before any character.
     Backslash,
 }
 
-/// What stands between the quote that `text` starts with and its end, and the length with both quotes. A doubled quote is
-/// part of it, and so is an escaped one.
-fn quoted(text: &[u8], escapes: Escapes) -> (&[u8], usize) {
+/// Returns the content of the quoted text that `text` starts with, and its length with both quotes.
+/// Doubled and escaped quotes are part of the content.
+fn scan_quoted(text: &[u8], escapes: Escapes) -> (&[u8], usize) {
     let quote = text[0];
-    let mut at = 1;
-    while at < text.len() {
-        let doubled = text[at] == quote && text.get(at + 1) == Some(&quote);
-        let escaped = escapes == Escapes::Backslash && text[at] == b'\\';
-        if doubled || escaped {
-            at += 2;
-        } else if text[at] == quote {
-            return (&text[1..at], at + 1);
+    let mut position = 1;
+    while position < text.len() {
+        let is_doubled = text[position] == quote && text.get(position + 1) == Some(&quote);
+        let is_escaped = escapes == Escapes::Backslash && text[position] == b'\\';
+        if is_doubled || is_escaped {
+            position += 2;
+        } else if text[position] == quote {
+            return (&text[1..position], position + 1);
         } else {
-            at += 1;
+            position += 1;
         }
     }
     (&text[1..], text.len())
--- a/crates/ivypitch-gateway/tests/wire/fields.rs
+++ b/crates/ivypitch-gateway/tests/wire/fields.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use ivypitch_gateway::wire::fields;
-use ivypitch_gateway::wire::table_group::table_group;
+use ivypitch_gateway::wire::table_group::find_table_group;
 use test_case::test_case;
 
 #[test]
@@ -50,5 +50,5 @@
     statement: &str,
     group: Option<u32>,
 ) {
-    assert_eq!(table_group(statement.as_bytes()), group);
+    assert_eq!(find_table_group(statement.as_bytes()), group);
 }
