--- a/crates/ivypitch-gateway/src/lifecycle/accept.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/accept.rs
@@ -1,4 +1,4 @@
-//! The listener for clients: taking the address, and accepting connections.
+//! The listener for clients: binds the address and accepts connections.
 
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, TcpListener};
@@ -15,39 +15,41 @@
 use crate::actors::session::Sessions;
 use crate::log_events::ACCEPT_FAILED;
 
-/// Connections that the system holds until they are accepted: a second of a busy day's new ones. The library asks for
-/// 128, which a burst of new connections overflows within 0.1 s.
+/// Listen backlog, sized for one second of new connections on a busy day. The library's default of
+/// 128 overflows within 0.1 s in a burst of new connections.
 const BACKLOG: i32 = 1024;
-/// So many are accepted before what came with them is read.
+/// Connections accepted in a row before other tasks may read from them.
 const ACCEPTS_BEFORE_YIELD: usize = 16;
-/// A gateway ends within 3.7 s of SIGTERM: its address is waited for longer than that.
+/// How long to retry an address in use. Longer than the 3.7 s within which a gateway ends after
+/// SIGTERM.
 const ADDRESS_IN_USE_TIMEOUT: Duration = Duration::from_secs(8);
+/// Time between attempts to bind an address in use.
 const ADDRESS_RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// After an accept that failed.
+/// Time to wait after a listen_error accept.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Takes the address; `None`: SIGTERM came first. The address of a gateway that ends may be in use until it has ended:
-/// it is waited for.
+/// Binds the address and listens; `None` if SIGTERM or SIGINT arrives first. While the address is
+/// in use, for example by a gateway that is shutting down, the attempt is repeated.
 pub(super) fn bind(
     address: SocketAddr,
     signals: &mut Signals,
 ) -> Result<Option<Async<TcpListener>>, StartupError> {
-    let failed = |source: io::Error| StartupError::Listen { address, source };
-    let give_up_at = Instant::now() + ADDRESS_IN_USE_TIMEOUT;
+    let listen_error = |source: io::Error| StartupError::Listen { address, source };
+    let deadline = Instant::now() + ADDRESS_IN_USE_TIMEOUT;
     let mut has_warned = false;
     loop {
         match Async::<TcpListener>::bind(address) {
             Ok(listener) => {
                 rustix::net::listen(listener.get_ref(), BACKLOG)
-                    .map_err(|error| failed(error.into()))?;
+                    .map_err(|error| listen_error(error.into()))?;
                 return Ok(Some(listener));
             }
-            Err(e) if e.kind() == ErrorKind::AddrInUse && Instant::now() < give_up_at => {
+            Err(error) if error.kind() == ErrorKind::AddrInUse && Instant::now() < deadline => {
                 if !has_warned {
                     log::warn!(address:% = address; "listen address is in use, retrying");
                 }
                 has_warned = true;
-                if is_ended_while_waiting(signals) {
+                if is_interrupted_before_retry(signals) {
                     log::info!(
                         from:% = Phase::Starting, to:% = Phase::Stopped;
                         "lifecycle phase changed: SIGTERM came before the listener"
@@ -55,13 +57,13 @@
                     return Ok(None);
                 }
             }
-            Err(e) => return Err(failed(e)),
+            Err(error) => return Err(listen_error(error)),
         }
     }
 }
 
-/// Waits until the address is worth another try, or for a signal; true: the process is to end.
-fn is_ended_while_waiting(signals: &mut Signals) -> bool {
+/// Waits for the retry interval or a signal; returns true if the signal ends the process.
+fn is_interrupted_before_retry(signals: &mut Signals) -> bool {
     let retry = async {
         Timer::after(ADDRESS_RETRY_INTERVAL).await;
         None
@@ -73,7 +75,8 @@
     )
 }
 
-/// Accepts until it is dropped. Never waits for a session to end: the sessions make room.
+/// Accepts connections until dropped. It never waits for a session to end: admission evicts
+/// sessions instead.
 pub(super) async fn accept(
     listener: Rc<Async<TcpListener>>,
     sessions: Rc<Sessions>,
@@ -92,10 +95,10 @@
                     yield_now().await;
                 }
             }
-            Err(e) => {
-                // Descriptors or memory are short for a moment, or the client has gone already.
+            Err(error) => {
+                // Descriptors or memory may be short for a moment, or the client has disconnected.
                 if !is_failing {
-                    log::warn!(error:% = e; "{ACCEPT_FAILED}");
+                    log::warn!(error:% = error; "{ACCEPT_FAILED}");
                 }
                 is_failing = true;
                 Timer::after(ACCEPT_RETRY_INTERVAL).await;
@@ -104,7 +107,7 @@
     }
 }
 
-/// Accepts the connections that are there, without waiting for one; returns their number.
+/// Accepts all pending connections without waiting; returns their number.
 pub(super) fn accept_pending(
     listener: &Async<TcpListener>,
     sessions: &Rc<Sessions>,
--- a/crates/ivypitch-gateway/src/lifecycle/bounds.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/bounds.rs
@@ -1,33 +1,34 @@
-//! What the configured limits allow of everything that peers could make grow. `docs/architecture.md` adds it up.
+//! Derives bounds on everything that clients, engines and the discovery service could make grow
+//! from the configured limits. `docs/architecture.md` adds them up.
 
-/// Beside peers: the listener, the discovery service, signals, the log and sessions that close to make room.
+/// Descriptors for the listener, the discovery service, signals, the log and evicted sessions.
 const RESERVED_DESCRIPTORS: usize = 48;
 const MB: usize = 1 << 20;
-/// The memory of a result at its largest: eight pages in read buffers of 8 KB, and what is being written.
+/// Maximum memory of a result: eight pages in read buffers of 8 KB, and the output buffer.
 const RESULT_BYTES: usize = 96 << 10;
-/// What is read on a connection to an engine: a head, a body and what comes with them.
+/// Maximum memory of a response on a connection to an engine: head, body and read-ahead.
 const RESPONSE_BYTES: usize = 22 << 10;
-/// No statement is longer; where memory is short, less is read.
+/// Maximum length of a statement; less if memory is short.
 const MAX_STATEMENT_BYTES: usize = 64 << 10;
 
-/// Bounds that together stay within the limits on descriptors and memory.
+/// Bounds that together respect the limits on descriptors and memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Statements of so many sessions are open at once: clients hold a third of the descriptors at most, and
+    /// Maximum sessions with an open statement: clients use at most a third of the descriptors, and
     /// their results a quarter of the memory.
     pub clients: usize,
-    /// So many more sessions may be there, to be rejected with an error or to be closed.
+    /// Additional sessions, which are rejected with an error or closed.
     pub surplus_sessions: usize,
-    /// Connections to all engines.
+    /// Maximum connections to all engines together.
     pub engine_connections: usize,
-    /// Bytes of one message of a client, in all sessions together an eighth of the memory.
+    /// Maximum bytes of a client message; all sessions together use an eighth of the memory.
     pub message_bytes: usize,
-    /// Bytes of one line of the discovery service.
+    /// Maximum bytes of a line from the discovery service.
     pub discovery_line_bytes: usize,
 }
 
 impl Bounds {
-    /// The bounds for so many descriptors and so much memory.
+    /// Computes the bounds for a number of descriptors (`sockets`) and memory.
     pub fn new(sockets: usize, memory_mb: usize) -> Bounds {
         let memory_bytes = memory_mb * MB;
         let clients = (sockets / 3).min(memory_bytes / 4 / RESULT_BYTES).max(1);
--- a/crates/ivypitch-gateway/src/lifecycle/clock.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/clock.rs
@@ -1,10 +1,10 @@
-//! The one clock of the process.
+//! The clock of the process.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use ivypitch_types::Nanos;
 
-/// Unix time at the start plus the monotonic time since: it never goes back.
+/// Unix time at the start plus the monotonic time since then, so that it never goes back.
 #[derive(Clone, Copy)]
 pub struct Clock {
     unix_at_start: Duration,
@@ -12,7 +12,7 @@
 }
 
 impl Clock {
-    /// Reads the system's clocks.
+    /// Creates the clock from the system's clocks.
     pub fn start() -> Self {
         let unix_at_start = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -23,12 +23,12 @@
         }
     }
 
-    /// Nanoseconds of Unix time.
+    /// Returns the Unix time in nanoseconds.
     pub fn now(&self) -> Nanos {
         (self.unix_at_start + self.started_at.elapsed()).as_nanos() as Nanos
     }
 
-    /// The instant at which [`Clock::now`] is `at`; the start for earlier times.
+    /// Converts a time of [`Clock::now`] to an instant; times before the start become the start.
     pub fn instant(&self, at: Nanos) -> Instant {
         self.started_at + Duration::from_nanos(at).saturating_sub(self.unix_at_start)
     }
--- a/crates/ivypitch-gateway/src/lifecycle/configuration.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/configuration.rs
@@ -1,4 +1,5 @@
-//! The platform's configuration file, one JSON object, and what the environment says in place of it.
+//! The platform's configuration file, one JSON object, and the environment variables that override
+//! it.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,13 +12,13 @@
 use super::bounds::Bounds;
 use crate::wire::discovery::Snapshot;
 
-/// Used where the configuration states no limit.
+/// Limit on sockets if the configuration has none.
 const DEFAULT_SOCKETS: usize = 1024;
-/// Used where the configuration states no limit.
+/// Limit on memory if the configuration has none.
 const DEFAULT_MEMORY_MB: usize = 192;
-/// Wins over `listen`.
+/// Environment variable that overrides `listen`.
 const LISTEN_VARIABLE: &str = "PROXY_LISTEN";
-/// Wins over `name`.
+/// Environment variable that overrides `name`.
 const NAME_VARIABLE: &str = "PROXY_NAME";
 
 #[derive(Deserialize)]
@@ -37,7 +38,7 @@
     settings: &'a RawValue,
 }
 
-/// 0: not stated.
+/// Limits of the process; 0 selects the default.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct FileLimits {
@@ -45,75 +46,75 @@
     memory_mb: usize,
 }
 
-/// What a gateway starts with.
+/// The configuration of a gateway.
 pub struct Configuration {
-    /// Where it came from, to be read again there.
+    /// The file, which a reload reads again.
     pub path: PathBuf,
-    /// This gateway's name in the fleet.
+    /// Name of this gateway in the fleet.
     pub name: String,
-    /// Where clients connect.
+    /// Listen address for clients.
     pub listen: SocketAddr,
-    /// Of all random numbers.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// What the stated limits allow.
+    /// Bounds derived from the limits.
     pub bounds: Bounds,
-    /// The discovery service, if there is one.
+    /// Address of the discovery service, if there is one.
     pub discovery: Option<SocketAddr>,
-    /// The endpoint list to begin with.
+    /// The initial endpoint list.
     pub snapshot: Snapshot,
     /// The platform's settings.
     pub deployment: DeploymentConfig,
 }
 
-/// Why there is no configuration, in words for the operator.
+/// Why the configuration cannot be used, with messages for the operator.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigurationError {
-    /// The file can't be read.
+    /// The file cannot be read.
     #[error("{}: {source}", path.display())]
     Read {
         /// The file.
         path: PathBuf,
-        /// The system's reason.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The file's content can't be used.
+    /// The content of the file is invalid.
     #[error("{}: {source}", path.display())]
     Content {
         /// The file.
         path: PathBuf,
-        /// What is wrong in it.
+        /// The error in the content.
         source: ContentError,
     },
-    /// A variable of the environment is no address.
-    #[error("{variable} {value:?} is no address and port")]
+    /// An environment variable is not an address.
+    #[error("{variable} {value:?} is not an address and port")]
     Variable {
-        /// Its name.
+        /// Name of the variable.
         variable: &'static str,
-        /// Its value.
+        /// Value of the variable.
         value: String,
     },
 }
 
-/// What is wrong in a configuration's text.
+/// Why the content of a configuration is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum ContentError {
-    /// No JSON, or a field of another type.
+    /// The text is not JSON, or a field has another type.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A field is no address.
-    #[error("{field} {value:?} is no address and port")]
+    /// A field is not an address.
+    #[error("{field} {value:?} is not an address and port")]
     Address {
-        /// Its key.
+        /// Key of the field.
         field: &'static str,
-        /// Its value.
+        /// Value of the field.
         value: String,
     },
-    /// The platform's settings can't be used.
+    /// The platform's settings are invalid.
     #[error("settings: {0}")]
     Settings(#[from] DeploymentError),
 }
 
-/// Parses a configuration's text; its `path` is left empty.
+/// Parses the text of a configuration; `path` stays empty.
 pub fn parse(text: &str) -> Result<Configuration, ContentError> {
     let file: File = serde_json::from_str(text)?;
     let listen = parse_address("listen", &file.listen)?;
@@ -123,8 +124,8 @@
         Some(parse_address("journal", &file.discovery)?)
     };
     let bounds = Bounds::new(
-        stated_or(file.limits.sockets, DEFAULT_SOCKETS),
-        stated_or(file.limits.memory_mb, DEFAULT_MEMORY_MB),
+        limit_or_default(file.limits.sockets, DEFAULT_SOCKETS),
+        limit_or_default(file.limits.memory_mb, DEFAULT_MEMORY_MB),
     );
     let deployment = ivypitch_config::read(file.settings.get().as_bytes())?;
     Ok(Configuration {
@@ -146,11 +147,11 @@
     })
 }
 
-fn stated_or(limit: usize, default: usize) -> usize {
+fn limit_or_default(limit: usize, default: usize) -> usize {
     if limit == 0 { default } else { limit }
 }
 
-/// Reads the file; what the environment says of address and name wins.
+/// Reads the file; environment variables override the address and the name.
 pub fn from_environment(path: &Path) -> Result<Configuration, ConfigurationError> {
     let mut configuration = from_file(path)?;
     if let Ok(value) = std::env::var(LISTEN_VARIABLE) {
@@ -168,7 +169,7 @@
     Ok(configuration)
 }
 
-/// Reads the file alone.
+/// Reads the file without the environment variables.
 pub fn from_file(path: &Path) -> Result<Configuration, ConfigurationError> {
     let text = std::fs::read_to_string(path).map_err(|source| ConfigurationError::Read {
         path: path.to_owned(),
--- a/crates/ivypitch-gateway/src/lifecycle/gateway.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway as one object: what it is made of, its phases and its signals.
+//! The gateway as one object: its parts, phases and signal handling.
 
 use std::future::Future;
 use std::net::{SocketAddr, TcpListener};
@@ -22,7 +22,7 @@
 use crate::actors::session::Sessions;
 use crate::state::connections::ConnectionCounters;
 
-/// A gateway that has started; [`Gateway::run`] serves.
+/// A started gateway; [`Gateway::run`] serves clients.
 pub struct Gateway {
     pub(super) phase: Phase,
     pub(super) clock: Clock,
@@ -33,35 +33,36 @@
     pub(super) scheduler: Sender<SchedulerMessage>,
     pub(super) discovery: Sender<DiscoveryMessage>,
     pub(super) signals: Signals,
-    /// Read again on SIGHUP.
+    /// The platform's configuration file, read again on SIGHUP.
     pub(super) configuration_path: PathBuf,
     pub(super) discovery_address: Option<SocketAddr>,
     pub(super) max_statement_timeout: Nanos,
-    /// Read again on SIGHUP, where the operators have a file.
+    /// Read again on SIGHUP; `None` without an operators' settings file.
     pub(super) team_budgets: Option<TeamBudgets>,
-    /// The operators' file being read again.
+    /// The running reload of the operators' settings file.
     pub(super) reload: Option<Task<()>>,
 }
 
 impl Gateway {
-    /// Serves until SIGTERM, then answers all that was accepted.
+    /// Serves until SIGTERM or SIGINT, then answers all accepted statements and returns.
     pub fn run(self) {
         let executor = self.executor.clone();
         async_io::block_on(executor.run(self.serve()));
     }
 
     async fn serve(mut self) {
-        let accepting = self.executor.spawn(accept(
+        let accept_task = self.executor.spawn(accept(
             self.listener.clone(),
             self.sessions.clone(),
             self.executor.clone(),
         ));
         self.enter(Phase::Serving);
         self.handle_signals_until(std::future::pending()).await;
-        self.shut_down(accepting).await;
+        self.shut_down(accept_task).await;
     }
 
-    /// Until `done`, or, while the gateway serves, until SIGTERM; SIGHUP reloads in every phase.
+    /// Handles signals until `done` completes or, in the serving phase, until SIGTERM or SIGINT.
+    /// SIGHUP reloads in every phase.
     pub(super) async fn handle_signals_until(&mut self, done: impl Future<Output = ()>) {
         let mut done = pin!(done);
         loop {
@@ -78,7 +79,7 @@
         }
     }
 
-    /// The one function that changes the phase.
+    /// Changes the phase and logs it; nothing else changes the phase.
     pub(super) fn enter(&mut self, phase: Phase) {
         let counts = self.sessions.counts();
         log::info!(
--- a/crates/ivypitch-gateway/src/lifecycle/logger.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/logger.rs
@@ -1,4 +1,4 @@
-//! Log lines on standard error, as text, logfmt or JSON.
+//! Writes log lines to standard error as text, logfmt or JSON.
 
 use std::io::Write;
 use std::sync::atomic::{AtomicU8, Ordering};
@@ -10,23 +10,23 @@
 use super::clock::Clock;
 
 const NANOS_PER_MS: u64 = 1_000_000;
-/// The crates whose lines are written.
+/// Module prefix of the crates whose records are logged.
 const MODULES: &str = "ivypitch";
 
-/// How a line is written.
+/// Format of log lines.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub enum Format {
-    /// Unix time, level, event and the event's `key=value` pairs.
+    /// Unix time, level, event and its `key=value` pairs.
     #[default]
     Text,
-    /// The same as `key=value` pairs throughout.
+    /// All parts as `key=value` pairs.
     Logfmt,
-    /// The same as one JSON object.
+    /// All parts as one JSON object.
     Json,
 }
 
 impl Format {
-    /// The format of this name in settings and arguments.
+    /// Returns the format with a name as in settings and arguments.
     pub fn from_name(name: &str) -> Option<Format> {
         match name {
             "text" => Some(Format::Text),
@@ -37,10 +37,10 @@
     }
 }
 
-/// The settings that name the format are read after the first lines may have been written.
+/// A global because the settings that name the format are read after the logger is installed.
 static FORMAT: AtomicU8 = AtomicU8::new(Format::Text as u8);
 
-/// The format of all lines from now on.
+/// Sets the format of all later lines.
 pub fn set_format(format: Format) {
     FORMAT.store(format as u8, Ordering::Relaxed);
 }
@@ -52,7 +52,7 @@
     known.unwrap_or_default()
 }
 
-/// Installs the logger, once for the process; a later call, or another logger in place already, leaves that one.
+/// Installs the logger once per process; a logger that is already installed stays.
 pub fn install(clock: Clock) {
     let installed = Builder::new()
         .filter_module(MODULES, LevelFilter::Info)
@@ -61,28 +61,28 @@
         .format(move |out, record| {
             let ms = clock.now() / NANOS_PER_MS;
             match format() {
-                Format::Text => writeln!(out, "{}", text(ms, record)),
-                Format::Logfmt => writeln!(out, "{}", logfmt(ms, record)),
-                Format::Json => writeln!(out, "{}", json(ms, record)),
+                Format::Text => writeln!(out, "{}", format_text(ms, record)),
+                Format::Logfmt => writeln!(out, "{}", format_logfmt(ms, record)),
+                Format::Json => writeln!(out, "{}", format_json(ms, record)),
             }
         })
         .try_init();
-    // Where another logger is in place already, as in tests, that one serves.
+    // An error means that another logger is already installed, as in tests; it stays.
     drop(installed);
 }
 
-/// The key-value pairs of a record.
+/// Key-value pairs of a log record.
 struct Pairs(Vec<(String, serde_json::Value)>);
 
 impl Pairs {
-    fn of(record: &Record) -> Pairs {
+    fn from_record(record: &Record) -> Pairs {
         let mut pairs = Pairs(Vec::new());
-        // A pair that can't be read is left out; the message stands all the same.
+        // A pair that cannot be read is omitted; the message is still logged.
         let _ = record.key_values().visit(&mut pairs);
         pairs
     }
 
-    /// Each pair as ` key=value`.
+    /// Formats each pair as ` key=value`.
     fn logfmt(&self) -> String {
         let mut text = String::new();
         for (key, value) in &self.0 {
@@ -110,9 +110,9 @@
     }
 }
 
-fn text(ms: u64, record: &Record) -> String {
+fn format_text(ms: u64, record: &Record) -> String {
     let (level, event) = (record.level(), record.args());
-    let pairs = Pairs::of(record).logfmt();
+    let pairs = Pairs::from_record(record).logfmt();
     format!("{}.{:03} {level} {event}{pairs}", ms / 1000, ms % 1000)
 }
 
@@ -120,24 +120,24 @@
     record.level().as_str().to_lowercase()
 }
 
-fn json(ms: u64, record: &Record) -> serde_json::Value {
+fn format_json(ms: u64, record: &Record) -> serde_json::Value {
     let mut line = serde_json::Map::new();
     line.insert("ts".into(), (ms as f64 / 1000.0).into());
     line.insert("level".into(), level_name(record).into());
     line.insert("msg".into(), record.args().to_string().into());
-    line.extend(Pairs::of(record).0);
+    line.extend(Pairs::from_record(record).0);
     serde_json::Value::Object(line)
 }
 
-fn logfmt(ms: u64, record: &Record) -> String {
+fn format_logfmt(ms: u64, record: &Record) -> String {
     let level = level_name(record);
     let message = logfmt_value(&record.args().to_string());
     let seconds = format!("{}.{:03}", ms / 1000, ms % 1000);
-    let pairs = Pairs::of(record).logfmt();
+    let pairs = Pairs::from_record(record).logfmt();
     format!("ts={seconds} level={level} msg={message}{pairs}")
 }
 
-/// The text itself, or in quotes where it would not end at its end.
+/// Returns the text, quoted if it contains characters that would end or split the value.
 fn logfmt_value(text: &str) -> String {
     let is_plain = |b: u8| b.is_ascii_graphic() && !matches!(b, b'"' | b'=' | b'\\');
     if !text.is_empty() && text.bytes().all(is_plain) {
--- a/crates/ivypitch-gateway/src/lifecycle/mod.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/mod.rs
@@ -1,4 +1,5 @@
-//! The gateway process from start to exit: configuration, bounds, clock, log, signals and the phases of its life.
+//! The gateway process from start to exit: configuration, bounds, clock, logging, signals and
+//! phases.
 
 pub mod bounds;
 pub mod clock;
--- a/crates/ivypitch-gateway/src/lifecycle/operator_config.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/operator_config.rs
@@ -1,7 +1,7 @@
-//! The operators' own settings file at start and reload.
+//! Loads the operators' settings file at start and reload.
 //!
-//! A file of records is evaluated by a short-lived child, `ivypitch check --emit`, so that nothing of the evaluator stays
-//! in the server; plain JSON is read directly.
+//! A file of records is evaluated by a child process, `ivypitch check --emit`, so that the
+//! evaluator's memory does not stay in the server; plain JSON is read directly.
 
 use std::fmt;
 use std::io;
@@ -13,69 +13,70 @@
 use ivypitch_config::operator::{self, OperatorConfig};
 use ivypitch_config::schema::SettingsError;
 
-/// A child that takes longer is ended; a usual file takes well under a tenth of a second.
+/// Time after which the child process is killed; a typical file takes well under 0.1 s.
 const EVALUATION_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum size of a plain JSON file.
 const MAX_FILE_BYTES: u64 = 16 << 20;
 
-/// Where the operators' settings are.
+/// The operators' settings file.
 #[derive(Clone, Debug)]
 pub struct OperatorConfigFile {
-    /// A file of records, or plain JSON with the ending `.json`.
+    /// A file of records, or plain JSON with the extension `.json`.
     pub path: PathBuf,
 }
 
-/// The operators' settings and where they came from.
+/// The operators' settings and their file.
 pub struct LoadedOperatorConfig {
-    /// To be read again there.
+    /// The file, which a reload reads again.
     pub file: OperatorConfigFile,
-    /// What it said.
+    /// The settings in the file.
     pub config: OperatorConfig,
 }
 
-/// Why the operators' settings can't be used, in words for the operator.
+/// Why the operators' settings cannot be used, with messages for the operator.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorConfigError {
-    /// The file can't be read.
+    /// The file cannot be read.
     #[error("{}: {source}", path.display())]
     Read {
         /// The file.
         path: PathBuf,
-        /// The system's reason.
+        /// The I/O error.
         source: io::Error,
     },
     /// The file is too large.
-    #[error("{}: {bytes} bytes, {MAX_FILE_BYTES} at most", path.display())]
+    #[error("{}: file has {bytes} bytes, more than the maximum of {MAX_FILE_BYTES}", path.display())]
     TooLarge {
         /// The file.
         path: PathBuf,
-        /// Its size.
+        /// Size of the file.
         bytes: u64,
     },
-    /// The path of this program, which is to evaluate the file, is not known.
-    #[error("own program: {0}")]
-    OwnProgram(io::Error),
-    /// The evaluation could not be run, or took too long.
+    /// The path of this executable, which evaluates the file, cannot be determined.
+    #[error("path of this executable: {0}")]
+    OwnExecutable(io::Error),
+    /// The evaluation could not be run, or timed out.
     #[error("{}: {source}", path.display())]
     Evaluation {
         /// The file.
         path: PathBuf,
-        /// The system's reason.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The evaluation found errors: what it wrote, in one line.
+    /// The evaluation found errors; its output is joined into one line.
     #[error("{0}")]
     EvaluationFailed(String),
-    /// Settings that are wrong, or don't fit the deployment.
+    /// The settings are invalid, or do not fit the deployment.
     #[error("{}", InFile { path, errors })]
     Settings {
         /// The file.
         path: PathBuf,
-        /// All that is wrong.
+        /// All errors found.
         errors: Vec<SettingsError>,
     },
 }
 
-/// Errors in one line, each with its file.
+/// Formats errors in one line, each prefixed with the file.
 struct InFile<'a> {
     path: &'a Path,
     errors: &'a [SettingsError],
@@ -92,21 +93,21 @@
 }
 
 impl OperatorConfigFile {
-    /// Reads it before the gateway serves: waits for it.
+    /// Loads the file and blocks until it is done; used before the gateway serves.
     pub fn load(&self) -> Result<OperatorConfig, OperatorConfigError> {
         async_io::block_on(self.load_async())
     }
 
-    /// Reads it while the gateway serves.
+    /// Loads the file while the gateway serves.
     pub async fn load_async(&self) -> Result<OperatorConfig, OperatorConfigError> {
         if self.is_plain_json() {
-            self.read_plain()
+            self.read_json()
         } else {
             self.evaluate().await
         }
     }
 
-    /// Names this file in errors about its settings.
+    /// Wraps errors in the settings with the path of this file.
     pub fn settings_error(&self, errors: Vec<SettingsError>) -> OperatorConfigError {
         OperatorConfigError::Settings {
             path: self.path.clone(),
@@ -115,10 +116,12 @@
     }
 
     fn is_plain_json(&self) -> bool {
-        self.path.extension().is_some_and(|ending| ending == "json")
+        self.path
+            .extension()
+            .is_some_and(|extension| extension == "json")
     }
 
-    fn read_plain(&self) -> Result<OperatorConfig, OperatorConfigError> {
+    fn read_json(&self) -> Result<OperatorConfig, OperatorConfigError> {
         let unreadable = |source| OperatorConfigError::Read {
             path: self.path.clone(),
             source,
@@ -135,7 +138,7 @@
     }
 
     async fn evaluate(&self) -> Result<OperatorConfig, OperatorConfigError> {
-        let program = std::env::current_exe().map_err(OperatorConfigError::OwnProgram)?;
+        let program = std::env::current_exe().map_err(OperatorConfigError::OwnExecutable)?;
         let child = async_process::Command::new(program)
             .args(["check", "--emit"])
             .arg(&self.path)
--- a/crates/ivypitch-gateway/src/lifecycle/peers.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/peers.rs
@@ -1,4 +1,4 @@
-//! Starts what gateways do together: links among them, ownership of statements and coordination.
+//! Starts the links to other gateways, ownership of statements and coordination.
 
 use std::rc::Rc;
 
@@ -21,19 +21,19 @@
 
 const NANOS_PER_MS: Nanos = 1_000_000;
 
-/// What the scheduler's actor drives; none of it without other gateways.
+/// The drivers that the scheduler's actor uses; all `None` without other gateways.
 #[derive(Default)]
 pub(super) struct PeerDrivers {
     pub(super) ownership: Option<OwnershipDriver>,
     pub(super) coordination: Option<CoordinationDriver>,
 }
 
-/// What they are started with.
-pub(super) struct PeersStart<'a> {
-    /// This gateway's name in the fleet.
+/// Parameters for starting the links and drivers.
+pub(super) struct PeerStartup<'a> {
+    /// Name of this gateway in the fleet.
     pub(super) name: &'a str,
     pub(super) seed: u64,
-    /// The position of the endpoint list to begin with.
+    /// Position of the initial endpoint list.
     pub(super) position: u64,
     pub(super) tenants: &'a [String],
     pub(super) max_statement_timeout: Nanos,
@@ -44,8 +44,9 @@
     pub(super) traffic: Rc<Traffic>,
 }
 
-impl PeersStart<'_> {
-    /// Binds the sockets for other gateways and sets up what the operators' settings turn on.
+impl PeerStartup<'_> {
+    /// Binds the sockets for other gateways and creates the drivers that the operators' settings
+    /// enable.
     pub(super) fn start(
         self,
         operator: Option<&LoadedOperatorConfig>,
@@ -83,15 +84,20 @@
             links,
             now,
         };
-        let coordination = peers.coordination.enabled;
-        let ownership = peers.ownership.enabled;
+        let has_coordination = peers.coordination.enabled;
+        let has_ownership = peers.ownership.enabled;
         Ok(PeerDrivers {
-            coordination: coordination.then(|| self.coordination(&peers.coordination, &fleet)),
-            ownership: ownership.then(|| self.ownership(&peers.ownership, &fleet)),
+            coordination: has_coordination
+                .then(|| self.create_coordination(&peers.coordination, &fleet)),
+            ownership: has_ownership.then(|| self.create_ownership(&peers.ownership, &fleet)),
         })
     }
 
-    fn coordination(&self, settings: &CoordinationSettings, fleet: &Fleet) -> CoordinationDriver {
+    fn create_coordination(
+        &self,
+        settings: &CoordinationSettings,
+        fleet: &Fleet,
+    ) -> CoordinationDriver {
         let coordinator = Coordinator::new(CoordinatorParams {
             process: fleet.process,
             zones: fleet.zones.clone(),
@@ -103,7 +109,7 @@
         CoordinationDriver::new(coordinator, fleet.links.clone(), self.discovery.clone())
     }
 
-    fn ownership(&self, settings: &OwnershipSettings, fleet: &Fleet) -> OwnershipDriver {
+    fn create_ownership(&self, settings: &OwnershipSettings, fleet: &Fleet) -> OwnershipDriver {
         let config = settings.config(self.max_statement_timeout);
         let ownership = Ownership::new(fleet.process, fleet.zones.clone(), config, fleet.now);
         let min_lookup_work = settings.min_lookup_work();
@@ -111,10 +117,10 @@
     }
 }
 
-/// The fleet as this process joins it.
+/// The fleet that this process joins.
 struct Fleet {
     process: ProcessId,
-    /// By member id.
+    /// Availability zones by member id.
     zones: Vec<u16>,
     links: Sender<PeerLinksMessage>,
     now: Nanos,
--- a/crates/ivypitch-gateway/src/lifecycle/phase.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/phase.rs
@@ -1,19 +1,19 @@
-//! The phases of the process.
+//! Lifecycle phases of the process.
 
 use std::fmt;
 
-/// What the process is doing; the phases follow each other in this order.
+/// A lifecycle phase; the phases follow each other in this order.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Phase {
-    /// Nothing is accepted yet.
+    /// No connections are accepted yet.
     Starting,
-    /// Until SIGTERM.
+    /// Clients are served, until SIGTERM or SIGINT.
     Serving,
-    /// SIGTERM came: what still comes in the drain period is accepted and served.
+    /// The drain period after the signal: new connections and requests are still served.
     Draining,
-    /// Nothing new is accepted; what was accepted is answered.
+    /// Nothing new is accepted; open statements are answered.
     Finishing,
-    /// All is answered, or its time is over.
+    /// All statements are answered, or the deadline has passed.
     Stopped,
 }
 
--- a/crates/ivypitch-gateway/src/lifecycle/reload.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP: the configuration's discovery address and the operators' team budgets are read again.
+//! Reload on SIGHUP: reads the configuration's discovery address and the operators' team budgets.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,19 +15,19 @@
 use crate::actors::messages::SchedulerMessage;
 use crate::actors::session::Sessions;
 
-/// The operators' file, and what its team budgets are read against.
+/// The operators' settings file, and the context for computing team budgets from it.
 #[derive(Clone)]
 pub(super) struct TeamBudgets {
     pub(super) file: OperatorConfigFile,
     pub(super) deployment: Rc<DeploymentConfig>,
-    /// So many statements are open at once.
+    /// Maximum statements open at once.
     pub(super) clients: usize,
-    /// The queues of teams are on; only a restart changes that.
+    /// Whether team queues are on, which only a restart changes.
     pub(super) has_queues: bool,
 }
 
 impl TeamBudgets {
-    /// The budgets that the operators' settings set up; `None`: they have no teams, or have them off.
+    /// Computes the budgets of the operators' settings; `None` if teams are missing or disabled.
     pub(super) fn budgets(
         &self,
         config: &OperatorConfig,
@@ -67,22 +67,23 @@
     }
 }
 
-/// Why the discovery service is followed where it was.
+/// Why the address of the discovery service stays unchanged.
 #[derive(Debug, thiserror::Error)]
 enum DiscoveryReloadError {
     #[error(transparent)]
     Configuration(#[from] ConfigurationError),
-    #[error("it names no journal")]
-    NoAddress,
+    #[error("the configuration has no `journal` address")]
+    NoDiscoveryAddress,
 }
 
 impl Gateway {
-    /// Reads the configuration again: the discovery service is followed at its new address. And the operators' file,
-    /// beside all that goes on: new budgets take effect once it has been read.
+    /// Reads the configuration again and switches to a changed address of the discovery service.
+    /// The operators' settings file is read in the background; new budgets take effect once it is
+    /// read.
     pub(super) fn reload(&mut self) {
         if let Some(team_budgets) = self.team_budgets.clone() {
             let task = team_budgets.reload(self.scheduler.clone(), self.sessions.clone());
-            // One child at a time: a later signal ends the reading of an earlier one.
+            // Only one child process at a time: a later signal cancels an earlier reload.
             self.reload = Some(self.executor.spawn(task));
         }
         match self.read_discovery_address() {
@@ -110,6 +111,6 @@
     fn read_discovery_address(&self) -> Result<SocketAddr, DiscoveryReloadError> {
         configuration::from_file(&self.configuration_path)?
             .discovery
-            .ok_or(DiscoveryReloadError::NoAddress)
+            .ok_or(DiscoveryReloadError::NoDiscoveryAddress)
     }
 }
--- a/crates/ivypitch-gateway/src/lifecycle/shutdown.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown: the drain period, the last answers, and the end of all sessions.
+//! Graceful shutdown: the drain period, the last answers and the end of all sessions.
 
 use std::time::{Duration, Instant};
 
@@ -12,22 +12,24 @@
 use super::gateway::Gateway;
 use crate::actors::messages::SchedulerMessage;
 
-/// After SIGTERM new connections go on coming for 0.4 s and requests on open ones for 0.2 s more.
+/// How long requests are still served. New connections arrive for up to 0.4 s after SIGTERM, and
+/// requests on open ones for 0.2 s more.
 const DRAIN_PERIOD: Duration = Duration::from_millis(700);
-/// SIGKILL comes no sooner than so long after SIGTERM: the longest statement timeout, 3 s at most, and the drain period.
-const MAX_AWAITED_TIMEOUT: Nanos = 3_000_000_000;
-/// Reserved for the last answers to be written.
-const LAST_ANSWERS_PERIOD: Nanos = 150_000_000;
-/// In which the last messages to other gateways leave.
-const LAST_MESSAGES_PERIOD: Duration = Duration::from_millis(50);
+/// Cap on the statement timeout in the shutdown deadline: SIGKILL follows SIGTERM no sooner than
+/// after the longest statement timeout, at most 3 s, plus the drain period.
+const MAX_STATEMENT_TIMEOUT: Nanos = 3_000_000_000;
+/// Time before the deadline that is reserved for writing the last answers.
+const LAST_ANSWERS_TIME: Nanos = 150_000_000;
+/// Time for sending the last messages to other gateways.
+const LAST_MESSAGES_TIME: Duration = Duration::from_millis(50);
 
 impl Gateway {
-    /// From SIGTERM to the end; `accepting` is the task that accepts connections.
-    pub(super) async fn shut_down(&mut self, accepting: Task<()>) {
+    /// Runs the shutdown from SIGTERM to the end; `accept_task` accepts connections.
+    pub(super) async fn shut_down(&mut self, accept_task: Task<()>) {
         self.enter(Phase::Draining);
-        let awaited = self.max_statement_timeout.min(MAX_AWAITED_TIMEOUT);
-        let kill_at = self.clock.now() + awaited + DRAIN_PERIOD.as_nanos() as Nanos;
-        let answer_by = kill_at - LAST_ANSWERS_PERIOD;
+        let max_timeout = self.max_statement_timeout.min(MAX_STATEMENT_TIMEOUT);
+        let kill_at = self.clock.now() + max_timeout + DRAIN_PERIOD.as_nanos() as Nanos;
+        let answer_by = kill_at - LAST_ANSWERS_TIME;
         let _ = self
             .scheduler
             .try_send(SchedulerMessage::Shutdown { answer_by });
@@ -35,38 +37,40 @@
             Timer::after(DRAIN_PERIOD).await;
         })
         .await;
-        // From here on commands are rejected; whoever connects gets an error, and every session closes in order.
+        // From here on commands are rejected, new connections get an error, and sessions close
+        // gracefully.
         self.enter(Phase::Finishing);
         self.sessions.end_all();
-        let give_up_at = self.clock.instant(kill_at);
-        self.wait_until_closed(give_up_at).await;
-        accepting.cancel().await;
-        // What the system has accepted by now gets that error, too.
+        let deadline = self.clock.instant(kill_at);
+        self.wait_until_closed(deadline).await;
+        accept_task.cancel().await;
+        // Connections still in the listen backlog get the same error.
         while accept_pending(&self.listener, &self.sessions, &self.executor) > 0
-            && Instant::now() < give_up_at
+            && Instant::now() < deadline
         {
-            self.wait_until_closed(give_up_at).await;
+            self.wait_until_closed(deadline).await;
         }
-        self.leave_fleet(give_up_at).await;
+        self.leave_fleet(deadline).await;
         self.enter(Phase::Stopped);
         self.connections.log_totals();
     }
 
-    /// Where gateways talk to each other, the others go on with what has no session here, and hear that this one ends.
-    async fn leave_fleet(&self, give_up_at: Instant) {
+    /// With other gateways, hands off statements that have no session here and announces the end of
+    /// this gateway.
+    async fn leave_fleet(&self, deadline: Instant) {
         let (reply, has_peers) = async_channel::bounded(1);
         let _ = self
             .scheduler
             .try_send(SchedulerMessage::LeaveFleet { reply });
         if has_peers.recv().await == Ok(true) {
-            Timer::at(give_up_at.min(Instant::now() + LAST_MESSAGES_PERIOD)).await;
+            Timer::at(deadline.min(Instant::now() + LAST_MESSAGES_TIME)).await;
         }
     }
 
-    async fn wait_until_closed(&mut self, give_up_at: Instant) {
+    async fn wait_until_closed(&mut self, deadline: Instant) {
         let sessions = self.sessions.clone();
         let timed_out = async {
-            Timer::at(give_up_at).await;
+            Timer::at(deadline).await;
         };
         self.handle_signals_until(sessions.all_closed().or(timed_out))
             .await;
--- a/crates/ivypitch-gateway/src/lifecycle/startup.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/startup.rs
@@ -1,4 +1,5 @@
-//! From configuration to a gateway that can serve: the listener, the actors and how they reach each other.
+//! Creates a gateway from its configuration: binds the listener, and creates and connects the
+//! actors.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -20,7 +21,7 @@
 use super::configuration::{Configuration, ConfigurationError};
 use super::gateway::Gateway;
 use super::operator_config::{LoadedOperatorConfig, OperatorConfigError};
-use super::peers::{PeerDrivers, PeersStart};
+use super::peers::{PeerDrivers, PeerStartup};
 use super::reload::TeamBudgets;
 use crate::actors::discovery::{DiscoveryActor, DiscoveryMessage, DiscoveryParams};
 use crate::actors::messages::SchedulerMessage;
@@ -31,39 +32,41 @@
 use crate::state::permits::ConnectionPermits;
 use crate::state::traffic::Traffic;
 
-/// Why a gateway can't start, in words for the operator.
+/// Why a gateway cannot start, with messages for the operator.
 #[derive(Debug, thiserror::Error)]
 pub enum StartupError {
-    /// Signals can't be caught.
-    #[error("signals: {0}")]
+    /// The signal handlers cannot be registered.
+    #[error("cannot register signal handlers: {0}")]
     Signals(io::Error),
-    /// The platform's configuration.
+    /// The platform's configuration cannot be used.
     #[error(transparent)]
     Configuration(#[from] ConfigurationError),
-    /// The operators' settings.
+    /// The operators' settings cannot be used.
     #[error(transparent)]
     OperatorConfig(#[from] OperatorConfigError),
-    /// The address for clients can't be taken.
-    #[error("listen on {address}: {source}")]
+    /// The listen address for clients cannot be bound.
+    #[error("cannot listen on {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// The system's reason.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The sockets for other gateways.
+    /// The sockets for other gateways cannot be bound.
     #[error(transparent)]
     Peers(#[from] BindError),
 }
 
-/// Catches the signals that the gateway heeds. From here on none of them ends it unasked; each waits to be read.
+/// Registers handlers for SIGHUP, SIGTERM and SIGINT. From here on none of them ends the process by
+/// itself; each is queued until read.
 pub fn catch_signals() -> Result<Signals, StartupError> {
     Signals::new([Signal::Hup, Signal::Term, Signal::Int]).map_err(StartupError::Signals)
 }
 
 impl Gateway {
-    /// Brings everything up; an error ends the process before it has accepted anything, `None`: SIGTERM came first. Without
-    /// the operators' settings all that they could set up is off.
+    /// Starts all parts. An error ends the process before it accepts connections; `None` means that
+    /// SIGTERM or SIGINT arrived first. Without `operator`, all features that it configures are
+    /// off.
     pub fn start(
         configuration: Configuration,
         operator: Option<LoadedOperatorConfig>,
@@ -91,11 +94,11 @@
     }
 }
 
-/// What the operators' settings turn on.
+/// Features that the operators' settings enable.
 struct OperatorFeatures {
-    /// Of the teams, as they are at the start.
+    /// Team budgets at the start.
     budgets: Option<Budgets>,
-    /// To read them again.
+    /// Reads the team budgets again on SIGHUP.
     team_budgets: Option<TeamBudgets>,
     can_show_queue: bool,
     has_coordination: bool,
@@ -125,10 +128,10 @@
         };
         let budgets = team_budgets.budgets(config)?;
         team_budgets.has_queues = budgets.is_some();
-        let shows_queue = config.teams.as_ref().is_some_and(|teams| teams.show);
+        let can_show_queue = config.teams.as_ref().is_some_and(|teams| teams.show);
         let peers = config.peers.as_ref().filter(|peers| peers.enabled);
         Ok(OperatorFeatures {
-            can_show_queue: shows_queue && budgets.is_some(),
+            can_show_queue: can_show_queue && budgets.is_some(),
             has_coordination: peers.is_some_and(|peers| peers.coordination.enabled),
             has_ownership: peers.is_some_and(|peers| peers.ownership.enabled),
             budgets,
@@ -137,10 +140,10 @@
     }
 }
 
-/// What the parts of a gateway have in common while they are created.
-struct Assembly {
+/// Values shared by the parts of a gateway while they are created.
+struct GatewayBuilder {
     seed: u64,
-    /// Of the endpoint list to begin with.
+    /// Position of the initial endpoint list.
     position: u64,
     max_statement_timeout: Nanos,
     bounds: Bounds,
@@ -152,8 +155,12 @@
     connections: Rc<ConnectionCounters>,
 }
 
-impl Assembly {
-    fn sessions(&self, deployment: &DeploymentConfig, features: &OperatorFeatures) -> Rc<Sessions> {
+impl GatewayBuilder {
+    fn create_sessions(
+        &self,
+        deployment: &DeploymentConfig,
+        features: &OperatorFeatures,
+    ) -> Rc<Sessions> {
         let names = deployment.names.clone();
         let scheduler = self.scheduler.clone();
         let sessions = Sessions::new(self.bounds, names, self.clock, scheduler, self.seed);
@@ -163,7 +170,7 @@
         sessions
     }
 
-    fn watch(&self, has_coordination: bool) -> DiscoveryActor {
+    fn create_discovery_actor(&self, has_coordination: bool) -> DiscoveryActor {
         DiscoveryActor::new(DiscoveryParams {
             watch: EndpointWatch::new(self.position, self.seed),
             clock: self.clock,
@@ -174,13 +181,13 @@
         })
     }
 
-    fn peers(
+    fn start_peers(
         &self,
         name: &str,
         tenants: &[String],
         operator: Option<&LoadedOperatorConfig>,
     ) -> Result<PeerDrivers, StartupError> {
-        let start = PeersStart {
+        let startup = PeerStartup {
             name,
             seed: self.seed,
             position: self.position,
@@ -192,10 +199,10 @@
             executor: self.executor.clone(),
             traffic: self.traffic.clone(),
         };
-        start.start(operator)
+        startup.start(operator)
     }
 
-    fn scheduler_actor(
+    fn create_scheduler_actor(
         &self,
         deployment: DeploymentConfig,
         budgets: Option<Budgets>,
@@ -232,7 +239,7 @@
     let features = OperatorFeatures::new(operator.as_ref(), &deployment, bounds.clients)?;
     let (scheduler, scheduler_mailbox) = async_channel::unbounded();
     let (discovery, discovery_mailbox) = async_channel::unbounded();
-    let assembly = Assembly {
+    let builder = GatewayBuilder {
         seed: configuration.seed,
         position: snapshot.position,
         max_statement_timeout: max_statement_timeout(&deployment),
@@ -244,37 +251,37 @@
         traffic: Rc::new(Traffic::default()),
         connections: Rc::new(ConnectionCounters::default()),
     };
-    let sessions = assembly.sessions(&deployment, &features);
-    let watch = assembly.watch(features.has_coordination);
+    let sessions = builder.create_sessions(&deployment, &features);
+    let discovery_actor = builder.create_discovery_actor(features.has_coordination);
     let tenants = &deployment.names.tenants;
-    let peers = assembly.peers(&configuration.name, tenants, operator.as_ref())?;
-    let actor = assembly.scheduler_actor(deployment, features.budgets, peers);
-    let executor = assembly.executor;
+    let peers = builder.start_peers(&configuration.name, tenants, operator.as_ref())?;
+    let scheduler_actor = builder.create_scheduler_actor(deployment, features.budgets, peers);
+    let executor = builder.executor;
     executor
-        .spawn(actor.run(scheduler_mailbox, snapshot))
+        .spawn(scheduler_actor.run(scheduler_mailbox, snapshot))
         .detach();
     executor
-        .spawn(watch.run(configuration.discovery, discovery_mailbox))
+        .spawn(discovery_actor.run(configuration.discovery, discovery_mailbox))
         .detach();
     Ok(Gateway {
         phase: Phase::Starting,
         clock,
         executor,
         sessions,
-        connections: assembly.connections,
+        connections: builder.connections,
         listener: Rc::new(listener),
-        scheduler: assembly.scheduler,
-        discovery: assembly.discovery,
+        scheduler: builder.scheduler,
+        discovery: builder.discovery,
         signals,
         configuration_path: configuration.path,
         discovery_address: configuration.discovery,
-        max_statement_timeout: assembly.max_statement_timeout,
+        max_statement_timeout: builder.max_statement_timeout,
         team_budgets: features.team_budgets,
         reload: None,
     })
 }
 
-/// No more statements are open than clients may have.
+/// Limits open statements to the maximum number of clients with one.
 fn limit_open_statements(deployment: &mut DeploymentConfig, clients: usize) {
     let limit = &mut deployment.scheduler.max_open_statements;
     *limit = (*limit).min(clients);
