--- a/crates/ivypitch-gateway/src/actors/attempt/mod.rs
+++ b/crates/ivypitch-gateway/src/actors/attempt/mod.rs
@@ -21,7 +21,7 @@
 use super::engine_connection::EngineConnection;
 use super::messages::{AttemptEnd, AttemptKey, AttemptMessage, ClientPresence, SchedulerMessage};
 use crate::lifecycle::clock::Clock;
-use crate::wire::http::Start;
+use crate::wire::http::StartRequest;
 
 const NANOS_PER_MS: Nanos = 1_000_000;
 /// Backoff before a request is retried; polls and pages use it from the second failure in a row on.
@@ -32,7 +32,7 @@
     /// Identifies the attempt in messages to the scheduler.
     pub key: AttemptKey,
     /// The start request to the engine.
-    pub start: Start,
+    pub start: StartRequest,
     /// Whether another gateway started the attempt, which is then only polled.
     pub is_already_started: bool,
     /// Names of the fields in a load report, in the order of the settings.
--- a/crates/ivypitch-gateway/src/actors/session/receiving.rs
+++ b/crates/ivypitch-gateway/src/actors/session/receiving.rs
@@ -7,7 +7,7 @@
 
 use super::{Session, SessionEnd};
 use crate::actors::socket::{read_now, read_some};
-use crate::state::sessions::{RECENT, SessionStage};
+use crate::state::sessions::{RECENT_ACTIVITY_PERIOD, SessionStage};
 use crate::wire::mysql::{self, Packet};
 
 /// Time for the login and the first command: within 3 s a connection has to get an answer or close.
@@ -127,7 +127,7 @@
             progress.idle_since
         } else {
             // A client that connected or logged in just now may be about to send its statement.
-            deadline.min(self.state.since.get() + RECENT)
+            deadline.min(self.state.last_progress_at.get() + RECENT_ACTIVITY_PERIOD)
         }
     }
 
--- a/crates/ivypitch-gateway/tests/sessions.rs
+++ b/crates/ivypitch-gateway/tests/sessions.rs
@@ -38,13 +38,13 @@
     let mut table = SessionTable::new(4);
     let mut states = Vec::new();
     for (connection, (stage, ms)) in (0..).zip(sessions) {
-        assert!(table.make_room(now, |_| true));
+        assert!(table.evict_if_full(now, |_| true));
         let state = SessionState::new(now);
         state.set_stage(stage, now - std::time::Duration::from_millis(ms));
         states.push(state.clone());
         table.insert(connection, state, connection);
     }
-    assert!(table.make_room(now, |_| true));
+    assert!(table.evict_if_full(now, |_| true));
     let ended = (0..4).find(|&connection| states[connection as usize].is_end_requested());
     assert_eq!(ended, expected);
     assert_eq!(
@@ -58,7 +58,7 @@
     let mut busy = SessionTable::new(1);
     states[0].is_busy.set(true);
     busy.insert(0, states[0].clone(), ());
-    assert!(!busy.make_room(now, |_| true), "all sessions are busy");
+    assert!(!busy.evict_if_full(now, |_| true), "all sessions are busy");
 }
 
 #[test]
@@ -72,15 +72,15 @@
         table.insert(connection, state.clone(), connection);
     }
     states[1].has_partial_message.set(true);
-    assert!(table.make_room(now, |&connection| connection != 0));
+    assert!(table.evict_if_full(now, |&connection| connection != 0));
     assert!(
         states[2].is_end_requested() && !states[0].is_end_requested(),
         "the first session has unread bytes"
     );
     table.insert(3, SessionState::new(now), 3);
-    states[0].is_over.set(true);
+    states[0].is_closing.set(true);
     assert!(
-        table.make_room(now, |_| false),
+        table.evict_if_full(now, |_| false),
         "a session that is over is ended first"
     );
     assert!(states[0].is_end_requested() && !states[1].is_end_requested());
