--- a/crates/ivypitch-testbed/src/virtual_time/scheduler_fleet.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/scheduler_fleet.rs
@@ -799,9 +799,9 @@
         }
         let mut figures = Figures {
             teams,
-            repeated_bulk_loads,
-            doubled,
-            twice,
+            repeated_bulk_loads: doubled,
+            unanswered,
+            answered_twice: twice,
             ..Figures::default()
         };
         let errors = Histogram::new_with_bounds(1, 10_000, 2);
