--- a/crates/ivypitch-gateway/src/wire/fields.rs
+++ b/crates/ivypitch-gateway/src/wire/fields.rs
@@ -64,37 +64,37 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
 pub enum FieldsError {
     /// The text does not begin with `/*`.
-    #[error("no comment with fields before the statement")]
+    #[error("no comment with fields stands ahead of the statement")]
     NoComment,
     /// The comment has no `*/`.
-    #[error("the comment with fields is not terminated")]
+    #[error("the comment with fields has no end")]
     UnterminatedComment,
     /// A field has no `=`.
     #[error("a field has no value")]
     NoValue,
     /// Two fields have the same name.
-    #[error("a field is given twice")]
+    #[error("a field stands twice")]
     Duplicate,
     /// `ms` is not a number within its bounds.
-    #[error("ms (estimated work) is not a valid number")]
+    #[error("the estimate of work is no usable number")]
     WorkEstimate,
     /// `space` is not a number within its bounds.
-    #[error("space (estimated memory) is not a valid number")]
+    #[error("the estimate of memory is no usable number")]
     MemoryEstimate,
     /// `opkey` cannot be sent as a header value.
-    #[error("opkey is not 1 to {MAX_KEY_BYTES} visible ASCII characters")]
+    #[error("the mark against repeats is no usable word")]
     IdempotencyKey,
     /// `subject` cannot be sent as a header value.
-    #[error("subject is not 1 to {MAX_KEY_BYTES} visible ASCII characters")]
+    #[error("the key is no usable word")]
     OrderingKey,
     /// `req` is missing or not 16 hex digits.
     #[error("req is not 16 hex digits")]
     StatementId,
     /// `timeout` is missing or not a number within its bounds.
-    #[error("timeout is not a valid number of milliseconds")]
+    #[error("timeout is not a usable number of milliseconds")]
     Timeout,
     /// No schema in the statement has a number in its name.
-    #[error("the statement names no table group")]
+    #[error("the statement names no group of tables")]
     NoTableGroup,
 }
 
