--- a/crates/ivypitch-testbed/src/experiments/custody.rs
+++ b/crates/ivypitch-testbed/src/experiments/custody.rs
@@ -1,15 +1,16 @@
-//! Ownership of statements over fault plans, in virtual time.
+//! The experiment `custody`: ownership of statements under fault plans, in virtual time.
 
-use super::side_by_side;
+use super::run_seeds_in_parallel;
 use crate::report::{Bound, Report};
 use crate::virtual_time::ownership_fleet;
 
-/// Fault plans by the seed and those that follow it; the first that breaks a promise is printed, cut down.
-pub fn play(quick: bool, seed: u64) -> Report {
+/// Runs fault plans of consecutive seeds. The first plan that violates a guarantee is reduced and
+/// printed.
+pub fn run(quick: bool, seed: u64) -> Report {
     let mut report = Report::new("custody", seed);
     let plans = if quick { 60 } else { 5000 };
     let nine = ownership_fleet::Fleet::default();
-    // The plan that the bound on what is carried is meant for: eight gateways, one lost each 3 s.
+    // The bound on completed statements applies to eight gateways of which one is lost every 3 s.
     let eight = ownership_fleet::Fleet {
         gateways: 8,
         engines: 6,
@@ -29,68 +30,80 @@
         (&eight, plans, true, 0.95),
         (&large, if quick { 4 } else { 5000 }, false, 0.0),
     ];
-    for (fleet, plans, losses_only, least) in runs {
-        let what = if losses_only {
-            "losses of gateways alone"
+    for (fleet, plans, losses_only, min_completed) in runs {
+        let faults = if losses_only {
+            "gateway losses only"
         } else {
             "all faults"
         };
-        let place = format!(
-            "virtual time, {} gateways, {} engines, {plans} plans, a fault each {} ms, {what}",
+        let scenario = format!(
+            "virtual time, {} gateways, {} engines, {plans} plans, a fault every {} ms, {faults}",
             fleet.gateways, fleet.engines, fleet.fault_gap_ms
         );
-        let play = |seed: u64| {
+        let simulate = |seed: u64| {
             ownership_fleet::play(
                 fleet,
                 &ownership_fleet::draw(fleet, seed, losses_only),
                 seed,
             )
         };
-        let all = side_by_side(plans, seed, play);
-        if let Some(first) = all.iter().position(|verdict| !verdict.holds()) {
+        let verdicts = run_seeds_in_parallel(plans, seed, simulate);
+        if let Some(first) = verdicts.iter().position(|verdict| !verdict.holds()) {
             let seed = seed + first as u64;
             let plan = ownership_fleet::draw(fleet, seed, losses_only);
-            let least = plan.cut_down(40, |plan| !ownership_fleet::play(fleet, plan, seed).holds());
-            println!("seed {seed} breaks a promise; the least plan that does:\n{least}");
+            let minimal =
+                plan.cut_down(40, |plan| !ownership_fleet::play(fleet, plan, seed).holds());
+            println!("seed {seed} violates a guarantee; minimal plan that does:\n{minimal}");
         }
-        let sum = |of: fn(&ownership_fleet::Verdict) -> u64| all.iter().map(of).sum::<u64>() as f64;
-        let mut bound = |what: &str, is, least, most| {
+        let sum =
+            |of: fn(&ownership_fleet::Verdict) -> u64| verdicts.iter().map(of).sum::<u64>() as f64;
+        let mut add_bound = |name: &str, value, min, max| {
             report
                 .bounds
-                .push(Bound::new(&format!("{place}: {what}"), is, least, most))
+                .push(Bound::new(&format!("{scenario}: {name}"), value, min, max))
         };
-        bound("plans played", all.len() as f64, plans as f64, plans as f64);
-        bound("loads", sum(|v| v.loads), 1.0, f64::MAX);
-        bound("loads started twice", sum(|v| v.dispatched_twice), 0.0, 0.0);
-        bound(
-            "loads refused that ran",
+        add_bound(
+            "plans run",
+            verdicts.len() as f64,
+            plans as f64,
+            plans as f64,
+        );
+        add_bound("loads", sum(|v| v.loads), 1.0, f64::MAX);
+        add_bound("loads started twice", sum(|v| v.dispatched_twice), 0.0, 0.0);
+        add_bound(
+            "loads rejected although they ran",
             sum(|v| v.rejected_but_ran),
             0.0,
             0.0,
         );
-        bound(
-            "clients with two ends",
+        add_bound(
+            "clients with contradicting answers",
             sum(|v| v.contradicting_answers),
             0.0,
             0.0,
         );
-        bound("clients without a word", sum(|v| v.unanswered), 0.0, 0.0);
-        let caught = sum(|v| v.in_flight_at_loss);
-        bound("running at a loss and come back for", caught, 0.0, f64::MAX);
-        bound(
+        add_bound("clients without an answer", sum(|v| v.unanswered), 0.0, 0.0);
+        let in_flight = sum(|v| v.in_flight_at_loss);
+        add_bound(
+            "in flight at a gateway loss and retried by the client",
+            in_flight,
+            0.0,
+            f64::MAX,
+        );
+        add_bound(
             "of these completed without running again",
-            sum(|v| v.completed_after_loss) / caught.max(1.0),
-            least,
+            sum(|v| v.completed_after_loss) / in_flight.max(1.0),
+            min_completed,
             f64::MAX,
         );
-        bound(
+        add_bound(
             "served",
             sum(|v| v.served) / sum(|v| v.statements).max(1.0),
             0.0,
             f64::MAX,
         );
-        bound(
-            "messages a statement",
+        add_bound(
+            "messages per statement",
             sum(|v| v.messages) / sum(|v| v.statements).max(1.0),
             0.0,
             f64::MAX,
--- a/crates/ivypitch-testbed/src/experiments/custody_cost.rs
+++ b/crates/ivypitch-testbed/src/experiments/custody_cost.rs
@@ -1,6 +1,6 @@
-//! The experiment `custody-cost`: what it costs that work in hand outlives its gateway, where nothing is lost. Latency
-//! and processor time on real processes, with and without peers side by side; bytes among gateways, counted at their
-//! links, and how they grow with the fleet, in virtual time.
+//! The experiment `custody-cost`: the cost of statement ownership when no gateway is lost. Latency
+//! and processor time come from processes, with and without peers. Bytes between gateways are
+//! counted at their links; their growth with the fleet comes from virtual time.
 
 use std::sync::Arc;
 use std::thread;
@@ -15,181 +15,201 @@
 use crate::virtual_time::faults::Plan;
 use crate::virtual_time::ownership_fleet;
 
-const LONGEST_MS: u64 = 3000;
-const REMEMBERED_MS: u64 = 500;
+/// Statement timeout.
+const TIMEOUT_MS: u64 = 3000;
+/// Retention of vote logs beyond the statement timeout.
+const VOTE_RETENTION_MS: u64 = 500;
 
+/// Costs measured in one run of processes.
 #[derive(Default)]
 struct Cost {
-    /// Microseconds from the client's time to its rows.
-    loads: Vec<u64>,
-    lookups: Vec<u64>,
+    /// Latencies in microseconds, from the scheduled arrival to the rows.
+    load_latencies_us: Vec<u64>,
+    lookup_latencies_us: Vec<u64>,
     unserved: usize,
-    /// Microseconds of processor time a statement.
-    cpu: f64,
-    /// Among gateways, beyond what they say when nothing runs, a statement.
+    /// Processor time per statement.
+    cpu_us: f64,
+    /// Bytes between gateways per statement, without the traffic at rest.
     bytes: f64,
-    /// Of members and links at rest, a gateway a second.
-    idle_bytes: f64,
+    /// Bytes of membership and links at rest, per gateway and second.
+    idle_bytes_per_s: f64,
 }
 
-fn traffic(span: u64, gap: u64, seed: u64) -> Vec<Ask> {
+fn traffic(span_ms: u64, gap_ms: u64, seed: u64) -> Vec<Ask> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let all = Arc::new(Vec::new());
+    let no_preference = Arc::new(Vec::new());
     let (mut asks, mut at) = (Vec::new(), 0);
-    while at < span {
+    while at < span_ms {
         asks.push(Ask {
             at,
             req: rng.random::<u64>() & 0xff_ffff_ffff,
             load: rng.random_bool(0.4),
             work_ms: rng.random_range(2..12),
-            timeout_ms: LONGEST_MS,
+            timeout_ms: TIMEOUT_MS,
             asked_twice: false,
-            prefers: all.clone(),
+            prefers: no_preference.clone(),
             owner: "acme",
         });
-        at += rng.random_range(1..=2 * gap);
+        at += rng.random_range(1..=2 * gap_ms);
     }
     asks
 }
 
-fn run(gateways: usize, peers: bool, span: u64, seed: u64) -> Result<Cost, String> {
-    let custody = format!(r#""custody":{{"remembered_ms":{REMEMBERED_MS}}}"#);
+fn measure_processes(
+    gateways: usize,
+    has_peers: bool,
+    span_ms: u64,
+    seed: u64,
+) -> Result<Cost, String> {
+    let custody = format!(r#""custody":{{"remembered_ms":{VOTE_RETENTION_MS}}}"#);
     let mut fleet = Fleet::start(Setup {
         gateways,
         engines: Engines::Processes {
             count: 4,
             cores: 16.0,
         },
-        longest_ms: LONGEST_MS,
-        peers: peers.then_some(custody),
+        longest_ms: TIMEOUT_MS,
+        peers: has_peers.then_some(custody),
         seed,
         ..Setup::default()
     })?;
-    // Witnesses vote after this; what members say at rest is counted in its second half.
-    let warm = Duration::from_millis(LONGEST_MS + REMEMBERED_MS + 1000);
-    thread::sleep(warm / 2);
-    let (before, _) = fleet.net.between_gateways();
-    thread::sleep(warm / 2);
-    let (after, _) = fleet.net.between_gateways();
-    let idle_rate = (after - before) as f64 / (warm / 2).as_secs_f64();
-    let asks = traffic(span, 8, seed);
+    // Voters vote only after this time; the traffic at rest is counted in its second half.
+    let warm_up = Duration::from_millis(TIMEOUT_MS + VOTE_RETENTION_MS + 1000);
+    thread::sleep(warm_up / 2);
+    let (bytes_before, _) = fleet.net.between_gateways();
+    thread::sleep(warm_up / 2);
+    let (bytes_after, _) = fleet.net.between_gateways();
+    let idle_bytes_per_s = (bytes_after - bytes_before) as f64 / (warm_up / 2).as_secs_f64();
+    let asks = traffic(span_ms, 8, seed);
     let addresses: Vec<_> = fleet.seats.iter().map(|seat| seat.address).collect();
-    let (cpu, (bytes, _), begun) = (fleet.cpu(), fleet.net.between_gateways(), Instant::now());
+    let (cpu_before, (bytes_before, _), started_at) =
+        (fleet.cpu(), fleet.net.between_gateways(), Instant::now());
     let manners = Manners {
         patience: Duration::from_secs(4),
         seed,
     };
-    let stories: Vec<Story> = clients::play(&asks, &addresses, manners, begun);
-    let took = begun.elapsed().as_secs_f64();
-    let used = fleet.cpu() - cpu;
-    let said = (fleet.net.between_gateways().0 - bytes) as f64 - idle_rate * took;
+    let stories: Vec<Story> = clients::play(&asks, &addresses, manners, started_at);
+    let elapsed_s = started_at.elapsed().as_secs_f64();
+    let cpu_us = fleet.cpu() - cpu_before;
+    let bytes =
+        (fleet.net.between_gateways().0 - bytes_before) as f64 - idle_bytes_per_s * elapsed_s;
     fleet.finish();
     if let Some(crash) = fleet.crashes.first() {
         return Err(crash.clone());
     }
-    let of = |load: bool| {
-        let all = asks
+    let latencies = |load: bool| {
+        let matching = asks
             .iter()
             .zip(&stories)
             .filter(|(ask, _)| ask.load == load);
-        let mut times: Vec<u64> = all.filter_map(|(_, story)| story.served).collect();
+        let mut times: Vec<u64> = matching.filter_map(|(_, story)| story.served).collect();
         times.sort_unstable();
         times
     };
     Ok(Cost {
-        loads: of(true),
-        lookups: of(false),
+        load_latencies_us: latencies(true),
+        lookup_latencies_us: latencies(false),
         unserved: stories.iter().filter(|s| s.served.is_none()).count(),
-        cpu: used as f64 / asks.len() as f64,
-        bytes: said.max(0.0) / asks.len() as f64,
-        idle_bytes: idle_rate / gateways as f64,
+        cpu_us: cpu_us as f64 / asks.len() as f64,
+        bytes: bytes.max(0.0) / asks.len() as f64,
+        idle_bytes_per_s: idle_bytes_per_s / gateways as f64,
     })
 }
 
-fn at(times: &[u64], part: f64) -> f64 {
+/// A quantile of sorted latencies in microseconds, in milliseconds.
+fn quantile_ms(times: &[u64], quantile: f64) -> f64 {
     let last = times.len().saturating_sub(1);
     times
-        .get((last as f64 * part).round() as usize)
+        .get((last as f64 * quantile).round() as usize)
         .copied()
         .unwrap_or(0) as f64
         / 1000.0
 }
 
-pub fn play(quick: bool, seed: u64) -> Report {
+/// Runs the experiment.
+pub fn run(quick: bool, seed: u64) -> Report {
     let mut report = Report::new("custody-cost", seed);
-    let span = if quick { 6_000 } else { 30_000 };
+    let span_ms = if quick { 6_000 } else { 30_000 };
     for gateways in [3, 8] {
-        // One after the other: what is compared must not share the cores.
-        let (off, with) = (
-            run(gateways, false, span, seed),
-            run(gateways, true, span, seed),
+        // The compared runs come one after the other so that they do not share the cores.
+        let (without_peers, with_peers) = (
+            measure_processes(gateways, false, span_ms, seed),
+            measure_processes(gateways, true, span_ms, seed),
         );
-        let place = format!(
-            "{gateways} gateways, 4 engines as processes, {} s",
-            span / 1000
+        let scenario = format!(
+            "{gateways} gateways, 4 engine processes, {} s",
+            span_ms / 1000
         );
-        let mut bound = |what: &str, is: f64, least: f64, most: f64| {
+        let mut add_bound = |name: &str, value: f64, min: f64, max: f64| {
             report
                 .bounds
-                .push(Bound::new(&format!("{place}: {what}"), is, least, most))
+                .push(Bound::new(&format!("{scenario}: {name}"), value, min, max))
         };
-        let (off, with) = match (off, with) {
-            (Ok(off), Ok(with)) => (off, with),
-            (off, with) => {
-                [off, with]
+        let (without_peers, with_peers) = match (without_peers, with_peers) {
+            (Ok(without_peers), Ok(with_peers)) => (without_peers, with_peers),
+            (without_peers, with_peers) => {
+                [without_peers, with_peers]
                     .into_iter()
                     .filter_map(Result::err)
-                    .for_each(|e| eprintln!("not played: {e}"));
-                bound("the runs end", 0.0, 1.0, f64::MAX);
+                    .for_each(|error| eprintln!("run failed: {error}"));
+                add_bound("all runs complete", 0.0, 1.0, f64::MAX);
                 continue;
             }
         };
-        bound(
+        add_bound(
             "statements not served",
-            (off.unserved + with.unserved) as f64,
+            (without_peers.unserved + with_peers.unserved) as f64,
             0.0,
             0.0,
         );
-        for (name, off, with) in [
-            ("load", &off.loads, &with.loads),
-            ("lookup", &off.lookups, &with.lookups),
+        for (kind, without, with) in [
+            (
+                "load",
+                &without_peers.load_latencies_us,
+                &with_peers.load_latencies_us,
+            ),
+            (
+                "lookup",
+                &without_peers.lookup_latencies_us,
+                &with_peers.lookup_latencies_us,
+            ),
         ] {
-            for (what, part) in [("median", 0.5), ("99th", 0.99)] {
-                bound(
-                    &format!("{name}, {what} ms without peers"),
-                    at(off, part),
+            for (label, quantile) in [("median", 0.5), ("p99", 0.99)] {
+                add_bound(
+                    &format!("{kind}, {label} ms without peers"),
+                    quantile_ms(without, quantile),
                     0.0,
                     f64::MAX,
                 );
-                bound(
-                    &format!("{name}, {what} ms with"),
-                    at(with, part),
+                add_bound(
+                    &format!("{kind}, {label} ms with peers"),
+                    quantile_ms(with, quantile),
                     0.0,
                     f64::MAX,
                 );
             }
         }
-        bound(
-            "CPU of all gateways, us a statement without peers",
-            off.cpu,
+        add_bound(
+            "CPU of all gateways, us per statement without peers",
+            without_peers.cpu_us,
             0.0,
             f64::MAX,
         );
-        bound(
-            "CPU of all gateways, us a statement with, members' own in it",
-            with.cpu,
+        add_bound(
+            "CPU of all gateways, us per statement with peers, membership included",
+            with_peers.cpu_us,
             0.0,
             f64::MAX,
         );
-        bound(
-            "bytes among gateways a statement",
-            with.bytes,
+        add_bound(
+            "bytes between gateways per statement",
+            with_peers.bytes,
             0.0,
             f64::MAX,
         );
-        bound(
-            "bytes at rest a gateway a second",
-            with.idle_bytes,
+        add_bound(
+            "bytes at rest per gateway and second",
+            with_peers.idle_bytes_per_s,
             0.0,
             f64::MAX,
         );
@@ -201,33 +221,33 @@
             ..ownership_fleet::Fleet::default()
         };
         let verdict = ownership_fleet::play(&fleet, &Plan::default(), seed);
-        let place = format!("virtual time, {gateways} gateways, no faults");
-        let all = verdict.statements.max(1) as f64;
-        let mut bound = |what: &str, is: f64, least: f64, most: f64| {
+        let scenario = format!("virtual time, {gateways} gateways, no faults");
+        let statements = verdict.statements.max(1) as f64;
+        let mut add_bound = |name: &str, value: f64, min: f64, max: f64| {
             report
                 .bounds
-                .push(Bound::new(&format!("{place}: {what}"), is, least, most))
+                .push(Bound::new(&format!("{scenario}: {name}"), value, min, max))
         };
-        bound(
-            "promises broken",
+        add_bound(
+            "guarantees violated",
             f64::from(u8::from(!verdict.holds())),
             0.0,
             0.0,
         );
-        bound(
-            "messages a statement",
-            verdict.messages as f64 / all,
+        add_bound(
+            "messages per statement",
+            verdict.messages as f64 / statements,
             0.0,
             f64::MAX,
         );
-        bound(
-            "bytes a statement, text of 200 bytes",
-            verdict.bytes as f64 / all,
+        add_bound(
+            "bytes per statement, text of 200 bytes",
+            verdict.bytes as f64 / statements,
             0.0,
             f64::MAX,
         );
-        bound(
-            "most statements held as a witness",
+        add_bound(
+            "maximum number of vote log entries",
             verdict.max_vote_log_entries as f64,
             0.0,
             f64::MAX,
--- a/crates/ivypitch-testbed/src/experiments/fleet_cut.rs
+++ b/crates/ivypitch-testbed/src/experiments/fleet_cut.rs
@@ -1,5 +1,6 @@
-//! The experiment `fleet-cut`: real gateways that share their cores and their word on engines, with cuts, restarts and
-//! stops by a seed, engines that fail and drain; beside it the same seed without sharing.
+//! The experiment `fleet-cut`: gateway processes that share quotas and engine health, under
+//! partitions, restarts and suspensions drawn from the seed, with engines that fail and drain. Each
+//! seed also runs without coordination for comparison.
 
 use std::sync::Arc;
 use std::thread;
@@ -16,23 +17,31 @@
 
 const GATEWAYS: usize = 12;
 const ENGINES: usize = 6;
-const CORES: f64 = 4.0;
-const LONGEST_MS: u64 = 3000;
-/// Two gateways are asked ten times as often as the others.
-const HEAVY: usize = 2;
+/// Cores of an engine.
+const ENGINE_CORES: f64 = 4.0;
+/// Statement timeout.
+const TIMEOUT_MS: u64 = 3000;
+/// Number of gateways that get ten times as many statements as each of the others.
+const BUSY_GATEWAYS: usize = 2;
 
-fn traffic(span: u64, uneven: bool, seed: u64) -> Vec<Ask> {
+fn traffic(span_ms: u64, is_skewed: bool, seed: u64) -> Vec<Ask> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0xc07);
-    let weight = |g: usize| if uneven && g < HEAVY { 10.0 } else { 1.0 };
+    let weight = |gateway: usize| {
+        if is_skewed && gateway < BUSY_GATEWAYS {
+            10.0
+        } else {
+            1.0
+        }
+    };
     let prefers = Arc::new((0..GATEWAYS).map(weight).collect::<Vec<f64>>());
     let (mut asks, mut at) = (Vec::new(), 0);
-    while at < span {
+    while at < span_ms {
         asks.push(Ask {
             at,
             req: rng.random::<u64>() & 0xff_ffff_ffff,
             load: rng.random_bool(0.1),
             work_ms: rng.random_range(20..220),
-            timeout_ms: LONGEST_MS,
+            timeout_ms: TIMEOUT_MS,
             asked_twice: false,
             prefers: prefers.clone(),
             owner: "acme",
@@ -42,21 +51,28 @@
     asks
 }
 
-struct Run {
+/// Results of a run.
+struct RunResult {
     verdict: Verdict,
-    /// Milliseconds after the first gateway heard of a drain at which the last start came to that engine.
-    drained_ms: f64,
+    /// Time from the announcement of a drain to the last start at that engine.
+    last_start_after_drain_ms: f64,
 }
 
-fn run(plan: &Plan, span: u64, uneven: bool, shares: bool, seed: u64) -> Result<Run, String> {
-    let peers = format!(r#""custody":{{"enabled":false}},"shares":{{"enabled":{shares}}}"#);
+fn run_fleet(
+    plan: &Plan,
+    span_ms: u64,
+    is_skewed: bool,
+    is_coordinated: bool,
+    seed: u64,
+) -> Result<RunResult, String> {
+    let peers = format!(r#""custody":{{"enabled":false}},"shares":{{"enabled":{is_coordinated}}}"#);
     let mut fleet = Fleet::start(Setup {
         gateways: GATEWAYS,
         engines: Engines::Processes {
             count: ENGINES,
-            cores: CORES,
+            cores: ENGINE_CORES,
         },
-        longest_ms: LONGEST_MS,
+        longest_ms: TIMEOUT_MS,
         peers: Some(peers),
         own: r#""teams":{"enabled":true},"#.into(),
         seed,
@@ -70,24 +86,25 @@
         patience: Duration::from_millis(2500),
         seed,
     };
-    let asks = traffic(span, uneven, seed);
-    let theirs = asks.clone();
-    let playing = thread::spawn(move || clients::play(&theirs, &addresses, manners, from));
+    let asks = traffic(span_ms, is_skewed, seed);
+    let client_asks = asks.clone();
+    let clients_thread =
+        thread::spawn(move || clients::play(&client_asks, &addresses, manners, from));
     fleet.play(plan, from);
-    let stories = playing
+    let stories = clients_thread
         .join()
-        .map_err(|_| "the clients' thread failed".to_owned())?;
+        .map_err(|_| "the client thread panicked".to_owned())?;
     fleet.finish();
     let said = fleet.said.all();
     let verdict = judge(&asks, &stories, &said, &fleet.done, &fleet.crashes);
-    Ok(Run {
+    Ok(RunResult {
         verdict,
-        drained_ms: drained(&fleet, &said),
+        last_start_after_drain_ms: last_start_after_drain_ms(&fleet, &said),
     })
 }
 
-/// The latest start at an engine after its drain was told, in milliseconds; 0: none.
-fn drained(fleet: &Fleet, said: &[Said]) -> f64 {
+/// The largest time from the announcement of a drain to a start at that engine; 0: there was none.
+fn last_start_after_drain_ms(fleet: &Fleet, said: &[Said]) -> f64 {
     let mut latest = 0;
     for done in &fleet.done {
         let What::EngineDrains { engine, span } = done.fault.what else {
@@ -96,56 +113,57 @@
         let until = done.at + span * 1000;
         let starts = said
             .iter()
-            .filter(|s| s.engine == engine && s.what == "start");
-        let after = starts
-            .filter(|s| s.at > done.at && s.at < until)
-            .map(|s| s.at - done.at);
-        latest = latest.max(after.max().unwrap_or(0));
+            .filter(|line| line.engine == engine && line.what == "start");
+        let delays = starts
+            .filter(|line| line.at > done.at && line.at < until)
+            .map(|line| line.at - done.at);
+        latest = latest.max(delays.max().unwrap_or(0));
     }
     latest as f64 / 1000.0
 }
 
-pub fn play(quick: bool, seed: u64) -> Report {
+/// Runs the experiment.
+pub fn run(quick: bool, seed: u64) -> Report {
     let mut report = Report::new("fleet-cut", seed);
-    let (span, seeds) = if quick { (9_000, 1) } else { (60_000, 20) };
-    let place = format!(
-        "{GATEWAYS} gateways, {ENGINES} engines as processes, {} s, {seeds} seeds",
-        span / 1000
+    let (span_ms, seeds) = if quick { (9_000, 1) } else { (60_000, 20) };
+    let scenario = format!(
+        "{GATEWAYS} gateways, {ENGINES} engine processes, {} s, {seeds} seeds",
+        span_ms / 1000
     );
     let field = Field {
         gateways: GATEWAYS,
         zones: 3,
         engines: ENGINES,
-        span,
+        span: span_ms,
         gap: 1500,
         losses_only: false,
     };
-    let (mut least, mut gains, mut drained_ms, mut broken, mut crashes) =
+    let (mut min_gain, mut gain_sum, mut last_start_after_drain_ms, mut violations, mut crashes) =
         (f64::MAX, 0.0, 0.0f64, 0, 0);
     let mut drains = 0;
     for seed in seed..seed + seeds {
         let plan = Plan::draw(field, seed);
         let runs = thread::scope(|scope| {
-            let with = scope.spawn(|| run(&plan, span, true, true, seed));
-            let without = scope.spawn(|| run(&plan, span, true, false, seed));
-            [with, without].map(|run| run.join().unwrap_or_else(|_| Err("a run failed".into())))
+            let with = scope.spawn(|| run_fleet(&plan, span_ms, true, true, seed));
+            let without = scope.spawn(|| run_fleet(&plan, span_ms, true, false, seed));
+            [with, without].map(|run| run.join().unwrap_or_else(|_| Err("a run panicked".into())))
         });
         let [Ok(with), Ok(without)] = runs else {
             report.bounds.push(Bound::new(
-                &format!("{place}: seed {seed} is played"),
+                &format!("{scenario}: seed {seed} completes"),
                 0.0,
                 1.0,
                 f64::MAX,
             ));
             continue;
         };
-        let (a, b) = (with.verdict.service(), without.verdict.service());
+        let (service_with, service_without) = (with.verdict.service(), without.verdict.service());
         println!(
-            "seed {seed}: served {a:.3} with, {b:.3} without; {:?} {:?}",
+            "seed {seed}: service {service_with:.3} with coordination, {service_without:.3} without; {:?} {:?}",
             with.verdict.unserved, without.verdict.unserved
         );
         if !with.verdict.holds() {
-            println!("the plan:\n{plan}");
+            println!("plan:\n{plan}");
             with.verdict
                 .broken
                 .iter()
@@ -155,37 +173,42 @@
         drains += plan
             .faults
             .iter()
-            .filter(|f| matches!(f.what, What::EngineDrains { .. }))
+            .filter(|fault| matches!(fault.what, What::EngineDrains { .. }))
             .count();
-        least = least.min(a - b);
-        gains += a - b;
-        drained_ms = drained_ms.max(with.drained_ms);
-        broken += with.verdict.refused_and_ran + with.verdict.two_ends + with.verdict.silent;
+        min_gain = min_gain.min(service_with - service_without);
+        gain_sum += service_with - service_without;
+        last_start_after_drain_ms = last_start_after_drain_ms.max(with.last_start_after_drain_ms);
+        violations += with.verdict.refused_and_ran + with.verdict.two_ends + with.verdict.silent;
         crashes += with.verdict.crashes.len();
     }
-    let mut bound = |what: &str, is: f64, least: f64, most: f64| {
+    let mut add_bound = |name: &str, value: f64, min: f64, max: f64| {
         report
             .bounds
-            .push(Bound::new(&format!("{place}: {what}"), is, least, most))
+            .push(Bound::new(&format!("{scenario}: {name}"), value, min, max))
     };
-    bound("promises to clients broken", broken as f64, 0.0, 0.0);
-    bound("crashes", crashes as f64, 0.0, 0.0);
-    bound("drains played", drains as f64, 0.0, f64::MAX);
-    bound(
-        "last start at an engine after its drain was told, ms",
-        drained_ms,
+    add_bound(
+        "guarantees to clients violated",
+        violations as f64,
+        0.0,
+        0.0,
+    );
+    add_bound("crashes", crashes as f64, 0.0, 0.0);
+    add_bound("drains", drains as f64, 0.0, f64::MAX);
+    add_bound(
+        "last start at an engine after its drain was announced, ms",
+        last_start_after_drain_ms,
         0.0,
         250.0,
     );
-    bound(
-        "service over that without sharing, the least of all seeds",
-        least,
+    add_bound(
+        "service minus service without coordination, minimum over seeds",
+        min_gain,
         -0.01,
         f64::MAX,
     );
-    bound(
+    add_bound(
         "the same, mean",
-        gains / seeds as f64,
+        gain_sum / seeds as f64,
         if quick { -1.0 } else { 0.03 },
         f64::MAX,
     );
--- a/crates/ivypitch-testbed/src/experiments/gateway_loss.rs
+++ b/crates/ivypitch-testbed/src/experiments/gateway_loss.rs
@@ -1,5 +1,6 @@
-//! The experiment `gateway-loss`: real gateways and engines, of which gateways are killed, stopped and ended by a seed
-//! while clients come back. Beside it the same traffic without losses, and with the subsystem off.
+//! The experiment `gateway-loss`: gateway and engine processes. Gateways are killed, suspended and
+//! terminated by a plan drawn from the seed while clients retry. For comparison, the same traffic
+//! runs without losses, with planned restarts, and without peers.
 
 use std::sync::Arc;
 use std::thread;
@@ -16,21 +17,26 @@
 
 const GATEWAYS: usize = 8;
 const ENGINES: usize = 6;
-const LONGEST_MS: u64 = 8000;
-/// Witnesses that began with the fleet vote after the longest statement timeout and what they remember beyond it.
-const REMEMBERED_MS: u64 = 1000;
-const GAP_MS: u64 = 25;
-const LOSS_EACH_MS: u64 = 3000;
+/// Longest statement timeout.
+const MAX_TIMEOUT_MS: u64 = 8000;
+/// Retention of vote logs beyond the longest statement timeout. Voters that start with the fleet
+/// vote only after both have passed.
+const VOTE_RETENTION_MS: u64 = 1000;
+/// Mean time between two statements.
+const STATEMENT_GAP_MS: u64 = 25;
+/// Mean time between two losses of a gateway.
+const LOSS_INTERVAL_MS: u64 = 3000;
 
-pub fn traffic(span: u64, gap: u64, seed: u64) -> Vec<Ask> {
+/// Draws the statements of all clients.
+pub fn traffic(span_ms: u64, gap_ms: u64, seed: u64) -> Vec<Ask> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x7aff1c);
-    let all = Arc::new(Vec::new());
+    let no_preference = Arc::new(Vec::new());
     let (mut asks, mut at) = (Vec::new(), 0);
-    while at < span {
+    while at < span_ms {
         let load = rng.random_bool(0.4);
         asks.push(Ask {
             at,
-            // The upper bits count how often a refused one has asked anew.
+            // The upper bits count the retries of a rejected statement.
             req: rng.random::<u64>() & 0xff_ffff_ffff,
             load,
             work_ms: if load {
@@ -38,53 +44,55 @@
             } else {
                 rng.random_range(5..800)
             },
-            timeout_ms: rng.random_range(LONGEST_MS * 3 / 4..LONGEST_MS),
+            timeout_ms: rng.random_range(MAX_TIMEOUT_MS * 3 / 4..MAX_TIMEOUT_MS),
             asked_twice: rng.random_bool(0.1),
-            prefers: all.clone(),
+            prefers: no_preference.clone(),
             owner: "acme",
         });
-        at += rng.random_range(1..=2 * gap);
+        at += rng.random_range(1..=2 * gap_ms);
     }
     asks
 }
 
-pub fn setup(seed: u64, peers: bool) -> Setup {
-    let custody = format!(r#""custody":{{"remembered_ms":{REMEMBERED_MS},"asks_from_ms":0}}"#);
+/// Setup of the fleet.
+pub fn setup(seed: u64, has_peers: bool) -> Setup {
+    let custody = format!(r#""custody":{{"remembered_ms":{VOTE_RETENTION_MS},"asks_from_ms":0}}"#);
     Setup {
         gateways: GATEWAYS,
         engines: Engines::Processes {
             count: ENGINES,
             cores: 16.0,
         },
-        longest_ms: LONGEST_MS,
-        peers: peers.then_some(custody),
+        longest_ms: MAX_TIMEOUT_MS,
+        peers: has_peers.then_some(custody),
         seed,
         ..Setup::default()
     }
 }
 
-/// One run of processes under a plan.
-pub fn run(setup: Setup, plan: &Plan, span: u64, seed: u64) -> Result<Verdict, String> {
-    let peers = setup.peers.is_some();
+/// Runs a fleet of processes under a plan.
+pub fn run_fleet(setup: Setup, plan: &Plan, span_ms: u64, seed: u64) -> Result<Verdict, String> {
+    let has_peers = setup.peers.is_some();
     let mut fleet = Fleet::start(setup)?;
-    let warm = if peers {
-        LONGEST_MS + REMEMBERED_MS + 1000
+    let warm_up_ms = if has_peers {
+        MAX_TIMEOUT_MS + VOTE_RETENTION_MS + 1000
     } else {
         200
     };
-    let from = Instant::now() + Duration::from_millis(warm);
+    let from = Instant::now() + Duration::from_millis(warm_up_ms);
     let addresses: Vec<_> = fleet.seats.iter().map(|seat| seat.address).collect();
     let manners = Manners {
         patience: Duration::from_millis(3500),
         seed,
     };
-    let asks = traffic(span, GAP_MS, seed);
-    let theirs = asks.clone();
-    let playing = thread::spawn(move || clients::play(&theirs, &addresses, manners, from));
+    let asks = traffic(span_ms, STATEMENT_GAP_MS, seed);
+    let client_asks = asks.clone();
+    let clients_thread =
+        thread::spawn(move || clients::play(&client_asks, &addresses, manners, from));
     fleet.play(plan, from);
-    let stories = playing
+    let stories = clients_thread
         .join()
-        .map_err(|_| "the clients' thread failed".to_owned())?;
+        .map_err(|_| "the client thread panicked".to_owned())?;
     fleet.finish();
     Ok(judge(
         &asks,
@@ -95,53 +103,61 @@
     ))
 }
 
-pub fn play(quick: bool, seed: u64) -> Report {
+/// Runs the experiment.
+pub fn run(quick: bool, seed: u64) -> Report {
     let mut report = Report::new("gateway-loss", seed);
-    let span = if quick { 12_000 } else { 60_000 };
+    let span_ms = if quick { 12_000 } else { 60_000 };
     let field = Field {
         gateways: GATEWAYS,
         zones: 3,
         engines: ENGINES,
-        span,
-        gap: LOSS_EACH_MS,
+        span: span_ms,
+        gap: LOSS_INTERVAL_MS,
         losses_only: true,
     };
     let plan = Plan::draw(field, seed);
-    let none = Plan::default();
-    // One gateway after the other, as a release does.
-    let each = span / (GATEWAYS as u64 + 2);
-    let rolled = (0..GATEWAYS)
+    let no_faults = Plan::default();
+    // Restarts one gateway after the other, as a release does.
+    let restart_interval_ms = span_ms / (GATEWAYS as u64 + 2);
+    let restarts = (0..GATEWAYS)
         .map(|gateway| Fault {
-            at: 500 + each * gateway as u64,
+            at: 500 + restart_interval_ms * gateway as u64,
             what: What::End { gateway, back: 400 },
         })
         .collect();
-    let rolled = Plan { faults: rolled };
+    let rolling_restart = Plan { faults: restarts };
     let runs = thread::scope(|scope| {
-        let with = scope.spawn(|| run(setup(seed, true), &plan, span, seed));
-        let calm = scope.spawn(|| run(setup(seed, true), &none, span, seed));
-        let off = scope.spawn(|| run(setup(seed, false), &plan, span, seed));
-        let roll = scope.spawn(|| run(setup(seed, true), &rolled, span, seed));
-        [with, calm, off, roll].map(|run| run.join().unwrap_or_else(|_| Err("a run failed".into())))
+        let with_losses = scope.spawn(|| run_fleet(setup(seed, true), &plan, span_ms, seed));
+        let without_losses =
+            scope.spawn(|| run_fleet(setup(seed, true), &no_faults, span_ms, seed));
+        let without_peers = scope.spawn(|| run_fleet(setup(seed, false), &plan, span_ms, seed));
+        let rolled = scope.spawn(|| run_fleet(setup(seed, true), &rolling_restart, span_ms, seed));
+        [with_losses, without_losses, without_peers, rolled]
+            .map(|run| run.join().unwrap_or_else(|_| Err("a run panicked".into())))
     });
-    let [with, calm, off, roll] = match runs {
-        [Ok(with), Ok(calm), Ok(off), Ok(roll)] => [with, calm, off, roll],
+    let [with_losses, without_losses, without_peers, rolled] = match runs {
+        [
+            Ok(with_losses),
+            Ok(without_losses),
+            Ok(without_peers),
+            Ok(rolled),
+        ] => [with_losses, without_losses, without_peers, rolled],
         runs => {
             runs.into_iter()
                 .filter_map(Result::err)
-                .for_each(|e| eprintln!("not played: {e}"));
+                .for_each(|error| eprintln!("run failed: {error}"));
             report
                 .bounds
-                .push(Bound::new("the runs end", 0.0, 1.0, f64::MAX));
+                .push(Bound::new("all runs complete", 0.0, 1.0, f64::MAX));
             return report;
         }
     };
-    println!("the plan:\n{plan}");
+    println!("plan:\n{plan}");
     for (name, verdict) in [
-        ("losses", &with),
-        ("no losses", &calm),
-        ("rolled", &roll),
-        ("losses, without peers", &off),
+        ("losses", &with_losses),
+        ("no losses", &without_losses),
+        ("rolled", &rolled),
+        ("losses, without peers", &without_peers),
     ] {
         if name != "losses, without peers" {
             verdict
@@ -150,120 +166,134 @@
                 .chain(&verdict.crashes)
                 .for_each(|line| println!("{name}: {line}"));
         }
-        println!("{name}: unserved by last word {:?}", verdict.unserved);
+        println!("{name}: unserved by final answer {:?}", verdict.unserved);
     }
-    let place = format!(
-        "{GATEWAYS} gateways, {ENGINES} engines as processes, {} s",
-        span / 1000
+    let scenario = format!(
+        "{GATEWAYS} gateways, {ENGINES} engine processes, {} s",
+        span_ms / 1000
     );
-    let mut bound = |what: &str, is: f64, least: f64, most: f64| {
+    let mut add_bound = |name: &str, value: f64, min: f64, max: f64| {
         report
             .bounds
-            .push(Bound::new(&format!("{place}: {what}"), is, least, most))
+            .push(Bound::new(&format!("{scenario}: {name}"), value, min, max))
     };
-    bound("faults", plan.faults.len() as f64, 1.0, f64::MAX);
-    bound("loads", with.loads as f64, 1.0, f64::MAX);
-    for (name, v) in [("losses", &with), ("no losses", &calm), ("rolled", &roll)] {
-        bound(
-            &format!("{name}: loads started twice"),
-            v.doubled as f64,
+    add_bound("faults", plan.faults.len() as f64, 1.0, f64::MAX);
+    add_bound("loads", with_losses.loads as f64, 1.0, f64::MAX);
+    for (run, verdict) in [
+        ("losses", &with_losses),
+        ("no losses", &without_losses),
+        ("rolled", &rolled),
+    ] {
+        add_bound(
+            &format!("{run}: loads started twice"),
+            verdict.doubled as f64,
             0.0,
             0.0,
         );
-        bound(
-            &format!("{name}: loads refused that ran"),
-            v.refused_and_ran as f64,
+        add_bound(
+            &format!("{run}: loads rejected although they ran"),
+            verdict.refused_and_ran as f64,
             0.0,
             0.0,
         );
-        bound(
-            &format!("{name}: clients with two ends"),
-            v.two_ends as f64,
+        add_bound(
+            &format!("{run}: clients with contradicting answers"),
+            verdict.two_ends as f64,
             0.0,
             0.0,
         );
-        bound(
-            &format!("{name}: second clients told no more than may have run"),
-            v.unsure as f64,
+        add_bound(
+            &format!("{run}: second clients of a completed load told only that it may have run"),
+            verdict.unsure as f64,
             0.0,
             f64::MAX,
         );
-        bound(
-            &format!("{name}: clients left without a word"),
-            v.silent as f64,
+        add_bound(
+            &format!("{run}: clients without an answer"),
+            verdict.silent as f64,
             0.0,
             0.0,
         );
-        bound(
-            &format!("{name}: crashes"),
-            v.crashes.len() as f64,
+        add_bound(
+            &format!("{run}: crashes"),
+            verdict.crashes.len() as f64,
             0.0,
             0.0,
         );
     }
-    bound(
-        "running at a loss and come back for",
-        with.caught as f64,
+    add_bound(
+        "in flight at a gateway loss and retried by the client",
+        with_losses.caught as f64,
         0.0,
         f64::MAX,
     );
-    if with.caught > 0 {
-        bound(
+    if with_losses.caught > 0 {
+        add_bound(
             "of these completed without running again",
-            with.carried as f64 / with.caught as f64,
+            with_losses.carried as f64 / with_losses.caught as f64,
             0.95,
             1.0,
         );
     }
-    bound(
+    add_bound(
         "rolled: statements that ran again",
-        roll.again as f64,
+        rolled.again as f64,
         0.0,
         0.0,
     );
-    bound(
-        "rolled: service over that without",
-        roll.service() / calm.service().max(1e-9),
+    add_bound(
+        "rolled: service, ratio to no restarts",
+        rolled.service() / without_losses.service().max(1e-9),
         0.99,
         f64::MAX,
     );
-    bound("service", with.service(), 0.0, f64::MAX);
-    bound(
-        "service over that without losses",
-        with.service() / calm.service().max(1e-9),
+    add_bound("service", with_losses.service(), 0.0, f64::MAX);
+    add_bound(
+        "service, ratio to no losses",
+        with_losses.service() / without_losses.service().max(1e-9),
         0.97,
         f64::MAX,
     );
-    bound(
-        "first question by another after a loss, median ms",
-        with.first_ask_p50 as f64,
+    add_bound(
+        "first query from another gateway after a loss, median ms",
+        with_losses.first_ask_p50 as f64,
         0.0,
         f64::MAX,
     );
-    bound(
-        "first question by another after a loss, p99 ms",
-        with.first_ask_p99 as f64,
+    add_bound(
+        "first query from another gateway after a loss, p99 ms",
+        with_losses.first_ask_p99 as f64,
         0.0,
         1600.0,
     );
-    bound("median ms", with.p50_ms as f64, 0.0, f64::MAX);
-    bound("99th ms", with.p99_ms as f64, 0.0, f64::MAX);
-    bound(
+    add_bound(
+        "latency, median ms",
+        with_losses.p50_ms as f64,
+        0.0,
+        f64::MAX,
+    );
+    add_bound("latency, p99 ms", with_losses.p99_ms as f64, 0.0, f64::MAX);
+    add_bound(
         "without peers: loads started twice",
-        off.doubled as f64,
+        without_peers.doubled as f64,
         0.0,
         f64::MAX,
     );
-    bound(
+    add_bound(
         "without peers: completed without running again",
-        off.carried as f64 / off.caught.max(1) as f64,
+        without_peers.carried as f64 / without_peers.caught.max(1) as f64,
+        0.0,
+        f64::MAX,
+    );
+    add_bound(
+        "without peers: service",
+        without_peers.service(),
         0.0,
         f64::MAX,
     );
-    bound("without peers: service", off.service(), 0.0, f64::MAX);
-    if with.caught == 0 {
-        let why = "the plan has no statement that ran at a loss and was come back for";
-        report.inconclusive_reason = Some(why.to_owned());
+    if with_losses.caught == 0 {
+        let reason = "no statement was in flight at a gateway loss and retried by its client";
+        report.inconclusive_reason = Some(reason.to_owned());
     }
     report
 }
--- a/crates/ivypitch-testbed/src/experiments/members.rs
+++ b/crates/ivypitch-testbed/src/experiments/members.rs
@@ -1,17 +1,17 @@
-//! Members in virtual time.
+//! The experiment `members`: failure detection of the membership protocol, in virtual time.
 
 use crate::report::{Bound, Report};
 use crate::virtual_time::membership_fleet::{self, TransitTime};
 
-/// Losses among many members with datagrams dropped; then a cut.
-pub fn play(quick: bool, seed: u64) -> Report {
+/// Measures failure detection under datagram loss at several sizes, then under a partition.
+pub fn run(quick: bool, seed: u64) -> Report {
     let mut report = Report::new("members", seed);
     let sizes: &[(usize, u64)] = if quick {
         &[(3, 30), (30, 30), (100, 20)]
     } else {
         &[(3, 300), (30, 300), (300, 300)]
     };
-    // A living member is lost no more than once an hour: an hour of a large fleet is played.
+    // At most one false detection per hour is allowed, so one hour of a large fleet is simulated.
     if !quick {
         let hour = membership_fleet::Fleet {
             members: 300,
@@ -27,16 +27,18 @@
             partition_ms: None,
             config: ivypitch_membership::MembershipConfig::default(),
         };
-        let told = membership_fleet::play(hour, seed);
-        let what =
-            "virtual time, 300 members, 5% of datagrams dropped, an hour: living members told lost";
-        report
-            .bounds
-            .push(Bound::new(what, told.falsely_lost_members as f64, 0.0, 1.0));
+        let verdict = membership_fleet::play(hour, seed);
+        let name = "virtual time, 300 members, 5% of datagrams dropped, one hour: live members reported lost";
+        report.bounds.push(Bound::new(
+            name,
+            verdict.falsely_lost_members as f64,
+            0.0,
+            1.0,
+        ));
     }
     for &(size, seconds) in sizes {
         let config = ivypitch_membership::MembershipConfig::default();
-        let calm = membership_fleet::Fleet {
+        let without_losses = membership_fleet::Fleet {
             members: size,
             zones: 3,
             datagram_loss: 0.05,
@@ -50,90 +52,91 @@
             partition_ms: None,
             config,
         };
-        let losses = membership_fleet::Fleet {
+        let with_losses = membership_fleet::Fleet {
             kill_interval_ms: Some(2000),
-            ..calm
+            ..without_losses
         };
-        let cut = membership_fleet::Fleet {
+        let partitioned = membership_fleet::Fleet {
             partition_ms: Some(6000),
             seconds: 20,
-            ..calm
+            ..without_losses
         };
-        let (calm, losses, cut) = std::thread::scope(|scope| {
-            let calm = scope.spawn(|| membership_fleet::play(calm, seed));
-            let cut = scope.spawn(|| membership_fleet::play(cut, seed));
-            let losses = membership_fleet::play(losses, seed);
+        let (without_losses, with_losses, partitioned) = std::thread::scope(|scope| {
+            let without_losses = scope.spawn(|| membership_fleet::play(without_losses, seed));
+            let partitioned = scope.spawn(|| membership_fleet::play(partitioned, seed));
+            let with_losses = membership_fleet::play(with_losses, seed);
             (
-                calm.join().unwrap_or_default(),
-                losses,
-                cut.join().unwrap_or_default(),
+                without_losses.join().unwrap_or_default(),
+                with_losses,
+                partitioned.join().unwrap_or_default(),
             )
         });
-        let place = format!("virtual time, {size} members, 5% of datagrams dropped, {seconds} s");
-        let mut bound = |what: &str, is, least, most| {
+        let scenario =
+            format!("virtual time, {size} members, 5% of datagrams dropped, {seconds} s");
+        let mut add_bound = |name: &str, value, min, max| {
             report
                 .bounds
-                .push(Bound::new(&format!("{place}: {what}"), is, least, most))
+                .push(Bound::new(&format!("{scenario}: {name}"), value, min, max))
         };
-        bound(
-            "until all hear all, ms",
-            calm.joined_ms as f64,
+        add_bound(
+            "until all members know all, ms",
+            without_losses.joined_ms as f64,
             0.0,
             10_000.0,
         );
-        bound("kills", losses.kills as f64, 1.0, f64::MAX);
-        bound(
-            "a loss is known, median ms",
-            losses.detection_p50_ms as f64,
+        add_bound("kills", with_losses.kills as f64, 1.0, f64::MAX);
+        add_bound(
+            "detection of a loss, median ms",
+            with_losses.detection_p50_ms as f64,
             0.0,
             f64::MAX,
         );
-        bound(
-            "a loss is known, p99 ms",
-            losses.detection_p99_ms as f64,
+        add_bound(
+            "detection of a loss, p99 ms",
+            with_losses.detection_p99_ms as f64,
             0.0,
             1000.0,
         );
-        bound(
-            "a loss is known, at the latest ms",
-            losses.max_detection_ms as f64,
+        add_bound(
+            "detection of a loss, maximum ms",
+            with_losses.max_detection_ms as f64,
             0.0,
             f64::MAX,
         );
-        bound(
-            "living members told lost, calm",
-            calm.falsely_lost_members as f64,
+        add_bound(
+            "live members reported lost, no losses",
+            without_losses.falsely_lost_members as f64,
             0.0,
             0.0,
         );
-        bound(
-            "living members told lost, beside losses",
-            losses.falsely_lost_members as f64,
+        add_bound(
+            "live members reported lost, during losses",
+            with_losses.falsely_lost_members as f64,
             0.0,
             0.0,
         );
-        bound(
-            "datagrams a member a second",
-            calm.datagrams_per_member_second,
+        add_bound(
+            "datagrams per member and second",
+            without_losses.datagrams_per_member_second,
             0.0,
             f64::MAX,
         );
-        bound(
-            "bytes a member a second",
-            calm.bytes_per_member_second,
+        add_bound(
+            "bytes per member and second",
+            without_losses.bytes_per_member_second,
             0.0,
             f64::MAX,
         );
         if size > 3 {
-            bound(
-                "cut-off members that doubt themselves, part",
-                cut.suspecting_in_minority as f64 / (size / 3) as f64,
+            add_bound(
+                "partitioned members that suspect a partition, fraction",
+                partitioned.suspecting_in_minority as f64 / (size / 3) as f64,
                 0.9,
                 f64::MAX,
             );
-            bound(
-                "others that doubt themselves",
-                cut.suspecting_elsewhere as f64,
+            add_bound(
+                "other members that suspect a partition",
+                partitioned.suspecting_elsewhere as f64,
                 0.0,
                 0.0,
             );
--- a/crates/ivypitch-testbed/src/experiments/mod.rs
+++ b/crates/ivypitch-testbed/src/experiments/mod.rs
@@ -1,5 +1,5 @@
-//! The experiments: each plays its runs, prints their figures beside the bounds that must hold, and tells whether
-//! all hold.
+//! The experiments. Each performs its runs, prints the results with the bounds that they must
+//! satisfy, and reports whether all bounds hold.
 
 pub mod custody;
 pub mod custody_cost;
@@ -13,73 +13,83 @@
 
 use crate::report::Report;
 
+/// An experiment that `ivypitch testbed run` can run by name.
 pub struct Experiment {
     pub name: &'static str,
     pub description: &'static str,
     pub run: fn(quick: bool, seed: u64) -> Report,
 }
 
+/// All experiments.
 pub const ALL: &[Experiment] = &[
     Experiment {
         name: "team-flood",
-        description: "one of three teams at 10 times its traffic, with and without the teams' queues, in virtual time and on sockets",
-        run: team_flood::play,
+        description: "one of three teams at 10 times its traffic, with and without team queues, in virtual time and over sockets",
+        run: team_flood::run,
     },
     Experiment {
         name: "members",
-        description: "how soon the loss of a gateway is known to all, and who is taken for lost that lives, in virtual time",
-        run: members::play,
+        description: "time until all gateways detect the loss of one, and false detections, in virtual time",
+        run: members::run,
     },
     Experiment {
         name: "custody",
-        description: "fault plans over a fleet whose gateways take each other's statements over, in virtual time",
-        run: custody::play,
+        description: "ownership of statements under fault plans: gateways take over statements of lost ones, in virtual time",
+        run: custody::run,
     },
     Experiment {
         name: "shares",
-        description: "budgets lent and judgements shared over fault plans, bounds counted where they are used, in virtual time",
-        run: shares::play,
+        description: "quota leases and shared outlier detection under fault plans, usage checked where it occurs, in virtual time",
+        run: shares::run,
     },
     Experiment {
         name: "fleet-cut",
-        description: "real gateways that share, cut and restarted, with traffic ten to one, beside the same without sharing",
-        run: fleet_cut::play,
+        description: "gateway processes with coordination under partitions and restarts, traffic skewed 10 to 1, compared with no coordination",
+        run: fleet_cut::run,
     },
     Experiment {
         name: "gateway-loss",
-        description: "real gateways and engines, a gateway lost every 3 s while clients come back, beside the same without losses and without peers",
-        run: gateway_loss::play,
+        description: "gateway and engine processes, a gateway lost every 3 s while clients retry, compared with no losses and with no peers",
+        run: gateway_loss::run,
     },
     Experiment {
         name: "custody-cost",
-        description: "latency, processor time and bytes that it costs to outlive a gateway, where nothing is lost",
-        run: custody_cost::play,
+        description: "cost of statement ownership in latency, processor time and bytes, without faults",
+        run: custody_cost::run,
     },
     Experiment {
         name: "soak",
-        description: "real gateways restarted, reloaded and signalled in series while clients go on using their connections",
-        run: soak::play,
+        description: "gateway processes restarted, reloaded and signalled in series while clients keep using their connections",
+        run: soak::run,
     },
     Experiment {
         name: "scale",
-        description: "what each part costs at 30 to 3,800 gateways and 80 to 44,000 engines, with slopes, in virtual time",
-        run: scale::play,
+        description: "cost of each component at 30 to 3,800 gateways and 80 to 44,000 engines, with fitted slopes, in virtual time",
+        run: scale::run,
     },
 ];
 
-/// Plans by the seed and those that follow it, over as many threads as there are cores.
-fn side_by_side<T: Send>(plans: u64, seed: u64, play: impl Fn(u64) -> T + Sync) -> Vec<T> {
-    let parts = std::thread::available_parallelism()
+/// Runs consecutive seeds from `seed` on, on as many threads as there are cores; results in the
+/// order of the seeds.
+fn run_seeds_in_parallel<T: Send>(count: u64, seed: u64, run: impl Fn(u64) -> T + Sync) -> Vec<T> {
+    let threads = std::thread::available_parallelism()
         .map_or(1, |n| n.get() as u64)
-        .min(plans)
+        .min(count)
         .max(1);
-    let at = |part: u64| seed + plans * part / parts;
+    let first_seed = |thread: u64| seed + count * thread / threads;
     std::thread::scope(|scope| {
-        let play = &play;
-        let run = |p| scope.spawn(move || (at(p)..at(p + 1)).map(play).collect::<Vec<T>>());
-        let runs: Vec<_> = (0..parts).map(run).collect();
-        runs.into_iter()
-            .flat_map(|run| run.join().unwrap_or_default())
+        let run = &run;
+        let spawn = |thread| {
+            scope.spawn(move || {
+                (first_seed(thread)..first_seed(thread + 1))
+                    .map(run)
+                    .collect::<Vec<T>>()
+            })
+        };
+        let handles: Vec<_> = (0..threads).map(spawn).collect();
+        handles
+            .into_iter()
+            .flat_map(|handle| handle.join().unwrap_or_default())
             .collect()
     })
 }
--- a/crates/ivypitch-testbed/src/experiments/scale/capacity.rs
+++ b/crates/ivypitch-testbed/src/experiments/scale/capacity.rs
@@ -1,157 +1,181 @@
-//! The tables of `docs/CAPACITY.md`, out of recorded slopes: what each role carries at 300 gateways and at the target,
-//! and at which size its budget is passed.
+//! The tables of `docs/CAPACITY.md`, computed from a recorded run: the load on each role at 300
+//! gateways and at the target, and the size at which its budget is exceeded.
 
 use std::fmt::Write;
 
 use serde::{Deserialize, Serialize};
 
-use super::slope::{Measure, Slope, at, passes_at, short};
+use super::slope::{Measure, Slope, budget_exceeded_at, cost_at, format_short};
 
-/// The target, and its even parts.
+/// Gateways of the target.
 pub const GATEWAYS: f64 = 3800.0;
+/// Engines of the target.
 pub const ENGINES: f64 = 44_000.0;
+/// Statements per second and gateway.
 pub const STATEMENTS: f64 = 3684.0;
+/// Sessions per gateway.
 pub const SESSIONS: f64 = 6053.0;
+/// Endpoint changes per second.
 pub const CHANGES: f64 = 86_000.0 / 86_400.0;
+/// Servers of the endpoint watch.
 pub const SERVERS: f64 = 40.0;
+/// Gateway restarts per second.
 pub const RESTARTS: f64 = 8_800.0 / 86_400.0;
-/// Budgets of a gateway for control: percent of a core, MB, KB a second.
-const CORE: f64 = 4.5;
-const MEMORY: f64 = 64.0;
-const BYTES: f64 = 15.0;
-/// A statement costs at most so many times what it costs at 80 engines.
-const FLAT: f64 = 1.3;
+/// Budget of a gateway for control traffic: percent of a core.
+const CPU_BUDGET_PERCENT: f64 = 4.5;
+/// Budget of a gateway for control state.
+const MEMORY_BUDGET_MB: f64 = 64.0;
+/// Budget of a gateway for control traffic.
+const BYTES_BUDGET_KB_PER_S: f64 = 15.0;
+/// Maximum ratio of the cost of a statement to that at 80 engines.
+const MAX_STATEMENT_COST_RATIO: f64 = 1.3;
 const MB: f64 = 1e6;
 const KB: f64 = 1e3;
-/// Crossings are looked for between these sizes.
-const SMALLEST: f64 = 2.0;
-const LARGEST: f64 = 100_000.0;
+/// Smallest number of gateways at which a budget may be exceeded.
+const MIN_GATEWAYS: f64 = 2.0;
+/// Largest number of gateways that is searched.
+const MAX_GATEWAYS: f64 = 100_000.0;
 
-/// The journal's connection, the listener and a log, beside clients, engines and links (`lifecycle/bounds.rs`).
+/// Descriptors other than those of clients, engines and links: endpoint watch, listener and log
+/// (`lifecycle/bounds.rs`).
 const OTHER_DESCRIPTORS: f64 = 48.0;
-/// A connection to an engine is kept for 0.8 of 30 s (`ivypitch_connection_pool`, and the usual idle close).
-const KEPT_S: f64 = 24.0;
-/// Of the subset: the most by traffic, and the gateways that hold an engine at least.
-const SUBSET_MOST: f64 = 80.0;
-const HOLDERS: f64 = 7.0;
-/// Verdicts a second, and engines of which words are kept.
-const JUDGEMENTS: f64 = 20.0;
-const WORDS_ON: f64 = 1024.0;
-/// Bytes of a server's link.
-const SERVER_BYTES: f64 = 125e6;
+/// Time that an idle connection to an engine is kept: 0.8 of the usual idle timeout of 30 s
+/// (`ivypitch_connection_pool`).
+const CONNECTION_KEEP_S: f64 = 24.0;
+/// Maximum engines of a subset as determined by traffic.
+const MAX_SUBSET_BY_TRAFFIC: f64 = 80.0;
+/// Minimum gateways that have an engine in their subset.
+const MIN_GATEWAYS_PER_ENGINE: f64 = 7.0;
+/// Evaluations of engine health per second.
+const EVALUATIONS_PER_S: f64 = 20.0;
+/// Maximum engines of which observations are kept.
+const MAX_OBSERVED_ENGINES: f64 = 1024.0;
+/// Bandwidth of a server.
+const SERVER_LINK_BYTES_PER_S: f64 = 125e6;
 
-/// Everything that is counted, at one size of the fleet, in the target's proportions.
+/// The quantities that determine costs, at one size of the fleet and in the proportions of the
+/// target.
 #[derive(Clone, Copy, Debug)]
-pub struct Counts {
+pub struct Quantities {
     pub gateways: f64,
     pub engines: f64,
     pub peers: f64,
-    /// Of a gateway, a second.
+    /// Per gateway and second.
     pub statements: f64,
+    /// Per gateway.
     pub sessions: f64,
-    /// Of the fleet, a second.
+    /// Per second in the fleet.
     pub changes: f64,
+    /// Per second in the fleet.
     pub restarts: f64,
 }
 
-impl Counts {
-    /// The engines that a gateway with its even part of the traffic sends to, as `rules.rs` has it (docs/design.md).
-    fn subset(&self) -> f64 {
-        let kept = SUBSET_MOST
-            .max(HOLDERS * self.engines / self.gateways)
+impl Quantities {
+    /// Engines that a gateway with an equal part of the traffic sends to, by the rule in `rules.rs`
+    /// (docs/design.md).
+    fn subset_size(&self) -> f64 {
+        let subset = MAX_SUBSET_BY_TRAFFIC
+            .max(MIN_GATEWAYS_PER_ENGINE * self.engines / self.gateways)
             .ceil();
-        if kept > self.engines / 4.0 {
+        if subset > self.engines / 4.0 {
             self.engines
         } else {
-            kept
+            subset
         }
     }
 
-    /// Part of the time that a gateway keeps a connection to an engine of these, one at least, where it takes them evenly:
-    /// also the part of its statements that find one.
-    fn kept(&self) -> f64 {
-        1.0 - (-KEPT_S * self.statements / self.subset()).exp()
+    /// Fraction of the time that a gateway has at least one open connection to an engine of its
+    /// subset, with statements spread evenly. It equals the fraction of statements that find an
+    /// open connection.
+    fn open_connection_ratio(&self) -> f64 {
+        1.0 - (-CONNECTION_KEEP_S * self.statements / self.subset_size()).exp()
     }
 }
 
-pub fn counts(gateways: f64) -> Counts {
-    let part = gateways / GATEWAYS;
-    Counts {
+/// The quantities at this number of gateways.
+pub fn quantities_at(gateways: f64) -> Quantities {
+    let ratio = gateways / GATEWAYS;
+    Quantities {
         gateways,
-        engines: ENGINES * part,
+        engines: ENGINES * ratio,
         peers: gateways - 1.0,
         statements: STATEMENTS,
         sessions: SESSIONS,
-        changes: CHANGES * part,
-        restarts: RESTARTS * part,
+        changes: CHANGES * ratio,
+        restarts: RESTARTS * ratio,
     }
 }
 
+/// A measure of a recorded run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RecordedMeasure {
     pub role: String,
-    pub what: String,
+    #[serde(rename = "what")]
+    pub name: String,
     pub unit: String,
     pub by: String,
     pub points: Vec<(f64, f64)>,
     pub is_simulated: bool,
 }
 
-/// What a run told: kept beside the page.
+/// The measures of a run, stored next to the capacity page.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Recorded {
+pub struct RecordedRun {
     pub command: String,
     pub seed: u64,
     pub measures: Vec<RecordedMeasure>,
 }
 
-impl Recorded {
-    pub fn new(quick: bool, seed: u64, measures: &[Measure]) -> Recorded {
+impl RecordedRun {
+    /// Records the measures of a run.
+    pub fn new(quick: bool, seed: u64, measures: &[Measure]) -> RecordedRun {
         let quick = if quick { " --quick" } else { "" };
-        let measure = |m: &Measure| RecordedMeasure {
-            role: m.role.to_owned(),
-            what: m.what.to_owned(),
-            unit: m.unit.to_owned(),
-            by: m.by.to_owned(),
-            points: m.points.clone(),
-            is_simulated: m.is_simulated,
+        let record = |measure: &Measure| RecordedMeasure {
+            role: measure.role.to_owned(),
+            name: measure.name.to_owned(),
+            unit: measure.unit.to_owned(),
+            by: measure.by.to_owned(),
+            points: measure.points.clone(),
+            is_simulated: measure.is_simulated,
         };
-        Recorded {
+        RecordedRun {
             command: format!("ivypitch lab run scale{quick} --seed {seed}"),
             seed,
-            measures: measures.iter().map(measure).collect(),
+            measures: measures.iter().map(record).collect(),
         }
     }
 
-    fn find(&self, what: &str) -> Option<&RecordedMeasure> {
-        self.measures.iter().find(|m| m.what == what)
+    fn find(&self, name: &str) -> Option<&RecordedMeasure> {
+        self.measures.iter().find(|measure| measure.name == name)
     }
 
-    /// A cost at a size; 0 where the run has not measured it.
-    pub fn at(&self, what: &str, size: f64) -> f64 {
-        self.find(what).map_or(0.0, |m| at(&m.points, size))
+    /// A cost at a size; 0 if the run has not measured it.
+    pub fn cost_at(&self, name: &str, size: f64) -> f64 {
+        self.find(name)
+            .map_or(0.0, |measure| cost_at(&measure.points, size))
     }
 
-    fn fit(&self, what: &str) -> String {
-        let Some(m) = self.find(what) else {
+    /// The fitted line of a measure as text.
+    fn fit_text(&self, name: &str) -> String {
+        let Some(measure) = self.find(name) else {
             return "not run".into();
         };
         let Slope {
             base,
-            per,
+            per_unit,
             exponent,
             residual,
-        } = Slope::of(&m.points);
-        let size = |p: Option<&(f64, f64)>| p.map_or(0.0, |p| p.0);
-        let (unit, by) = (if m.unit.is_empty() { "" } else { " " }, &m.by);
-        let sign = if per < 0.0 { '-' } else { '+' };
+        } = Slope::of(&measure.points);
+        let size = |point: Option<&(f64, f64)>| point.map_or(0.0, |point| point.0);
+        let (unit, by) = (if measure.unit.is_empty() { "" } else { " " }, &measure.by);
+        let sign = if per_unit < 0.0 { '-' } else { '+' };
         format!(
             "{}{unit}{} {sign} {} x {by}, exponent {exponent:.2}, residual {residual:.2}, {:.0} to {:.0} {by}",
-            short(base),
-            m.unit,
-            short(per.abs()),
-            size(m.points.first()),
-            size(m.points.last())
+            format_short(base),
+            measure.unit,
+            format_short(per_unit.abs()),
+            size(measure.points.first()),
+            size(measure.points.last())
         )
     }
 }
@@ -159,250 +183,264 @@
 /// One row of a role's table.
 pub struct Row {
     pub role: &'static str,
-    pub what: &'static str,
+    pub name: &'static str,
     pub unit: &'static str,
-    /// In the counts, `c(..)` what the run measured.
+    /// The cost in terms of the quantities; `c(..)` is the measured cost.
     pub formula: &'static str,
-    /// The measured cost in it; none: worked out.
-    pub from: Option<&'static str>,
-    pub cost: fn(&Recorded, &Counts) -> f64,
-    pub budget: Option<fn(&Recorded) -> f64>,
-    pub carried: &'static str,
+    /// Name of the measure in the formula; `None`: the cost is computed without one.
+    pub measure: Option<&'static str>,
+    pub cost: fn(&RecordedRun, &Quantities) -> f64,
+    pub budget: Option<fn(&RecordedRun) -> f64>,
+    /// What limits the cost.
+    pub limited_by: &'static str,
 }
 
-const STATEMENT: &str = "module: processor time of a statement";
-const CHANGE: &str = "module: processor time of a change of one row";
-const WHOLE: &str = "module: processor time of a whole list told again";
+const STATEMENT_US: &str = "module: processor time of a statement";
+const CHANGE_US: &str = "module: processor time of a change of one row";
+const FULL_LIST_US: &str = "module: processor time of a whole list told again";
 const LIST_BYTES: &str = "journal: bytes of a whole list";
-const LIST_READ: &str = "journal: processor time to read a whole list";
-const ROWS: &str = "module: memory";
+const LIST_PARSE_US: &str = "journal: processor time to read a whole list";
+const SCHEDULER_MEMORY: &str = "module: memory";
 const MEMBERS_BYTES: &str = "members: bytes out at rest";
 const MEMBERS_CPU: &str = "members: processor time at rest";
 const MEMBERS_MEMORY: &str = "members: memory";
-const MEMBERS_COLD: &str = "members: bytes out at a cold start of all, busiest second";
+const MEMBERS_COLD_START_BYTES: &str = "members: bytes out at a cold start of all, busiest second";
 const MEMBERS_DATAGRAMS: &str = "members: datagrams out at rest";
 const LINKS_BYTES: &str = "links: bytes out at rest";
 const LINKS_FRAMES: &str = "links: frames out at rest";
-const WITNESSES: &str = "custody: processor time to choose a statement's witnesses";
-const CUSTODY_BYTES: &str = "custody: bytes of a statement";
-const CUSTODY_MESSAGES: &str = "custody: messages of a statement";
-const SHARES_BYTES: &str = "shares: bytes out at rest";
-const SHARES_WALK: &str = "shares: processor time at rest, 300 gateways";
-const SHARES_SAW: &str = "shares: processor time of a statement's outcome";
-const SHARES_JUDGE: &str = "shares: processor time of a judgement, one word in ten";
-const LAST_ACTS: &str = "journal: a change until the last gateway acts by it, calm";
+const VOTER_ASSIGNMENT_US: &str = "custody: processor time to choose a statement's witnesses";
+const OWNERSHIP_BYTES: &str = "custody: bytes of a statement";
+const OWNERSHIP_MESSAGES: &str = "custody: messages of a statement";
+const COORDINATION_BYTES: &str = "shares: bytes out at rest";
+const COORDINATION_CPU: &str = "shares: processor time at rest, 300 gateways";
+const OUTCOME_US: &str = "shares: processor time of a statement's outcome";
+const EVALUATION_US: &str = "shares: processor time of a judgement, one word in ten";
+const CHANGE_LATENCY: &str = "journal: a change until the last gateway acts by it, calm";
 const CHANGE_BYTES: &str =
     "journal: bytes out of all servers for a change, numbers told each second in it";
 
-const SUBSET: &str = "a subset of engines by gateway (design.md)";
-const GROUPS: &str = "none; peers by groups are to (below)";
+const ENGINE_SUBSET: &str = "a subset of engines by gateway (design.md)";
+const NO_LIMIT_BEFORE_PEER_GROUPS: &str = "none; peers by groups are to (below)";
 
-/// What the budgets are for: a gateway's control in all, with peers, and without custody's copies of statements.
-fn memory(r: &Recorded, n: &Counts) -> f64 {
-    let words = 16.0 * n.gateways * n.engines.min(WORDS_ON);
-    (r.at(ROWS, n.engines) + r.at(MEMBERS_MEMORY, n.gateways) + words) / MB
+/// Memory of a gateway for control with peers, without the copies of statements for ownership, in
+/// MB.
+fn control_memory_mb(run: &RecordedRun, q: &Quantities) -> f64 {
+    let observations = 16.0 * q.gateways * q.engines.min(MAX_OBSERVED_ENGINES);
+    (run.cost_at(SCHEDULER_MEMORY, q.engines)
+        + run.cost_at(MEMBERS_MEMORY, q.gateways)
+        + observations)
+        / MB
 }
 
-fn core(r: &Recorded, n: &Counts) -> f64 {
-    let verdicts = JUDGEMENTS * n.engines.min(WORDS_ON) / 80.0 * r.at(SHARES_JUDGE, n.gateways);
-    let statements = n.statements * (r.at(WITNESSES, n.gateways) + r.at(SHARES_SAW, n.engines));
-    let rest = r.at(MEMBERS_CPU, n.gateways)
-        + r.at(SHARES_WALK, n.engines)
-        + n.changes * r.at(CHANGE, n.engines);
-    (verdicts + statements + rest) * 1e-4
+/// Processor time of a gateway for control, in percent of a core.
+fn control_cpu_percent(run: &RecordedRun, q: &Quantities) -> f64 {
+    let evaluations = EVALUATIONS_PER_S * q.engines.min(MAX_OBSERVED_ENGINES) / 80.0
+        * run.cost_at(EVALUATION_US, q.gateways);
+    let statements = q.statements
+        * (run.cost_at(VOTER_ASSIGNMENT_US, q.gateways) + run.cost_at(OUTCOME_US, q.engines));
+    let rest = run.cost_at(MEMBERS_CPU, q.gateways)
+        + run.cost_at(COORDINATION_CPU, q.engines)
+        + q.changes * run.cost_at(CHANGE_US, q.engines);
+    (evaluations + statements + rest) * 1e-4
 }
 
-fn bytes(r: &Recorded, n: &Counts) -> f64 {
-    (r.at(MEMBERS_BYTES, n.gateways)
-        + r.at(LINKS_BYTES, n.gateways)
-        + r.at(SHARES_BYTES, n.gateways))
+/// Bytes out of a gateway for control at rest, in KB/s.
+fn control_kb_per_s(run: &RecordedRun, q: &Quantities) -> f64 {
+    (run.cost_at(MEMBERS_BYTES, q.gateways)
+        + run.cost_at(LINKS_BYTES, q.gateways)
+        + run.cost_at(COORDINATION_BYTES, q.gateways))
         / KB
 }
 
+/// The rows of all tables.
 pub fn rows() -> Vec<Row> {
     let gateway = Row {
         role: "gateway",
-        what: "",
+        name: "",
         unit: "",
         formula: "",
-        from: None,
+        measure: None,
         cost: |_, _| 0.0,
         budget: None,
-        carried: "",
+        limited_by: "",
     };
-    let of = |role, row: Row| Row { role, ..row };
+    let with_role = |role, row: Row| Row { role, ..row };
     macro_rules! row {
         ($($field:ident: $value:expr),*) => { Row { $($field: $value,)* ..gateway } };
     }
     vec![
-        row!(what: "processor time, a statement in the module", unit: "us", formula: "c(engines)",
-            from: Some(STATEMENT), cost: |r, n| r.at(STATEMENT, n.engines),
-            budget: Some(|r| FLAT * r.at(STATEMENT, 80.0)), carried: SUBSET),
-        row!(what: "processor time, all statements in the module", unit: "% of a core", formula: "statements x c(engines)",
-            from: Some(STATEMENT), cost: |r, n| n.statements * r.at(STATEMENT, n.engines) * 1e-4, carried: SUBSET),
-        row!(what: "processor time, changes of one row", unit: "% of a core", formula: "changes x c(engines)",
-            from: Some(CHANGE), cost: |r, n| n.changes * r.at(CHANGE, n.engines) * 1e-4, budget: Some(|_| CORE),
-            carried: SUBSET),
-        row!(what: "the module stands still for a whole list told again", unit: "ms", formula: "c(engines) + reading",
-            from: Some(WHOLE),
-            cost: |r, n| (r.at(WHOLE, n.engines) + r.at(LIST_READ, n.engines)) * 1e-3,
-            carried: "a row is compared with what is known of it; reading takes the most"),
-        row!(what: "memory, rows of engines in the module", unit: "MB", formula: "c(engines)",
-            from: Some(ROWS), cost: |r, n| r.at(ROWS, n.engines) / MB, budget: Some(|_| MEMORY),
-            carried: "every gateway holds every row, within the budget"),
-        row!(what: "memory, a whole list as one line", unit: "MB", formula: "c(engines)",
-            from: Some(LIST_BYTES), cost: |r, n| r.at(LIST_BYTES, n.engines) / MB, budget: Some(|_| MEMORY / 32.0),
-            carried: "none: a line above a 32nd of the memory (taken as 64 MB here) is not read, and asked for again without end"),
-        row!(what: "memory, members", unit: "MB", formula: "c(gateways)",
-            from: Some(MEMBERS_MEMORY), cost: |r, n| r.at(MEMBERS_MEMORY, n.gateways) / MB, budget: Some(|_| MEMORY),
-            carried: GROUPS),
-        row!(what: "memory, words on engines", unit: "MB", formula: "16 bytes x gateways x min(engines, 1,024)",
-            cost: |_, n| 16.0 * n.gateways * n.engines.min(WORDS_ON) / MB, budget: Some(|_| MEMORY),
-            carried: "the bound of 1,024 engines: words on the others are dropped"),
-        row!(what: "processor time, members", unit: "% of a core", formula: "c(gateways)",
-            from: Some(MEMBERS_CPU), cost: |r, n| r.at(MEMBERS_CPU, n.gateways) * 1e-4, budget: Some(|_| CORE),
-            carried: GROUPS),
-        row!(what: "processor time, verdicts on engines, one word in ten known", unit: "% of a core",
-            formula: "20 x min(engines, 1,024) / 80 x c(gateways)", from: Some(SHARES_JUDGE),
-            cost: |r, n| JUDGEMENTS * n.engines.min(WORDS_ON) / 80.0 * r.at(SHARES_JUDGE, n.gateways) * 1e-4,
-            budget: Some(|_| CORE), carried: GROUPS),
-        row!(what: "processor time, shares with nothing to say", unit: "% of a core", formula: "c(engines)",
-            from: Some(SHARES_WALK), cost: |r, n| r.at(SHARES_WALK, n.engines) * 1e-4, budget: Some(|_| CORE),
-            carried: "none: verdicts walk all engines listed"),
-        row!(what: "processor time, choosing witnesses", unit: "% of a core", formula: "statements x c(gateways)",
-            from: Some(WITNESSES), cost: |r, n| n.statements * r.at(WITNESSES, n.gateways) * 1e-4,
-            budget: Some(|_| CORE), carried: GROUPS),
-        row!(what: "processor time, outcomes told to shares", unit: "% of a core", formula: "statements x c(engines)",
-            from: Some(SHARES_SAW), cost: |r, n| n.statements * r.at(SHARES_SAW, n.engines) * 1e-4,
-            budget: Some(|_| CORE), carried: "none: an outcome walks the list of engines"),
-        row!(what: "bytes out, members at rest", unit: "KB/s", formula: "c(gateways)",
-            from: Some(MEMBERS_BYTES), cost: |r, n| r.at(MEMBERS_BYTES, n.gateways) / KB, budget: Some(|_| BYTES),
-            carried: "one question a period, whatever the size"),
-        row!(what: "bytes out, members, busiest second of a cold start of all", unit: "KB/s", formula: "c(gateways)",
-            from: Some(MEMBERS_COLD), cost: |r, n| r.at(MEMBERS_COLD, n.gateways) / KB, budget: Some(|_| BYTES),
-            carried: GROUPS),
-        row!(what: "bytes out, links at rest", unit: "KB/s", formula: "peers x 5 x (frame + 52)",
-            from: Some(LINKS_BYTES), cost: |r, n| r.at(LINKS_BYTES, n.gateways) / KB, budget: Some(|_| BYTES),
-            carried: GROUPS),
-        row!(what: "bytes out, shares at rest", unit: "KB/s", formula: "c(gateways)",
-            from: Some(SHARES_BYTES), cost: |r, n| r.at(SHARES_BYTES, n.gateways) / KB, budget: Some(|_| BYTES),
-            carried: "a fixed fan-out"),
-        row!(what: "bytes out, custody", unit: "KB/s", formula: "statements x c(gateways)",
-            from: Some(CUSTODY_BYTES), cost: |r, n| n.statements * r.at(CUSTODY_BYTES, n.gateways) / KB,
-            budget: Some(|_| BYTES), carried: "none: it grows with statements and not with the fleet"),
-        row!(what: "bytes in, changes", unit: "KB/s", formula: "changes x 0.19",
-            cost: |r, n| n.changes * r.at(CHANGE_BYTES, n.gateways) / n.gateways / KB, from: Some(CHANGE_BYTES),
-            budget: Some(|_| BYTES), carried: "one line a change"),
-        row!(what: "all of it: memory, but for the line", unit: "MB", formula: "rows + members + words",
-            cost: memory, budget: Some(|_| MEMORY), carried: GROUPS),
-        row!(what: "all of it: processor time, but for the module's statements and links", unit: "% of a core",
+        row!(name: "processor time, a statement in the module", unit: "us", formula: "c(engines)",
+            measure: Some(STATEMENT_US), cost: |run, q| run.cost_at(STATEMENT_US, q.engines),
+            budget: Some(|run| MAX_STATEMENT_COST_RATIO * run.cost_at(STATEMENT_US, 80.0)), limited_by: ENGINE_SUBSET),
+        row!(name: "processor time, all statements in the module", unit: "% of a core", formula: "statements x c(engines)",
+            measure: Some(STATEMENT_US), cost: |run, q| q.statements * run.cost_at(STATEMENT_US, q.engines) * 1e-4, limited_by: ENGINE_SUBSET),
+        row!(name: "processor time, changes of one row", unit: "% of a core", formula: "changes x c(engines)",
+            measure: Some(CHANGE_US), cost: |run, q| q.changes * run.cost_at(CHANGE_US, q.engines) * 1e-4, budget: Some(|_| CPU_BUDGET_PERCENT),
+            limited_by: ENGINE_SUBSET),
+        row!(name: "the module stands still for a whole list told again", unit: "ms", formula: "c(engines) + reading",
+            measure: Some(FULL_LIST_US),
+            cost: |run, q| (run.cost_at(FULL_LIST_US, q.engines) + run.cost_at(LIST_PARSE_US, q.engines)) * 1e-3,
+            limited_by: "a row is compared with what is known of it; reading takes the most"),
+        row!(name: "memory, rows of engines in the module", unit: "MB", formula: "c(engines)",
+            measure: Some(SCHEDULER_MEMORY), cost: |run, q| run.cost_at(SCHEDULER_MEMORY, q.engines) / MB, budget: Some(|_| MEMORY_BUDGET_MB),
+            limited_by: "every gateway holds every row, within the budget"),
+        row!(name: "memory, a whole list as one line", unit: "MB", formula: "c(engines)",
+            measure: Some(LIST_BYTES), cost: |run, q| run.cost_at(LIST_BYTES, q.engines) / MB, budget: Some(|_| MEMORY_BUDGET_MB / 32.0),
+            limited_by: "none: a line above a 32nd of the memory (taken as 64 MB here) is not read, and asked for again without end"),
+        row!(name: "memory, members", unit: "MB", formula: "c(gateways)",
+            measure: Some(MEMBERS_MEMORY), cost: |run, q| run.cost_at(MEMBERS_MEMORY, q.gateways) / MB, budget: Some(|_| MEMORY_BUDGET_MB),
+            limited_by: NO_LIMIT_BEFORE_PEER_GROUPS),
+        row!(name: "memory, words on engines", unit: "MB", formula: "16 bytes x gateways x min(engines, 1,024)",
+            cost: |_, q| 16.0 * q.gateways * q.engines.min(MAX_OBSERVED_ENGINES) / MB, budget: Some(|_| MEMORY_BUDGET_MB),
+            limited_by: "the bound of 1,024 engines: words on the others are dropped"),
+        row!(name: "processor time, members", unit: "% of a core", formula: "c(gateways)",
+            measure: Some(MEMBERS_CPU), cost: |run, q| run.cost_at(MEMBERS_CPU, q.gateways) * 1e-4, budget: Some(|_| CPU_BUDGET_PERCENT),
+            limited_by: NO_LIMIT_BEFORE_PEER_GROUPS),
+        row!(name: "processor time, verdicts on engines, one word in ten known", unit: "% of a core",
+            formula: "20 x min(engines, 1,024) / 80 x c(gateways)", measure: Some(EVALUATION_US),
+            cost: |run, q| EVALUATIONS_PER_S * q.engines.min(MAX_OBSERVED_ENGINES) / 80.0 * run.cost_at(EVALUATION_US, q.gateways) * 1e-4,
+            budget: Some(|_| CPU_BUDGET_PERCENT), limited_by: NO_LIMIT_BEFORE_PEER_GROUPS),
+        row!(name: "processor time, shares with nothing to say", unit: "% of a core", formula: "c(engines)",
+            measure: Some(COORDINATION_CPU), cost: |run, q| run.cost_at(COORDINATION_CPU, q.engines) * 1e-4, budget: Some(|_| CPU_BUDGET_PERCENT),
+            limited_by: "none: verdicts walk all engines listed"),
+        row!(name: "processor time, choosing witnesses", unit: "% of a core", formula: "statements x c(gateways)",
+            measure: Some(VOTER_ASSIGNMENT_US), cost: |run, q| q.statements * run.cost_at(VOTER_ASSIGNMENT_US, q.gateways) * 1e-4,
+            budget: Some(|_| CPU_BUDGET_PERCENT), limited_by: NO_LIMIT_BEFORE_PEER_GROUPS),
+        row!(name: "processor time, outcomes told to shares", unit: "% of a core", formula: "statements x c(engines)",
+            measure: Some(OUTCOME_US), cost: |run, q| q.statements * run.cost_at(OUTCOME_US, q.engines) * 1e-4,
+            budget: Some(|_| CPU_BUDGET_PERCENT), limited_by: "none: an outcome walks the list of engines"),
+        row!(name: "bytes out, members at rest", unit: "KB/s", formula: "c(gateways)",
+            measure: Some(MEMBERS_BYTES), cost: |run, q| run.cost_at(MEMBERS_BYTES, q.gateways) / KB, budget: Some(|_| BYTES_BUDGET_KB_PER_S),
+            limited_by: "one question a period, whatever the size"),
+        row!(name: "bytes out, members, busiest second of a cold start of all", unit: "KB/s", formula: "c(gateways)",
+            measure: Some(MEMBERS_COLD_START_BYTES), cost: |run, q| run.cost_at(MEMBERS_COLD_START_BYTES, q.gateways) / KB, budget: Some(|_| BYTES_BUDGET_KB_PER_S),
+            limited_by: NO_LIMIT_BEFORE_PEER_GROUPS),
+        row!(name: "bytes out, links at rest", unit: "KB/s", formula: "peers x 5 x (frame + 52)",
+            measure: Some(LINKS_BYTES), cost: |run, q| run.cost_at(LINKS_BYTES, q.gateways) / KB, budget: Some(|_| BYTES_BUDGET_KB_PER_S),
+            limited_by: NO_LIMIT_BEFORE_PEER_GROUPS),
+        row!(name: "bytes out, shares at rest", unit: "KB/s", formula: "c(gateways)",
+            measure: Some(COORDINATION_BYTES), cost: |run, q| run.cost_at(COORDINATION_BYTES, q.gateways) / KB, budget: Some(|_| BYTES_BUDGET_KB_PER_S),
+            limited_by: "a fixed fan-out"),
+        row!(name: "bytes out, custody", unit: "KB/s", formula: "statements x c(gateways)",
+            measure: Some(OWNERSHIP_BYTES), cost: |run, q| q.statements * run.cost_at(OWNERSHIP_BYTES, q.gateways) / KB,
+            budget: Some(|_| BYTES_BUDGET_KB_PER_S), limited_by: "none: it grows with statements and not with the fleet"),
+        row!(name: "bytes in, changes", unit: "KB/s", formula: "changes x 0.19",
+            cost: |run, q| q.changes * run.cost_at(CHANGE_BYTES, q.gateways) / q.gateways / KB, measure: Some(CHANGE_BYTES),
+            budget: Some(|_| BYTES_BUDGET_KB_PER_S), limited_by: "one line a change"),
+        row!(name: "all of it: memory, but for the line", unit: "MB", formula: "rows + members + words",
+            cost: control_memory_mb, budget: Some(|_| MEMORY_BUDGET_MB), limited_by: NO_LIMIT_BEFORE_PEER_GROUPS),
+        row!(name: "all of it: processor time, but for the module's statements and links", unit: "% of a core",
             formula: "members + verdicts + shares + witnesses + outcomes + changes",
-            cost: core, budget: Some(|_| CORE), carried: GROUPS),
-        row!(what: "all of it: bytes out at rest, but for custody", unit: "KB/s", formula: "members + links + shares",
-            cost: bytes, budget: Some(|_| BYTES), carried: GROUPS),
-        row!(what: "messages out, members, links", unit: "1/s", formula: "c(gateways)", from: Some(LINKS_FRAMES),
-            cost: |r, n| r.at(MEMBERS_DATAGRAMS, n.gateways) + r.at(LINKS_FRAMES, n.gateways), carried: GROUPS),
-        row!(what: "messages out, custody", unit: "1/s", formula: "statements x c(gateways)",
-            from: Some(CUSTODY_MESSAGES), cost: |r, n| n.statements * r.at(CUSTODY_MESSAGES, n.gateways),
-            carried: "none: it grows with statements and not with the fleet"),
-        row!(what: "descriptors", unit: "", formula: "sessions + subset x kept + peers + 48",
-            cost: |_, n| n.sessions + n.subset() * n.kept() + n.peers + OTHER_DESCRIPTORS,
-            carried: "permits bound those to engines; links: none"),
-        row!(what: "statements on a kept connection, of all, engines taken evenly", unit: "", formula: "kept = 1 - exp(-24 x statements / subset)",
-            cost: |_, n| n.kept(), carried: SUBSET),
-        of(
+            cost: control_cpu_percent, budget: Some(|_| CPU_BUDGET_PERCENT), limited_by: NO_LIMIT_BEFORE_PEER_GROUPS),
+        row!(name: "all of it: bytes out at rest, but for custody", unit: "KB/s", formula: "members + links + shares",
+            cost: control_kb_per_s, budget: Some(|_| BYTES_BUDGET_KB_PER_S), limited_by: NO_LIMIT_BEFORE_PEER_GROUPS),
+        row!(name: "messages out, members, links", unit: "1/s", formula: "c(gateways)", measure: Some(LINKS_FRAMES),
+            cost: |run, q| run.cost_at(MEMBERS_DATAGRAMS, q.gateways) + run.cost_at(LINKS_FRAMES, q.gateways), limited_by: NO_LIMIT_BEFORE_PEER_GROUPS),
+        row!(name: "messages out, custody", unit: "1/s", formula: "statements x c(gateways)",
+            measure: Some(OWNERSHIP_MESSAGES), cost: |run, q| q.statements * run.cost_at(OWNERSHIP_MESSAGES, q.gateways),
+            limited_by: "none: it grows with statements and not with the fleet"),
+        row!(name: "descriptors", unit: "", formula: "sessions + subset x kept + peers + 48",
+            cost: |_, q| q.sessions + q.subset_size() * q.open_connection_ratio() + q.peers + OTHER_DESCRIPTORS,
+            limited_by: "permits bound those to engines; links: none"),
+        row!(name: "statements on a kept connection, of all, engines taken evenly", unit: "", formula: "kept = 1 - exp(-24 x statements / subset)",
+            cost: |_, q| q.open_connection_ratio(), limited_by: ENGINE_SUBSET),
+        with_role(
             "relay",
-            row!(what: "state: the list and a day of changes", unit: "MB",
-            formula: "c(engines) + 86,400 x changes x line", from: Some(LIST_BYTES),
-            cost: |r, n| (r.at(LIST_BYTES, n.engines) + 86_400.0 * n.changes * r.at(LIST_BYTES, 80.0) / 80.0) / MB,
-            carried: "none of ours: the journal service is the operators'"),
+            row!(name: "state: the list and a day of changes", unit: "MB",
+            formula: "c(engines) + 86,400 x changes x line", measure: Some(LIST_BYTES),
+            cost: |run, q| (run.cost_at(LIST_BYTES, q.engines) + 86_400.0 * q.changes * run.cost_at(LIST_BYTES, 80.0) / 80.0) / MB,
+            limited_by: "none of ours: the journal service is the operators'"),
         ),
-        of(
+        with_role(
             "relay",
-            row!(what: "bytes out a machine, changes", unit: "KB/s", formula: "changes x c(gateways) / 40",
-            from: Some(CHANGE_BYTES), cost: |r, n| n.changes * r.at(CHANGE_BYTES, n.gateways) / SERVERS / KB,
-            budget: Some(|_| SERVER_BYTES / KB), carried: "connections spread evenly over the machines: none of ours"),
+            row!(name: "bytes out a machine, changes", unit: "KB/s", formula: "changes x c(gateways) / 40",
+            measure: Some(CHANGE_BYTES), cost: |run, q| q.changes * run.cost_at(CHANGE_BYTES, q.gateways) / SERVERS / KB,
+            budget: Some(|_| SERVER_LINK_BYTES_PER_S / KB), limited_by: "connections spread evenly over the machines: none of ours"),
         ),
-        of(
+        with_role(
             "relay",
-            row!(what: "bytes out a machine, whole lists to gateways that restart", unit: "KB/s",
-            formula: "restarts x c(engines) / 40", from: Some(LIST_BYTES),
-            cost: |r, n| n.restarts * r.at(LIST_BYTES, n.engines) / SERVERS / KB,
-            budget: Some(|_| SERVER_BYTES / KB), carried: "none: a whole list each"),
+            row!(name: "bytes out a machine, whole lists to gateways that restart", unit: "KB/s",
+            formula: "restarts x c(engines) / 40", measure: Some(LIST_BYTES),
+            cost: |run, q| q.restarts * run.cost_at(LIST_BYTES, q.engines) / SERVERS / KB,
+            budget: Some(|_| SERVER_LINK_BYTES_PER_S / KB), limited_by: "none: a whole list each"),
         ),
-        of(
+        with_role(
             "relay",
-            row!(what: "descriptors a machine", unit: "", formula: "gateways / 40",
-            cost: |_, n| n.gateways / SERVERS, carried: "as above"),
+            row!(name: "descriptors a machine", unit: "", formula: "gateways / 40",
+            cost: |_, q| q.gateways / SERVERS, limited_by: "as above"),
         ),
-        of(
+        with_role(
             "engine",
-            row!(what: "gateways that send to it", unit: "", formula: "gateways x subset / engines",
-            cost: |_, n| n.gateways * n.subset() / n.engines, carried: SUBSET),
+            row!(name: "gateways that send to it", unit: "", formula: "gateways x subset / engines",
+            cost: |_, q| q.gateways * q.subset_size() / q.engines, limited_by: ENGINE_SUBSET),
         ),
-        of(
+        with_role(
             "engine",
-            row!(what: "statements", unit: "1/s", formula: "gateways x statements / engines",
-            cost: |_, n| n.gateways * n.statements / n.engines, carried: "the module's pick"),
+            row!(name: "statements", unit: "1/s", formula: "gateways x statements / engines",
+            cost: |_, q| q.gateways * q.statements / q.engines, limited_by: "the module's pick"),
         ),
-        of(
+        with_role(
             "engine",
-            row!(what: "connections kept to it by all gateways", unit: "",
+            row!(name: "connections kept to it by all gateways", unit: "",
             formula: "gateways x subset / engines x kept",
-            cost: |_, n| n.gateways * n.subset() / n.engines * n.kept(),
-            carried: "one of each gateway that holds it, or as many as are out at once (`ivypitch_connection_pool`)"),
+            cost: |_, q| q.gateways * q.subset_size() / q.engines * q.open_connection_ratio(),
+            limited_by: "one of each gateway that holds it, or as many as are out at once (`ivypitch_connection_pool`)"),
         ),
-        of(
+        with_role(
             "engine",
-            row!(what: "connections begun", unit: "1/s",
+            row!(name: "connections begun", unit: "1/s",
             formula: "gateways x statements / engines x (1 - kept)",
-            cost: |_, n| n.gateways * n.statements / n.engines * (1.0 - n.kept()),
-            carried: SUBSET),
+            cost: |_, q| q.gateways * q.statements / q.engines * (1.0 - q.open_connection_ratio()),
+            limited_by: ENGINE_SUBSET),
         ),
-        of(
+        with_role(
             "client",
-            row!(what: "a change until the last gateway acts by it, calm", unit: "ms", formula: "c(gateways)",
-            from: Some(LAST_ACTS), cost: |r, n| r.at(LAST_ACTS, n.gateways), budget: Some(|_| 6000.0),
-            carried: "one feed a gateway from 40 machines"),
+            row!(name: "a change until the last gateway acts by it, calm", unit: "ms", formula: "c(gateways)",
+            measure: Some(CHANGE_LATENCY), cost: |run, q| run.cost_at(CHANGE_LATENCY, q.gateways), budget: Some(|_| 6000.0),
+            limited_by: "one feed a gateway from 40 machines"),
         ),
-        of(
+        with_role(
             "client",
-            row!(what: "sessions that end with a gateway", unit: "", formula: "sessions",
-            cost: |_, n| n.sessions, carried: "they come back to any other; `req` with custody"),
+            row!(name: "sessions that end with a gateway", unit: "", formula: "sessions",
+            cost: |_, q| q.sessions, limited_by: "they come back to any other; `req` with custody"),
         ),
     ]
 }
 
-/// Passed at the smallest size that is looked at already.
-pub fn is_any(size: f64) -> bool {
-    size <= SMALLEST * 1.02
+/// The budget is exceeded even at the smallest size that is searched.
+pub fn is_at_any_size(size: f64) -> bool {
+    size <= MIN_GATEWAYS * 1.02
 }
 
 impl Row {
-    /// The size of the fleet in gateways from which on the budget is passed.
-    pub fn passed_at(&self, recorded: &Recorded) -> Option<f64> {
+    /// The number of gateways from which on the budget is exceeded.
+    pub fn budget_exceeded_at(&self, recorded: &RecordedRun) -> Option<f64> {
         let budget = self.budget?(recorded);
-        passes_at(
-            |gateways| (self.cost)(recorded, &counts(gateways)),
+        budget_exceeded_at(
+            |gateways| (self.cost)(recorded, &quantities_at(gateways)),
             budget,
-            SMALLEST,
-            LARGEST,
+            MIN_GATEWAYS,
+            MAX_GATEWAYS,
         )
     }
 
-    fn line(&self, recorded: &Recorded) -> String {
-        let cost = |gateways| short((self.cost)(recorded, &counts(gateways)));
-        let from = self
-            .from
-            .map_or("worked out".into(), |what| recorded.fit(what));
+    /// The row as a line of a Markdown table.
+    fn table_line(&self, recorded: &RecordedRun) -> String {
+        let cost = |gateways| format_short((self.cost)(recorded, &quantities_at(gateways)));
+        let fit = self
+            .measure
+            .map_or("worked out".into(), |name| recorded.fit_text(name));
         let budget = self
             .budget
-            .map_or("-".into(), |budget| short(budget(recorded)));
-        let passed = match (self.budget, self.passed_at(recorded)) {
+            .map_or("-".into(), |budget| format_short(budget(recorded)));
+        let exceeded_at = match (self.budget, self.budget_exceeded_at(recorded)) {
             (None, _) => "-".into(),
             (_, None) => "not below 100,000".into(),
-            (_, Some(n)) if n <= SMALLEST * 1.02 => "at any size".into(),
-            (_, Some(n)) => format!("**{n:.0}** ({:.0} engines)", counts(n).engines),
+            (_, Some(gateways)) if gateways <= MIN_GATEWAYS * 1.02 => "at any size".into(),
+            (_, Some(gateways)) => format!(
+                "**{gateways:.0}** ({:.0} engines)",
+                quantities_at(gateways).engines
+            ),
         };
         let unit = if self.unit.is_empty() {
             String::new()
@@ -410,19 +448,19 @@
             format!(", {}", self.unit)
         };
         format!(
-            "| {}{unit} | {} | {from} | {} | {} | {budget} | {passed} | {} |\n",
-            self.what,
+            "| {}{unit} | {} | {fit} | {} | {} | {budget} | {exceeded_at} | {} |\n",
+            self.name,
             self.formula,
             cost(300.0),
             cost(GATEWAYS),
-            self.carried
+            self.limited_by
         )
     }
 }
 
-/// All tables as they stand on the page.
-pub fn tables(recorded: &Recorded) -> String {
-    let all = rows();
+/// All tables as they appear on the capacity page.
+pub fn tables(recorded: &RecordedRun) -> String {
+    let rows = rows();
     let mut text = format!("Run: `{}`, virtual time.\n", recorded.command);
     for (role, title) in [
         ("gateway", "A gateway"),
@@ -433,35 +471,35 @@
         let _ = writeln!(text, "\n### {title}\n");
         text += "| what | formula | c, from the run | 300 gateways | target | budget | passed at, gateways | carried by |\n";
         text += "| --- | --- | --- | --- | --- | --- | --- | --- |\n";
-        all.iter()
+        rows.iter()
             .filter(|row| row.role == role)
-            .for_each(|row| text += &row.line(recorded));
+            .for_each(|row| text += &row.table_line(recorded));
     }
-    let mut order: Vec<(f64, &Row)> = all
+    let mut exceeded: Vec<(f64, &Row)> = rows
         .iter()
-        .filter_map(|row| Some((row.passed_at(recorded)?, row)))
-        .filter(|p| p.0 < GATEWAYS)
+        .filter_map(|row| Some((row.budget_exceeded_at(recorded)?, row)))
+        .filter(|entry| entry.0 < GATEWAYS)
         .collect();
-    order.sort_by(|a, b| a.0.total_cmp(&b.0));
+    exceeded.sort_by(|a, b| a.0.total_cmp(&b.0));
     text += "\n### In the order in which budgets are passed\n\n| gateways | engines | what | target over budget |\n";
     text += "| --- | --- | --- | --- |\n";
-    for (size, row) in order {
+    for (size, row) in exceeded {
         let budget = row.budget.map_or(1.0, |budget| budget(recorded));
-        let over = (row.cost)(recorded, &counts(GATEWAYS)) / budget;
-        let size = if is_any(size) {
+        let budget_ratio = (row.cost)(recorded, &quantities_at(GATEWAYS)) / budget;
+        let size = if is_at_any_size(size) {
             "any".into()
         } else {
             format!("{size:.0}")
         };
-        let engines = size
-            .parse()
-            .map_or("any".into(), |n: f64| format!("{:.0}", counts(n).engines));
+        let engines = size.parse().map_or("any".into(), |gateways: f64| {
+            format!("{:.0}", quantities_at(gateways).engines)
+        });
         let _ = writeln!(
             text,
             "| {size} | {engines} | {}, {} | {} |",
-            row.what,
+            row.name,
             row.unit,
-            short(over)
+            format_short(budget_ratio)
         );
     }
     text
--- a/crates/ivypitch-testbed/src/experiments/scale/changes.rs
+++ b/crates/ivypitch-testbed/src/experiments/scale/changes.rs
@@ -1,38 +1,43 @@
-//! The target's changes: one a second and bursts, until every gateway that can be reached acts by them.
+//! Endpoint changes at the rate of the target, one per second and in bursts, until every reachable
+//! gateway has applied them.
 
 use ivypitch_types::SECOND;
 
-use super::module::line;
 use super::peers::GATEWAYS;
+use super::scheduler::endpoint_event_line;
 use super::slope::Measure;
 use crate::report::{Bound, Report};
 use crate::virtual_time::discovery_fleet::{Fleet, Outage, Verdict, play};
 
-/// Budget: a change is in force everywhere within so long.
-pub const EVERYWHERE_MS: f64 = 6000.0;
-/// 8,800 restarts a day, and so many times that.
-const RESTARTS: f64 = 8_800.0 / 86_400.0;
-const TIMES: f64 = 20.0;
+/// Budget for the time until all gateways have applied a change.
+pub const MAX_PROPAGATION_MS: f64 = 6000.0;
+/// 8,800 restarts a day.
+const RESTARTS_PER_SECOND: f64 = 8_800.0 / 86_400.0;
+/// Factor on the restart rate in the case with restarts.
+const RESTART_RATE_FACTOR: f64 = 20.0;
+/// Engines of the target.
 pub const ENGINES: usize = 44_000;
-const ZONE_ROWS: u64 = 1833;
+/// Engines of one zone.
+const ENGINES_PER_ZONE: u64 = 1833;
 
-fn calm(gateways: usize, quick: bool) -> Fleet {
+/// The fleet without faults.
+fn fault_free_fleet(gateways: usize, quick: bool) -> Fleet {
     Fleet {
         gateways,
         zones: 24,
         regions: 7,
         servers: 40,
-        // 1 Gb/s each.
+        // 1 Gb/s per server.
         server_bytes_per_second: 125e6,
         segment_loss: 0.01,
         seconds: if quick { 20 } else { 60 },
         burst: 100,
-        change_bytes: line(1, false).len() as u64,
-        list_bytes: line(ENGINES, true).len() as u64,
-        zone_rows: ZONE_ROWS,
-        // One change of one row took the module 0.8 ms at 44,000 engines.
+        change_bytes: endpoint_event_line(1, false).len() as u64,
+        list_bytes: endpoint_event_line(ENGINES, true).len() as u64,
+        zone_rows: ENGINES_PER_ZONE,
+        // The scheduler took 0.8 ms for a change of one row at 44,000 engines.
         apply_change: SECOND / 1000,
-        // To read one and to take it, 0.37 s.
+        // Parsing and applying a whole list took 0.37 s.
         apply_list: SECOND * 4 / 10,
         restarts_per_second: 0.0,
         region_outage: None,
@@ -40,29 +45,30 @@
     }
 }
 
-/// The slopes of calm changes, and the bounds of all cases.
+/// Measures changes without faults at all sizes and adds the bounds of all cases to the report.
 pub fn measure(report: &mut Report, quick: bool, seed: u64) -> Vec<Measure> {
     let target = GATEWAYS[GATEWAYS.len() - 1];
-    let (mut last, mut bytes, mut server) = (Vec::new(), Vec::new(), Vec::new());
+    let (mut latency_ms, mut bytes_per_change, mut peak_server_bytes) =
+        (Vec::new(), Vec::new(), Vec::new());
     for &gateways in &GATEWAYS {
-        let fleet = calm(gateways, quick);
-        let reached = play(fleet, seed);
-        last.push((gateways as f64, f64::from(reached.latency_ms(1.0))));
-        bytes.push((
+        let fleet = fault_free_fleet(gateways, quick);
+        let verdict = play(fleet, seed);
+        latency_ms.push((gateways as f64, f64::from(verdict.latency_ms(1.0))));
+        bytes_per_change.push((
             gateways as f64,
-            reached.sent_bytes as f64 / reached.changes as f64,
+            verdict.sent_bytes as f64 / verdict.changes as f64,
         ));
-        server.push((gateways as f64, reached.peak_server_bytes as f64));
-        judge(report, &format!("{gateways} gateways, calm"), &reached);
+        peak_server_bytes.push((gateways as f64, verdict.peak_server_bytes as f64));
+        add_bounds(report, &format!("{gateways} gateways, no faults"), &verdict);
     }
-    let base = calm(target, quick);
+    let base = fault_free_fleet(target, quick);
     let (from_second, until_second) = if quick { (4, 12) } else { (10, 40) };
     let outage = Some(Outage {
         from_second,
         until_second,
     });
-    // Regions lose each other for minutes.
-    let apart = match quick {
+    // The regions lose their connections to each other for minutes.
+    let region_cut_off = match quick {
         true => Fleet {
             region_outage: outage,
             ..base
@@ -78,96 +84,99 @@
     };
     let cases = [
         (
-            "restarts at 20 times the target's rate",
+            "restarts at 20 times the rate of the target",
             Fleet {
-                restarts_per_second: RESTARTS * TIMES,
+                restarts_per_second: RESTARTS_PER_SECOND * RESTART_RATE_FACTOR,
                 ..base
             },
         ),
-        ("a region cut off and coming back", apart),
+        ("a region partitioned and reconnected", region_cut_off),
         (
-            "a zone lost and coming back",
+            "a zone lost and restored",
             Fleet {
                 zone_outage: outage,
                 ..base
             },
         ),
-        ("one machine serves all, calm", Fleet { servers: 1, ..base }),
+        (
+            "one server for all gateways, no faults",
+            Fleet { servers: 1, ..base },
+        ),
     ];
     for (name, fleet) in cases {
-        judge(
+        add_bounds(
             report,
             &format!("{target} gateways, {name}"),
             &play(fleet, seed),
         );
     }
-    let relay = |what, unit, points| Measure {
+    let measure = |name, unit, points| Measure {
         role: "relay",
-        what,
+        name,
         unit,
         by: "gateways",
         points,
         is_simulated: true,
     };
     vec![
-        relay(
+        measure(
             "journal: a change until the last gateway acts by it, calm",
             "ms",
-            last,
+            latency_ms,
         ),
-        relay(
+        measure(
             "journal: bytes out of all servers for a change, numbers told each second in it",
             "bytes",
-            bytes,
+            bytes_per_change,
         ),
-        relay(
+        measure(
             "journal: bytes out of the busiest of 40 servers in its busiest second",
             "bytes/s",
-            server,
+            peak_server_bytes,
         ),
     ]
 }
 
-fn judge(report: &mut Report, place: &str, reached: &Verdict) {
-    let mut bound = |what: &str, is, least, most| {
+fn add_bounds(report: &mut Report, scenario: &str, verdict: &Verdict) {
+    let mut add_bound = |name: &str, value, min, max| {
         report.bounds.push(Bound::new(
-            &format!("changes, {place}: {what}"),
-            is,
-            least,
-            most,
+            &format!("changes, {scenario}: {name}"),
+            value,
+            min,
+            max,
         ))
     };
-    bound("changes", reached.changes as f64, 1.0, f64::MAX);
-    for (name, quantile) in [("half", 0.5), ("99 in 100", 0.99), ("99.99 in 100", 0.9999)] {
-        bound(
-            &format!("{name} act within, ms"),
-            f64::from(reached.latency_ms(quantile)),
+    add_bound("changes", verdict.changes as f64, 1.0, f64::MAX);
+    for (part, quantile) in [("half", 0.5), ("99 in 100", 0.99), ("99.99 in 100", 0.9999)] {
+        add_bound(
+            &format!("applied by {part} of the gateways within, ms"),
+            f64::from(verdict.latency_ms(quantile)),
             0.0,
             f64::MAX,
         );
     }
-    bound(
-        "the last acts within, ms",
-        f64::from(reached.latency_ms(1.0)),
+    add_bound(
+        "applied by all gateways within, ms",
+        f64::from(verdict.latency_ms(1.0)),
         0.0,
-        EVERYWHERE_MS,
+        MAX_PROPAGATION_MS,
     );
-    bound(
-        "gateways that do not act by the last change",
-        reached.behind as f64,
+    add_bound(
+        "gateways that have not applied the last change",
+        verdict.behind as f64,
         0.0,
         0.0,
     );
-    bound("restarts", reached.restarts as f64, 0.0, f64::MAX);
-    bound(
-        "most connections begun in a second",
-        reached.peak_connects as f64,
+    add_bound("restarts", verdict.restarts as f64, 0.0, f64::MAX);
+    add_bound(
+        "maximum connections opened in a second",
+        verdict.peak_connects as f64,
         0.0,
         f64::MAX,
     );
-    bound(
-        "most bytes out of one server in a second",
-        reached.peak_server_bytes as f64,
+    add_bound(
+        "maximum bytes out of one server in a second",
+        verdict.peak_server_bytes as f64,
         0.0,
         f64::MAX,
     );
--- a/crates/ivypitch-testbed/src/experiments/scale/coordination.rs
+++ b/crates/ivypitch-testbed/src/experiments/scale/coordination.rs
@@ -1,4 +1,4 @@
-//! What coordination costs a gateway as gateways and engines grow in number.
+//! The cost of coordination for a gateway at growing numbers of gateways and engines.
 
 use std::hint::black_box;
 
@@ -11,19 +11,21 @@
 use ivypitch_scheduler::OutlierStatus;
 use ivypitch_types::{Incarnation, MILLISECOND, MemberId, Nanos, ProcessId, SECOND};
 
-use super::module::SIZES;
 use super::peers::{GATEWAYS, Points, ZONES, measure};
+use super::scheduler::ENGINE_COUNTS;
 use super::slope::Measure;
 use crate::virtual_time::faults::Plan;
 use crate::virtual_time::{coordination_fleet, cost};
 
-/// The gateway starts at 0 and has reached the others by then.
-const REST_FROM: Nanos = 20 * SECOND;
-/// Engines where the number of gateways grows, and gateways where that of engines does.
+/// Start of the measurement at rest. The gateway starts at 0 and has reached the others by then.
+const REST_START: Nanos = 20 * SECOND;
+/// Engines in measurements by the number of gateways.
 const ENGINES: usize = 80;
-const GATEWAYS_AT_REST: usize = 300;
-/// Whole units of a quota are kept small enough for the type that counts them.
+/// Gateways in measurements by the number of engines.
+const GATEWAYS_BY_ENGINES: usize = 300;
+/// Quotas are sized for at most this many members so that their units fit the integer type.
 const MAX_QUOTA_MEMBERS: usize = 600;
+/// Number of batches; a cost is their median.
 const BATCHES: usize = 5;
 
 /// Counts what a coordinator sends.
@@ -48,8 +50,8 @@
     fn log(&mut self, _line: &str) {}
 }
 
-/// What a gateway at rest costs.
-struct Rest {
+/// Cost of a gateway at rest.
+struct RestCost {
     cpu_us_per_second: f64,
     bytes_per_second: f64,
     datagrams_per_second: f64,
@@ -70,11 +72,11 @@
     let mut datagrams = Points::new();
     let mut cpu = Points::new();
     for &gateways in &GATEWAYS {
-        let rest = rest(&mut coordinator(gateways, ENGINES), seconds);
+        let cost = measure_coordinator_at_rest(&mut coordinator(gateways, ENGINES), seconds);
         let x = gateways as f64;
-        cpu.push((x, rest.cpu_us_per_second));
-        bytes.push((x, rest.bytes_per_second));
-        datagrams.push((x, rest.datagrams_per_second));
+        cpu.push((x, cost.cpu_us_per_second));
+        bytes.push((x, cost.bytes_per_second));
+        datagrams.push((x, cost.datagrams_per_second));
     }
     vec![
         measure("shares: bytes out at rest", "bytes/s", "gateways", bytes),
@@ -94,33 +96,33 @@
 }
 
 fn measure_by_engines(seed: u64) -> Vec<Measure> {
-    let mut at_rest = Points::new();
-    let mut per_outcome = Points::new();
-    for engines in SIZES {
-        let mut coordinator = coordinator(GATEWAYS_AT_REST, engines);
+    let mut cpu_at_rest = Points::new();
+    let mut us_per_outcome = Points::new();
+    for engines in ENGINE_COUNTS {
+        let mut coordinator = coordinator(GATEWAYS_BY_ENGINES, engines);
         let seconds = if engines > 10_000 { 1 } else { 2 };
-        let rest = rest(&mut coordinator, seconds);
-        at_rest.push((engines as f64, rest.cpu_us_per_second));
-        let us = us_per_outcome(&mut coordinator, engines, seed);
-        per_outcome.push((engines as f64, us));
+        let cost = measure_coordinator_at_rest(&mut coordinator, seconds);
+        cpu_at_rest.push((engines as f64, cost.cpu_us_per_second));
+        let us = measure_outcome_us(&mut coordinator, engines, seed);
+        us_per_outcome.push((engines as f64, us));
     }
     vec![
         measure(
             "shares: processor time at rest, 300 gateways",
             "us/s",
             "engines",
-            at_rest,
+            cpu_at_rest,
         ),
         measure(
             "shares: processor time of a statement's outcome",
             "us",
             "engines",
-            per_outcome,
+            us_per_outcome,
         ),
     ]
 }
 
-fn us_per_outcome(coordinator: &mut Coordinator, engines: usize, seed: u64) -> f64 {
+fn measure_outcome_us(coordinator: &mut Coordinator, engines: usize, seed: u64) -> f64 {
     let mut now = 60 * SECOND;
     let mut next = seed as usize;
     let calls = (4_000_000 / engines).clamp(200, 20_000);
@@ -132,7 +134,7 @@
     })
 }
 
-/// Whole fleets, two engines failing for a third of the time.
+/// Traffic of whole fleets while two engines fail for a third of the time.
 fn measure_failing(max_gateways: usize, seed: u64) -> Measure {
     let mut bytes = Points::new();
     for &gateways in GATEWAYS.iter().filter(|&&n| n <= max_gateways) {
@@ -153,15 +155,15 @@
     )
 }
 
-/// An evaluation of all engines by all gateways, one pair in ten known.
+/// The time to evaluate all engines when one pair of gateway and engine in ten has an observation.
 fn measure_evaluation(calls: usize) -> Measure {
-    let mut evaluating = Points::new();
+    let mut evaluation_us = Points::new();
     let ready: Vec<u64> = (0..ENGINES).map(engine_number).collect();
     for &gateways in &GATEWAYS {
         let zones = zones(gateways);
         let mut table = ObservationTable::new(gateways, MAX_OBSERVED_ENGINES, 0);
-        for (e, &engine) in ready.iter().enumerate() {
-            for member in (e % 10..gateways).step_by(10) {
+        for (index, &engine) in ready.iter().enumerate() {
+            for member in (index % 10..gateways).step_by(10) {
                 table.insert_if_newer(engine, MemberId(member as u16), observed(3 * SECOND));
             }
         }
@@ -169,22 +171,22 @@
         let us = cost::middle_us(BATCHES, calls, || {
             black_box(consensus.evaluate(4 * SECOND, &table, &zones, &ready));
         });
-        evaluating.push((gateways as f64, us));
+        evaluation_us.push((gateways as f64, us));
     }
     measure(
         "shares: processor time of a judgement, one word in ten",
         "us",
         "gateways",
-        evaluating,
+        evaluation_us,
     )
 }
 
 fn measure_table() -> Measure {
     let mut bytes = Points::new();
-    for engines in SIZES {
-        let mut table = ObservationTable::new(GATEWAYS_AT_REST, MAX_OBSERVED_ENGINES, 0);
-        for e in 0..engines {
-            table.insert_if_newer(engine_number(e), MemberId(1), observed(SECOND));
+    for engines in ENGINE_COUNTS {
+        let mut table = ObservationTable::new(GATEWAYS_BY_ENGINES, MAX_OBSERVED_ENGINES, 0);
+        for engine in 0..engines {
+            table.insert_if_newer(engine_number(engine), MemberId(1), observed(SECOND));
         }
         bytes.push((engines as f64, table.size_bytes() as f64));
     }
@@ -196,10 +198,11 @@
     )
 }
 
-/// One gateway's coordinator, that reaches so many others and has so many engines.
+/// The coordinator of one gateway that reaches all other gateways.
 ///
-/// A whole fleet is the square of the gateways and is left at 300; one gateway is a sample of it: at rest, what it sends
-/// does not depend on what the others say.
+/// The cost of a whole fleet is quadratic in the gateways, so whole fleets stop at 300. One gateway
+/// is a sample of a larger fleet because its traffic at rest does not depend on the messages of the
+/// others.
 fn coordinator(gateways: usize, engines: usize) -> Coordinator {
     let mut config = coordination_fleet::config(gateways.min(MAX_QUOTA_MEMBERS));
     for quota in &mut config.quotas {
@@ -217,14 +220,14 @@
     let engines: Vec<u64> = (0..engines).map(engine_number).collect();
     coordinator.set_ready_engines(&engines);
     for member in 1..gateways {
-        coordinator.on_member_up(REST_FROM, process(member), &mut SentCounts::default());
+        coordinator.on_member_up(REST_START, process(member), &mut SentCounts::default());
     }
     coordinator
 }
 
-fn rest(coordinator: &mut Coordinator, seconds: u64) -> Rest {
+fn measure_coordinator_at_rest(coordinator: &mut Coordinator, seconds: u64) -> RestCost {
     let mut sent = SentCounts::default();
-    let mut now = REST_FROM;
+    let mut now = REST_START;
     let end = now + seconds * SECOND;
     let cpu_before = cost::thread_s();
     while now < end {
@@ -233,7 +236,7 @@
     }
     let cpu = cost::thread_s() - cpu_before;
     let seconds = seconds as f64;
-    Rest {
+    RestCost {
         cpu_us_per_second: cpu / seconds * 1e6,
         bytes_per_second: (sent.gossip_bytes + sent.link_bytes) as f64 / seconds,
         datagrams_per_second: sent.gossip_datagrams as f64 / seconds,
@@ -248,7 +251,9 @@
 }
 
 fn zones(gateways: usize) -> Vec<u16> {
-    (0..gateways).map(|g| (g % ZONES) as u16).collect()
+    (0..gateways)
+        .map(|gateway| (gateway % ZONES) as u16)
+        .collect()
 }
 
 fn engine_number(engine: usize) -> u64 {
--- a/crates/ivypitch-testbed/src/experiments/scale/mod.rs
+++ b/crates/ivypitch-testbed/src/experiments/scale/mod.rs
@@ -1,41 +1,46 @@
-//! The size to plan with: what each part costs at more and more gateways and engines, in virtual time and, beside it, on
-//! real gateways among hollow ones (`processes`). What a statement and a change cost the module is to be flat, what peers
-//! cost to grow no faster than the fleet until groups of them carry it; a cost of time is judged as a ratio between sizes
-//! of this run alone.
+//! The experiment `scale`: the cost of each component at growing numbers of gateways and engines,
+//! in virtual time and on gateway processes among simulated ones (`processes`). The cost of a
+//! statement or an endpoint change in the scheduler must be flat; the cost of peers must grow no
+//! faster than the fleet until they are divided into groups. Costs in time are compared only
+//! between sizes of the same run.
 //!
-//! Whole fleets are played as far as the simulator can: members hold each other, so that a fleet is the square of its
-//! size; the largest, 2,000, is played for its cold start alone. Shares and custody are played whole up
-//! to 300 and 1,000 gateways, above that one gateway stands for all; module and feeds are played at every size.
+//! Whole fleets are simulated as far as possible: each member holds all others, so a fleet takes
+//! the square of its size. The largest, 2,000, is simulated for its cold start only. Coordination
+//! and ownership are simulated as whole fleets up to 300 and 1,000 gateways; above that one gateway
+//! stands for all. The scheduler and the endpoint feeds are simulated at every size.
 
 pub mod capacity;
 pub mod changes;
 mod coordination;
-pub mod module;
 pub mod peers;
 pub mod processes;
+pub mod scheduler;
 pub mod slope;
 
 use crate::plot::Plot;
 use crate::report::{Bound, Report};
-use capacity::Recorded;
+use capacity::RecordedRun;
 use slope::Measure;
 
-/// On the way of every statement or change: as good as the same at all sizes.
-const FLAT: f64 = 1.3;
-/// What grows with the fleet must not grow faster than it, time taken with a margin.
-const NO_FASTER: f64 = 1.0;
-const MARGIN: f64 = 1.6;
+/// Maximum ratio between the largest and the smallest size of a cost on the path of every statement
+/// or change.
+const MAX_FLAT_RATIO: f64 = 1.3;
+/// Maximum growth, relative to that of the fleet, of a cost that may grow linearly.
+const MAX_LINEAR_GROWTH: f64 = 1.0;
+/// The same for times and memory, which vary between runs.
+const MAX_LINEAR_GROWTH_WITH_MARGIN: f64 = 1.6;
 
-/// What a cost may grow by from the smallest size to the largest.
+/// Allowed growth of a cost from the smallest size to the largest.
 #[derive(Clone, Copy)]
 enum Growth {
     Flat,
-    /// As the size.
+    /// In proportion to the size.
     Linear,
-    /// Told only.
-    Any,
+    /// Not bounded.
+    Unbounded,
 }
 
+/// Allowed growth by name of the measure.
 const GROWTHS: [(&str, Growth); 24] = [
     ("module: processor time of a statement", Growth::Flat),
     (
@@ -58,7 +63,7 @@
     ("members: memory", Growth::Linear),
     (
         "members: bytes out at a cold start of all, busiest second",
-        Growth::Any,
+        Growth::Unbounded,
     ),
     (
         "members: bytes out over a cold start of all",
@@ -96,62 +101,74 @@
     ),
 ];
 
-pub fn play(quick: bool, seed: u64) -> Report {
+/// Runs the experiment.
+pub fn run(quick: bool, seed: u64) -> Report {
     let mut report = Report::new("scale", seed);
-    let mut all = Vec::new();
-    // On a thread of their own, so that what they free is not used again by what is measured next.
+    let mut measures = Vec::new();
+    // On a separate thread so that later measurements of memory do not reuse the memory freed here.
     std::thread::scope(|scope| {
         let members = scope.spawn(|| peers::membership(quick, seed));
-        all.extend(members.join().unwrap_or_default());
+        measures.extend(members.join().unwrap_or_default());
     });
-    all.extend(module::measure(quick, seed));
-    all.extend(peers::links());
-    all.extend(peers::ownership(quick, seed));
-    all.extend(coordination::measure_coordination(quick, seed));
-    all.extend(changes::measure(&mut report, quick, seed));
-    judge(&mut report, &all);
-    let (measures, bounds) = processes::measure_checked(quick, seed);
-    all.extend(measures);
+    measures.extend(scheduler::measure(quick, seed));
+    measures.extend(peers::links());
+    measures.extend(peers::ownership(quick, seed));
+    measures.extend(coordination::measure_coordination(quick, seed));
+    measures.extend(changes::measure(&mut report, quick, seed));
+    add_growth_bounds(&mut report, &measures);
+    let (process_measures, bounds) = processes::measure_with_bounds(quick, seed);
+    measures.extend(process_measures);
     report.bounds.extend(bounds);
-    tell(&mut report, &Recorded::new(quick, seed, &all), &all);
+    add_measures(
+        &mut report,
+        &RecordedRun::new(quick, seed, &measures),
+        &measures,
+    );
     report
 }
 
-fn judge(report: &mut Report, all: &[Measure]) {
-    for measure in all {
+fn add_growth_bounds(report: &mut Report, measures: &[Measure]) {
+    for measure in measures {
         let growth = GROWTHS
             .iter()
-            .find(|(what, _)| *what == measure.what)
-            .map_or(Growth::Any, |g| g.1);
+            .find(|(name, _)| *name == measure.name)
+            .map_or(Growth::Unbounded, |entry| entry.1);
         let (Some(first), Some(last)) = (measure.points.first(), measure.points.last()) else {
             continue;
         };
-        let of_sizes = last.0 / first.0;
+        let size_ratio = last.0 / first.0;
         let is_time =
-            measure.unit == "us" || measure.unit == "us/s" || measure.what.contains("memory");
-        let most = match growth {
-            Growth::Flat => FLAT,
-            Growth::Linear => of_sizes * if is_time { MARGIN } else { NO_FASTER + 0.1 },
-            Growth::Any => f64::MAX,
+            measure.unit == "us" || measure.unit == "us/s" || measure.name.contains("memory");
+        let max_ratio = match growth {
+            Growth::Flat => MAX_FLAT_RATIO,
+            Growth::Linear => {
+                size_ratio
+                    * if is_time {
+                        MAX_LINEAR_GROWTH_WITH_MARGIN
+                    } else {
+                        MAX_LINEAR_GROWTH + 0.1
+                    }
+            }
+            Growth::Unbounded => f64::MAX,
         };
-        let what = format!(
+        let name = format!(
             "{}: at {} {} over {}",
-            measure.what, last.0, measure.by, first.0
+            measure.name, last.0, measure.by, first.0
         );
         report
             .bounds
-            .push(Bound::new(&what, measure.ratio(), 0.0, most));
+            .push(Bound::new(&name, measure.ratio(), 0.0, max_ratio));
     }
 }
 
-/// Slopes, plots, the record and the page's tables.
-fn tell(report: &mut Report, recorded: &Recorded, all: &[Measure]) {
-    report.notes = all.iter().map(Measure::line).collect();
+/// Adds slopes, plots, the recorded run and the tables of the capacity page to the report.
+fn add_measures(report: &mut Report, recorded: &RecordedRun, measures: &[Measure]) {
+    report.notes = measures.iter().map(Measure::line).collect();
     report.notes.push(String::new());
-    for measure in all {
+    for measure in measures {
         let row = capacity::rows()
             .into_iter()
-            .find(|row| row.from == Some(measure.what) && row.budget.is_some());
+            .find(|row| row.measure == Some(measure.name) && row.budget.is_some());
         report.plots.push(plot(measure, row.as_ref(), recorded));
     }
     report.files.push((
@@ -163,9 +180,10 @@
         .push(("CAPACITY.tables.md".into(), capacity::tables(recorded)));
 }
 
-/// In the unit of the row that has the budget, where there is one: then by gateways, in the target's proportions.
-fn plot(measure: &Measure, row: Option<&capacity::Row>, recorded: &Recorded) -> Plot {
-    let unit = |unit: &str| {
+/// The plot of a measure. With a row that has a budget, it is in the unit of that row, by gateways
+/// in the proportions of the target.
+fn plot(measure: &Measure, row: Option<&capacity::Row>, recorded: &RecordedRun) -> Plot {
+    let unit_suffix = |unit: &str| {
         if unit.is_empty() {
             String::new()
         } else {
@@ -174,17 +192,17 @@
     };
     let Some(row) = row else {
         return Plot {
-            title: format!("{}{}", measure.what, unit(measure.unit)),
-            x: measure.by.into(),
+            title: format!("{}{}", measure.name, unit_suffix(measure.unit)),
+            x_label: measure.by.into(),
             points: measure.points.clone(),
             fit: Vec::new(),
             budget: None,
             crossing: None,
         };
     };
-    let is_engines = measure.by == "engines";
+    let is_by_engines = measure.by == "engines";
     let gateways = |size: f64| {
-        if is_engines {
+        if is_by_engines {
             size * capacity::GATEWAYS / capacity::ENGINES
         } else {
             size
@@ -193,27 +211,29 @@
     let cost = |size: f64| {
         (
             size,
-            (row.cost)(recorded, &capacity::counts(gateways(size))),
+            (row.cost)(recorded, &capacity::quantities_at(gateways(size))),
         )
     };
-    let sizes: Vec<f64> = measure.points.iter().map(|p| p.0).collect();
-    let target = if is_engines {
+    let sizes: Vec<f64> = measure.points.iter().map(|point| point.0).collect();
+    let target = if is_by_engines {
         capacity::ENGINES
     } else {
         capacity::GATEWAYS
     };
     let last = sizes.last().copied().unwrap_or(target);
-    let passed = row.passed_at(recorded).filter(|&n| !capacity::is_any(n));
-    let crossing = passed.map(|n| {
-        if is_engines {
-            capacity::counts(n).engines
+    let exceeded_at = row
+        .budget_exceeded_at(recorded)
+        .filter(|&gateways| !capacity::is_at_any_size(gateways));
+    let crossing = exceeded_at.map(|gateways| {
+        if is_by_engines {
+            capacity::quantities_at(gateways).engines
         } else {
-            n
+            gateways
         }
     });
     Plot {
-        title: format!("{}: {}{}", row.role, row.what, unit(row.unit)),
-        x: measure.by.into(),
+        title: format!("{}: {}{}", row.role, row.name, unit_suffix(row.unit)),
+        x_label: measure.by.into(),
         points: sizes.iter().copied().map(cost).collect(),
         fit: if last < target {
             vec![cost(last), cost(target)]
--- a/crates/ivypitch-testbed/src/experiments/scale/peers.rs
+++ b/crates/ivypitch-testbed/src/experiments/scale/peers.rs
@@ -1,4 +1,4 @@
-//! What membership, links and ownership cost a gateway as gateways grow in number.
+//! The cost of membership, links and ownership for a gateway at growing numbers of gateways.
 
 use std::hint::black_box;
 
@@ -11,24 +11,27 @@
 use crate::virtual_time::membership_fleet::TransitTime;
 use crate::virtual_time::{cost, membership_fleet, ownership_fleet};
 
+/// Measured fleet sizes.
 pub const GATEWAYS: [usize; 5] = [30, 100, 300, 1000, 3800];
 pub(super) const ZONES: usize = 24;
-/// Heartbeats a second on each link (`actors/peer_links/connection.rs`), and what IP and TCP add to a frame that goes alone.
+/// Heartbeats per second on each link (`actors/peer_links/connection.rs`).
 pub const HEARTBEATS_PER_SECOND: f64 = 5.0;
+/// Bytes that IP and TCP add to a frame that is sent alone.
 pub const HEADER_BYTES: f64 = 52.0;
 
-/// By size: the size and what it costs.
+/// Pairs of size and cost.
 pub(super) type Points = Vec<(f64, f64)>;
 
+/// A measure of a gateway in virtual time.
 pub(super) fn measure(
-    what: &'static str,
+    name: &'static str,
     unit: &'static str,
     by: &'static str,
     points: Points,
 ) -> Measure {
     Measure {
         role: "gateway",
-        what,
+        name,
         unit,
         by,
         points,
@@ -36,11 +39,11 @@
     }
 }
 
-/// Whole fleets of members with 1% of their datagrams lost. The simulation has every member in full, and each of them
-/// all others: the largest size is played for the first seconds of its cold start, 3,800 not at all (not ended in five
-/// minutes).
+/// Simulates whole fleets of members with 1% of the datagrams lost. Each simulated member holds all
+/// others, so the largest size runs only the first seconds of its cold start; 3,800 members did not
+/// finish within five minutes and are left out.
 pub fn membership(quick: bool, seed: u64) -> Vec<Measure> {
-    // Seconds that the updates of the start travel, and those that are counted.
+    // Members, seconds until the updates of the start have spread, and seconds that are measured.
     let sizes: &[(usize, u64, u64)] = if quick {
         &[(30, 20, 10), (100, 20, 10), (300, 25, 5)]
     } else {
@@ -52,10 +55,10 @@
             (2000, 2, 1),
         ]
     };
-    const BUSIEST: usize = 4;
-    const JOINED: usize = 6;
+    const PEAK_BYTES: usize = 4;
+    const JOIN_TIME: usize = 6;
     let mut points: [Vec<(f64, f64)>; 7] = Default::default();
-    for &(members, settles, seconds) in sizes {
+    for &(members, settle_seconds, seconds) in sizes {
         let fleet = membership_fleet::Fleet {
             members,
             zones: ZONES,
@@ -64,7 +67,7 @@
                 min_ms: 0.2,
                 max_ms: 3.0,
             },
-            settle_seconds: settles,
+            settle_seconds,
             seconds,
             kill_interval_ms: None,
             partition_ms: None,
@@ -80,10 +83,10 @@
             verdict.start_bytes_per_member,
             verdict.joined_ms as f64,
         ];
-        // Where the updates of the start still travel, nothing is at rest, and more memory is in use than stays.
-        let is_at_rest = settles >= 20;
-        for (i, (points, cost)) in points.iter_mut().zip(costs).enumerate() {
-            if is_at_rest || [BUSIEST, JOINED].contains(&i) {
+        // While the updates of the start still spread, traffic and memory are above those at rest.
+        let is_at_rest = settle_seconds >= 20;
+        for (index, (points, cost)) in points.iter_mut().zip(costs).enumerate() {
+            if is_at_rest || [PEAK_BYTES, JOIN_TIME].contains(&index) {
                 points.push((members as f64, cost));
             }
         }
@@ -103,17 +106,18 @@
     measures
         .into_iter()
         .zip(points)
-        .map(|((what, unit), points)| measure(what, unit, "gateways", points))
+        .map(|((name, unit), points)| measure(name, unit, "gateways", points))
         .collect()
 }
 
-/// One link for each pair with heartbeats in both directions, by the frame as it is encoded.
+/// Links at rest: one for each pair of gateways with heartbeats in both directions, by the size of
+/// the encoded frame.
 pub fn links() -> Vec<Measure> {
     let heartbeat_bytes = encode_frame(&Frame::Heartbeat).len() as f64 + HEADER_BYTES;
-    let by = |each: f64| {
+    let times_peers = |per_link: f64| {
         GATEWAYS
             .iter()
-            .map(|&n| (n as f64, (n - 1) as f64 * each))
+            .map(|&n| (n as f64, (n - 1) as f64 * per_link))
             .collect()
     };
     vec![
@@ -121,37 +125,42 @@
             "links: bytes out at rest",
             "bytes/s",
             "gateways",
-            by(HEARTBEATS_PER_SECOND * heartbeat_bytes),
+            times_peers(HEARTBEATS_PER_SECOND * heartbeat_bytes),
         ),
         measure(
             "links: frames out at rest",
             "1/s",
             "gateways",
-            by(HEARTBEATS_PER_SECOND),
+            times_peers(HEARTBEATS_PER_SECOND),
         ),
-        measure("links: descriptors", "", "gateways", by(1.0)),
+        measure("links: descriptors", "", "gateways", times_peers(1.0)),
     ]
 }
 
-/// Assigning voters, alone; messages and bytes of a statement, over whole fleets.
+/// The cost of assigning voters, and messages and bytes per statement over whole fleets.
 pub fn ownership(quick: bool, seed: u64) -> Vec<Measure> {
-    let mut assigning = Vec::new();
+    let mut assignment_us = Vec::new();
     for &gateways in &GATEWAYS {
-        let voters = VoterAssignment::new((0..gateways).map(|g| (g % ZONES) as u16).collect(), 5);
+        let voters = VoterAssignment::new(
+            (0..gateways)
+                .map(|gateway| (gateway % ZONES) as u16)
+                .collect(),
+            5,
+        );
         let mut id = seed;
         let calls = if quick { 400_000 } else { 4_000_000 } / gateways;
-        let mut choose = || {
+        let mut assign = || {
             id = id.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
             black_box(voters.voters_of(id));
         };
-        assigning.push((gateways as f64, cost::middle_us(5, calls, &mut choose)));
+        assignment_us.push((gateways as f64, cost::middle_us(5, calls, &mut assign)));
     }
     let (mut messages, mut bytes) = (Vec::new(), Vec::new());
     for &gateways in GATEWAYS
         .iter()
         .filter(|&&n| n <= if quick { 300 } else { 1000 })
     {
-        // Each gateway has the same traffic, whatever the size.
+        // Each gateway has the same traffic at every size.
         let fleet = ownership_fleet::Fleet {
             gateways,
             zones: 7,
@@ -172,7 +181,7 @@
             "custody: processor time to choose a statement's witnesses",
             "us",
             "gateways",
-            assigning,
+            assignment_us,
         ),
         measure("custody: messages of a statement", "", "gateways", messages),
         measure("custody: bytes of a statement", "bytes", "gateways", bytes),
--- a/crates/ivypitch-testbed/src/experiments/scale/processes.rs
+++ b/crates/ivypitch-testbed/src/experiments/scale/processes.rs
@@ -1,5 +1,6 @@
-//! The processes' half: real gateways beside hollow gateways and engines, side by side on the machine, each fleet at one
-//! size; what the real ones use is read from the system over a window, and laid beside a second source.
+//! Measurements on processes: gateway processes among simulated gateways and engines, several
+//! fleets at a time, each at one size. The resource use of the gateway processes over a window is
+//! read from the operating system and compared with a second source.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -13,35 +14,42 @@
 use crate::report::Bound;
 use crate::stand_ins::{Client, statement};
 
-/// The real gateways of a fleet: statements come to the first, the second bears witness as the hollow ones do.
-const REAL: usize = 2;
-/// As a fleet has them where another size is varied.
+/// Gateway processes of a fleet. The first receives the statements; the second votes, as the
+/// simulated gateways do.
+const REAL_GATEWAYS: usize = 2;
+/// Peers of a gateway when another quantity is varied.
 const PEERS: usize = 10;
+/// Engines when another quantity is varied.
 const ENGINES: usize = 80;
-/// Two sources of a figure may differ by so much of it.
-const APART: f64 = 0.1;
-/// Custody links each pair; less than this and links broke for want of a processor.
-const LINKED: f64 = 0.9;
-/// Hollow gateways that have less of a core to spare answer late, and their peers pay for it.
-const BUSIEST: f64 = 0.8;
-/// A statement's client waits so long.
+/// Maximum relative difference between the two sources of a value.
+const MAX_SOURCE_DIFFERENCE: f64 = 0.1;
+/// Minimum fraction of peers with a link. Ownership links each pair of gateways; fewer links mean
+/// that some broke because the machine was too busy.
+const MIN_LINKED_PEERS: f64 = 0.9;
+/// Maximum CPU use per thread of simulated gateways, as a fraction of a core. Busier threads answer
+/// late, which adds work for their peers.
+const MAX_SIMULATOR_CPU: f64 = 0.8;
+/// Statement timeout.
 const TIMEOUT_MS: u64 = 1000;
-/// Patient, so that nobody is taken for lost because the machine is busy; at rest it costs nothing.
+/// Long enough that no gateway is reported lost because the machine is busy; it adds no cost at
+/// rest.
 const SUSPICION_MS: u64 = 2000;
-/// Connections of clients that statements come on in turn: one that waits holds up none of the others' times.
+/// Client connections that send statements in turn, so that a waiting statement does not delay the
+/// others.
 const SESSIONS: u64 = 4;
 
-/// One fleet, at rest but for what stands here.
+/// Sizes and load of one fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Size {
     peers: usize,
     engines: usize,
-    /// A second, to the first gateway.
+    /// Statements per second to the first gateway.
     statements: u64,
-    /// A second, by the journal to all.
+    /// Endpoint changes per second to all gateways.
     changes: u64,
 }
 
+/// A fleet at rest.
 const REST: Size = Size {
     peers: PEERS,
     engines: ENGINES,
@@ -49,37 +57,39 @@
     changes: 0,
 };
 
-/// How long each part takes.
+/// Durations of a measurement.
 #[derive(Clone, Copy)]
-struct Spans {
+struct Durations {
     window: Duration,
-    /// The window begins once no real gateway has said anything for so long: those that began lately teach each other
-    /// and lend nothing.
-    settle: Duration,
-    /// Or after so long.
-    settles_by: Duration,
-    longest_ms: u64,
-    remembered_ms: u64,
+    /// The window begins once no gateway process has logged anything for this time. Gateways that
+    /// have just started exchange state and do not grant leases.
+    quiet_time: Duration,
+    /// Maximum time until the window begins.
+    max_settle_time: Duration,
+    /// Longest statement timeout.
+    max_timeout_ms: u64,
+    /// Retention of vote logs beyond the longest statement timeout.
+    vote_retention_ms: u64,
 }
 
-const QUICK: Spans = Spans {
+const QUICK: Durations = Durations {
     window: Duration::from_secs(8),
-    settle: Duration::from_secs(3),
-    settles_by: Duration::from_secs(5),
-    longest_ms: 1000,
-    remembered_ms: 400,
+    quiet_time: Duration::from_secs(3),
+    max_settle_time: Duration::from_secs(5),
+    max_timeout_ms: 1000,
+    vote_retention_ms: 400,
 };
-const FULL: Spans = Spans {
+const FULL: Durations = Durations {
     window: Duration::from_secs(40),
-    settle: Duration::from_secs(10),
-    settles_by: Duration::from_secs(60),
-    longest_ms: 3000,
-    remembered_ms: 5000,
+    quiet_time: Duration::from_secs(10),
+    max_settle_time: Duration::from_secs(60),
+    max_timeout_ms: 3000,
+    vote_retention_ms: 5000,
 };
 
-/// The sizes, and how many of them run beside each other.
+/// The measured sizes; those of an inner list run in parallel.
 fn sizes(quick: bool) -> Vec<Vec<Size>> {
-    let peers = |peers| Size { peers, ..REST };
+    let with_peers = |peers| Size { peers, ..REST };
     let small = vec![
         REST,
         Size {
@@ -105,86 +115,94 @@
         },
     ];
     match quick {
-        true => vec![[small, vec![peers(30), peers(100)]].concat()],
-        false => vec![small, vec![peers(30), peers(100)], vec![peers(300)]],
+        true => vec![[small, vec![with_peers(30), with_peers(100)]].concat()],
+        false => vec![
+            small,
+            vec![with_peers(30), with_peers(100)],
+            vec![with_peers(300)],
+        ],
     }
 }
 
-/// One real gateway over the window.
+/// Resource use of one gateway process over the window.
 #[derive(Clone, Copy, Debug)]
-struct Used {
+struct ResourceUse {
     seconds: f64,
     begin: Sample,
     end: Sample,
 }
 
-impl Used {
+impl ResourceUse {
+    /// Increase of a counter per second.
     fn rate(&self, of: impl Fn(&Sample) -> u64) -> f64 {
         of(&self.end).saturating_sub(of(&self.begin)) as f64 / self.seconds
     }
 
     fn cpu_us(&self) -> f64 {
-        self.rate(|s| s.usage.cpu_ns) / 1000.0
+        self.rate(|sample| sample.usage.cpu_ns) / 1000.0
     }
 
     fn cpu_ticks_us(&self) -> f64 {
-        self.rate(|s| s.usage.cpu_ticks_ns) / 1000.0
+        self.rate(|sample| sample.usage.cpu_ticks_ns) / 1000.0
     }
 
     fn bytes_out(&self) -> f64 {
-        self.rate(|s| s.own.bytes_out)
+        self.rate(|sample| sample.own.bytes_out)
     }
 
     fn bytes_in(&self) -> f64 {
-        self.rate(|s| s.own.bytes_in)
+        self.rate(|sample| sample.own.bytes_in)
     }
 
-    /// The same by the relays and the engines.
-    fn met_out(&self) -> f64 {
-        self.rate(|s| s.relay.bytes_from + s.engines.bytes_in)
+    /// Bytes out as counted by the relays and the engines.
+    fn counterpart_bytes_out(&self) -> f64 {
+        self.rate(|sample| sample.relay.bytes_from + sample.engines.bytes_in)
     }
 
-    fn met_in(&self) -> f64 {
-        self.rate(|s| s.relay.bytes_to + s.engines.bytes_out)
+    /// Bytes in as counted by the relays and the engines.
+    fn counterpart_bytes_in(&self) -> f64 {
+        self.rate(|sample| sample.relay.bytes_to + sample.engines.bytes_out)
     }
 
-    /// Descriptors beside the connections that the others count.
-    fn beside(&self) -> f64 {
+    /// Descriptors other than the connections counted by the relays and the engines.
+    fn other_descriptors(&self) -> f64 {
         self.end.usage.descriptors as f64 - (self.end.relay.open + self.end.engines.open) as f64
     }
 }
 
-/// What one fleet came to: its real gateways, and what the lab did to it.
-struct Played {
+/// Measurements of one fleet.
+struct FleetMeasurement {
     size: Size,
-    used: Vec<Used>,
-    /// Part of a core that each thread of hollow gateways took.
-    crowd: f64,
-    /// As they came, a second.
+    /// By gateway process.
+    resource_use: Vec<ResourceUse>,
+    /// CPU use per thread of simulated gateways, as a fraction of a core.
+    simulator_cpu: f64,
+    /// Statements that actually started, per second.
     statements: f64,
+    /// Endpoint changes that were actually sent, per second.
     changes: f64,
 }
 
-/// Statements at their times until the window is over; each connection has a part of them.
-fn ask(address: std::net::SocketAddr, size: Size, session: u64, until: Instant) {
+/// Sends the statements of one session at their scheduled times until `until`.
+fn send_statements(address: std::net::SocketAddr, size: Size, session: u64, until: Instant) {
     if size.statements == 0 {
         return;
     }
-    let (begun, each) = (
+    let (started_at, interval) = (
         Instant::now(),
         Duration::from_secs(1) / size.statements as u32,
     );
     let mut client = None;
-    for n in (session..).step_by(SESSIONS as usize) {
-        let due = begun + each * n as u32;
-        if due >= until {
+    for number in (session..).step_by(SESSIONS as usize) {
+        let scheduled_at = started_at + interval * number as u32;
+        if scheduled_at >= until {
             return;
         }
-        thread::sleep(due.saturating_duration_since(Instant::now()));
+        thread::sleep(scheduled_at.saturating_duration_since(Instant::now()));
         if client.is_none() {
             client = Client::reach(address);
         }
-        let text = statement("lookup", id_at(0, n), TIMEOUT_MS);
+        let text = statement("lookup", id_at(0, number), TIMEOUT_MS);
         if client
             .as_mut()
             .is_some_and(|client| client.try_ask(&text).is_none())
@@ -194,128 +212,149 @@
     }
 }
 
-/// Events at their times, each of one engine that goes and comes back, until the window is over; their number.
-fn change(fleet: &Fleet, size: Size, until: Instant) -> u64 {
+/// Sends endpoint changes at their scheduled times until `until`: one engine at a time terminates
+/// and returns. Returns the number of changes.
+fn send_changes(fleet: &Fleet, size: Size, until: Instant) -> u64 {
     if size.changes == 0 {
         thread::sleep(until.saturating_duration_since(Instant::now()));
         return 0;
     }
-    let (begun, each) = (Instant::now(), Duration::from_secs(1) / size.changes as u32);
-    for n in 0.. {
-        let due = begun + each * n as u32;
-        if due >= until {
+    let (started_at, interval) = (Instant::now(), Duration::from_secs(1) / size.changes as u32);
+    for number in 0.. {
+        let scheduled_at = started_at + interval * number as u32;
+        if scheduled_at >= until {
             thread::sleep(until.saturating_duration_since(Instant::now()));
-            return n;
+            return number;
         }
-        thread::sleep(due.saturating_duration_since(Instant::now()));
-        let state = if n % 2 == 0 {
+        thread::sleep(scheduled_at.saturating_duration_since(Instant::now()));
+        let state = if number % 2 == 0 {
             "terminating"
         } else {
             "in_service"
         };
-        fleet.tell_state((n / 2) as usize % size.engines, state);
+        fleet.tell_state((number / 2) as usize % size.engines, state);
     }
     0
 }
 
-fn settle(fleet: &Fleet, spans: Spans) {
-    let said = || {
+/// Waits until the gateway processes have logged nothing for the quiet time.
+fn wait_until_settled(fleet: &Fleet, durations: Durations) {
+    let log_lines = || {
         fleet
             .seats
             .iter()
             .map(|seat| seat.log.all().len())
             .sum::<usize>()
     };
-    let late = Instant::now() + spans.settles_by;
-    let (mut last, mut since) = (said(), Instant::now());
-    while since.elapsed() < spans.settle && Instant::now() < late {
+    let deadline = Instant::now() + durations.max_settle_time;
+    let (mut last_lines, mut quiet_since) = (log_lines(), Instant::now());
+    while quiet_since.elapsed() < durations.quiet_time && Instant::now() < deadline {
         thread::sleep(Duration::from_millis(100));
-        let now = said();
-        if now != last {
-            (last, since) = (now, Instant::now());
+        let lines = log_lines();
+        if lines != last_lines {
+            (last_lines, quiet_since) = (lines, Instant::now());
         }
     }
 }
 
-fn play(size: Size, spans: Spans, seed: u64) -> Result<Played, String> {
+/// Runs one fleet.
+fn measure_fleet(size: Size, durations: Durations, seed: u64) -> Result<FleetMeasurement, String> {
     let mut fleet = Fleet::start(Setup {
-        gateways: REAL,
-        hollow: size.peers + 1 - REAL,
+        gateways: REAL_GATEWAYS,
+        hollow: size.peers + 1 - REAL_GATEWAYS,
         engines: Engines::Hollow {
             count: size.engines,
             spare: 0,
         },
         direct_engines: true,
-        longest_ms: spans.longest_ms,
+        longest_ms: durations.max_timeout_ms,
         peers: Some(format!(
             r#""suspicion_ms":{SUSPICION_MS},"custody":{{"remembered_ms":{}}},"shares":{{"enabled":true}}"#,
-            spans.remembered_ms
+            durations.vote_retention_ms
         )),
         seed,
         ..Setup::default()
     })?;
-    settle(&fleet, spans);
+    wait_until_settled(&fleet, durations);
     let sample = |fleet: &mut Fleet| {
-        (0..REAL)
-            .map(|g| fleet.sample(g).ok_or(format!("n{g} shows nothing")))
+        (0..REAL_GATEWAYS)
+            .map(|gateway| {
+                fleet
+                    .sample(gateway)
+                    .ok_or(format!("no usage data of n{gateway}"))
+            })
             .collect::<Result<Vec<_>, _>>()
     };
-    // Traffic runs before the window begins and goes on behind it.
-    let until = Instant::now() + spans.window + Duration::from_secs(2);
+    // The traffic begins before the window and continues after it.
+    let until = Instant::now() + durations.window + Duration::from_secs(2);
     let address = fleet.seats[0].address;
-    let asking: Vec<_> = (0..SESSIONS)
-        .map(|s| thread::spawn(move || ask(address, size, s, until)))
+    let clients: Vec<_> = (0..SESSIONS)
+        .map(|session| thread::spawn(move || send_statements(address, size, session, until)))
         .collect();
-    change(&fleet, size, until - spans.window - Duration::from_secs(1));
-    let crowd = fleet.crowd.as_ref().map_or(0, LabProcess::id);
+    send_changes(
+        &fleet,
+        size,
+        until - durations.window - Duration::from_secs(1),
+    );
+    let simulator = fleet.crowd.as_ref().map_or(0, LabProcess::id);
     let begin = sample(&mut fleet)?;
-    let (from, crowd_began) = (Instant::now(), cpu_ticks_ns(crowd).unwrap_or(0));
-    let events = change(&fleet, size, from + spans.window);
-    let crowd_used = cpu_ticks_ns(crowd).unwrap_or(0).saturating_sub(crowd_began) as f64 * 1e-9;
-    let seconds = from.elapsed().as_secs_f64();
-    let crowd = crowd_used / seconds / fleet.setup.hollow.div_ceil(GATEWAYS_PER_THREAD) as f64;
+    let (started_at, simulator_cpu_before) = (Instant::now(), cpu_ticks_ns(simulator).unwrap_or(0));
+    let changes = send_changes(&fleet, size, started_at + durations.window);
+    let simulator_cpu_s = cpu_ticks_ns(simulator)
+        .unwrap_or(0)
+        .saturating_sub(simulator_cpu_before) as f64
+        * 1e-9;
+    let seconds = started_at.elapsed().as_secs_f64();
+    let simulator_cpu =
+        simulator_cpu_s / seconds / fleet.setup.hollow.div_ceil(GATEWAYS_PER_THREAD) as f64;
     let end = sample(&mut fleet)?;
-    for asking in asking {
-        asking.join().map_err(|_| "a client failed".to_owned())?;
+    for client in clients {
+        client
+            .join()
+            .map_err(|_| "a client thread panicked".to_owned())?;
     }
     fleet.finish();
     if let Some(crash) = fleet.crashes.first() {
         return Err(crash.clone());
     }
-    let used: Vec<Used> = begin
+    let resource_use: Vec<ResourceUse> = begin
         .into_iter()
         .zip(end)
-        .map(|(begin, end)| Used {
+        .map(|(begin, end)| ResourceUse {
             seconds: (end.usage.at - begin.usage.at).as_secs_f64(),
             begin,
             end,
         })
         .collect();
-    let statements = used[0].rate(|s| s.engines.starts);
-    Ok(Played {
+    let statements = resource_use[0].rate(|sample| sample.engines.starts);
+    Ok(FleetMeasurement {
         size,
-        crowd,
+        simulator_cpu,
         statements,
-        changes: events as f64 / seconds,
-        used,
+        changes: changes as f64 / seconds,
+        resource_use,
     })
 }
 
-/// As a part of the larger; figures below `noise` are not told apart.
-fn apart(a: f64, b: f64, noise: f64) -> f64 {
+/// Difference relative to the larger value; differences up to `noise` count as 0.
+fn relative_difference(a: f64, b: f64, noise: f64) -> f64 {
     ((a - b).abs() - noise).max(0.0) / a.max(b).max(f64::MIN_POSITIVE)
 }
 
-/// Both sources of each figure of each real gateway, no more than a tenth apart.
-fn checks(played: &[Played]) -> Vec<Bound> {
-    let beside = played
+/// Bounds on the validity of the measurements; the two sources of each value must differ by at most
+/// a tenth.
+fn validity_bounds(fleets: &[FleetMeasurement]) -> Vec<Bound> {
+    let other_descriptors = fleets
         .iter()
-        .find(|p| p.size == REST)
-        .map_or(0.0, |p| p.used[0].beside());
+        .find(|fleet| fleet.size == REST)
+        .map_or(0.0, |fleet| fleet.resource_use[0].other_descriptors());
     let mut bounds = Vec::new();
-    for Played {
-        size, used, crowd, ..
-    } in played
+    for FleetMeasurement {
+        size,
+        resource_use,
+        simulator_cpu,
+        ..
+    } in fleets
     {
         let Size {
             peers,
@@ -323,17 +362,17 @@
             statements,
             changes,
         } = size;
-        let what = format!("hollow gateways at {peers} peers: part of a core by thread");
-        bounds.push(Bound::new(&what, *crowd, 0.0, BUSIEST));
-        for (g, used) in used.iter().enumerate() {
-            let place = format!(
-                "n{g} at {peers} peers, {engines} engines, {statements} statements/s, {changes} changes/s"
+        let name = format!("simulated gateways at {peers} peers: fraction of a core per thread");
+        bounds.push(Bound::new(&name, *simulator_cpu, 0.0, MAX_SIMULATOR_CPU));
+        for (gateway, used) in resource_use.iter().enumerate() {
+            let scenario = format!(
+                "n{gateway} at {peers} peers, {engines} engines, {statements} statements/s, {changes} changes/s"
             );
-            // Where the machine is too busy for the hollow ones they are taken for lost and links break: what that
-            // costs is not the cost of rest.
+            // On an overloaded machine, simulated gateways are reported lost and links break; the
+            // cost of that is not the cost at rest.
             let lost = (used.end.lost - used.begin.lost) as f64;
             bounds.push(Bound::new(
-                &format!("{place}: members lost though they lived"),
+                &format!("{scenario}: live members reported lost"),
                 lost,
                 0.0,
                 0.0,
@@ -341,43 +380,45 @@
             let linked =
                 used.end.relay.open.saturating_sub(1).min(*peers as u64) as f64 / *peers as f64;
             bounds.push(Bound::new(
-                &format!("{place}: links up, part of peers"),
+                &format!("{scenario}: links, fraction of peers"),
                 linked,
-                LINKED,
+                MIN_LINKED_PEERS,
                 1.0,
             ));
-            // Two steps of the clock of `stat`, a page list that grows while it is read, what is under way.
-            let ticks = 2.0 * TICK_NS as f64 / 1000.0 / used.seconds;
+            // Reasons for differences: two ticks of the clock of `stat`, a list of mappings that
+            // grows while it is read, and bytes in transit.
+            let tick_noise_us = 2.0 * TICK_NS as f64 / 1000.0 / used.seconds;
             let end = &used.end.usage;
-            let known = (used.end.relay.open + used.end.engines.open) as f64 + beside;
-            let both = [
+            let known_descriptors =
+                (used.end.relay.open + used.end.engines.open) as f64 + other_descriptors;
+            let differences = [
                 (
                     "processor time, scheduler and stat",
-                    apart(used.cpu_us(), used.cpu_ticks_us(), ticks),
+                    relative_difference(used.cpu_us(), used.cpu_ticks_us(), tick_noise_us),
                 ),
                 (
                     "memory, status and mappings",
-                    apart(end.resident as f64, end.mapped_resident as f64, 0.0),
+                    relative_difference(end.resident as f64, end.mapped_resident as f64, 0.0),
                 ),
                 (
-                    "bytes out, gateway and those it met",
-                    apart(used.bytes_out(), used.met_out(), 0.0),
+                    "bytes out, gateway and counterparts",
+                    relative_difference(used.bytes_out(), used.counterpart_bytes_out(), 0.0),
                 ),
                 (
-                    "bytes in, gateway and those it met",
-                    apart(used.bytes_in(), used.met_in(), 0.0),
+                    "bytes in, gateway and counterparts",
+                    relative_difference(used.bytes_in(), used.counterpart_bytes_in(), 0.0),
                 ),
                 (
-                    "descriptors, system and those it met",
-                    apart(end.descriptors as f64, known, 0.0),
+                    "descriptors, system and counterparts",
+                    relative_difference(end.descriptors as f64, known_descriptors, 0.0),
                 ),
             ];
-            for (what, apart) in both {
+            for (quantity, difference) in differences {
                 bounds.push(Bound::new(
-                    &format!("{place}: {what} apart, part"),
-                    apart,
+                    &format!("{scenario}: {quantity}: relative difference"),
+                    difference,
                     0.0,
-                    APART,
+                    MAX_SOURCE_DIFFERENCE,
                 ));
             }
         }
@@ -385,18 +426,19 @@
     bounds
 }
 
-type Of = fn(&Used) -> f64;
+type Quantity = fn(&ResourceUse) -> f64;
 
-const FIGURES: [(&str, &str, Of); 5] = [
-    ("processor time", "us/s", Used::cpu_us),
+/// Measured quantities of a gateway: name, unit and value.
+const GATEWAY_QUANTITIES: [(&str, &str, Quantity); 5] = [
+    ("processor time", "us/s", ResourceUse::cpu_us),
     ("memory", "bytes", |used| used.end.usage.resident as f64),
     ("descriptors", "", |used| used.end.usage.descriptors as f64),
-    ("bytes out", "bytes/s", Used::bytes_out),
-    ("bytes in", "bytes/s", Used::bytes_in),
+    ("bytes out", "bytes/s", ResourceUse::bytes_out),
+    ("bytes in", "bytes/s", ResourceUse::bytes_in),
 ];
 
-/// What engines see of the gateway that statements come to, over all of them.
-const ENGINE_FIGURES: [(&str, &str, Of); 3] = [
+/// Quantities of all engines together, caused by the gateway that receives the statements.
+const ENGINE_QUANTITIES: [(&str, &str, Quantity); 3] = [
     ("descriptors", "", |used| used.end.engines.open as f64),
     ("bytes out", "bytes/s", |used| {
         used.rate(|s| s.engines.bytes_out)
@@ -406,18 +448,23 @@
     }),
 ];
 
-fn measures(played: &[Played]) -> Vec<Measure> {
-    let mut all = Vec::new();
-    // Whether a fleet varies only in this, and by how much.
-    type Varies = (&'static str, fn(&Size) -> Size, fn(&Played) -> f64);
-    let varied: [Varies; 4] = [
+/// The measures by each varied quantity.
+fn measures(fleets: &[FleetMeasurement]) -> Vec<Measure> {
+    let mut measures = Vec::new();
+    // Name, the size with this quantity reset to that at rest, and the value of the quantity.
+    type VariedQuantity = (
+        &'static str,
+        fn(&Size) -> Size,
+        fn(&FleetMeasurement) -> f64,
+    );
+    let varied: [VariedQuantity; 4] = [
         (
             "peers",
             |size| Size {
                 peers: PEERS,
                 ..*size
             },
-            |p| p.size.peers as f64,
+            |fleet| fleet.size.peers as f64,
         ),
         (
             "engines",
@@ -425,7 +472,7 @@
                 engines: ENGINES,
                 ..*size
             },
-            |p| p.size.engines as f64,
+            |fleet| fleet.size.engines as f64,
         ),
         (
             "statements",
@@ -433,7 +480,7 @@
                 statements: 0,
                 ..*size
             },
-            |p| p.statements,
+            |fleet| fleet.statements,
         ),
         (
             "changes",
@@ -441,26 +488,37 @@
                 changes: 0,
                 ..*size
             },
-            |p| p.changes,
+            |fleet| fleet.changes,
         ),
     ];
-    for (by, rest, x) in varied {
-        let series = |figure: Of| {
-            let these = played.iter().filter(|p| rest(&p.size) == REST);
-            // Where statements come, the first alone has them.
-            let gateways = |p: &Played| if by == "statements" { 1 } else { p.used.len() };
-            let mean = |p: &Played| {
-                p.used[..gateways(p)].iter().map(figure).sum::<f64>() / gateways(p) as f64
+    for (by, reset, value) in varied {
+        let series = |quantity: Quantity| {
+            let matching = fleets.iter().filter(|fleet| reset(&fleet.size) == REST);
+            // Only the first gateway receives statements.
+            let gateways = |fleet: &FleetMeasurement| {
+                if by == "statements" {
+                    1
+                } else {
+                    fleet.resource_use.len()
+                }
+            };
+            let mean = |fleet: &FleetMeasurement| {
+                fleet.resource_use[..gateways(fleet)]
+                    .iter()
+                    .map(quantity)
+                    .sum::<f64>()
+                    / gateways(fleet) as f64
             };
-            let mut points: Vec<(f64, f64)> = these.map(|p| (x(p), mean(p))).collect();
+            let mut points: Vec<(f64, f64)> =
+                matching.map(|fleet| (value(fleet), mean(fleet))).collect();
             points.sort_by(|a, b| a.0.total_cmp(&b.0));
             points
         };
-        for (what, unit, figure) in FIGURES {
-            let points = series(figure);
-            all.push(Measure {
+        for (name, unit, quantity) in GATEWAY_QUANTITIES {
+            let points = series(quantity);
+            measures.push(Measure {
                 role: "gateway",
-                what,
+                name,
                 unit,
                 by,
                 points,
@@ -468,11 +526,11 @@
             });
         }
         if by == "statements" {
-            for (what, unit, figure) in ENGINE_FIGURES {
-                let points = series(figure);
-                all.push(Measure {
+            for (name, unit, quantity) in ENGINE_QUANTITIES {
+                let points = series(quantity);
+                measures.push(Measure {
                     role: "engine",
-                    what,
+                    name,
                     unit,
                     by,
                     points,
@@ -481,30 +539,32 @@
             }
         }
     }
-    all
+    measures
 }
 
-/// The measures, and beside them what their two sources say, each fleet that was not played among it.
-pub fn measure_checked(quick: bool, seed: u64) -> (Vec<Measure>, Vec<Bound>) {
-    let spans = if quick { QUICK } else { FULL };
-    let (mut played, mut bounds) = (Vec::new(), Vec::new());
-    for beside in sizes(quick) {
-        let runs: Vec<Result<Played, String>> = thread::scope(|scope| {
-            let runs: Vec<_> = beside
+/// Runs all fleets. Returns the measures and the bounds on their validity; a failed run becomes a
+/// violated bound.
+pub fn measure_with_bounds(quick: bool, seed: u64) -> (Vec<Measure>, Vec<Bound>) {
+    let durations = if quick { QUICK } else { FULL };
+    let (mut fleets, mut bounds) = (Vec::new(), Vec::new());
+    for parallel in sizes(quick) {
+        let runs: Vec<Result<FleetMeasurement, String>> = thread::scope(|scope| {
+            let runs: Vec<_> = parallel
                 .iter()
-                .map(|&size| scope.spawn(move || play(size, spans, seed)))
+                .map(|&size| scope.spawn(move || measure_fleet(size, durations, seed)))
                 .collect();
-            let joined = runs
-                .into_iter()
-                .map(|run| run.join().unwrap_or_else(|_| Err("it failed".into())));
+            let joined = runs.into_iter().map(|run| {
+                run.join()
+                    .unwrap_or_else(|_| Err("the run panicked".into()))
+            });
             joined.collect()
         });
-        for (size, run) in beside.iter().zip(runs) {
+        for (size, run) in parallel.iter().zip(runs) {
             match run {
-                Ok(run) => played.push(run),
-                Err(why) => {
+                Ok(run) => fleets.push(run),
+                Err(error) => {
                     bounds.push(Bound::new(
-                        &format!("{size:?} is played: {why}"),
+                        &format!("{size:?} completes: {error}"),
                         0.0,
                         1.0,
                         f64::MAX,
@@ -513,15 +573,15 @@
             }
         }
     }
-    bounds.extend(checks(&played));
-    (measures(&played), bounds)
+    bounds.extend(validity_bounds(&fleets));
+    (measures(&fleets), bounds)
 }
 
-/// The measures; what their two sources differ by is printed where it is too much.
+/// Runs all fleets and prints the bounds that do not hold.
 pub fn measure(quick: bool, seed: u64) -> Vec<Measure> {
-    let (measures, bounds) = measure_checked(quick, seed);
+    let (measures, bounds) = measure_with_bounds(quick, seed);
     for bound in bounds.iter().filter(|bound| !bound.holds()) {
-        println!("failed: {}: {:.3}", bound.what, bound.is);
+        println!("failed: {}: {:.3}", bound.name, bound.value);
     }
     measures
 }
--- a/crates/ivypitch-testbed/src/experiments/scale/slope.rs
+++ b/crates/ivypitch-testbed/src/experiments/scale/slope.rs
@@ -1,35 +1,40 @@
-//! What is measured at several sizes, and how it grows: a line and an exponent by least squares, with what they miss.
+//! Costs measured at several sizes and their growth: a line and an exponent fitted by least
+//! squares, with the residual.
 
 use serde::{Deserialize, Serialize};
 
 /// One cost of one role at several sizes.
 #[derive(Clone, Debug, Serialize)]
 pub struct Measure {
-    /// gateway, engine, relay or client.
+    /// One of gateway, engine, relay and client.
     pub role: &'static str,
-    pub what: &'static str,
+    #[serde(rename = "what")]
+    pub name: &'static str,
     pub unit: &'static str,
-    /// engines, gateways, peers, sessions, statements or changes.
+    /// The varied quantity: engines, gateways, peers, sessions, statements or changes.
     pub by: &'static str,
-    /// Size and cost, sizes rising.
+    /// Pairs of size and cost by increasing size.
     pub points: Vec<(f64, f64)>,
     pub is_simulated: bool,
 }
 
+/// Growth of a cost with the size.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Slope {
-    /// Cost = `base` + `per` * size, by least squares of the errors as parts of the cost: else the largest size alone
-    /// would say what the smallest costs.
+    /// Cost = `base` + `per_unit` * size, by least squares of the relative errors; with absolute
+    /// errors the largest size alone would determine the cost of the smallest.
     pub base: f64,
-    pub per: f64,
-    /// Cost grows as size to this power, by least squares on log axes.
+    #[serde(rename = "per")]
+    pub per_unit: f64,
+    /// The cost grows as the size to this power, by least squares on logarithmic axes.
     pub exponent: f64,
-    /// Root of the mean square error of the line, as a part of the cost.
+    /// Root mean square of the relative errors of the line.
     pub residual: f64,
 }
 
 impl Slope {
-    /// Points without a size or a cost above 0 can't stand on log axes and are left out; of fewer than two nothing is told.
+    /// Fits the points. Points without a size and a cost above 0 have no place on logarithmic axes
+    /// and are left out; fewer than two points give no slope.
     pub fn of(points: &[(f64, f64)]) -> Slope {
         let points: Vec<(f64, f64)> = points
             .iter()
@@ -47,39 +52,44 @@
         }
         let weighted: Vec<(f64, f64, f64)> =
             points.iter().map(|&(x, y)| (x, y, 1.0 / (y * y))).collect();
-        let (base, per) = line(&weighted);
+        let (base, per_unit) = fit_line(&weighted);
         let logs: Vec<(f64, f64, f64)> =
             points.iter().map(|&(x, y)| (x.ln(), y.ln(), 1.0)).collect();
-        let (_, exponent) = line(&logs);
-        let missed: f64 = points
+        let (_, exponent) = fit_line(&logs);
+        let squared_errors: f64 = points
             .iter()
-            .map(|&(x, y)| ((base + per * x - y) / y).powi(2))
+            .map(|&(x, y)| ((base + per_unit * x - y) / y).powi(2))
             .sum();
         Slope {
             base,
-            per,
+            per_unit,
             exponent,
-            residual: (missed / points.len() as f64).sqrt(),
+            residual: (squared_errors / points.len() as f64).sqrt(),
         }
     }
 }
 
-/// Base and slope of the line with the least squares; each point with its weight.
-fn line(points: &[(f64, f64, f64)]) -> (f64, f64) {
+/// Base and slope of the line by weighted least squares; a point is `(x, y, weight)`.
+fn fit_line(points: &[(f64, f64, f64)]) -> (f64, f64) {
     let sum = |of: fn(&(f64, f64, f64)) -> f64| points.iter().map(of).sum::<f64>();
     let weight = sum(|p| p.2);
     let (mean_x, mean_y) = (sum(|p| p.2 * p.0) / weight, sum(|p| p.2 * p.1) / weight);
-    let across: f64 = points
+    let covariance: f64 = points
         .iter()
         .map(|p| p.2 * (p.0 - mean_x) * (p.1 - mean_y))
         .sum();
-    let along: f64 = points.iter().map(|p| p.2 * (p.0 - mean_x).powi(2)).sum();
-    let per = if along > 0.0 { across / along } else { 0.0 };
-    (mean_y - per * mean_x, per)
+    let variance: f64 = points.iter().map(|p| p.2 * (p.0 - mean_x).powi(2)).sum();
+    let per_unit = if variance > 0.0 {
+        covariance / variance
+    } else {
+        0.0
+    };
+    (mean_y - per_unit * mean_x, per_unit)
 }
 
-/// The cost at a size: on log axes between the points beside it, beyond them on as the last two go.
-pub fn at(points: &[(f64, f64)], size: f64) -> f64 {
+/// The cost at a size, interpolated on logarithmic axes and extrapolated from the outermost two
+/// points.
+pub fn cost_at(points: &[(f64, f64)], size: f64) -> f64 {
     let points: Vec<(f64, f64)> = points
         .iter()
         .copied()
@@ -91,16 +101,17 @@
     if points.len() < 2 || size <= 0.0 {
         return last.1;
     }
-    let behind = points
+    let right = points
         .partition_point(|&(x, _)| x < size)
         .clamp(1, points.len() - 1);
-    let (a, b) = (points[behind - 1], points[behind]);
+    let (a, b) = (points[right - 1], points[right]);
     let exponent = (b.1 / a.1).ln() / (b.0 / a.0).ln();
     a.1 * (size / a.0).powf(exponent)
 }
 
-/// The smallest size, to a hundredth, from which on the cost is above the budget; `None`: not below `largest`.
-pub fn passes_at(
+/// The smallest size, accurate to 1%, from which on the cost exceeds the budget; `None`: none up to
+/// `largest`.
+pub fn budget_exceeded_at(
     cost: impl Fn(f64) -> f64,
     budget: f64,
     smallest: f64,
@@ -122,11 +133,12 @@
 }
 
 impl Measure {
+    /// The slope over all points.
     pub fn slope(&self) -> Slope {
         Slope::of(&self.points)
     }
 
-    /// The cost at the largest size over that at the smallest.
+    /// Ratio of the cost at the largest size to that at the smallest.
     pub fn ratio(&self) -> f64 {
         let (first, last) = (self.points.first(), self.points.last());
         first
@@ -134,40 +146,41 @@
             .map_or(0.0, |(first, last)| last.1 / first.1.max(f64::MIN_POSITIVE))
     }
 
+    /// The measure as one line of text.
     pub fn line(&self) -> String {
         let Slope {
             base,
-            per,
+            per_unit,
             exponent,
             residual,
         } = self.slope();
         let points: Vec<String> = self
             .points
             .iter()
-            .map(|(x, y)| format!("{x:.0}: {}", short(*y)))
+            .map(|(x, y)| format!("{x:.0}: {}", format_short(*y)))
             .collect();
         format!(
             "{}, {} ({}): {} + {} * {}, exponent {exponent:.2}, residual {residual:.2}; {}",
             self.role,
-            self.what,
+            self.name,
             self.unit,
-            short(base),
-            short(per),
+            format_short(base),
+            format_short(per_unit),
             self.by,
             points.join(", ")
         )
     }
 }
 
-/// Three digits that count.
-pub fn short(figure: f64) -> String {
-    if figure == 0.0 || !figure.is_finite() {
+/// A number with three significant digits.
+pub fn format_short(value: f64) -> String {
+    if value == 0.0 || !value.is_finite() {
         return "0".into();
     }
-    let digits = (2 - figure.abs().log10().floor() as i32).max(0) as usize;
+    let digits = (2 - value.abs().log10().floor() as i32).max(0) as usize;
     if digits > 6 {
-        format!("{figure:.2e}")
+        format!("{value:.2e}")
     } else {
-        format!("{figure:.digits$}")
+        format!("{value:.digits$}")
     }
 }
--- a/crates/ivypitch-testbed/src/experiments/shares.rs
+++ b/crates/ivypitch-testbed/src/experiments/shares.rs
@@ -1,12 +1,14 @@
-//! Shared bounds and judgements over fault plans, in virtual time.
+//! The experiment `shares`: quota leases and shared outlier detection under fault plans, in virtual
+//! time.
 
-use super::side_by_side;
+use super::run_seeds_in_parallel;
 use crate::report::{Bound, Report};
 use crate::virtual_time::coordination_fleet;
 use crate::virtual_time::faults::Plan;
 
-/// Fault plans over fleets that share; then engines that fail, with and without, and members that are wrong.
-pub fn play(quick: bool, seed: u64) -> Report {
+/// Runs fault plans over coordinated fleets, then failing engines with and without coordination and
+/// with gateways that report wrong observations.
+pub fn run(quick: bool, seed: u64) -> Report {
     let mut report = Report::new("shares", seed);
     let base = coordination_fleet::Fleet::default();
     let small = coordination_fleet::Fleet {
@@ -21,64 +23,71 @@
     };
     let (plans, large_plans) = if quick { (60, 2) } else { (5000, 5000) };
     for (fleet, plans) in [(&small, plans), (&base, plans), (&large, large_plans)] {
-        let play = |seed: u64| {
+        let simulate = |seed: u64| {
             coordination_fleet::play(fleet, &coordination_fleet::draw(fleet, seed), seed)
         };
-        let all = side_by_side(plans, seed, play);
-        if let Some(first) = all.iter().position(|verdict| !verdict.holds()) {
+        let verdicts = run_seeds_in_parallel(plans, seed, simulate);
+        if let Some(first) = verdicts.iter().position(|verdict| !verdict.holds()) {
             let seed = seed + first as u64;
             let plan = coordination_fleet::draw(fleet, seed);
-            let least = plan.cut_down(30, |plan| {
+            let minimal = plan.cut_down(30, |plan| {
                 !coordination_fleet::play(fleet, plan, seed).holds()
             });
-            println!("seed {seed} passes a bound; the least plan that does:\n{least}");
+            println!("seed {seed} exceeds a quota; minimal plan that does:\n{minimal}");
         }
-        let place = format!(
+        let scenario = format!(
             "virtual time, {} gateways, {plans} plans, all faults",
             fleet.gateways
         );
-        let sum = |of: fn(&coordination_fleet::Verdict) -> f64| all.iter().map(of).sum::<f64>();
-        let most =
-            |of: fn(&coordination_fleet::Verdict) -> f64| all.iter().map(of).fold(0.0, f64::max);
-        let mut bound = |what: &str, is, least, most| {
+        let sum =
+            |of: fn(&coordination_fleet::Verdict) -> f64| verdicts.iter().map(of).sum::<f64>();
+        let max = |of: fn(&coordination_fleet::Verdict) -> f64| {
+            verdicts.iter().map(of).fold(0.0, f64::max)
+        };
+        let mut add_bound = |name: &str, value, min, max| {
             report
                 .bounds
-                .push(Bound::new(&format!("{place}: {what}"), is, least, most))
+                .push(Bound::new(&format!("{scenario}: {name}"), value, min, max))
         };
-        bound("plans played", all.len() as f64, plans as f64, plans as f64);
-        bound(
-            "instants at which all held more than the bound",
+        add_bound(
+            "plans run",
+            verdicts.len() as f64,
+            plans as f64,
+            plans as f64,
+        );
+        add_bound(
+            "instants at which all gateways together held more than the quota",
             sum(|v| v.level_exceeded as f64),
             0.0,
             0.0,
         );
-        bound(
-            "windows in which more was spent",
+        add_bound(
+            "windows in which more than the quota was spent",
             sum(|v| v.window_exceeded as f64),
             0.0,
             0.0,
         );
-        bound(
-            "instants under the floor",
+        add_bound(
+            "instants at which a gateway was below its reserved share",
             sum(|v| v.below_reserved as f64),
             0.0,
             0.0,
         );
-        bound(
-            "the most that all held, of the bound",
-            most(|v| v.max_usable),
+        add_bound(
+            "maximum held by all gateways, fraction of the quota",
+            max(|v| v.max_usable),
             0.0,
             1.0,
         );
-        bound(
-            "the most that was spent in a window, of the bound",
-            most(|v| v.max_spent),
+        add_bound(
+            "maximum spent in a window, fraction of the quota",
+            max(|v| v.max_spent),
             0.0,
             1.0,
         );
-        bound(
-            "usable of what was asked for, mean",
-            sum(|v| v.usable) / all.len().max(1) as f64,
+        add_bound(
+            "usable fraction of the demand, mean",
+            sum(|v| v.usable) / verdicts.len().max(1) as f64,
             0.0,
             f64::MAX,
         );
@@ -100,93 +109,98 @@
             is_coordinated: false,
             ..with.clone()
         };
-        let liars = coordination_fleet::Fleet {
+        let faulty = coordination_fleet::Fleet {
             has_faulty_gateways: true,
             failing_engines: 1,
             ..with.clone()
         };
-        let none = Plan::default();
-        let [with, without, liars] = [&with, &without, &liars]
-            .map(|f| side_by_side(plans, seed, |seed| coordination_fleet::play(f, &none, seed)));
-        let place =
-            format!("virtual time, {gateways} gateways, {engines} engines, no faults of links");
-        let mean = |all: &[coordination_fleet::Verdict],
+        let no_faults = Plan::default();
+        let [with, without, faulty] = [&with, &without, &faulty].map(|fleet| {
+            run_seeds_in_parallel(plans, seed, |seed| {
+                coordination_fleet::play(fleet, &no_faults, seed)
+            })
+        });
+        let scenario =
+            format!("virtual time, {gateways} gateways, {engines} engines, no link faults");
+        let mean = |verdicts: &[coordination_fleet::Verdict],
                     of: fn(&coordination_fleet::Verdict) -> f64| {
-            all.iter().map(of).sum::<f64>() / all.len().max(1) as f64
+            verdicts.iter().map(of).sum::<f64>() / verdicts.len().max(1) as f64
         };
-        let mut bound = |what: &str, is, least, most| {
+        let mut add_bound = |name: &str, value, min, max| {
             report
                 .bounds
-                .push(Bound::new(&format!("{place}: {what}"), is, least, most))
+                .push(Bound::new(&format!("{scenario}: {name}"), value, min, max))
         };
-        let usable = if gateways >= 10 { 0.9 } else { 0.0 };
-        bound(
-            "usable of what was asked for, uneven",
+        let min_usable = if gateways >= 10 { 0.9 } else { 0.0 };
+        add_bound(
+            "usable fraction of the demand, uneven traffic",
             mean(&with, |v| v.usable),
-            usable,
+            min_usable,
             1.0,
         );
-        bound(
-            "the same with even parts",
+        add_bound(
+            "the same with equal quota shares",
             mean(&without, |v| v.usable),
             0.0,
             f64::MAX,
         );
-        for (name, all) in [
+        for (name, verdicts) in [
             ("shared", &with),
-            ("own judgement alone", &without),
-            ("shared, with liars", &liars),
+            ("own observations only", &without),
+            ("shared, with faulty gateways", &faulty),
         ] {
-            let never =
+            let never_ejected =
                 |v: &coordination_fleet::Verdict| f64::from(u8::from(v.ejected_ms == u64::MAX));
-            fn ms(ms: u64) -> f64 {
+            fn bounded_ms(ms: u64) -> f64 {
                 if ms == u64::MAX { 12_000.0 } else { ms as f64 }
             }
-            bound(
-                &format!("{name}: failing engines not left out by 99%, plans"),
-                mean(all, never),
+            add_bound(
+                &format!(
+                    "{name}: failing engines not ejected by 99% of gateways, fraction of plans"
+                ),
+                mean(verdicts, never_ejected),
                 0.0,
                 f64::MAX,
             );
-            bound(
-                &format!("{name}: until 99% send them nothing, ms"),
-                mean(all, |v| ms(v.ejected_ms)),
+            add_bound(
+                &format!("{name}: until 99% of gateways send them nothing, ms"),
+                mean(verdicts, |v| bounded_ms(v.ejected_ms)),
                 0.0,
                 f64::MAX,
             );
-            bound(
-                &format!("{name}: until 99% use them again, ms"),
-                mean(all, |v| ms(v.returned_ms)),
+            add_bound(
+                &format!("{name}: until 99% of gateways use them again, ms"),
+                mean(verdicts, |v| bounded_ms(v.returned_ms)),
                 0.0,
                 f64::MAX,
             );
-            bound(
-                &format!("{name}: sent to failing engines, of all"),
-                mean(all, |v| v.sent_to_failing),
+            add_bound(
+                &format!("{name}: sent to failing engines, fraction of all attempts"),
+                mean(verdicts, |v| v.sent_to_failing),
                 0.0,
                 f64::MAX,
             );
-            bound(
-                &format!("{name}: most to a returned engine, over usual"),
-                mean(all, |v| v.max_return_load),
+            add_bound(
+                &format!("{name}: maximum load of a readmitted engine, ratio to normal"),
+                mean(verdicts, |v| v.max_return_load),
                 0.0,
                 f64::MAX,
             );
-            bound(
-                &format!("{name}: falsely left out, engine-seconds a gateway"),
-                mean(all, |v| v.falsely_ejected),
+            add_bound(
+                &format!("{name}: falsely ejected, engine-seconds per gateway"),
+                mean(verdicts, |v| v.falsely_ejected),
                 0.0,
                 f64::MAX,
             );
         }
-        bound(
-            "bytes of gossip a gateway a second",
+        add_bound(
+            "gossip bytes per gateway and second",
             mean(&with, |v| v.gossip_bytes),
             0.0,
             40_000.0,
         );
-        bound(
-            "bytes on links a gateway a second",
+        add_bound(
+            "link bytes per gateway and second",
             mean(&with, |v| v.link_bytes),
             0.0,
             f64::MAX,
