--- a/crates/ivypitch-testbed/src/experiments/soak/checker.rs
+++ b/crates/ivypitch-testbed/src/experiments/soak/checker.rs
@@ -1,4 +1,5 @@
-//! The verdict on a run of the soak: each request and each process against the platform's rules.
+//! Checks the records of a soak run: each request and each process against the rules of the
+//! platform.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -6,76 +7,89 @@
 use super::observations::{Observations, Outcome, Process, ProcessEnd, Request};
 use crate::processes::Said;
 
+/// A millisecond in microseconds.
 const MS: u64 = 1000;
-/// An answer may come so long after the request's time; it earns nothing then.
-const LATE_ANSWER: u64 = 500 * MS;
-/// Engines and clients of the testbed note what happens as they get to run.
+/// An answer may come this much after the deadline; it has no value then.
+const MAX_ANSWER_DELAY: u64 = 500 * MS;
+/// Tolerance for the delay with which engines and clients of the testbed record events on a busy
+/// machine.
 const OBSERVATION_SLACK: u64 = 250 * MS;
-/// An attempt may begin so long after its client has gone: 0.1 s, and 50 ms by which all limits are longer.
-const ATTEMPT_AFTER_CLIENT: u64 = 150 * MS;
-/// Nothing starts at a draining engine so long after the word: 0.25 s, and 50 ms by which all limits are longer.
-const START_AFTER_DRAIN: u64 = 300 * MS;
-/// A request may cross the close of a resting connection within this time.
-const CROSSED_CLOSE: u64 = 50 * MS;
-/// What arrives later than this after SIGTERM may be lost.
+/// An attempt may begin this long after its client has gone: 0.1 s, plus the 50 ms added to every
+/// limit.
+const MAX_ATTEMPT_DELAY_AFTER_CLIENT: u64 = 150 * MS;
+/// An attempt may start at an engine this long after its drain was announced: 0.25 s, plus the 50
+/// ms added to every limit.
+const MAX_START_DELAY_AFTER_DRAIN: u64 = 300 * MS;
+/// A request may cross the close of an idle connection on the wire within this time.
+const MAX_CLOSE_CROSSING_TIME: u64 = 50 * MS;
+/// A request that arrives later than this after SIGTERM may be lost.
 const DRAIN_PERIOD: u64 = 700 * MS;
-const READY_WITHIN: u64 = 10_000 * MS;
-/// Descriptors of a gateway's later processes: at most twice those of its first, and so many more.
-const DESCRIPTOR_GROWTH: u64 = 40;
-/// Lines of one kind that are kept.
-const MAX_FINDINGS_OF_A_KIND: usize = 5;
+/// Longest start of a gateway.
+const MAX_START_TIME: u64 = 10_000 * MS;
+/// A later process of a gateway may have twice the descriptors of its first one and this many more.
+const MAX_DESCRIPTOR_GROWTH: u64 = 40;
+/// Number of findings of one kind that are kept.
+const MAX_FINDINGS_PER_KIND: usize = 5;
 
-/// A promise that was broken.
+/// Kind of a violated guarantee.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FindingKind {
+    /// The answer is missing or late.
     LostAnswer,
+    /// The rows belong to another statement.
     OtherRows,
+    /// A bulk load ran twice.
     EffectTwice,
     RejectedButRan,
+    /// An attempt started after its client had gone.
     LateAttempt,
     StartAtDrainingEngine,
     ExitCode,
+    /// The process had to be killed although no request was open.
     EndedLate,
     ReadyLate,
     OverLimit,
     DescriptorGrowth,
+    /// An attempt ran on after its gateway had exited.
     Orphan,
 }
 
-/// A loss that the platform's pages allow.
+/// A lost answer that the rules of the platform allow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AllowedLoss {
-    /// Its gateway was killed outright.
+    /// The gateway was killed by a planned SIGKILL.
     KilledOutright,
-    /// It arrived over 0.7 s after SIGTERM.
+    /// The request arrived over 0.7 s after SIGTERM.
     LateAfterTerm,
-    /// It crossed the close of a resting connection.
+    /// The request crossed the close of an idle connection.
     CrossedClose,
-    /// A new connection was shut unread among a crowd.
-    ShutUnread,
+    /// A new connection was closed unread while idle connections exhausted the descriptors.
+    ClosedUnread,
 }
 
-/// What a run came to.
+/// Result of checking a run.
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
     pub requests: usize,
     pub served: usize,
     pub rejected: usize,
     pub failed: usize,
-    pub left: usize,
+    pub abandoned: usize,
     pub allowed: BTreeMap<AllowedLoss, usize>,
-    pub broken: BTreeMap<FindingKind, Vec<String>>,
+    /// Violated guarantees, a line for each.
+    pub findings: BTreeMap<FindingKind, Vec<String>>,
 }
 
 impl Verdict {
+    /// No guarantee was violated.
     pub fn holds(&self) -> bool {
-        self.broken.is_empty()
+        self.findings.is_empty()
     }
 
-    fn add(&mut self, kind: FindingKind, what: String) {
-        let lines = self.broken.entry(kind).or_default();
-        if lines.len() < MAX_FINDINGS_OF_A_KIND {
-            lines.push(what);
+    fn add(&mut self, kind: FindingKind, description: String) {
+        let lines = self.findings.entry(kind).or_default();
+        if lines.len() < MAX_FINDINGS_PER_KIND {
+            lines.push(description);
         }
     }
 }
@@ -84,13 +98,13 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(
             f,
-            "{} requests: {} served, {} rejected, {} failed, {} left by their clients; allowed losses",
-            self.requests, self.served, self.rejected, self.failed, self.left
+            "{} requests: {} served, {} rejected, {} failed, {} abandoned by their clients; allowed losses",
+            self.requests, self.served, self.rejected, self.failed, self.abandoned
         )?;
         for (loss, count) in &self.allowed {
             write!(f, " {loss:?} {count}")?;
         }
-        for (kind, lines) in &self.broken {
+        for (kind, lines) in &self.findings {
             for line in lines {
                 write!(f, "\n  {kind:?}: {line}")?;
             }
@@ -99,8 +113,8 @@
     }
 }
 
-/// Judges a run.
-pub fn judge(run: &Observations) -> Verdict {
+/// Checks a run.
+pub fn check(run: &Observations) -> Verdict {
     let mut verdict = Verdict {
         requests: run.requests.len(),
         ..Verdict::default()
@@ -111,15 +125,15 @@
         let lines = lines_by_id
             .get(text.as_str())
             .map_or(&[][..], Vec::as_slice);
-        judge_answer(run, request, lines, &mut verdict);
-        judge_attempts(run, request, lines, &mut verdict);
+        check_answer(run, request, lines, &mut verdict);
+        check_attempts(run, request, lines, &mut verdict);
     }
-    judge_effects(run, &lines_by_id, &mut verdict);
-    judge_drains(run, &mut verdict);
+    check_effects(run, &lines_by_id, &mut verdict);
+    check_drains(run, &mut verdict);
     for process in &run.processes {
-        judge_process(run, process, &mut verdict);
+        check_process(run, process, &mut verdict);
     }
-    judge_descriptors(run, &mut verdict);
+    check_descriptors(run, &mut verdict);
     verdict
 }
 
@@ -131,12 +145,12 @@
     by_id
 }
 
-/// One final answer in time, or a loss that is allowed.
-fn judge_answer(run: &Observations, request: &Request, lines: &[&Said], verdict: &mut Verdict) {
-    let answer_by = request.sent_at + request.timeout + LATE_ANSWER + OBSERVATION_SLACK;
-    let is_late = request.ended_at > answer_by;
+/// Each request has one final answer in time, or an allowed loss.
+fn check_answer(run: &Observations, request: &Request, lines: &[&Said], verdict: &mut Verdict) {
+    let answer_deadline = request.sent_at + request.timeout + MAX_ANSWER_DELAY + OBSERVATION_SLACK;
+    let is_late = request.ended_at > answer_deadline;
     match &request.outcome {
-        Outcome::Left => verdict.left += 1,
+        Outcome::Abandoned => verdict.abandoned += 1,
         Outcome::Rows(row) if *row != format!("{:016x}", request.id) => {
             verdict.add(FindingKind::OtherRows, format!("{request:?}"));
         }
@@ -144,14 +158,14 @@
         Outcome::Rows(_) => verdict.served += 1,
         Outcome::Rejected => verdict.rejected += 1,
         Outcome::Failed(_) => verdict.failed += 1,
-        Outcome::Closed | Outcome::Silence => match allowed_loss(run, request, lines) {
+        Outcome::Closed | Outcome::NoAnswer => match allowed_loss(run, request, lines) {
             Some(loss) => *verdict.allowed.entry(loss).or_default() += 1,
             None => verdict.add(FindingKind::LostAnswer, format!("{request:?}")),
         },
     }
 }
 
-/// The loss that explains a request without an answer; `None`: it is not allowed.
+/// The allowed loss that explains a request without an answer; `None`: there is none.
 fn allowed_loss(run: &Observations, request: &Request, lines: &[&Said]) -> Option<AllowedLoss> {
     let killed = run.processes.iter().find(|process| {
         let was_killed = matches!(
@@ -174,40 +188,43 @@
         }
         return None;
     }
-    let took = request.ended_at.saturating_sub(request.sent_at);
-    // A client sends what crossed a close again: none of it may have run.
+    let elapsed = request.ended_at.saturating_sub(request.sent_at);
+    // A client resends a request that crossed a close, so the request must not have run.
     let has_run = lines.iter().any(|line| line.what == "start");
-    if request.outcome == Outcome::Closed && !has_run && took <= CROSSED_CLOSE + OBSERVATION_SLACK {
+    if request.outcome == Outcome::Closed
+        && !has_run
+        && elapsed <= MAX_CLOSE_CROSSING_TIME + OBSERVATION_SLACK
+    {
         if !request.is_first {
             return Some(AllowedLoss::CrossedClose);
         }
-        if run.has_crowd {
-            return Some(AllowedLoss::ShutUnread);
+        if run.has_idle_connections {
+            return Some(AllowedLoss::ClosedUnread);
         }
     }
     None
 }
 
-/// No attempt begins once the client has gone. Where gateways talk, statements outlive their clients.
-fn judge_attempts(run: &Observations, request: &Request, lines: &[&Said], verdict: &mut Verdict) {
-    let Some(left_at) = request.left_at.filter(|_| !run.has_peers) else {
+/// No attempt begins after the client has gone. With peers, statements outlive their clients.
+fn check_attempts(run: &Observations, request: &Request, lines: &[&Said], verdict: &mut Verdict) {
+    let Some(abandoned_at) = request.abandoned_at.filter(|_| !run.has_peers) else {
         return;
     };
-    let last = left_at + ATTEMPT_AFTER_CLIENT + OBSERVATION_SLACK;
+    let latest_start = abandoned_at + MAX_ATTEMPT_DELAY_AFTER_CLIENT + OBSERVATION_SLACK;
     if let Some(start) = lines
         .iter()
-        .find(|line| line.what == "start" && line.at > last)
+        .find(|line| line.what == "start" && line.at > latest_start)
     {
-        let after_ms = (start.at - left_at) / MS;
+        let after_ms = (start.at - abandoned_at) / MS;
         verdict.add(
             FindingKind::LateAttempt,
-            format!("{after_ms} ms after its client had gone: {request:?}"),
+            format!("{after_ms} ms after the client had gone: {request:?}"),
         );
     }
 }
 
-/// A load has no effect twice, and none where its client was told that nothing ran.
-fn judge_effects(
+/// A bulk load runs at most once, and not at all if its client was told that nothing ran.
+fn check_effects(
     run: &Observations,
     lines_by_id: &BTreeMap<&str, Vec<&Said>>,
     verdict: &mut Verdict,
@@ -233,10 +250,10 @@
     }
 }
 
-/// Nothing starts at a draining engine once the word has had its time.
-fn judge_drains(run: &Observations, verdict: &mut Verdict) {
+/// No attempt starts at a draining engine once the announcement has had time to arrive.
+fn check_drains(run: &Observations, verdict: &mut Verdict) {
     for drain in &run.drains {
-        let from = drain.told_at + START_AFTER_DRAIN + OBSERVATION_SLACK;
+        let from = drain.announced_at + MAX_START_DELAY_AFTER_DRAIN + OBSERVATION_SLACK;
         let is_late = |line: &&Said| {
             line.what == "start"
                 && line.engine == drain.engine
@@ -244,23 +261,23 @@
                 && line.at < drain.until
         };
         if let Some(start) = run.engine_lines.iter().find(is_late) {
-            let after_ms = (start.at - drain.told_at) / MS;
+            let after_ms = (start.at - drain.announced_at) / MS;
             verdict.add(
                 FindingKind::StartAtDrainingEngine,
-                format!("{after_ms} ms after the word: {start:?} {drain:?}"),
+                format!("{after_ms} ms after the announcement: {start:?} {drain:?}"),
             );
         }
     }
 }
 
-fn judge_process(run: &Observations, process: &Process, verdict: &mut Verdict) {
+fn check_process(run: &Observations, process: &Process, verdict: &mut Verdict) {
     if let Some(ProcessEnd::Exited(code)) = process.end
         && code != Some(0)
     {
         verdict.add(FindingKind::ExitCode, format!("{process:?}"));
     }
-    let ready_by = process.spawned_at + READY_WITHIN;
-    if process.ready_at.is_some_and(|at| at > ready_by) {
+    let ready_deadline = process.spawned_at + MAX_START_TIME;
+    if process.ready_at.is_some_and(|at| at > ready_deadline) {
         verdict.add(FindingKind::ReadyLate, format!("{process:?}"));
     }
     let is_over_limit = process.descriptors > run.limits.descriptors
@@ -270,19 +287,19 @@
     }
     if process.end == Some(ProcessEnd::KilledAfterTerm) {
         let killed_at = process.ended_at.unwrap_or(u64::MAX);
-        let is_busy = run
-            .requests
-            .iter()
-            .any(|r| r.gateway == process.gateway && r.is_open_at(killed_at - OBSERVATION_SLACK));
+        let is_busy = run.requests.iter().any(|request| {
+            request.gateway == process.gateway && request.is_open_at(killed_at - OBSERVATION_SLACK)
+        });
         if !is_busy {
             verdict.add(FindingKind::EndedLate, format!("{process:?}"));
         }
     }
-    judge_orphans(run, process, verdict);
+    check_orphans(run, process, verdict);
 }
 
-/// Once a gateway has ended by itself, nothing of its own runs on. Where gateways talk, another goes on with it.
-fn judge_orphans(run: &Observations, process: &Process, verdict: &mut Verdict) {
+/// No attempt of a gateway runs on after the gateway has exited. With peers, another gateway takes
+/// the attempts over.
+fn check_orphans(run: &Observations, process: &Process, verdict: &mut Verdict) {
     let (Some(ended_at), Some(ProcessEnd::Exited(_)), false) =
         (process.ended_at, process.end, run.has_peers)
     else {
@@ -308,15 +325,22 @@
     }
 }
 
-/// A gateway's later processes hold no more descriptors than its first ones.
-fn judge_descriptors(run: &Observations, verdict: &mut Verdict) {
-    let mut first: BTreeMap<usize, u64> = BTreeMap::new();
-    for process in run.processes.iter().filter(|p| p.descriptors > 0) {
-        let first = *first.entry(process.gateway).or_insert(process.descriptors);
-        if process.descriptors > 2 * first + DESCRIPTOR_GROWTH {
+/// Later processes of a gateway do not hold more descriptors than the first one, up to the allowed
+/// growth.
+fn check_descriptors(run: &Observations, verdict: &mut Verdict) {
+    let mut first_by_gateway: BTreeMap<usize, u64> = BTreeMap::new();
+    for process in run
+        .processes
+        .iter()
+        .filter(|process| process.descriptors > 0)
+    {
+        let first_descriptors = *first_by_gateway
+            .entry(process.gateway)
+            .or_insert(process.descriptors);
+        if process.descriptors > 2 * first_descriptors + MAX_DESCRIPTOR_GROWTH {
             verdict.add(
                 FindingKind::DescriptorGrowth,
-                format!("{first} at first: {process:?}"),
+                format!("{first_descriptors} at first: {process:?}"),
             );
         }
     }
--- a/crates/ivypitch-testbed/src/experiments/soak/clients.rs
+++ b/crates/ivypitch-testbed/src/experiments/soak/clients.rs
@@ -1,5 +1,6 @@
-//! Clients of the soak: each keeps its connection for one statement after the other as long as that lasts, also at a gateway
-//! that was told to end. Some write slowly, leave, cancel, send many commands at once, or fill descriptors and say nothing.
+//! Clients of the soak run. Each sends one statement after the other on one connection for as long
+//! as that stays open, also at a gateway that is shutting down. Some write slowly, disconnect,
+//! cancel, send many commands at once, or hold idle connections that exhaust descriptors.
 
 use std::cell::RefCell;
 use std::io;
@@ -13,73 +14,75 @@
 use smol::future::FutureExt;
 use smol::{Async, LocalExecutor, Timer};
 
-use super::frontend::Frontend;
+use super::load_balancer::LoadBalancer;
 use super::observations::{Outcome, Request};
 use crate::processes::engine::stamp;
 use crate::processes::session::{Reply, Session, first_column};
 use crate::stand_ins::query;
 
-/// A client that has less time left does not come back.
-const MIN_TIME_TO_RETURN: Duration = Duration::from_millis(30);
-/// A client waits for its answer so much longer than its statement's timeout.
-const WAIT_BEYOND_TIMEOUT: Duration = Duration::from_millis(1200);
+/// A client with less time left does not retry.
+const MIN_TIME_FOR_RETRY: Duration = Duration::from_millis(30);
+/// Time beyond the statement timeout that a client waits for its answer.
+const ANSWER_WAIT_BEYOND_TIMEOUT: Duration = Duration::from_millis(1200);
 /// A client that cancelled closes its own connection after this time.
-const CLOSE_AFTER_CANCEL: Duration = Duration::from_millis(500);
+const CLOSE_DELAY_AFTER_CANCEL: Duration = Duration::from_millis(500);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 const CONNECT_RETRY_PAUSE: Duration = Duration::from_millis(20);
-const REJECTED: [u16; 3] = [1040, 1203, 1226];
-/// Idle connections to each gateway of a crowd: more than it has places for.
-const CROWD_OF_A_GATEWAY: usize = 110;
-const CROWD_PAUSE_MS: std::ops::Range<u64> = 30..300;
-
-/// What the clients are given.
+/// Error codes of a rejection.
+const REJECTION_CODES: [u16; 3] = [1040, 1203, 1226];
+/// Idle connections to each gateway: more than its descriptors allow.
+const IDLE_CONNECTIONS_PER_GATEWAY: usize = 110;
+/// Pause before an idle client connects again.
+const RECONNECT_PAUSE_MS: std::ops::Range<u64> = 30..300;
+
+/// Parameters of the clients.
 #[derive(Clone)]
 pub struct ClientParams {
     pub addresses: Vec<SocketAddr>,
-    pub frontend: Arc<Frontend>,
+    pub load_balancer: Arc<LoadBalancer>,
     pub clients: usize,
-    /// No client begins a statement later.
+    /// No client begins a statement after this time.
     pub until: Instant,
     pub max_timeout_ms: u64,
     pub has_peers: bool,
-    pub has_crowd: bool,
+    pub has_idle_connections: bool,
     pub seed: u64,
 }
 
-/// How a client behaves with one statement.
+/// Behaviour of a client for one statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Behaviour {
     Ordinary,
-    /// Writes the statement in so many pieces.
+    /// Writes the statement in this many pieces.
     InPieces(usize),
-    /// Closes its connection after so many milliseconds.
-    Leaves(u64),
-    /// Cancels on another connection after so many milliseconds.
+    /// Closes its connection after this many milliseconds.
+    Disconnects(u64),
+    /// Cancels on another connection after this many milliseconds.
     Cancels(u64),
-    /// Sends login and statement at once, and cancels right behind.
+    /// Sends login and statement in one write and cancels immediately.
     CancelsAtOnce,
     /// Sends several statements without waiting for an answer.
     ManyCommands,
-    /// Says nothing for so many milliseconds.
-    Rests(u64),
+    /// Sends nothing for this many milliseconds.
+    Idles(u64),
 }
 
 impl Behaviour {
     fn draw(rng: &mut ChaCha8Rng) -> Behaviour {
         match rng.random_range(0..100) {
             0..8 => Behaviour::InPieces(rng.random_range(2..6)),
-            8..14 => Behaviour::Leaves(rng.random_range(0..120)),
+            8..14 => Behaviour::Disconnects(rng.random_range(0..120)),
             14..20 => Behaviour::Cancels(rng.random_range(0..120)),
             20..24 => Behaviour::CancelsAtOnce,
             24..27 => Behaviour::ManyCommands,
-            27..33 => Behaviour::Rests(rng.random_range(100..1500)),
+            27..33 => Behaviour::Idles(rng.random_range(100..1500)),
             _ => Behaviour::Ordinary,
         }
     }
 }
 
-/// Plays all clients; returns every request.
-pub fn play(params: ClientParams) -> Vec<Request> {
+/// Runs all clients; returns every request.
+pub fn run_clients(params: ClientParams) -> Vec<Request> {
     let executor = Rc::new(LocalExecutor::new());
     let requests = Rc::new(RefCell::new(Vec::new()));
     smol::block_on(executor.clone().run(async {
@@ -92,13 +95,13 @@
                 gateway: 0,
                 requests: requests.clone(),
             };
-            tasks.push(executor.spawn(client.live()));
+            tasks.push(executor.spawn(client.run()));
         }
-        if params.has_crowd {
+        if params.has_idle_connections {
             for gateway in 0..params.addresses.len() {
-                for number in 0..CROWD_OF_A_GATEWAY {
+                for number in 0..IDLE_CONNECTIONS_PER_GATEWAY {
                     let seed = params.seed ^ (1 << 60 | gateway << 20 | number) as u64;
-                    let idle = stay_idle(params.clone(), gateway, seed);
+                    let idle = hold_idle_connections(params.clone(), gateway, seed);
                     tasks.push(executor.spawn(idle));
                 }
             }
@@ -110,12 +113,12 @@
     requests.take()
 }
 
-/// Holds a connection open and says nothing, again and again.
-async fn stay_idle(params: ClientParams, gateway: usize, seed: u64) {
+/// Repeatedly opens a connection and keeps it open without sending anything.
+async fn hold_idle_connections(params: ClientParams, gateway: usize, seed: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     while Instant::now() < params.until {
-        Timer::after(Duration::from_millis(rng.random_range(CROWD_PAUSE_MS))).await;
-        if !params.frontend.accepts(gateway) {
+        Timer::after(Duration::from_millis(rng.random_range(RECONNECT_PAUSE_MS))).await;
+        if !params.load_balancer.accepts(gateway) {
             continue;
         }
         let Ok(stream) = Async::<TcpStream>::connect(params.addresses[gateway]).await else {
@@ -128,10 +131,10 @@
                 .is_ok_and(|bytes| bytes > 0)
             {}
         };
-        let over = async {
+        let run_over = async {
             Timer::at(params.until).await;
         };
-        closed.or(over).await;
+        closed.or(run_over).await;
     }
 }
 
@@ -139,12 +142,12 @@
     params: ClientParams,
     rng: ChaCha8Rng,
     session: Option<Session>,
-    /// Where the session is.
+    /// The gateway that the session is connected to.
     gateway: usize,
     requests: Rc<RefCell<Vec<Request>>>,
 }
 
-/// A statement that a client is to send.
+/// A statement to send.
 struct NewStatement {
     id: u64,
     is_load: bool,
@@ -187,69 +190,71 @@
 /// A `KILL QUERY` on another connection.
 struct SentKill {
     at: u64,
-    /// It was written; otherwise that connection did not come up.
+    /// The command was written; otherwise its connection could not be opened.
     is_sent: bool,
 }
 
-/// An answer, or why there is none.
-struct Answered {
+/// The result of waiting for an answer.
+struct AnswerResult {
     outcome: Outcome,
-    left_at: Option<u64>,
+    abandoned_at: Option<u64>,
     /// The session can be used again.
     is_open: bool,
 }
 
-impl Answered {
-    fn without_session(outcome: Outcome) -> Answered {
-        Answered {
+impl AnswerResult {
+    fn without_session(outcome: Outcome) -> AnswerResult {
+        AnswerResult {
             outcome,
-            left_at: None,
+            abandoned_at: None,
             is_open: false,
         }
     }
 
-    fn left_at(at: u64) -> Answered {
-        Answered {
-            left_at: Some(at),
-            ..Answered::without_session(Outcome::Left)
+    fn abandoned_at(at: u64) -> AnswerResult {
+        AnswerResult {
+            abandoned_at: Some(at),
+            ..AnswerResult::without_session(Outcome::Abandoned)
         }
     }
 }
 
 impl Client {
-    async fn live(mut self) {
+    async fn run(mut self) {
         while Instant::now() < self.params.until {
             let statement = NewStatement::draw(&mut self.rng, self.params.max_timeout_ms);
             let behaviour = Behaviour::draw(&mut self.rng);
             let outcome = self.send(statement, behaviour).await;
-            let retries_at_once = outcome == Some(Outcome::Rejected) && self.rng.random_bool(0.3);
-            if !retries_at_once {
+            let retries_immediately =
+                outcome == Some(Outcome::Rejected) && self.rng.random_bool(0.3);
+            if !retries_immediately {
                 Timer::after(Duration::from_millis(self.rng.random_range(5..60))).await;
             }
         }
     }
 
-    /// One statement; where gateways talk its client comes back with it within its time, as long as nobody can say.
+    /// Sends one statement. With peers, the client retries it within its timeout while its outcome
+    /// is unknown.
     async fn send(&mut self, mut statement: NewStatement, behaviour: Behaviour) -> Option<Outcome> {
         let deadline = Instant::now() + Duration::from_millis(statement.timeout_ms);
-        let mut request = self.try_once(&statement, behaviour).await?;
+        let mut request = self.send_once(&statement, behaviour).await?;
         self.requests.borrow_mut().push(request.clone());
         while self.params.has_peers && is_uncertain(&request) {
             Timer::after(Duration::from_millis(self.rng.random_range(10..200))).await;
-            let left = deadline.saturating_duration_since(Instant::now());
-            if left < MIN_TIME_TO_RETURN {
+            let time_left = deadline.saturating_duration_since(Instant::now());
+            if time_left < MIN_TIME_FOR_RETRY {
                 break;
             }
-            statement.timeout_ms = left.as_millis() as u64;
+            statement.timeout_ms = time_left.as_millis() as u64;
             self.session = None;
-            request = self.try_once(&statement, Behaviour::Ordinary).await?;
+            request = self.send_once(&statement, Behaviour::Ordinary).await?;
             self.requests.borrow_mut().push(request.clone());
         }
         Some(request.outcome)
     }
 
-    /// `None`: nothing was sent, or nothing that counts.
-    async fn try_once(
+    /// Sends the statement once. `None`: no request that has to be checked was sent.
+    async fn send_once(
         &mut self,
         statement: &NewStatement,
         behaviour: Behaviour,
@@ -263,13 +268,13 @@
         }
         let mut session = self.session.take()?;
         match behaviour {
-            Behaviour::Rests(ms) => {
+            Behaviour::Idles(ms) => {
                 Timer::after(Duration::from_millis(ms)).await;
                 self.session = Some(session);
                 return None;
             }
             Behaviour::ManyCommands => {
-                self.send_many(&session, statement).await;
+                self.send_many_commands(&session, statement).await;
                 return None;
             }
             _ => {}
@@ -281,24 +286,24 @@
         };
         let written = session.write_in_pieces(&message, pieces).await;
         let sent_at = stamp();
-        let answered = match (written, behaviour) {
-            (Err(_), _) => Answered::without_session(Outcome::Closed),
-            (Ok(()), Behaviour::Leaves(ms)) => leave(&mut session, statement, ms).await,
+        let result = match (written, behaviour) {
+            (Err(_), _) => AnswerResult::without_session(Outcome::Closed),
+            (Ok(()), Behaviour::Disconnects(ms)) => disconnect(&mut session, statement, ms).await,
             (Ok(()), Behaviour::Cancels(ms)) => self.cancel(&mut session, statement, ms).await,
             (Ok(()), _) => wait_for_answer(&mut session, statement).await,
         };
-        if answered.is_open {
+        if result.is_open {
             session.used_at = Instant::now();
             self.session = Some(session);
         }
-        Some(self.request(statement, sent_at, answered, is_first))
+        Some(self.request(statement, sent_at, result, is_first))
     }
 
     fn request(
         &self,
         statement: &NewStatement,
         sent_at: u64,
-        answered: Answered,
+        result: AnswerResult,
         is_first: bool,
     ) -> Request {
         Request {
@@ -307,14 +312,14 @@
             gateway: self.gateway,
             sent_at,
             timeout: statement.timeout_ms * 1000,
-            outcome: answered.outcome,
+            outcome: result.outcome,
             ended_at: stamp(),
-            left_at: answered.left_at,
+            abandoned_at: result.abandoned_at,
             is_first,
         }
     }
 
-    /// The session, unless its gateway has closed it.
+    /// The session, unless the gateway has closed it.
     fn take_open_session(&mut self) -> Option<&Session> {
         if self.session.as_mut().is_some_and(Session::is_closed) {
             self.session = None;
@@ -322,13 +327,13 @@
         self.session.as_ref()
     }
 
-    /// Opens a session at a gateway that gets connections; `None`: the run is over.
+    /// Opens a session at a gateway that gets new connections; `None`: the run is over.
     async fn connect(&mut self) -> Option<()> {
         while Instant::now() < self.params.until {
             let gateway = self.rng.random_range(0..self.params.addresses.len());
-            if self.params.frontend.accepts(gateway) {
+            if self.params.load_balancer.accepts(gateway) {
                 let opened = Session::open(self.params.addresses[gateway]);
-                if let Ok(session) = in_time(CONNECT_TIMEOUT, opened).await {
+                if let Ok(session) = with_timeout(CONNECT_TIMEOUT, opened).await {
                     self.gateway = gateway;
                     self.session = Some(session);
                     return Some(());
@@ -339,15 +344,16 @@
         None
     }
 
-    /// Several statements in one write; what becomes of them is not owed to this client.
-    async fn send_many(&mut self, session: &Session, statement: &NewStatement) {
+    /// Sends several statements in one write; no answer to them is required.
+    async fn send_many_commands(&mut self, session: &Session, statement: &NewStatement) {
         let messages: Vec<u8> = (0..3)
             .flat_map(|number| {
                 let id = statement.id ^ 1 << number;
                 query(&NewStatement { id, ..*statement }.text())
             })
             .collect();
-        // Whether the gateway takes it or closes is the same to this client.
+        // A write error is ignored: the gateway may close the connection instead of accepting the
+        // statements.
         let _ = session.write(&messages).await;
         Timer::after(Duration::from_millis(self.rng.random_range(0..100))).await;
         session.close();
@@ -358,55 +364,55 @@
         session: &mut Session,
         statement: &NewStatement,
         after_ms: u64,
-    ) -> Answered {
+    ) -> AnswerResult {
         let answer = async { Some(wait_for_answer(session, statement).await) };
-        let time_to_cancel = async {
+        let cancel_delay = async {
             Timer::after(Duration::from_millis(after_ms)).await;
             None
         };
-        match answer.or(time_to_cancel).await {
-            Some(answered) => answered,
+        match answer.or(cancel_delay).await {
+            Some(result) => result,
             None => self.cancel_now(session, statement).await,
         }
     }
 
-    /// `KILL QUERY` on another connection; on which nothing else is sent.
+    /// Sends `KILL QUERY` on another connection, on which nothing else is sent.
     async fn kill(&self, connection: u32) -> SentKill {
         let address = self.params.addresses[self.gateway];
         let kill = query(&format!("KILL QUERY {connection}"));
-        let killed = async {
+        let send_kill = async {
             let killer = Session::open(address).await?;
             killer.write(&kill).await?;
             Ok(killer)
         };
-        let killer = in_time(CONNECT_TIMEOUT, killed).await;
+        let killer = with_timeout(CONNECT_TIMEOUT, send_kill).await;
         SentKill {
             at: stamp(),
             is_sent: killer.is_ok(),
         }
     }
 
-    async fn cancel_now(&self, session: &mut Session, statement: &NewStatement) -> Answered {
+    async fn cancel_now(&self, session: &mut Session, statement: &NewStatement) -> AnswerResult {
         let kill = self.kill(session.connection).await;
         if !kill.is_sent {
             session.close();
-            return Answered::left_at(kill.at);
+            return AnswerResult::abandoned_at(kill.at);
         }
         let answer = wait_for_answer(session, statement);
-        let answered = answer_of_cancelled(answer, kill.at).await;
+        let result = answer_of_cancelled(answer, kill.at).await;
         session.close();
-        answered
+        result
     }
 
     async fn cancel_at_once(&mut self, statement: &NewStatement) -> Option<Request> {
         self.session = None;
         let gateway = self.rng.random_range(0..self.params.addresses.len());
-        if !self.params.frontend.accepts(gateway) {
+        if !self.params.load_balancer.accepts(gateway) {
             return None;
         }
         let address = self.params.addresses[gateway];
         let text = statement.text();
-        let opened = in_time(CONNECT_TIMEOUT, Session::open_with(address, &text)).await;
+        let opened = with_timeout(CONNECT_TIMEOUT, Session::open_with(address, &text)).await;
         let mut session = opened.ok()?;
         self.gateway = gateway;
         let sent_at = stamp();
@@ -414,64 +420,74 @@
         let answer = async {
             match session.logged_in().await {
                 Ok(()) => wait_for_answer(&mut session, statement).await,
-                Err(_) => Answered::without_session(Outcome::Closed),
+                Err(_) => AnswerResult::without_session(Outcome::Closed),
             }
         };
-        let answered = answer_of_cancelled(answer, kill.at).await;
+        let result = answer_of_cancelled(answer, kill.at).await;
         session.close();
-        Some(self.request(statement, sent_at, answered, true))
+        Some(self.request(statement, sent_at, result, true))
     }
 }
 
 fn is_uncertain(request: &Request) -> bool {
     match request.outcome {
-        Outcome::Failed(1105) | Outcome::Closed | Outcome::Silence => request.left_at.is_none(),
+        Outcome::Failed(1105) | Outcome::Closed | Outcome::NoAnswer => {
+            request.abandoned_at.is_none()
+        }
         _ => false,
     }
 }
 
-/// The answer to a client that cancelled, if it comes before that closes. None is owed.
-async fn answer_of_cancelled(answer: impl Future<Output = Answered>, left_at: u64) -> Answered {
-    let closes = async {
-        Timer::after(CLOSE_AFTER_CANCEL).await;
-        Answered::without_session(Outcome::Left)
+/// The answer to a client that cancelled, if it arrives before the client closes the connection.
+/// None is required.
+async fn answer_of_cancelled(
+    answer: impl Future<Output = AnswerResult>,
+    abandoned_at: u64,
+) -> AnswerResult {
+    let close_delay = async {
+        Timer::after(CLOSE_DELAY_AFTER_CANCEL).await;
+        AnswerResult::without_session(Outcome::Abandoned)
     };
-    let mut answered = answer.or(closes).await;
-    answered.is_open = false;
-    answered.left_at = Some(left_at);
-    if matches!(answered.outcome, Outcome::Closed | Outcome::Silence) {
-        answered.outcome = Outcome::Left;
+    let mut result = answer.or(close_delay).await;
+    result.is_open = false;
+    result.abandoned_at = Some(abandoned_at);
+    if matches!(result.outcome, Outcome::Closed | Outcome::NoAnswer) {
+        result.outcome = Outcome::Abandoned;
     }
-    answered
+    result
 }
 
-/// Closes the connection after so many milliseconds, unless the answer comes first.
-async fn leave(session: &mut Session, statement: &NewStatement, after_ms: u64) -> Answered {
+/// Closes the connection after `after_ms`, unless the answer arrives first.
+async fn disconnect(
+    session: &mut Session,
+    statement: &NewStatement,
+    after_ms: u64,
+) -> AnswerResult {
     let answer = async { Some(wait_for_answer(session, statement).await) };
-    let time_to_leave = async {
+    let disconnect_delay = async {
         Timer::after(Duration::from_millis(after_ms)).await;
         None
     };
-    if let Some(answered) = answer.or(time_to_leave).await {
-        return answered;
+    if let Some(result) = answer.or(disconnect_delay).await {
+        return result;
     }
     session.close();
-    Answered::left_at(stamp())
+    AnswerResult::abandoned_at(stamp())
 }
 
-async fn wait_for_answer(session: &mut Session, statement: &NewStatement) -> Answered {
-    let wait = Duration::from_millis(statement.timeout_ms) + WAIT_BEYOND_TIMEOUT;
-    let silent = async {
+async fn wait_for_answer(session: &mut Session, statement: &NewStatement) -> AnswerResult {
+    let wait = Duration::from_millis(statement.timeout_ms) + ANSWER_WAIT_BEYOND_TIMEOUT;
+    let timed_out = async {
         Timer::after(wait).await;
         None
     };
     let answer = async { Some(session.answer().await) };
-    match answer.or(silent).await {
-        None => Answered::without_session(Outcome::Silence),
-        Some(Err(_)) => Answered::without_session(Outcome::Closed),
-        Some(Ok(reply)) => Answered {
+    match answer.or(timed_out).await {
+        None => AnswerResult::without_session(Outcome::NoAnswer),
+        Some(Err(_)) => AnswerResult::without_session(Outcome::Closed),
+        Some(Ok(reply)) => AnswerResult {
             outcome: outcome(&reply),
-            left_at: None,
+            abandoned_at: None,
             is_open: true,
         },
     }
@@ -480,12 +496,15 @@
 fn outcome(reply: &Reply) -> Outcome {
     match reply {
         Reply::Rows(rows) => Outcome::Rows(rows.first().map_or(String::new(), |r| first_column(r))),
-        Reply::Error(code, _) if REJECTED.contains(code) => Outcome::Rejected,
+        Reply::Error(code, _) if REJECTION_CODES.contains(code) => Outcome::Rejected,
         Reply::Error(code, _) => Outcome::Failed(*code),
     }
 }
 
-async fn in_time<T>(timeout: Duration, work: impl Future<Output = io::Result<T>>) -> io::Result<T> {
+async fn with_timeout<T>(
+    timeout: Duration,
+    work: impl Future<Output = io::Result<T>>,
+) -> io::Result<T> {
     let timed_out = async {
         Timer::after(timeout).await;
         Err(io::ErrorKind::TimedOut.into())
--- a/crates/ivypitch-testbed/src/experiments/soak/mod.rs
+++ b/crates/ivypitch-testbed/src/experiments/soak/mod.rs
@@ -1,21 +1,21 @@
-//! The experiment `soak`: real gateways that are restarted, reloaded and told to end again and again while clients go on using
-//! their connections, by a plan that its seed draws.
+//! The experiment `soak`: gateway processes that are repeatedly restarted, reloaded and signalled
+//! by a plan drawn from the seed, while clients keep using their connections.
 
 pub mod checker;
 pub mod observations;
 pub mod plan;
 
 mod clients;
-mod frontend;
+mod load_balancer;
 mod operator;
 
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
 
-use self::checker::{FindingKind, Verdict, judge};
+use self::checker::{FindingKind, Verdict, check};
 use self::clients::ClientParams;
-use self::frontend::Frontend;
+use self::load_balancer::LoadBalancer;
 use self::observations::{Limits, Observations};
 use self::operator::{Operator, OperatorRecord};
 use self::plan::{SoakPlan, SoakSize};
@@ -28,21 +28,23 @@
 const CLIENTS: usize = 36;
 /// Longest statement timeout.
 const MAX_TIMEOUT_MS: u64 = 1500;
-/// SIGKILL comes so much later than the longest timeout after SIGTERM.
+/// SIGKILL follows SIGTERM after the longest timeout and this time.
 const DRAIN_PERIOD_MS: u64 = 700;
-/// What voters remember beyond the longest timeout.
-const RETENTION_MS: u64 = 400;
+/// Retention of vote logs beyond the longest timeout.
+const VOTE_RETENTION_MS: u64 = 400;
 const QUICK_SPAN_MS: u64 = 20_000;
 const SPAN_MS: u64 = 60_000;
-/// Engines drop what nobody polls for within 2 s.
-const ENGINES_SETTLE: Duration = Duration::from_millis(2500);
-/// Descriptors of a gateway, and where a crowd fills them.
-const DESCRIPTORS: u64 = 1024;
-const CROWD_DESCRIPTORS: u64 = 256;
-const RESIDENT_BYTES: u64 = 192 << 20;
+/// Engines drop statements that nobody polls for 2 s.
+const ENGINE_SETTLE_TIME: Duration = Duration::from_millis(2500);
+/// Descriptor limit of a gateway.
+const MAX_DESCRIPTORS: u64 = 1024;
+/// Descriptor limit in runs where idle connections exhaust it.
+const MAX_DESCRIPTORS_WITH_IDLE_CONNECTIONS: u64 = 256;
+/// Memory limit of a gateway.
+const MAX_RESIDENT_BYTES: u64 = 192 << 20;
 
-/// Plays the run of a seed.
-pub fn play(quick: bool, seed: u64) -> Report {
+/// Runs the experiment.
+pub fn run(quick: bool, seed: u64) -> Report {
     let size = SoakSize {
         gateways: GATEWAYS,
         engines: ENGINES,
@@ -50,20 +52,20 @@
     };
     let plan = SoakPlan::draw(size, seed);
     let mut report = Report::new("soak", seed);
-    match run(&plan, seed) {
-        Ok(soak) => add_verdict(&mut report, &plan, &soak),
+    match run_plan(&plan, seed) {
+        Ok(result) => add_verdict(&mut report, &plan, &result),
         Err(error) => {
-            eprintln!("not played: {error}");
+            eprintln!("run failed: {error}");
             report
                 .bounds
-                .push(Bound::new("the run ends", 0.0, 1.0, f64::MAX));
+                .push(Bound::new("the run completes", 0.0, 1.0, f64::MAX));
         }
     }
     report
 }
 
-/// A run and its verdict.
-struct Soak {
+/// Results of a run.
+struct SoakResult {
     verdict: Verdict,
     restarts: usize,
     ended_before_handler: usize,
@@ -71,39 +73,39 @@
     max_resident_bytes: u64,
 }
 
-fn run(plan: &SoakPlan, seed: u64) -> Result<Soak, String> {
+fn run_plan(plan: &SoakPlan, seed: u64) -> Result<SoakResult, String> {
     let mut fleet = Fleet::start(setup(plan, seed))?;
-    let warm_ms = if plan.has_peers {
-        MAX_TIMEOUT_MS + RETENTION_MS + 1000
+    let warm_up_ms = if plan.has_peers {
+        MAX_TIMEOUT_MS + VOTE_RETENTION_MS + 1000
     } else {
         200
     };
-    thread::sleep(Duration::from_millis(warm_ms));
+    thread::sleep(Duration::from_millis(warm_up_ms));
     let from = Instant::now();
-    let frontend = Arc::new(Frontend::new(GATEWAYS));
+    let load_balancer = Arc::new(LoadBalancer::new(GATEWAYS));
     let params = ClientParams {
         addresses: fleet.seats.iter().map(|seat| seat.address).collect(),
-        frontend: frontend.clone(),
+        load_balancer: load_balancer.clone(),
         clients: CLIENTS,
         until: from + Duration::from_millis(plan.span),
         max_timeout_ms: MAX_TIMEOUT_MS,
         has_peers: plan.has_peers,
-        has_crowd: plan.has_crowd,
+        has_idle_connections: plan.has_idle_connections,
         seed,
     };
-    let playing = thread::spawn(move || clients::play(params));
+    let clients_thread = thread::spawn(move || clients::run_clients(params));
     let kill_after = Duration::from_millis(MAX_TIMEOUT_MS + DRAIN_PERIOD_MS);
-    let record = Operator::new(&mut fleet, frontend, kill_after).run(plan, from);
-    let requests = playing
+    let record = Operator::new(&mut fleet, load_balancer, kill_after).run(plan, from);
+    let requests = clients_thread
         .join()
-        .map_err(|_| "the clients' thread failed".to_owned())?;
-    thread::sleep(ENGINES_SETTLE);
+        .map_err(|_| "the client thread panicked".to_owned())?;
+    thread::sleep(ENGINE_SETTLE_TIME);
     let observations = Observations {
         has_peers: plan.has_peers,
-        has_crowd: plan.has_crowd,
+        has_idle_connections: plan.has_idle_connections,
         limits: Limits {
-            descriptors: descriptors(plan),
-            resident_bytes: RESIDENT_BYTES,
+            descriptors: max_descriptors(plan),
+            resident_bytes: MAX_RESIDENT_BYTES,
             kill_after: kill_after.as_micros() as u64,
         },
         requests,
@@ -111,16 +113,16 @@
         drains: record.drains.clone(),
         engine_lines: fleet.said.all(),
     };
-    let mut verdict = judge(&observations);
+    let mut verdict = check(&observations);
     add_panics(&fleet, &mut verdict);
     Ok(summary(verdict, &record))
 }
 
 fn setup(plan: &SoakPlan, seed: u64) -> Setup {
     let peers = format!(
-        r#""period_ms":200,"suspicion_ms":700,"custody":{{"remembered_ms":{RETENTION_MS},"asks_from_ms":0}}"#
+        r#""period_ms":200,"suspicion_ms":700,"custody":{{"remembered_ms":{VOTE_RETENTION_MS},"asks_from_ms":0}}"#
     );
-    let settings: fn(String) -> String = if plan.has_crowd {
+    let settings: fn(String) -> String = if plan.has_idle_connections {
         |config| config.replace("\"sockets\":1024", "\"sockets\":256")
     } else {
         |config| config
@@ -139,28 +141,29 @@
     }
 }
 
-fn descriptors(plan: &SoakPlan) -> u64 {
-    if plan.has_crowd {
-        CROWD_DESCRIPTORS
+fn max_descriptors(plan: &SoakPlan) -> u64 {
+    if plan.has_idle_connections {
+        MAX_DESCRIPTORS_WITH_IDLE_CONNECTIONS
     } else {
-        DESCRIPTORS
+        MAX_DESCRIPTORS
     }
 }
 
+/// Adds the panics in the logs of the gateways as findings.
 fn add_panics(fleet: &Fleet, verdict: &mut Verdict) {
     for (gateway, seat) in fleet.seats.iter().enumerate() {
         for line in seat.log.all() {
             if line.contains("panicked") {
-                let lines = verdict.broken.entry(FindingKind::ExitCode).or_default();
+                let lines = verdict.findings.entry(FindingKind::ExitCode).or_default();
                 lines.push(format!("n{gateway}: {line}"));
             }
         }
     }
 }
 
-fn summary(verdict: Verdict, record: &OperatorRecord) -> Soak {
+fn summary(verdict: Verdict, record: &OperatorRecord) -> SoakResult {
     let processes = &record.processes;
-    Soak {
+    SoakResult {
         verdict,
         restarts: processes
             .iter()
@@ -176,33 +179,39 @@
     }
 }
 
-fn add_verdict(report: &mut Report, plan: &SoakPlan, soak: &Soak) {
-    let verdict = &soak.verdict;
+fn add_verdict(report: &mut Report, plan: &SoakPlan, result: &SoakResult) {
+    let verdict = &result.verdict;
     report.notes.push(verdict.to_string());
     if !verdict.holds() {
-        report.notes.push(format!("the plan:\n{plan}"));
+        report.notes.push(format!("plan:\n{plan}"));
     }
-    let mut told = |what: &str, is: f64| {
-        report.bounds.push(Bound::new(what, is, 0.0, f64::MAX));
+    let mut add_value = |name: &str, value: f64| {
+        report.bounds.push(Bound::new(name, value, 0.0, f64::MAX));
     };
-    told("requests", verdict.requests as f64);
-    told("served", verdict.served as f64);
-    told("planned restarts", soak.restarts as f64);
-    told(
-        "processes that SIGTERM ended before their handler",
-        soak.ended_before_handler as f64,
+    add_value("requests", verdict.requests as f64);
+    add_value("served", verdict.served as f64);
+    add_value("planned restarts", result.restarts as f64);
+    add_value(
+        "processes ended by SIGTERM before the handler was installed",
+        result.ended_before_handler as f64,
     );
-    told("most descriptors at a SIGTERM", soak.max_descriptors as f64);
-    told(
-        "most resident MB at a SIGTERM",
-        soak.max_resident_bytes as f64 / 1e6,
+    add_value(
+        "maximum descriptors at a SIGTERM",
+        result.max_descriptors as f64,
     );
-    let broken: usize = verdict.broken.values().map(Vec::len).sum();
-    report
-        .bounds
-        .push(Bound::new("promises broken", broken as f64, 0.0, 0.0));
-    let served = verdict.served as f64 / verdict.requests.max(1) as f64;
+    add_value(
+        "maximum resident MB at a SIGTERM",
+        result.max_resident_bytes as f64 / 1e6,
+    );
+    let violations: usize = verdict.findings.values().map(Vec::len).sum();
+    report.bounds.push(Bound::new(
+        "guarantees violated",
+        violations as f64,
+        0.0,
+        0.0,
+    ));
+    let served_ratio = verdict.served as f64 / verdict.requests.max(1) as f64;
     report
         .bounds
-        .push(Bound::new("part served", served, 0.3, 1.0));
+        .push(Bound::new("fraction served", served_ratio, 0.3, 1.0));
 }
--- a/crates/ivypitch-testbed/src/experiments/soak/observations.rs
+++ b/crates/ivypitch-testbed/src/experiments/soak/observations.rs
@@ -1,23 +1,23 @@
-//! What a run of the soak recorded: requests as clients saw them, processes, drains, and the engines' lines. All times are
-//! microseconds of the system's clock.
+//! Records of a soak run: requests as seen by clients, processes, drains, and log lines of engines.
+//! All times are microseconds of the system clock.
 
 use crate::processes::Said;
 
-/// What became of a request, as its client saw it.
+/// Outcome of a request as seen by its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Rows; the first column of the first one.
+    /// Rows; holds the first column of the first row.
     Rows(String),
-    /// 1040, 1203 or 1226: nothing ran.
+    /// Error 1040, 1203 or 1226: nothing ran.
     Rejected,
     /// Any other error.
     Failed(u16),
     /// The connection ended without an answer.
     Closed,
-    /// Nothing came.
-    Silence,
+    /// No answer arrived in time.
+    NoAnswer,
     /// The client closed its connection before there was an answer.
-    Left,
+    Abandoned,
 }
 
 /// One request on one connection.
@@ -26,74 +26,76 @@
     pub id: u64,
     pub is_load: bool,
     pub gateway: usize,
-    /// When its last byte was written.
+    /// Time at which the last byte was written.
     pub sent_at: u64,
     pub timeout: u64,
     pub outcome: Outcome,
     pub ended_at: u64,
-    /// When its client cancelled it or closed the connection.
-    pub left_at: Option<u64>,
-    /// It is the first on its connection.
+    /// Time at which the client cancelled the request or closed the connection.
+    pub abandoned_at: Option<u64>,
+    /// The request is the first one on its connection.
     pub is_first: bool,
 }
 
 impl Request {
-    /// It was open at this time.
+    /// The request had been sent and had not ended at this time.
     pub fn is_open_at(&self, at: u64) -> bool {
         self.sent_at <= at && at < self.ended_at
     }
 }
 
-/// How a gateway's process ended.
+/// How a gateway process ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessEnd {
-    /// By itself, with this exit code; `None`: by a signal that nobody sent.
+    /// Exited with this code; `None`: without being told to, or by a signal that the operator did
+    /// not send.
     Exited(Option<i32>),
-    /// It was killed outright.
+    /// Killed by a planned SIGKILL.
     Killed,
-    /// It was killed after a SIGTERM, as the time for that was over.
+    /// Killed after a SIGTERM because the drain time was over.
     KilledAfterTerm,
 }
 
-/// One process of a gateway.
+/// One gateway process.
 #[derive(Clone, Debug)]
 pub struct Process {
     pub gateway: usize,
     pub spawned_at: u64,
-    /// When it served; `None`: it never did.
+    /// Time at which the process was ready to serve; `None`: it never was.
     pub ready_at: Option<u64>,
-    /// The first SIGTERM.
+    /// Time of the first SIGTERM.
     pub terminated_at: Option<u64>,
     pub ended_at: Option<u64>,
     pub end: Option<ProcessEnd>,
-    /// What it used as it was told to end.
+    /// Open descriptors at the SIGTERM.
     pub descriptors: u64,
+    /// Resident memory at the SIGTERM.
     pub resident_bytes: u64,
 }
 
-/// An engine that was said to drain.
+/// An announced drain of an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Drain {
     pub engine: usize,
-    pub told_at: u64,
+    pub announced_at: u64,
     pub until: u64,
 }
 
-/// Bounds of each gateway's machine.
+/// Resource limits of each gateway.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     pub descriptors: u64,
     pub resident_bytes: u64,
-    /// SIGKILL comes so long after SIGTERM.
+    /// Time from SIGTERM to SIGKILL.
     pub kill_after: u64,
 }
 
-/// A run of the soak.
+/// Everything recorded of a soak run.
 #[derive(Clone, Debug)]
 pub struct Observations {
     pub has_peers: bool,
-    /// Idle clients filled the gateways' descriptors.
-    pub has_crowd: bool,
+    /// Idle client connections exhausted the descriptors of the gateways.
+    pub has_idle_connections: bool,
     pub limits: Limits,
     pub requests: Vec<Request>,
     pub processes: Vec<Process>,
--- a/crates/ivypitch-testbed/src/experiments/soak/operator.rs
+++ b/crates/ivypitch-testbed/src/experiments/soak/operator.rs
@@ -1,4 +1,4 @@
-//! The operator of the soak's fleet: carries the plan out on its processes, and records what became of each.
+//! The operator of the fleet in a soak run: executes the plan and records the life of each process.
 
 use std::os::unix::process::ExitStatusExt;
 use std::process::ExitStatus;
@@ -8,7 +8,7 @@
 
 use rustix::process::Signal;
 
-use super::frontend::Frontend;
+use super::load_balancer::LoadBalancer;
 use super::observations::{Drain, Process, ProcessEnd};
 use super::plan::{DrainSignal, Operation, Restart, SoakPlan};
 use crate::processes::Fleet;
@@ -17,22 +17,22 @@
 use crate::processes::restarts::ConfigurationChange;
 
 const TICK: Duration = Duration::from_millis(5);
-/// A process that is told to end as it starts ends within this time.
-const END_WHILE_STARTING: Duration = Duration::from_secs(15);
+/// Time in which a process that gets SIGTERM while it starts must exit.
+const MAX_EXIT_TIME_WHILE_STARTING: Duration = Duration::from_secs(15);
 
-/// What is due at a time.
+/// A step of the plan.
 enum Step {
     Begin(Operation),
     Reload {
         gateway: usize,
         change: ConfigurationChange,
     },
-    /// To the process of this number, if it still runs.
+    /// Signal to the process with this number, if it still runs.
     Signal {
         process: usize,
         signal: Signal,
     },
-    KillOverdue {
+    KillIfOverdue {
         process: usize,
     },
     EndDrain {
@@ -49,37 +49,37 @@
     },
 }
 
-struct DueStep {
+struct ScheduledStep {
     at: Instant,
     step: Step,
 }
 
-/// What the operator has seen.
+/// Records of the operator.
 #[derive(Default)]
 pub struct OperatorRecord {
     pub processes: Vec<Process>,
     pub drains: Vec<Drain>,
-    /// Processes that SIGTERM ended before they could handle it.
+    /// Processes that SIGTERM ended before they had installed their handler.
     pub ended_before_handler: usize,
 }
 
 pub struct Operator<'a> {
     fleet: &'a mut Fleet,
-    frontend: Arc<Frontend>,
+    load_balancer: Arc<LoadBalancer>,
     kill_after: Duration,
-    /// Number of each gateway's process in the record.
+    /// By gateway: number of its current process in the record.
     current: Vec<usize>,
-    /// Restarts of which the process has not ended yet, by gateway.
-    stopping: Vec<Option<Restart>>,
-    steps: Vec<DueStep>,
+    /// By gateway: the restart in progress, until its process has ended.
+    pending_restarts: Vec<Option<Restart>>,
+    steps: Vec<ScheduledStep>,
     record: OperatorRecord,
 }
 
 impl<'a> Operator<'a> {
-    /// For a fleet that has just started.
+    /// Creates the operator of a fleet that has just started.
     pub fn new(
         fleet: &'a mut Fleet,
-        frontend: Arc<Frontend>,
+        load_balancer: Arc<LoadBalancer>,
         kill_after: Duration,
     ) -> Operator<'a> {
         let gateways = fleet.setup.gateways;
@@ -89,10 +89,10 @@
             .collect();
         Operator {
             fleet,
-            frontend,
+            load_balancer,
             kill_after,
             current: (0..gateways).collect(),
-            stopping: vec![None; gateways],
+            pending_restarts: vec![None; gateways],
             steps: Vec::new(),
             record: OperatorRecord {
                 processes,
@@ -101,47 +101,47 @@
         }
     }
 
-    /// Carries the plan out, then ends all gateways.
+    /// Executes the plan, then shuts all gateways down.
     pub fn run(mut self, plan: &SoakPlan, from: Instant) -> OperatorRecord {
         for planned in &plan.operations {
-            self.steps.push(DueStep {
+            self.steps.push(ScheduledStep {
                 at: from + Duration::from_millis(planned.at),
                 step: Step::Begin(planned.operation.clone()),
             });
         }
         let until = from + Duration::from_millis(plan.span);
-        while Instant::now() < until || self.stopping.iter().any(Option::is_some) {
+        while Instant::now() < until || self.pending_restarts.iter().any(Option::is_some) {
             self.tick();
         }
-        self.end_all();
+        self.terminate_all();
         self.record
     }
 
     fn tick(&mut self) {
         let now = Instant::now();
-        while let Some(index) = self.steps.iter().position(|due| due.at <= now) {
-            let due = self.steps.remove(index);
-            self.carry_out(due.step);
+        while let Some(index) = self.steps.iter().position(|scheduled| scheduled.at <= now) {
+            let scheduled = self.steps.remove(index);
+            self.execute(scheduled.step);
         }
         for gateway in 0..self.current.len() {
             if let Some(status) = self.fleet.try_wait(gateway) {
-                self.on_ended(gateway, status);
+                self.on_exited(gateway, status);
             }
         }
         thread::sleep(TICK);
     }
 
-    fn after(&mut self, ms: u64, step: Step) {
-        let at = Instant::now() + Duration::from_millis(ms);
-        self.steps.push(DueStep { at, step });
+    fn schedule_after(&mut self, delay_ms: u64, step: Step) {
+        let at = Instant::now() + Duration::from_millis(delay_ms);
+        self.steps.push(ScheduledStep { at, step });
     }
 
-    fn carry_out(&mut self, step: Step) {
+    fn execute(&mut self, step: Step) {
         match step {
             Step::Begin(operation) => self.begin(operation),
             Step::Reload { gateway, change } => self.reload(gateway, change),
             Step::Signal { process, signal } => self.signal(process, signal),
-            Step::KillOverdue { process } => self.kill_overdue(process),
+            Step::KillIfOverdue { process } => self.kill_if_overdue(process),
             Step::EndDrain { engine } => {
                 self.fleet.tell_state(engine, "in_service");
                 let drains = self.record.drains.iter_mut();
@@ -162,14 +162,14 @@
     fn begin(&mut self, operation: Operation) {
         match operation {
             Operation::Restart(restart) => self.begin_restart(restart),
-            Operation::Kill { gateway } => self.kill_outright(gateway),
+            Operation::Kill { gateway } => self.kill(gateway),
             Operation::Reload {
                 gateway,
                 changes,
                 gap,
             } => {
                 for (number, change) in (0..).zip(changes) {
-                    self.after(gap * number, Step::Reload { gateway, change });
+                    self.schedule_after(gap * number, Step::Reload { gateway, change });
                 }
             }
             Operation::Drain { engine, span } => {
@@ -180,14 +180,14 @@
                 self.fleet.tell_state(engine, "terminating");
                 self.record.drains.push(Drain {
                     engine,
-                    told_at: stamp(),
+                    announced_at: stamp(),
                     until: u64::MAX,
                 });
-                self.after(span, Step::EndDrain { engine });
+                self.schedule_after(span, Step::EndDrain { engine });
             }
             Operation::Hang { engine, span } => {
                 self.fleet.order(engine, "mute 1");
-                self.after(span, Step::EndHang { engine });
+                self.schedule_after(span, Step::EndHang { engine });
             }
             Operation::Reset { gateway, engine } => {
                 self.fleet
@@ -196,22 +196,22 @@
             }
             Operation::SilentWatch { gateway, span } => {
                 self.fleet.net.silence(End::Journal, End::Gateway(gateway));
-                self.after(span, Step::EndSilentWatch { gateway });
+                self.schedule_after(span, Step::EndSilentWatch { gateway });
             }
             Operation::CutOff { gateway, span } => {
                 self.fleet
                     .cut(|a, b| (a == gateway) != (b == gateway), true);
-                self.after(span, Step::EndCutOff { gateway });
+                self.schedule_after(span, Step::EndCutOff { gateway });
             }
         }
     }
 
     fn reload(&mut self, gateway: usize, change: ConfigurationChange) {
-        if self.stopping[gateway].is_some() {
+        if self.pending_restarts[gateway].is_some() {
             return;
         }
         if let Err(error) = self.fleet.write_configuration(gateway, change) {
-            self.crash(gateway, &format!("configuration not written: {error}"));
+            self.record_failure(gateway, &format!("configuration not written: {error}"));
             return;
         }
         self.fleet.signal(gateway, Signal::HUP);
@@ -237,20 +237,20 @@
         }
         record.terminated_at = Some(now);
         self.fleet.signal(gateway, Signal::TERM);
-        self.frontend.close_at(gateway, closes_at);
+        self.load_balancer.close_at(gateway, closes_at);
         for &(after, signal) in &restart.signals {
             let signal = match signal {
                 DrainSignal::Term => Signal::TERM,
                 DrainSignal::Hup => Signal::HUP,
             };
-            self.after(after, Step::Signal { process, signal });
+            self.schedule_after(after, Step::Signal { process, signal });
         }
         let kill_after = self.kill_after.as_millis() as u64;
-        self.after(kill_after, Step::KillOverdue { process });
-        self.stopping[gateway] = Some(restart);
+        self.schedule_after(kill_after, Step::KillIfOverdue { process });
+        self.pending_restarts[gateway] = Some(restart);
     }
 
-    fn kill_overdue(&mut self, process: usize) {
+    fn kill_if_overdue(&mut self, process: usize) {
         let gateway = self.record.processes[process].gateway;
         if self.current[gateway] != process {
             return;
@@ -259,34 +259,34 @@
             self.fleet.kill(gateway);
             self.record_end(gateway, ProcessEnd::KilledAfterTerm);
         }
-        let restart = self.stopping[gateway].take();
+        let restart = self.pending_restarts[gateway].take();
         self.start(
             gateway,
             restart.and_then(|restart| restart.term_while_starting),
         );
     }
 
-    fn kill_outright(&mut self, gateway: usize) {
-        if self.stopping[gateway].is_some() {
+    fn kill(&mut self, gateway: usize) {
+        if self.pending_restarts[gateway].is_some() {
             return;
         }
-        self.frontend.close_at(gateway, 0);
+        self.load_balancer.close_at(gateway, 0);
         self.fleet.kill(gateway);
         self.record_end(gateway, ProcessEnd::Killed);
         self.start(gateway, None);
     }
 
-    /// Its process has ended by itself.
-    fn on_ended(&mut self, gateway: usize, status: ExitStatus) {
-        let was_told = self.stopping[gateway].is_some();
-        let code = status.code().filter(|_| was_told);
+    /// Handles the exit of a process that was not killed.
+    fn on_exited(&mut self, gateway: usize, status: ExitStatus) {
+        let was_terminated = self.pending_restarts[gateway].is_some();
+        let code = status.code().filter(|_| was_terminated);
         self.record_end(gateway, ProcessEnd::Exited(code));
-        self.frontend.close_at(gateway, 0);
-        let starts_at_once = self.stopping[gateway]
+        self.load_balancer.close_at(gateway, 0);
+        let starts_at_once = self.pending_restarts[gateway]
             .as_ref()
             .is_none_or(|restart| restart.starts_at_once);
         if starts_at_once {
-            let restart = self.stopping[gateway].take();
+            let restart = self.pending_restarts[gateway].take();
             self.start(
                 gateway,
                 restart.and_then(|restart| restart.term_while_starting),
@@ -300,19 +300,20 @@
         process.end = Some(end);
     }
 
-    fn crash(&mut self, gateway: usize, what: &str) {
-        eprintln!("n{gateway}: {what}");
+    fn record_failure(&mut self, gateway: usize, error: &str) {
+        eprintln!("n{gateway}: {error}");
         self.record_end(gateway, ProcessEnd::Exited(None));
     }
 
-    /// Starts the next process, behind one that is told to end as it starts where the plan has that.
-    fn start(&mut self, gateway: usize, term_after: Option<u64>) {
+    /// Starts the next process. With `term_after_ms`, first starts one that gets SIGTERM while it
+    /// starts.
+    fn start(&mut self, gateway: usize, term_after_ms: Option<u64>) {
         let change = ConfigurationChange::Same;
         if let Err(error) = self.fleet.write_configuration(gateway, change) {
-            self.crash(gateway, &format!("configuration not written: {error}"));
+            self.record_failure(gateway, &format!("configuration not written: {error}"));
         }
-        if let Some(ms) = term_after {
-            self.end_while_starting(gateway, ms);
+        if let Some(delay_ms) = term_after_ms {
+            self.terminate_while_starting(gateway, delay_ms);
         }
         let spawned_at = stamp();
         self.current[gateway] = self.record.processes.len();
@@ -322,23 +323,23 @@
         match self.fleet.start_gateway(gateway) {
             Ok(()) => {
                 self.record.processes[self.current[gateway]].ready_at = Some(stamp());
-                self.frontend.open(gateway);
+                self.load_balancer.open(gateway);
             }
-            Err(error) => self.crash(gateway, &error),
+            Err(error) => self.record_failure(gateway, &error),
         }
     }
 
-    fn end_while_starting(&mut self, gateway: usize, after_ms: u64) {
+    fn terminate_while_starting(&mut self, gateway: usize, after_ms: u64) {
         let spawned_at = stamp();
         if let Err(error) = self.fleet.spawn_gateway(gateway) {
-            self.crash(gateway, &error);
+            self.record_failure(gateway, &error);
             return;
         }
         thread::sleep(Duration::from_millis(after_ms));
         let mut process = new_process(gateway, spawned_at, None);
         process.terminated_at = Some(stamp());
         self.fleet.signal(gateway, Signal::TERM);
-        let until = Instant::now() + END_WHILE_STARTING;
+        let until = Instant::now() + MAX_EXIT_TIME_WHILE_STARTING;
         let status = loop {
             if let Some(status) = self.fleet.try_wait(gateway) {
                 break Some(status);
@@ -363,11 +364,11 @@
         self.record.processes.push(process);
     }
 
-    /// Ends all gateways as a planned restart does.
-    fn end_all(&mut self) {
+    /// Terminates all gateways as a planned restart does.
+    fn terminate_all(&mut self) {
         for step in std::mem::take(&mut self.steps) {
             if !matches!(step.step, Step::Begin(_) | Step::Reload { .. }) {
-                self.carry_out(step.step);
+                self.execute(step.step);
             }
         }
         for gateway in 0..self.current.len() {
@@ -380,7 +381,9 @@
             });
         }
         let until = Instant::now() + self.kill_after;
-        while Instant::now() < until && (0..self.current.len()).any(|g| self.fleet.is_up(g)) {
+        while Instant::now() < until
+            && (0..self.current.len()).any(|gateway| self.fleet.is_up(gateway))
+        {
             for gateway in 0..self.current.len() {
                 if let Some(status) = self.fleet.try_wait(gateway) {
                     self.record_end(gateway, ProcessEnd::Exited(status.code()));
--- a/crates/ivypitch-testbed/src/experiments/soak/plan.rs
+++ b/crates/ivypitch-testbed/src/experiments/soak/plan.rs
@@ -1,4 +1,5 @@
-//! The plan of a run, drawn from its seed: what happens to which process, engine and link, and when.
+//! The plan of a soak run, drawn from its seed: operations on processes, engines and links with
+//! their times.
 
 use std::fmt;
 
@@ -7,17 +8,17 @@
 
 use crate::processes::restarts::ConfigurationChange;
 
-/// Milliseconds.
+/// A time in milliseconds.
 type Ms = u64;
 
 /// Mean time between two operations.
-const OPERATION_GAP: Ms = 900;
-/// Nothing new begins so long before the end of the traffic.
-const QUIET_END: Ms = 4000;
-/// A gateway that was restarted or killed is left alone for so long.
-const REST: Ms = 4500;
+const OPERATION_INTERVAL_MS: Ms = 900;
+/// No operation begins within this time before the end of the traffic.
+const QUIET_PERIOD_AT_END_MS: Ms = 4000;
+/// Minimum time from a restart or kill of a gateway to its next one.
+const MIN_RESTART_INTERVAL_MS: Ms = 4500;
 
-/// A further signal to a gateway that drains.
+/// An additional signal to a draining gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainSignal {
     Term,
@@ -28,58 +29,58 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Restart {
     pub gateway: usize,
-    /// New connections go on coming for so long after SIGTERM.
+    /// How long after SIGTERM the gateway still gets new connections.
     pub new_connections_for: Ms,
-    /// Further signals, each so long after SIGTERM.
+    /// Additional signals with their times after SIGTERM.
     pub signals: Vec<(Ms, DrainSignal)>,
-    /// The next process starts as soon as this one has ended, or not before the time of the kill.
+    /// The next process starts as soon as this one has ended; otherwise at the time of the SIGKILL.
     pub starts_at_once: bool,
-    /// The next process gets SIGTERM so long after its start, and another follows.
+    /// Time after which the next process gets SIGTERM while it starts; another process follows it.
     pub term_while_starting: Option<Ms>,
 }
 
-/// What happens.
+/// An operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Operation {
     Restart(Restart),
-    /// Killed outright; the next process starts at once.
+    /// SIGKILL; the next process starts at once.
     Kill {
         gateway: usize,
     },
-    /// SIGHUP after each of these changes, so far apart.
+    /// SIGHUP after each of these configuration changes, `gap` apart.
     Reload {
         gateway: usize,
         changes: Vec<ConfigurationChange>,
         gap: Ms,
     },
-    /// The engine drains for so long.
+    /// The engine drains for `span`.
     Drain {
         engine: usize,
         span: Ms,
     },
-    /// The engine answers nothing for so long.
+    /// The engine does not answer for `span`.
     Hang {
         engine: usize,
         span: Ms,
     },
-    /// All links between the two break.
+    /// All connections between the two are reset.
     Reset {
         gateway: usize,
         engine: usize,
     },
-    /// The watch on the endpoint list says nothing for so long.
+    /// The watch on the endpoint list delivers nothing for `span`.
     SilentWatch {
         gateway: usize,
         span: Ms,
     },
-    /// No link between this gateway and the others.
+    /// The gateway is partitioned from the other gateways for `span`.
     CutOff {
         gateway: usize,
         span: Ms,
     },
 }
 
-/// An operation and its time from the start of the traffic.
+/// An operation and its time since the start of the traffic.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlannedOperation {
     pub at: Ms,
@@ -90,8 +91,8 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SoakPlan {
     pub has_peers: bool,
-    /// Idle clients fill the gateways' descriptors.
-    pub has_crowd: bool,
+    /// Idle client connections exhaust the descriptors of the gateways.
+    pub has_idle_connections: bool,
     pub span: Ms,
     pub operations: Vec<PlannedOperation>,
 }
@@ -101,7 +102,7 @@
         writeln!(
             f,
             "peers={} crowd={} span={} ms",
-            self.has_peers, self.has_crowd, self.span
+            self.has_peers, self.has_idle_connections, self.span
         )?;
         for planned in &self.operations {
             writeln!(f, "at={} {:?}", planned.at, planned.operation)?;
@@ -119,32 +120,33 @@
 }
 
 impl SoakPlan {
-    /// Every second seed has peers, every third a crowd.
+    /// Draws a plan. Every second seed has peers, every third one idle connections.
     pub fn draw(size: SoakSize, seed: u64) -> SoakPlan {
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x50a4);
         let has_peers = seed.is_multiple_of(2);
-        let has_crowd = seed.is_multiple_of(3);
-        // A watch that is silent learns of a drain late, as it may: a run has the one or the other.
+        let has_idle_connections = seed.is_multiple_of(3);
+        // A silent watch reports a drain late, which is allowed; so a run has either drains or
+        // silent watches.
         let has_drains = rng.random_bool(0.5);
         let mut operations = Vec::new();
-        let mut free_at = vec![0; size.gateways];
-        let mut at = OPERATION_GAP;
-        while at + QUIET_END < size.span {
+        let mut next_restart_at = vec![0; size.gateways];
+        let mut at = OPERATION_INTERVAL_MS;
+        while at + QUIET_PERIOD_AT_END_MS < size.span {
             let gateway = rng.random_range(0..size.gateways);
-            let is_free = free_at[gateway] <= at;
+            let can_restart = next_restart_at[gateway] <= at;
             let operation = draw_operation(&mut rng, size, gateway, has_peers, has_drains);
             let ends_process = matches!(operation, Operation::Restart(_) | Operation::Kill { .. });
-            if is_free || !ends_process {
+            if can_restart || !ends_process {
                 if ends_process {
-                    free_at[gateway] = at + REST;
+                    next_restart_at[gateway] = at + MIN_RESTART_INTERVAL_MS;
                 }
                 operations.push(PlannedOperation { at, operation });
             }
-            at += rng.random_range(OPERATION_GAP / 3..OPERATION_GAP * 5 / 3);
+            at += rng.random_range(OPERATION_INTERVAL_MS / 3..OPERATION_INTERVAL_MS * 5 / 3);
         }
         SoakPlan {
             has_peers,
-            has_crowd,
+            has_idle_connections,
             span: size.span,
             operations,
         }
--- a/crates/ivypitch-testbed/src/experiments/team_flood.rs
+++ b/crates/ivypitch-testbed/src/experiments/team_flood.rs
@@ -1,4 +1,5 @@
-//! One of three teams floods, in virtual time and on sockets.
+//! The experiment `team-flood`: one of three teams floods the gateways, in virtual time and over
+//! sockets.
 
 use ivypitch_queueing::window::WindowPolicy;
 use ivypitch_queueing::{Budgets, TeamBudget, WorkloadQueueParams};
@@ -11,29 +12,35 @@
 use crate::virtual_time::fleet::{Fleet, Plan as FleetPlan};
 use crate::virtual_time::traffic::{self, Flood, Team, Work};
 
+/// Teams with their shares of the cores.
 pub const TEAMS: [(&str, f64); 3] = [("retail", 0.5), ("merchant", 0.35), ("agents", 0.15)];
-/// The team that floods.
-pub const FLOODS: usize = 1;
-/// Part of the cores that the teams usually ask for.
-const USUAL: f64 = 0.6;
-const TIMES: f64 = 10.0;
+/// Index of the flooding team.
+pub const FLOODING_TEAM: usize = 1;
+/// Fraction of the cores that the teams demand without a flood.
+const BASE_LOAD: f64 = 0.6;
+/// Factor by which a flood multiplies the demand of its team.
+const FLOOD_FACTOR: f64 = 10.0;
 
 fn budgets(works: &[Work], shares: &[f64]) -> Budgets {
-    let least = works
+    let min_priority_weight = works
         .iter()
-        .map(|w| w.priority_weight)
+        .map(|work| work.priority_weight)
         .fold(f64::INFINITY, f64::min);
-    let terms = |w: &Work| WorkloadQueueParams {
-        priority_weight: w.priority_weight,
-        latency_objective: w.slo,
-        threads: w.threads,
-        is_bulk_load: w.effect == ivypitch_scheduler::Idempotency::NonIdempotent,
-        usual_work: w.slo / 3,
-        slack: WorkloadQueueParams::default_slack(w.slo, w.priority_weight, least),
-        max_wait: (w.slo as f64 * 0.4) as u64,
+    let queue_params = |work: &Work| WorkloadQueueParams {
+        priority_weight: work.priority_weight,
+        latency_objective: work.slo,
+        threads: work.threads,
+        is_bulk_load: work.effect == ivypitch_scheduler::Idempotency::NonIdempotent,
+        usual_work: work.slo / 3,
+        slack: WorkloadQueueParams::default_slack(
+            work.slo,
+            work.priority_weight,
+            min_priority_weight,
+        ),
+        max_wait: (work.slo as f64 * 0.4) as u64,
     };
     Budgets {
-        workloads: works.iter().map(terms).collect(),
+        workloads: works.iter().map(queue_params).collect(),
         teams: shares
             .iter()
             .map(|&share| TeamBudget {
@@ -50,25 +57,31 @@
     }
 }
 
+/// The teams and their demand, one of them with the flood.
 pub fn teams(cores: f64, flood: Flood) -> Vec<Team> {
-    let team = |(i, (name, share)): (usize, &(&str, f64))| Team {
+    let team = |(index, (name, share)): (usize, &(&str, f64))| Team {
         name: (*name).to_owned(),
-        demand: cores * USUAL * share,
-        flood: if i == FLOODS { flood } else { Flood::None },
+        demand: cores * BASE_LOAD * share,
+        flood: if index == FLOODING_TEAM {
+            flood
+        } else {
+            Flood::None
+        },
         tells: 1.0,
     };
     TEAMS.iter().enumerate().map(team).collect()
 }
 
-/// Without the flood, with it, and with it and the queues: the same seed, the same statements of the others.
-pub fn play(quick: bool, seed: u64) -> Report {
+/// Runs without the flood, with the flood but without queues, and with both. All runs have the same
+/// seed, so the other teams send the same statements.
+pub fn run(quick: bool, seed: u64) -> Report {
     let mut report = Report::new("team-flood", seed);
-    virtual_flood(&mut report, quick, seed);
-    flood_on_sockets(&mut report, quick, seed);
+    flood_in_virtual_time(&mut report, quick, seed);
+    flood_over_sockets(&mut report, quick, seed);
     report
 }
 
-fn virtual_flood(report: &mut Report, quick: bool, seed: u64) {
+fn flood_in_virtual_time(report: &mut Report, quick: bool, seed: u64) {
     let (gateways, engines, seconds) = if quick { (30, 12, 20) } else { (300, 60, 30) };
     let works = traffic::workloads(1.0);
     let model = Model {
@@ -78,12 +91,12 @@
     let cores = engines as f64 * model.cores;
     let span = seconds * SECOND;
     let flood = Flood::Step {
-        times: TIMES,
+        times: FLOOD_FACTOR,
         from: 5 * SECOND,
         until: span,
     };
-    let shares: Vec<f64> = TEAMS.iter().map(|t| t.1).collect();
-    let play = |flood: Flood, queues: bool| {
+    let shares: Vec<f64> = TEAMS.iter().map(|team| team.1).collect();
+    let simulate = |flood: Flood, has_queues: bool| {
         let teams = teams(cores, flood);
         let statements = traffic::statements(&works, &teams, span, seed);
         let fleet = Fleet::new(FleetPlan {
@@ -91,40 +104,40 @@
             engines,
             model: model.clone(),
             works: &works,
-            teams: teams.iter().map(|t| t.name.clone()).collect(),
+            teams: teams.iter().map(|team| team.name.clone()).collect(),
             statements: &statements,
-            budgets: queues.then(|| budgets(&works, &shares)),
+            budgets: has_queues.then(|| budgets(&works, &shares)),
             seed,
             allowances: shares.iter().map(|share| share * cores).collect(),
         });
         fleet.run()
     };
     let (calm, without, with) = std::thread::scope(|scope| {
-        let calm = scope.spawn(|| play(Flood::None, true));
-        let without = scope.spawn(|| play(flood, false));
-        let with = play(flood, true);
+        let calm = scope.spawn(|| simulate(Flood::None, true));
+        let without = scope.spawn(|| simulate(flood, false));
+        let with = simulate(flood, true);
         (calm.join(), without.join(), with)
     });
     let (Ok(calm), Ok(without)) = (calm, without) else {
         return report
             .bounds
-            .push(Bound::new("the runs end", 0.0, 1.0, f64::MAX));
+            .push(Bound::new("all runs complete", 0.0, 1.0, f64::MAX));
     };
-    let place = format!("virtual time, {gateways} gateways, {engines} engines, {seconds} s");
-    flood_bounds(
+    let scenario = format!("virtual time, {gateways} gateways, {engines} engines, {seconds} s");
+    add_flood_bounds(
         report,
-        &place,
+        &scenario,
         &calm,
         &without,
         &with,
         cores * seconds as f64,
     );
-    // The others' service holds through floods of other shapes too.
+    // The service of the other teams must also hold under other shapes of the flood.
     for (name, shape) in [
         (
             "ramp",
             Flood::Ramp {
-                times: TIMES,
+                times: FLOOD_FACTOR,
                 from: 5 * SECOND,
                 until: span,
             },
@@ -132,29 +145,35 @@
         (
             "pulses",
             Flood::Pulses {
-                times: TIMES,
+                times: FLOOD_FACTOR,
                 from: 5 * SECOND,
                 until: span,
             },
         ),
     ] {
-        let figures = play(shape, true);
-        for t in (0..TEAMS.len()).filter(|&t| t != FLOODS) {
-            let kept = figures.teams[t].service_ratio() / calm.teams[t].service_ratio().max(1e-9);
-            let what = format!("{place}: {name}: {} keeps of its service", TEAMS[t].0);
-            report.bounds.push(Bound::new(&what, kept, 0.95, f64::MAX));
+        let figures = simulate(shape, true);
+        for team in (0..TEAMS.len()).filter(|&team| team != FLOODING_TEAM) {
+            let ratio =
+                figures.teams[team].service_ratio() / calm.teams[team].service_ratio().max(1e-9);
+            let bound_name = format!(
+                "{scenario}: {name}: {} service ratio to calm",
+                TEAMS[team].0
+            );
+            report
+                .bounds
+                .push(Bound::new(&bound_name, ratio, 0.95, f64::MAX));
         }
-        report.run(&place, name, figures);
+        report.add_run(&scenario, name, figures);
     }
-    one_of_many(report, seed);
-    report.run(&place, "no flood, queues", calm);
-    report.run(&place, "flood, no queues", without);
-    report.run(&place, "flood, queues", with);
+    add_one_busy_team_of_many(report, seed);
+    report.add_run(&scenario, "no flood, queues", calm);
+    report.add_run(&scenario, "flood, no queues", without);
+    report.add_run(&scenario, "flood, queues", with);
 }
 
-/// A thousand teams of which one is busy: it gets what it would alone.
-fn one_of_many(report: &mut Report, seed: u64) {
-    const MANY: usize = 1000;
+/// One busy team among a thousand must get as much as it would alone.
+fn add_one_busy_team_of_many(report: &mut Report, seed: u64) {
+    const TEAM_COUNT: usize = 1000;
     let (gateways, engines, span) = (4, 4, 10 * SECOND);
     let works = traffic::workloads(0.1);
     let model = Model {
@@ -162,11 +181,11 @@
         ..Model::default()
     };
     let cores = engines as f64 * model.cores;
-    let play = |teams: usize| {
-        let all: Vec<Team> = (0..teams)
-            .map(|t| Team {
-                name: format!("team-{t}"),
-                demand: if t == 0 { 2.0 * cores } else { 0.0001 },
+    let completed_core_s = |team_count: usize| {
+        let all: Vec<Team> = (0..team_count)
+            .map(|team| Team {
+                name: format!("team-{team}"),
+                demand: if team == 0 { 2.0 * cores } else { 0.0001 },
                 flood: Flood::None,
                 tells: 1.0,
             })
@@ -177,105 +196,107 @@
             engines,
             model: model.clone(),
             works: &works,
-            teams: all.iter().map(|t| t.name.clone()).collect(),
+            teams: all.iter().map(|team| team.name.clone()).collect(),
             statements: &statements,
-            budgets: Some(budgets(&works, &vec![1.0; teams])),
+            budgets: Some(budgets(&works, &vec![1.0; team_count])),
             seed,
-            allowances: vec![cores; teams],
+            allowances: vec![cores; team_count],
         });
         fleet.run().teams[0].completed_core_s
     };
-    let what = "virtual time, the one busy team of 1,000 gets of what it would alone";
+    let name = "virtual time, one busy team of 1,000: work done, ratio to that alone";
     report.bounds.push(Bound::new(
-        what,
-        play(MANY) / play(1).max(1e-9),
+        name,
+        completed_core_s(TEAM_COUNT) / completed_core_s(1).max(1e-9),
         0.95,
         f64::MAX,
     ));
 }
 
-fn flood_bounds(
+/// Adds the bounds of a flood to the report.
+fn add_flood_bounds(
     report: &mut Report,
-    place: &str,
+    scenario: &str,
     calm: &Figures,
     without: &Figures,
     with: &Figures,
     core_seconds: f64,
 ) {
-    let mut bound = |what: &str, is, least, most| {
+    let mut add_bound = |name: &str, value, min, max| {
         report
             .bounds
-            .push(Bound::new(&format!("{place}: {what}"), is, least, most))
+            .push(Bound::new(&format!("{scenario}: {name}"), value, min, max))
     };
-    let others = || (0..TEAMS.len()).filter(|&t| t != FLOODS);
-    for t in others() {
-        let kept =
-            |f: &Figures| f.teams[t].service_ratio() / calm.teams[t].service_ratio().max(1e-9);
-        bound(
-            &format!("{} keeps of its service", TEAMS[t].0),
-            kept(with),
+    let other_teams = || (0..TEAMS.len()).filter(|&team| team != FLOODING_TEAM);
+    for team in other_teams() {
+        let ratio = |figures: &Figures| {
+            figures.teams[team].service_ratio() / calm.teams[team].service_ratio().max(1e-9)
+        };
+        add_bound(
+            &format!("{} service ratio to calm", TEAMS[team].0),
+            ratio(with),
             0.95,
             f64::MAX,
         );
-        bound(
-            &format!("{} keeps without the queues", TEAMS[t].0),
-            kept(without),
+        add_bound(
+            &format!("{} service ratio to calm, without queues", TEAMS[team].0),
+            ratio(without),
             0.0,
             f64::MAX,
         );
     }
-    let used: f64 = with.teams.iter().map(|t| t.completed_core_s).sum();
-    bound(
-        "the flooding team's part of what is done, over its share",
-        with.teams[FLOODS].completed_core_s / used / TEAMS[FLOODS].1,
+    let completed_core_s: f64 = with.teams.iter().map(|team| team.completed_core_s).sum();
+    add_bound(
+        "completed work of the flooding team, ratio to its share",
+        with.teams[FLOODING_TEAM].completed_core_s / completed_core_s / TEAMS[FLOODING_TEAM].1,
         0.95,
         f64::MAX,
     );
-    bound(
-        "cores' time that came to a good end",
-        used / core_seconds,
+    add_bound(
+        "fraction of core time with completed work",
+        completed_core_s / core_seconds,
         0.0,
         1.0,
     );
-    bound(
-        "good estimates",
+    add_bound(
+        "good wait estimates, fraction",
         with.good_wait_estimates as f64 / with.wait_estimates.max(1) as f64,
         0.9,
         1.0,
     );
-    bound(
-        "median error of the estimates",
+    add_bound(
+        "median error of the wait estimates",
         with.median_wait_estimate_error,
         0.0,
         0.1,
     );
-    for (name, f) in [
+    for (run, figures) in [
         ("calm", calm),
         ("without queues", without),
         ("with queues", with),
     ] {
-        bound(
-            &format!("loads run twice, {name}"),
-            f.repeated_bulk_loads as f64,
+        add_bound(
+            &format!("loads run twice, {run}"),
+            figures.repeated_bulk_loads as f64,
             0.0,
             0.0,
         );
-        bound(
-            &format!("statements unanswered, {name}"),
-            f.unanswered as f64,
+        add_bound(
+            &format!("statements unanswered, {run}"),
+            figures.unanswered as f64,
             0.0,
             0.0,
         );
-        bound(
-            &format!("statements answered twice, {name}"),
-            f.answered_twice as f64,
+        add_bound(
+            &format!("statements answered twice, {run}"),
+            figures.answered_twice as f64,
             0.0,
             0.0,
         );
     }
 }
 
-fn flood_on_sockets(report: &mut Report, quick: bool, seed: u64) {
+fn flood_over_sockets(report: &mut Report, quick: bool, seed: u64) {
     let (engines, seconds) = if quick { (4, 14) } else { (4, 40) };
     let works = traffic::workloads(0.1);
     let model = Model {
@@ -290,15 +311,15 @@
         until: span,
     };
     let shares = TEAMS;
-    let run = |flood: Flood, queues: bool, new_connections: bool| {
+    let run = |flood: Flood, has_queues: bool, new_connections: bool| {
         let all = teams(cores, flood);
         sockets::play(sockets::Plan {
             engines,
             model: model.clone(),
             works: works.clone(),
-            teams: all.iter().map(|t| t.name.clone()).collect(),
+            teams: all.iter().map(|team| team.name.clone()).collect(),
             statements: traffic::statements(&works, &all, span, seed),
-            own: queues.then(|| sockets::own(&shares)),
+            own: has_queues.then(|| sockets::own(&shares)),
             allowances: shares.iter().map(|(_, share)| share * cores).collect(),
             new_connections,
             seed,
@@ -311,37 +332,40 @@
         let with = run(step, true, false);
         (calm.join(), without.join(), with)
     });
-    // Side by side: what the queues cost while all is calm, and a flood in which each statement is a new connection.
-    let (plain, queued, anew) = std::thread::scope(|scope| {
-        let plain = scope.spawn(|| run(Flood::None, false, false));
-        let queued = scope.spawn(|| run(Flood::None, true, false));
-        let anew = run(step, true, true);
-        (plain.join(), queued.join(), anew)
+    // In parallel: the CPU cost of the queues without a flood, and a flood in which each statement
+    // opens a connection.
+    let (without_queues, with_queues, new_connections) = std::thread::scope(|scope| {
+        let without_queues = scope.spawn(|| run(Flood::None, false, false));
+        let with_queues = scope.spawn(|| run(Flood::None, true, false));
+        let new_connections = run(step, true, true);
+        (without_queues.join(), with_queues.join(), new_connections)
     });
-    match (&calm, plain, queued, anew) {
-        (Ok(Ok(calm)), Ok(Ok(plain)), Ok(Ok(queued)), Ok(anew)) => {
-            let place = format!("sockets, 1 gateway, {engines} engines, {seconds} s");
-            for t in (0..TEAMS.len()).filter(|&t| t != FLOODS) {
-                let kept = anew.teams[t].service_ratio() / calm.teams[t].service_ratio().max(1e-9);
-                let what = format!(
-                    "{place}: new connections: {} keeps of its service",
-                    TEAMS[t].0
+    match (&calm, without_queues, with_queues, new_connections) {
+        (Ok(Ok(calm)), Ok(Ok(without_queues)), Ok(Ok(with_queues)), Ok(new_connections)) => {
+            let scenario = format!("sockets, 1 gateway, {engines} engines, {seconds} s");
+            for team in (0..TEAMS.len()).filter(|&team| team != FLOODING_TEAM) {
+                let ratio = new_connections.teams[team].service_ratio()
+                    / calm.teams[team].service_ratio().max(1e-9);
+                let name = format!(
+                    "{scenario}: new connections: {} service ratio to calm",
+                    TEAMS[team].0
                 );
-                report.bounds.push(Bound::new(&what, kept, 0.95, f64::MAX));
+                report.bounds.push(Bound::new(&name, ratio, 0.95, f64::MAX));
             }
-            let what = format!("{place}: CPU of calm traffic with the queues, against without");
-            // Both are counted in hundredths of a second: told here, judged over longer runs.
+            let name = format!("{scenario}: CPU of calm traffic with queues, ratio to without");
+            // CPU time is counted in hundredths of a second, too coarse for a bound on a run this
+            // short.
             report.bounds.push(Bound::new(
-                &what,
-                queued.gateway_cpu_s / plain.gateway_cpu_s.max(1e-9),
+                &name,
+                with_queues.gateway_cpu_s / without_queues.gateway_cpu_s.max(1e-9),
                 0.0,
                 f64::MAX,
             ));
-            report.run(&place, "new connections", anew);
-            report.run(&place, "no flood, none", plain);
+            report.add_run(&scenario, "new connections", new_connections);
+            report.add_run(&scenario, "no flood, none", without_queues);
         }
         _ => report.bounds.push(Bound::new(
-            "the further runs on sockets end",
+            "the additional runs over sockets complete",
             0.0,
             1.0,
             f64::MAX,
@@ -349,29 +373,32 @@
     }
     match (calm, without, with) {
         (Ok(Ok(calm)), Ok(Ok(without)), Ok(with)) => {
-            let place = format!("sockets, 1 gateway, {engines} engines, {seconds} s");
-            flood_bounds(
+            let scenario = format!("sockets, 1 gateway, {engines} engines, {seconds} s");
+            add_flood_bounds(
                 report,
-                &place,
+                &scenario,
                 &calm,
                 &without,
                 &with,
                 cores * seconds as f64,
             );
-            report.run(&place, "no flood, queues", calm);
-            report.run(&place, "flood, no queues", without);
-            report.run(&place, "flood, queues", with);
+            report.add_run(&scenario, "no flood, queues", calm);
+            report.add_run(&scenario, "flood, no queues", without);
+            report.add_run(&scenario, "flood, queues", with);
         }
         (calm, without, with) => {
-            let said = [
+            let errors = [
                 calm.ok().and_then(Result::err),
                 without.ok().and_then(Result::err),
                 with.err(),
             ];
-            eprintln!("a run on sockets failed: {said:?}");
-            report
-                .bounds
-                .push(Bound::new("the runs on sockets end", 0.0, 1.0, f64::MAX));
+            eprintln!("a run over sockets failed: {errors:?}");
+            report.bounds.push(Bound::new(
+                "the runs over sockets complete",
+                0.0,
+                1.0,
+                f64::MAX,
+            ));
         }
     }
 }
--- a/crates/ivypitch-testbed/src/figures.rs
+++ b/crates/ivypitch-testbed/src/figures.rs
@@ -1,30 +1,34 @@
-//! What a run came to, by team.
+//! Results of one run, in total and by team.
 
 use hdrhistogram::Histogram;
 use ivypitch_types::Nanos;
 use serde::Serialize;
 
+/// Results of one team.
 #[derive(Clone, Debug, Serialize)]
 pub struct TeamFigures {
     pub name: String,
     #[serde(rename = "asked")]
     pub statements: u64,
     pub served: u64,
+    /// Statements answered within their latency objective.
     #[serde(rename = "in_time")]
     pub served_in_time: u64,
     #[serde(rename = "tries")]
     pub attempts: u64,
-    /// Importance asked for, and served within the SLO time.
+    /// Sum of the priority weights of all statements.
     #[serde(rename = "importance")]
     pub priority_weight: f64,
+    /// Sum of the priority weights of the statements answered within their latency objective.
     #[serde(rename = "kept")]
     pub served_priority_weight: f64,
-    /// Core-seconds that engines did for it, to a good end.
+    /// Core-seconds of engine work that completed successfully.
     #[serde(rename = "used")]
     pub completed_core_s: f64,
-    /// Refusals by the queues and by the module, where the run can tell them apart.
+    /// Attempts that the team queues rejected.
     #[serde(rename = "refused_waiting")]
     pub rejected_by_queues: u64,
+    /// Attempts that the scheduler rejected; over sockets, all other failed attempts.
     #[serde(rename = "refused_later")]
     pub rejected_by_scheduler: u64,
     #[serde(skip)]
@@ -33,7 +37,7 @@
 
 impl TeamFigures {
     pub fn new(name: &str) -> TeamFigures {
-        let latency = Histogram::new_with_bounds(1, 600_000, 3);
+        let latency_ms = Histogram::new_with_bounds(1, 600_000, 3);
         TeamFigures {
             name: name.to_owned(),
             statements: 0,
@@ -45,31 +49,32 @@
             completed_core_s: 0.0,
             rejected_by_queues: 0,
             rejected_by_scheduler: 0,
-            latency_ms: latency.unwrap_or_else(|_| unreachable!()),
+            latency_ms: latency_ms.unwrap_or_else(|_| unreachable!()),
         }
     }
 
-    /// One statement: how long its client waited from when it was meant to ask, where it was served.
+    /// Records one statement. `latency` counts from its scheduled arrival; `None`: it was not
+    /// served.
     pub fn record_statement(
         &mut self,
         priority_weight: f64,
-        slo: Nanos,
-        took: Option<Nanos>,
-        tries: u32,
+        latency_objective: Nanos,
+        latency: Option<Nanos>,
+        attempts: u32,
     ) {
         self.statements += 1;
-        self.attempts += u64::from(tries);
+        self.attempts += u64::from(attempts);
         self.priority_weight += priority_weight;
-        let Some(took) = took else { return };
+        let Some(latency) = latency else { return };
         self.served += 1;
-        self.latency_ms.saturating_record(took / 1_000_000);
-        if took <= slo {
+        self.latency_ms.saturating_record(latency / 1_000_000);
+        if latency <= latency_objective {
             self.served_in_time += 1;
             self.served_priority_weight += priority_weight;
         }
     }
 
-    /// The part of its importance that it was served within the SLO time.
+    /// Fraction of the priority weight that was served within the latency objective.
     pub fn service_ratio(&self) -> f64 {
         self.served_priority_weight / self.priority_weight.max(1e-9)
     }
@@ -79,27 +84,31 @@
     }
 }
 
+/// Results of a run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Figures {
     pub teams: Vec<TeamFigures>,
-    /// Loads that were started again though they may have run.
+    /// Bulk loads that were started again although an earlier attempt may have run.
     #[serde(rename = "doubled")]
     pub repeated_bulk_loads: u64,
-    /// Statements with no answer, and with more than one.
+    /// Statements with fewer answers than attempts.
     pub unanswered: u64,
+    /// Statements with more answers than attempts.
     #[serde(rename = "twice")]
     pub answered_twice: u64,
-    /// Estimates of waits: how many, how many good, and the median error as a part of the wait.
+    /// Wait estimates given to clients.
     #[serde(rename = "told")]
     pub wait_estimates: u64,
+    /// Wait estimates close enough to the actual wait.
     #[serde(rename = "good")]
     pub good_wait_estimates: u64,
+    /// Median error of the wait estimates, as a fraction of the actual wait.
     #[serde(rename = "median_error")]
     pub median_wait_estimate_error: f64,
-    /// Core-seconds that came to nothing.
+    /// Core-seconds of engine work that did not lead to a result.
     #[serde(rename = "wasted")]
     pub wasted_core_s: f64,
-    /// CPU seconds of the gateway, on sockets.
+    /// CPU seconds of the gateway process; 0 in virtual time.
     #[serde(rename = "cpu_s")]
     pub gateway_cpu_s: f64,
 }
--- a/crates/ivypitch-testbed/src/report.rs
+++ b/crates/ivypitch-testbed/src/report.rs
@@ -1,4 +1,5 @@
-//! Reports: figures beside the bounds that must hold, as text, JSON and a plot.
+//! Reports of experiments: results and the bounds they are checked against, as text, JSON and
+//! plots.
 
 use std::fmt::Write;
 use std::path::Path;
@@ -8,54 +9,63 @@
 use crate::figures::Figures;
 use crate::plot::{self, Plot};
 
+/// A measured value with the range that it must lie in.
 #[derive(Debug, Serialize)]
 pub struct Bound {
-    pub what: String,
-    pub is: f64,
-    pub least: f64,
-    pub most: f64,
+    #[serde(rename = "what")]
+    pub name: String,
+    #[serde(rename = "is")]
+    pub value: f64,
+    #[serde(rename = "least")]
+    pub min: f64,
+    #[serde(rename = "most")]
+    pub max: f64,
 }
 
 impl Bound {
-    pub fn new(what: &str, is: f64, least: f64, most: f64) -> Bound {
+    pub fn new(name: &str, value: f64, min: f64, max: f64) -> Bound {
         Bound {
-            what: what.to_owned(),
-            is,
-            least,
-            most,
+            name: name.to_owned(),
+            value,
+            min,
+            max,
         }
     }
 
-    /// A figure that is told beside the bounds and judges nothing.
-    pub fn told_only(&self) -> bool {
-        self.most > 1e9 && self.least <= 0.0
+    /// The value is reported for information only and has no effect on the result.
+    pub fn is_informational(&self) -> bool {
+        self.max > 1e9 && self.min <= 0.0
     }
 
     pub fn holds(&self) -> bool {
-        self.is >= self.least && self.is <= self.most
+        self.value >= self.min && self.value <= self.max
     }
 }
 
+/// Results of one run under one configuration.
 #[derive(Debug, Serialize)]
 pub struct Run {
-    pub place: String,
+    /// Scenario of the run: virtual time or sockets, sizes and duration.
+    #[serde(rename = "place")]
+    pub scenario: String,
     pub name: String,
     pub figures: Figures,
 }
 
+/// Report of an experiment.
 #[derive(Debug, Serialize)]
 pub struct Report {
     pub experiment: String,
     pub seed: u64,
     pub runs: Vec<Run>,
     pub bounds: Vec<Bound>,
-    /// Why the run shows nothing, where it does not: it is neither a pass nor a failure then.
+    /// Why the run is inconclusive, so that it counts neither as a pass nor as a failure.
     #[serde(rename = "shows_nothing")]
     pub inconclusive_reason: Option<String>,
-    /// Lines that stand before the bounds.
+    /// Lines printed before the bounds.
     pub notes: Vec<String>,
     pub plots: Vec<Plot>,
-    /// Further files of the report: name and contents.
+    /// Additional files of the report: name and contents.
     #[serde(skip)]
     pub files: Vec<(String, String)>,
 }
@@ -74,26 +84,28 @@
         }
     }
 
-    pub fn run(&mut self, place: &str, name: &str, figures: Figures) {
+    pub fn add_run(&mut self, scenario: &str, name: &str, figures: Figures) {
         self.runs.push(Run {
-            place: place.to_owned(),
+            scenario: scenario.to_owned(),
             name: name.to_owned(),
             figures,
         });
     }
 
+    /// There is at least one bound that is not informational, and all of those hold.
     pub fn holds(&self) -> bool {
-        let judged = self.bounds.iter().filter(|bound| !bound.told_only());
-        judged.clone().count() > 0 && judged.clone().all(Bound::holds)
+        let checked = self.bounds.iter().filter(|bound| !bound.is_informational());
+        checked.clone().count() > 0 && checked.clone().all(Bound::holds)
     }
 
+    /// The report as text tables.
     pub fn text(&self) -> String {
         let mut text = format!("{} seed {}\n", self.experiment, self.seed);
-        let mut place = "";
+        let mut scenario = "";
         for run in &self.runs {
-            if place != run.place {
-                place = &run.place;
-                let _ = writeln!(text, "\n{place}");
+            if scenario != run.scenario {
+                scenario = &run.scenario;
+                let _ = writeln!(text, "\n{scenario}");
                 let _ = writeln!(
                     text,
                     "  {:<18} {:<10} {:>7} {:>7} {:>7} {:>8} {:>9} {:>7} {:>7} {:>7} {:>9}",
@@ -129,21 +141,21 @@
                 );
             }
             if run.figures.gateway_cpu_s > 0.0 {
-                let asked: u64 = run.figures.teams.iter().map(|t| t.attempts).sum();
-                let each = run.figures.gateway_cpu_s * 1e6 / asked.max(1) as f64;
+                let attempts: u64 = run.figures.teams.iter().map(|team| team.attempts).sum();
+                let us_per_attempt = run.figures.gateway_cpu_s * 1e6 / attempts.max(1) as f64;
                 let _ = writeln!(
                     text,
-                    "  {:<18} gateway's CPU {each:.0} us a statement",
+                    "  {:<18} gateway CPU {us_per_attempt:.0} us per statement",
                     run.name
                 );
             }
             if run.figures.wait_estimates > 0 {
-                let f = &run.figures;
-                let good = f.good_wait_estimates as f64 / f.wait_estimates as f64;
+                let figures = &run.figures;
+                let good_ratio = figures.good_wait_estimates as f64 / figures.wait_estimates as f64;
                 let _ = writeln!(
                     text,
-                    "  {:<18} {} waits told, {good:.3} good, median error {:.3}",
-                    run.name, f.wait_estimates, f.median_wait_estimate_error
+                    "  {:<18} {} wait estimates, {good_ratio:.3} good, median error {:.3}",
+                    run.name, figures.wait_estimates, figures.median_wait_estimate_error
                 );
             }
         }
@@ -151,27 +163,31 @@
         for note in &self.notes {
             let _ = writeln!(text, "{note}");
         }
-        if let Some(why) = &self.inconclusive_reason {
-            let _ = writeln!(text, "SHOWS NOTHING  {why}");
+        if let Some(reason) = &self.inconclusive_reason {
+            let _ = writeln!(text, "INCONCLUSIVE  {reason}");
         }
         for bound in &self.bounds {
-            let holds = match bound.holds() {
-                _ if bound.told_only() => "told ",
+            let result = match bound.holds() {
+                _ if bound.is_informational() => "info ",
                 true => "holds",
                 false => "FAILS",
             };
-            let wanted = match (bound.least, bound.most) {
-                (least, most) if least == most => format!("{least}"),
-                _ if bound.told_only() => "told only".to_owned(),
-                (least, most) if most > 1e9 => format!("at least {least}"),
-                (least, most) => format!("{least} to {most}"),
+            let range = match (bound.min, bound.max) {
+                (min, max) if min == max => format!("{min}"),
+                _ if bound.is_informational() => "no bound".to_owned(),
+                (min, max) if max > 1e9 => format!("at least {min}"),
+                (min, max) => format!("{min} to {max}"),
             };
-            let _ = writeln!(text, "{holds}  {}: {:.3} ({wanted})", bound.what, bound.is);
+            let _ = writeln!(
+                text,
+                "{result}  {}: {:.3} ({range})",
+                bound.name, bound.value
+            );
         }
         text
     }
 
-    /// The plots; or service by team and run as bars, where there are none.
+    /// The plots as SVG; without plots, bars of the service ratio by team and run.
     pub fn svg(&self) -> String {
         if !self.plots.is_empty() {
             return plot::svg(
@@ -179,34 +195,34 @@
                 &self.plots,
             );
         }
-        const BAR: usize = 22;
+        const BAR_HEIGHT: usize = 22;
         let rows: Vec<(String, f64)> = self
             .runs
             .iter()
             .flat_map(|run| {
-                let (name, place) = (&run.name, &run.place);
-                let of = |t: &crate::figures::TeamFigures| {
+                let (name, scenario) = (&run.name, &run.scenario);
+                let bar = |team: &crate::figures::TeamFigures| {
                     (
                         format!(
                             "{}, {name} ({})",
-                            t.name,
-                            place.split(',').next().unwrap_or("")
+                            team.name,
+                            scenario.split(',').next().unwrap_or("")
                         ),
-                        t.service_ratio(),
+                        team.service_ratio(),
                     )
                 };
-                run.figures.teams.iter().map(of).collect::<Vec<_>>()
+                run.figures.teams.iter().map(bar).collect::<Vec<_>>()
             })
             .collect();
-        let height = rows.len() * BAR + 40;
+        let height = rows.len() * BAR_HEIGHT + 40;
         let mut svg = format!(
             "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"900\" height=\"{height}\" font-family=\"sans-serif\" \
-             font-size=\"12\"><rect width=\"900\" height=\"{height}\" fill=\"white\"/><text x=\"10\" y=\"20\">{}: importance \
-             served within the SLO time, seed {}</text>",
+             font-size=\"12\"><rect width=\"900\" height=\"{height}\" fill=\"white\"/><text x=\"10\" y=\"20\">{}: priority \
+             weight served within the latency objective, seed {}</text>",
             self.experiment, self.seed
         );
         for (i, (name, service)) in rows.iter().enumerate() {
-            let y = 32 + i * BAR;
+            let y = 32 + i * BAR_HEIGHT;
             let colour = if name.contains("no queues") {
                 "#c06030"
             } else {
@@ -218,7 +234,7 @@
                  fill=\"{colour}\"/><text x=\"{:.0}\" y=\"{}\">{service:.3}</text>",
                 y + 14,
                 service * 460.0,
-                BAR - 6,
+                BAR_HEIGHT - 6,
                 366.0 + service * 460.0,
                 y + 14
             );
@@ -226,15 +242,15 @@
         svg + "</svg>\n"
     }
 
-    /// The report as files of a folder.
+    /// Writes the report as files into a folder.
     pub fn write(&self, folder: &Path) -> std::io::Result<()> {
         std::fs::create_dir_all(folder)?;
-        let name = |ending: &str| folder.join(format!("{}.{ending}", self.experiment));
-        std::fs::write(name("txt"), self.text())?;
-        std::fs::write(name("json"), serde_json::to_string_pretty(self)?)?;
+        let path = |extension: &str| folder.join(format!("{}.{extension}", self.experiment));
+        std::fs::write(path("txt"), self.text())?;
+        std::fs::write(path("json"), serde_json::to_string_pretty(self)?)?;
         for (name, contents) in &self.files {
             std::fs::write(folder.join(name), contents)?;
         }
-        std::fs::write(name("svg"), self.svg())
+        std::fs::write(path("svg"), self.svg())
     }
 }
--- a/crates/ivypitch-testbed/tests/capacity.rs
+++ b/crates/ivypitch-testbed/tests/capacity.rs
@@ -1,42 +1,46 @@
-//! The page on capacity stands on the record of a run.
+//! The tables on the capacity page match the recorded run.
 
-use ivypitch_testbed::experiments::scale::capacity::{Recorded, counts, rows, tables};
+use ivypitch_testbed::experiments::scale::capacity::{RecordedRun, quantities_at, rows, tables};
 
 const PAGE: &str = include_str!("../../../docs/CAPACITY.md");
 const RECORD: &str = include_str!("../../../docs/capacity.json");
-const BEGIN: &str = "<!-- printed by the experiment: begin -->\n";
-const END: &str = "<!-- printed by the experiment: end -->";
+const TABLES_BEGIN: &str = "<!-- printed by the experiment: begin -->\n";
+const TABLES_END: &str = "<!-- printed by the experiment: end -->";
 
 #[test]
-fn the_pages_tables_are_those_that_the_recorded_run_gives() {
-    let recorded: Recorded = serde_json::from_str(RECORD).unwrap();
+fn the_tables_on_the_page_match_the_recorded_run() {
+    let recorded: RecordedRun = serde_json::from_str(RECORD).unwrap();
     let shown = PAGE
-        .split_once(BEGIN)
-        .and_then(|(_, rest)| rest.split_once(END))
+        .split_once(TABLES_BEGIN)
+        .and_then(|(_, rest)| rest.split_once(TABLES_END))
         .map(|(shown, _)| shown);
     assert_eq!(
         shown,
         Some(tables(&recorded).as_str()),
-        "the page has to be printed anew from docs/capacity.json"
+        "the tables on the page have to be regenerated from docs/capacity.json"
     );
 }
 
 #[test]
-fn every_row_with_a_measure_finds_it_in_the_record() {
-    let recorded: Recorded = serde_json::from_str(RECORD).unwrap();
+fn every_measure_named_in_a_row_is_in_the_recorded_run() {
+    let recorded: RecordedRun = serde_json::from_str(RECORD).unwrap();
     for row in rows() {
-        if let Some(what) = row.from {
+        if let Some(measure) = row.measure {
             assert!(
-                recorded.measures.iter().any(|m| m.what == what),
-                "{what} was not recorded"
+                recorded
+                    .measures
+                    .iter()
+                    .any(|recorded| recorded.name == measure),
+                "{measure} was not recorded"
             );
         }
-        let cost = (row.cost)(&recorded, &counts(3800.0));
-        // Each gateway's subset is asked so often that every connection is kept: none is begun, to the last digit.
-        if row.what == "connections begun" {
-            assert_eq!(cost, 0.0, "{}", row.what);
+        let cost = (row.cost)(&recorded, &quantities_at(3800.0));
+        // The engines of a subset get statements so often that every connection stays open: the
+        // rate of new ones rounds to 0.
+        if row.name == "connections begun" {
+            assert_eq!(cost, 0.0, "{}", row.name);
         } else {
-            assert!(cost > 0.0 && cost.is_finite(), "{} costs {cost}", row.what);
+            assert!(cost > 0.0 && cost.is_finite(), "{} costs {cost}", row.name);
         }
     }
 }
--- a/crates/ivypitch-testbed/tests/scale.rs
+++ b/crates/ivypitch-testbed/tests/scale.rs
@@ -1,11 +1,12 @@
-//! Slopes by counts, which are the same on any machine, and changes on their way to a whole fleet.
+//! Growth of costs that are counted and so do not depend on the machine, and propagation of
+//! endpoint changes to a fleet.
 
 use ivypitch_coordination::{
     HealthObservation, MAX_OBSERVED_ENGINES, ObservationTable, StoredObservation,
 };
-use ivypitch_testbed::experiments::scale::module::line;
 use ivypitch_testbed::experiments::scale::peers::links;
-use ivypitch_testbed::experiments::scale::slope::{Slope, at, passes_at};
+use ivypitch_testbed::experiments::scale::scheduler::endpoint_event_line;
+use ivypitch_testbed::experiments::scale::slope::{Slope, budget_exceeded_at, cost_at};
 use ivypitch_testbed::virtual_time::discovery_fleet::{self, Outage, Verdict};
 use ivypitch_testbed::virtual_time::faults::Plan;
 use ivypitch_testbed::virtual_time::membership_fleet::TransitTime;
@@ -13,11 +14,11 @@
 use ivypitch_types::{MemberId, SECOND};
 
 #[test]
-fn a_slope_finds_its_line_and_its_power_and_what_they_miss() {
+fn a_slope_fits_line_exponent_and_residual() {
     let line: Vec<(f64, f64)> = [30.0, 300.0, 3800.0].map(|x| (x, 7.0 + 0.5 * x)).to_vec();
     let slope = Slope::of(&line);
     assert!(
-        (slope.base - 7.0).abs() < 1e-6 && (slope.per - 0.5).abs() < 1e-9,
+        (slope.base - 7.0).abs() < 1e-6 && (slope.per_unit - 0.5).abs() < 1e-9,
         "{slope:?}"
     );
     assert!(slope.residual < 1e-9, "{slope:?}");
@@ -25,20 +26,20 @@
     let slope = Slope::of(&square);
     assert!(
         (slope.exponent - 2.0).abs() < 1e-9 && slope.residual > 0.3,
-        "a square is no line: {slope:?}"
+        "a square is not a line: {slope:?}"
     );
-    // Between the points and beyond them, on log axes.
-    assert!((at(&square, 100.0) - 20_000.0).abs() < 1e-6);
-    assert!((at(&square, 10_000.0) - 2e8).abs() < 1e-3);
-    let passed = passes_at(|x| at(&square, x), 20_000.0, 2.0, 100_000.0);
+    // Interpolation and extrapolation on logarithmic axes.
+    assert!((cost_at(&square, 100.0) - 20_000.0).abs() < 1e-6);
+    assert!((cost_at(&square, 10_000.0) - 2e8).abs() < 1e-3);
+    let exceeded_at = budget_exceeded_at(|x| cost_at(&square, x), 20_000.0, 2.0, 100_000.0);
     assert!(
-        passed.is_some_and(|x| (100.0..102.0).contains(&x)),
-        "{passed:?}"
+        exceeded_at.is_some_and(|x| (100.0..102.0).contains(&x)),
+        "{exceeded_at:?}"
     );
-    assert_eq!(passes_at(|_| 1.0, 2.0, 2.0, 100_000.0), None);
+    assert_eq!(budget_exceeded_at(|_| 1.0, 2.0, 2.0, 100_000.0), None);
 }
 
-fn members(members: usize, seed: u64) -> membership_fleet::Verdict {
+fn run_members(members: usize, seed: u64) -> membership_fleet::Verdict {
     let fleet = membership_fleet::Fleet {
         members,
         zones: 24,
@@ -57,9 +58,9 @@
 }
 
 #[test]
-fn members_at_rest_send_the_same_however_many_there_are() {
+fn member_traffic_at_rest_does_not_grow_with_the_fleet() {
     for seed in [1, 2] {
-        let (few, many) = (members(20, seed), members(80, seed));
+        let (few, many) = (run_members(20, seed), run_members(80, seed));
         let ratio = many.datagrams_per_member_second / few.datagrams_per_member_second;
         assert!(
             ratio < 1.3,
@@ -74,8 +75,8 @@
 }
 
 #[test]
-fn a_statements_custody_says_the_same_however_many_gateways_there_are() {
-    let each = |gateways| {
+fn ownership_traffic_of_a_statement_does_not_grow_with_the_fleet() {
+    let traffic_per_statement = |gateways| {
         let fleet = ownership_fleet::Fleet {
             gateways,
             zones: 7,
@@ -91,13 +92,13 @@
             verdict.bytes as f64 / statements,
         )
     };
-    let (few, many) = (each(20), each(160));
+    let (few, many) = (traffic_per_statement(20), traffic_per_statement(160));
     assert!(many.0 / few.0 < 1.3, "messages {few:?}, {many:?}");
     assert!(many.1 / few.1 < 1.3, "bytes {few:?}, {many:?}");
 }
 
 #[test]
-fn links_and_lists_grow_with_the_fleet_and_not_faster() {
+fn link_traffic_and_list_sizes_grow_linearly() {
     for measure in links() {
         let slope = measure.slope();
         assert!(
@@ -106,20 +107,23 @@
             measure.line()
         );
     }
-    let (few, many) = (line(80, true).len() as f64, line(8000, true).len() as f64);
+    let (few, many) = (
+        endpoint_event_line(80, true).len() as f64,
+        endpoint_event_line(8000, true).len() as f64,
+    );
     assert!(
         many / few < 105.0,
         "a row takes more bytes in a longer list: {few}, {many}"
     );
     assert!(
-        line(1, false).len() < 256,
-        "a change is no more than one row and its frame"
+        endpoint_event_line(1, false).len() < 256,
+        "a change takes more than one row and its frame"
     );
 }
 
 #[test]
-fn words_on_engines_are_bounded_whatever_the_list_has() {
-    let held = |engines: u64| {
+fn memory_for_observations_is_bounded_for_any_list_size() {
+    let size_bytes = |engines: u64| {
         let mut table = ObservationTable::new(300, MAX_OBSERVED_ENGINES, 0);
         for engine in 0..engines {
             table.insert_if_newer(
@@ -138,8 +142,8 @@
         }
         table.size_bytes()
     };
-    assert_eq!(held(8000), held(1024));
-    assert!(held(512) < held(1024));
+    assert_eq!(size_bytes(8000), size_bytes(1024));
+    assert!(size_bytes(512) < size_bytes(1024));
 }
 
 const MS: u64 = 1_000_000;
@@ -149,7 +153,7 @@
     until_second: 11,
 });
 
-fn watches(gateways: usize) -> discovery_fleet::Fleet {
+fn discovery_fleet(gateways: usize) -> discovery_fleet::Fleet {
     discovery_fleet::Fleet {
         gateways,
         zones: 24,
@@ -159,7 +163,7 @@
         segment_loss: 0.01,
         seconds: 16,
         burst: 100,
-        change_bytes: line(1, false).len() as u64,
+        change_bytes: endpoint_event_line(1, false).len() as u64,
         list_bytes: 5_936_976,
         zone_rows: 1833,
         apply_change: MS,
@@ -170,28 +174,28 @@
     }
 }
 
-fn holds(what: &str, seed: u64, reached: &Verdict) {
+fn assert_changes_applied_in_time(case: &str, seed: u64, verdict: &Verdict) {
     assert!(
-        reached.changes > 100,
-        "{what}, seed {seed}: only {} changes",
-        reached.changes
+        verdict.changes > 100,
+        "{case}, seed {seed}: only {} changes",
+        verdict.changes
     );
     assert_eq!(
-        reached.behind, 0,
-        "{what}, seed {seed}: gateways that do not act by the last change"
+        verdict.behind, 0,
+        "{case}, seed {seed}: gateways have not applied the last change"
     );
-    let last = reached.latency_ms(1.0);
+    let last = verdict.latency_ms(1.0);
     assert!(
         last <= 6000,
-        "{what}, seed {seed}: the last gateway acts after {last} ms"
+        "{case}, seed {seed}: the last gateway applied a change after {last} ms"
     );
 }
 
 #[test]
-fn changes_are_in_force_at_every_gateway_that_can_be_reached_within_six_seconds() {
+fn every_reachable_gateway_applies_a_change_within_six_seconds() {
     for seed in 0..4 {
-        let base = watches(150);
-        holds("calm", seed, &discovery_fleet::play(base, seed));
+        let base = discovery_fleet(150);
+        assert_changes_applied_in_time("no faults", seed, &discovery_fleet::play(base, seed));
         let restarts = discovery_fleet::play(
             discovery_fleet::Fleet {
                 restarts_per_second: 2.0,
@@ -201,11 +205,11 @@
         );
         assert!(
             restarts.restarts > 20,
-            "seed {seed}: restarts were not played"
+            "seed {seed}: too few restarts were simulated"
         );
-        holds("restarts", seed, &restarts);
-        let calm = discovery_fleet::play(base, seed);
-        let cut = discovery_fleet::play(
+        assert_changes_applied_in_time("restarts", seed, &restarts);
+        let without_faults = discovery_fleet::play(base, seed);
+        let partitioned = discovery_fleet::play(
             discovery_fleet::Fleet {
                 region_outage: OUTAGE,
                 ..base
@@ -213,27 +217,27 @@
             seed,
         );
         assert!(
-            cut.connects > calm.connects,
-            "seed {seed}: nobody had to connect again"
+            partitioned.connects > without_faults.connects,
+            "seed {seed}: no gateway had to reconnect"
         );
-        holds("a region cut off", seed, &cut);
+        assert_changes_applied_in_time("a region partitioned", seed, &partitioned);
         let lost = discovery_fleet::Fleet {
             zone_outage: OUTAGE,
             ..base
         };
-        holds("a zone lost", seed, &discovery_fleet::play(lost, seed));
+        assert_changes_applied_in_time("a zone lost", seed, &discovery_fleet::play(lost, seed));
     }
 }
 
 #[test]
-fn a_server_too_slow_for_the_fleet_is_seen_as_late() {
+fn a_server_too_slow_for_the_fleet_delays_changes() {
     let slow = discovery_fleet::Fleet {
         servers: 1,
         server_bytes_per_second: 200_000.0,
-        ..watches(300)
+        ..discovery_fleet(300)
     };
     assert!(
         discovery_fleet::play(slow, 1).latency_ms(1.0) > 6000,
-        "the play would pass whatever the servers can do"
+        "the simulation does not depend on the bandwidth of the servers"
     );
 }
