--- a/crates/ivypitch-testbed/tests/ownership.rs
+++ b/crates/ivypitch-testbed/tests/ownership.rs
@@ -1,12 +1,13 @@
-//! Ownership of statements in virtual time over fault plans; a plan that breaks a promise is printed, cut down.
+//! Ownership of statements in virtual time under fault plans. A plan that violates a guarantee is
+//! reduced and printed.
 
 use ivypitch_testbed::virtual_time::faults::Plan;
 use ivypitch_testbed::virtual_time::ownership_fleet::{Fleet, draw, play};
 use test_case::test_case;
 
 #[test_case(false; "all faults")]
-#[test_case(true; "losses of gateways")]
-fn over_fault_plans_no_load_runs_twice_and_every_client_is_answered(losses_only: bool) {
+#[test_case(true; "gateway losses only")]
+fn under_fault_plans_no_load_runs_twice_and_every_client_is_answered(losses_only: bool) {
     let fleet = Fleet {
         duration_ms: 6000,
         ..Fleet::default()
@@ -17,8 +18,8 @@
         let plan = draw(&fleet, seed, losses_only);
         let verdict = play(&fleet, &plan, seed);
         if !verdict.holds() {
-            let least = plan.cut_down(30, |plan| !play(&fleet, plan, seed).holds());
-            panic!("seed {seed}: {verdict:?}\nthe least plan that fails:\n{least}");
+            let minimal = plan.cut_down(30, |plan| !play(&fleet, plan, seed).holds());
+            panic!("seed {seed}: {verdict:?}\nminimal plan that fails:\n{minimal}");
         }
         in_flight += verdict.in_flight_at_loss;
         completed += verdict.completed_after_loss;
@@ -55,7 +56,7 @@
             completed + verdict.completed_after_loss,
         )
     });
-    // Some clients come back in time by chance, to the gateway that had it.
+    // Some clients retry in time, by chance at the gateway that had the statement.
     assert!(
         twice > 20 && completed * 20 < twice,
         "{twice} dispatched twice, {completed} completed after a loss"
@@ -63,11 +64,11 @@
 }
 
 #[test]
-fn a_plan_is_read_back_as_it_was_printed_and_bad_lines_are_reported() {
+fn a_printed_plan_parses_back_and_bad_lines_are_reported() {
     let plan = draw(&Fleet::default(), 5, false);
     assert_eq!(plan.to_string().parse::<Plan>().unwrap(), plan);
-    let fault = "at=5 kill gateway=1".parse::<Plan>().unwrap_err();
-    assert!(fault.contains("back=NUMBER is missing"), "{fault}");
+    let error = "at=5 kill gateway=1".parse::<Plan>().unwrap_err();
+    assert!(error.contains("back=NUMBER is missing"), "{error}");
     assert!(
         "at=5 explode"
             .parse::<Plan>()
--- a/crates/ivypitch-testbed/tests/relay.rs
+++ b/crates/ivypitch-testbed/tests/relay.rs
@@ -1,4 +1,5 @@
-//! What the relay says it does to a link it does whatever its own thread has come to.
+//! Faults that the relay applies to a link take effect regardless of the progress of the relay
+//! thread.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -12,59 +13,62 @@
 const TO: End = End::Engine(0);
 const ROUNDS: usize = 20;
 
-/// Reads one connection after the other to its end.
-fn sink() -> (std::net::SocketAddr, Seen<String>) {
+/// Starts a server that reads one connection after the other to its end.
+fn start_server() -> (std::net::SocketAddr, Seen<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (address, seen) = (listener.local_addr().unwrap(), Seen::new());
-    let all = seen.clone();
+    let (address, received) = (listener.local_addr().unwrap(), Seen::new());
+    let all_received = received.clone();
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
-            let mut came = Vec::new();
-            let _ = stream.read_to_end(&mut came);
-            all.push(String::from_utf8(came).unwrap());
+            let mut message = Vec::new();
+            let _ = stream.read_to_end(&mut message);
+            all_received.push(String::from_utf8(message).unwrap());
         }
     });
-    (address, seen)
+    (address, received)
 }
 
-fn written(at: std::net::SocketAddr, text: &str) -> TcpStream {
-    let mut stream = TcpStream::connect(at).unwrap();
+fn connect_and_write(address: std::net::SocketAddr, text: &str) -> TcpStream {
+    let mut stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(PATIENCE)).unwrap();
     stream.write_all(text.as_bytes()).unwrap();
     stream
 }
 
-/// `held`: the relay's thread waits at its table while the link is dialled and written to, so that the reset meets a dial
-/// that it has not taken up.
-#[test_case(false; "a link that it holds a byte of")]
-#[test_case(true; "a dial that it has not taken up")]
-fn a_reset_loses_what_waits_though_the_way_is_open_at_once(held: bool) {
-    let (target, seen) = sink();
+/// `is_blocked`: the relay thread waits for the lock of its table while the link is opened and
+/// written to, so that the reset happens before the relay has accepted the connection.
+#[test_case(false; "a link with buffered bytes")]
+#[test_case(true; "a connection not yet accepted")]
+fn a_reset_discards_waiting_bytes_even_if_the_link_reopens_at_once(is_blocked: bool) {
+    let (target, received) = start_server();
     let net = Net::start(1);
-    let at = net.open(FROM, TO, target, false).unwrap();
+    let relay = net.open(FROM, TO, target, false).unwrap();
     for round in 1..=ROUNDS {
         let text = format!("lost {round}.");
         net.silence(FROM, TO);
-        let mut lost = if held {
-            let mut dialled = None;
-            net.change(FROM, TO, |_| dialled = Some(written(at, &text)));
-            dialled.unwrap()
+        let mut lost = if is_blocked {
+            let mut stream = None;
+            net.change(FROM, TO, |_| stream = Some(connect_and_write(relay, &text)));
+            stream.unwrap()
         } else {
-            let lost = written(at, &text);
+            let lost = connect_and_write(relay, &text);
             net.wait_stuck(FROM, TO, &text);
             lost
         };
         net.reset(FROM, TO);
         net.hear(FROM, TO);
         assert!(!matches!(lost.read(&mut [0]), Ok(1)));
-        // A link that is made after the reset is whole.
-        drop(written(at, "whole"));
-        seen.wait_for("whole link", round, |came| came == "whole");
+        // A link opened after the reset is intact.
+        drop(connect_and_write(relay, "whole"));
+        received.wait_for("intact link", round, |message| message == "whole");
     }
-    let arrived = seen
+    let arrived = received
         .all()
         .into_iter()
-        .filter(|came| came.contains("lost"))
+        .filter(|message| message.contains("lost"))
         .count();
-    assert_eq!(arrived, 0, "of {ROUNDS} that were to be lost");
+    assert_eq!(
+        arrived, 0,
+        "of {ROUNDS} messages that the reset must discard"
+    );
 }
