--- a/crates/ivypitch-ownership/src/lookup_answer.rs
+++ b/crates/ivypitch-ownership/src/lookup_reply.rs
@@ -1,4 +1,4 @@
-//! Answers to gateways whose clients returned: what is known here of a statement, and where it is.
+//! Replies to lookups of other gateways: the known state of a statement and its location.
 
 use ivypitch_types::{MemberId, Nanos};
 
@@ -9,19 +9,19 @@
 use crate::ownership::Ownership;
 use crate::statement::{StatementState, Waiter};
 
-/// Where a statement is, by what a voter knows of it.
+/// Location of a statement according to a voter's record.
 pub(crate) enum Location {
-    /// That member acts for it or has its result.
+    /// The member owns the statement or has its result.
     At(MemberId),
-    /// It is over and nobody who is connected knows more.
-    Over(FinalAnswer),
-    /// The process that acted for it is not connected.
+    /// The statement has ended and no connected member knows more.
+    Ended(FinalAnswer),
+    /// The owner's process is not connected.
     Orphaned,
-    /// It has no owner, or this process has forgotten that it was the owner.
-    Nowhere,
+    /// The statement has no owner, or its owner is this process, which has forgotten it.
+    NotOwned,
 }
 
-/// Another gateway asks what became of a statement.
+/// Another gateway's request for the end of a statement.
 pub(crate) struct LookupRequest {
     pub(crate) from: MemberId,
     pub(crate) id: StatementId,
@@ -30,14 +30,14 @@
 }
 
 impl Ownership {
-    /// Answers at once, or when the statement's end is known.
+    /// Replies immediately, or once the statement has ended.
     pub(crate) fn on_lookup_request(
         &mut self,
         now: Nanos,
         request: LookupRequest,
         out: &mut dyn Output,
     ) {
-        if let Some(answer) = self.look_up(now, &request, out) {
+        if let Some(answer) = self.answer_lookup(now, &request, out) {
             let reply = Message::LookupReply {
                 request_id: request.request_id,
                 id: request.id,
@@ -47,7 +47,7 @@
         }
     }
 
-    fn look_up(
+    fn answer_lookup(
         &mut self,
         now: Nanos,
         request: &LookupRequest,
@@ -61,13 +61,13 @@
             if statement.spec.digest != request.digest {
                 return Some(LookupAnswer::Final(FinalAnswer::IdReused));
             }
-            return self.look_up_statement(now, request, out);
+            return self.answer_from_statement(now, request, out);
         }
-        self.look_up_record(now, request, out)
+        self.answer_from_record(now, request, out)
     }
 
-    /// By what this gateway does for the statement; `None`: the answer follows.
-    fn look_up_statement(
+    /// Answers from this gateway's own state of the statement. `None`: the reply follows later.
+    fn answer_from_statement(
         &mut self,
         now: Nanos,
         request: &LookupRequest,
@@ -78,7 +78,9 @@
         let state = statement.state();
         match state {
             StatementState::LookingUp => Some(LookupAnswer::Unknown),
-            StatementState::OwnedElsewhere => Some(LookupAnswer::HeldBy(statement.lookup.asked)),
+            StatementState::OwnedElsewhere => {
+                Some(LookupAnswer::LocatedAt(statement.lookup.asked_member))
+            }
             StatementState::Owned
             | StatementState::Replicated
             | StatementState::Orphaned
@@ -89,7 +91,8 @@
                     statement.waiters.push(waiter);
                 }
                 if state == StatementState::Orphaned {
-                    // Somebody waits for it: it is taken over without waiting for voters of a higher rank.
+                    // A client waits for the statement, so it is taken over without the stagger by
+                    // voter rank.
                     self.statements.set_timer(id, now);
                     self.fire_statement_timers(now, out);
                 }
@@ -110,8 +113,9 @@
         }
     }
 
-    /// By what this member knows as a voter; `None`: the statement is taken over and the answer follows.
-    fn look_up_record(
+    /// Answers from this member's vote log. `None`: the statement is taken over and the reply
+    /// follows later.
+    fn answer_from_record(
         &mut self,
         now: Nanos,
         request: &LookupRequest,
@@ -126,9 +130,9 @@
             return Some(LookupAnswer::Final(FinalAnswer::IdReused));
         }
         match self.locate(&record) {
-            Location::At(member) => Some(LookupAnswer::HeldBy(member)),
-            Location::Over(answer) => Some(LookupAnswer::Final(answer)),
-            Location::Nowhere => Some(LookupAnswer::Unknown),
+            Location::At(member) => Some(LookupAnswer::LocatedAt(member)),
+            Location::Ended(answer) => Some(LookupAnswer::Final(answer)),
+            Location::NotOwned => Some(LookupAnswer::Unknown),
             Location::Orphaned => {
                 let spec = record.spec?;
                 let mut statement = self.new_statement(now, spec, StatementState::LookingUp);
@@ -143,7 +147,7 @@
         }
     }
 
-    /// The end of a statement that is over here; `None` where it may as well run anew.
+    /// The answer of a statement that has ended here; `None` if it may run again.
     pub(crate) fn known_end(
         &self,
         id: StatementId,
@@ -163,27 +167,27 @@
         }
     }
 
-    /// Where a statement is, by what a voter knows of it.
+    /// Locates a statement by a voter's record.
     pub(crate) fn locate(&self, record: &StatementRecord) -> Location {
         match record.end {
-            Some(StatementEnd::Completed { rows_at }) => {
-                let is_here = rows_at.member == self.this_member();
-                if !is_here && self.members.is_process_connected(rows_at) {
-                    Location::At(rows_at.member)
+            Some(StatementEnd::Completed { cached_at }) => {
+                let is_here = cached_at.member == self.own_member();
+                if !is_here && self.members.is_process_connected(cached_at) {
+                    Location::At(cached_at.member)
                 } else {
-                    Location::Over(FinalAnswer::CompletedWithoutRows)
+                    Location::Ended(FinalAnswer::CompletedWithoutRows)
                 }
             }
-            Some(StatementEnd::Aborted) => Location::Over(FinalAnswer::Aborted),
-            Some(StatementEnd::Rejected) => Location::Nowhere,
+            Some(StatementEnd::Aborted) => Location::Ended(FinalAnswer::Aborted),
+            Some(StatementEnd::Rejected) => Location::NotOwned,
             None => self.locate_owner(record),
         }
     }
 
     fn locate_owner(&self, record: &StatementRecord) -> Location {
         let owner = record.epoch.process;
-        if owner == self.members.this() {
-            Location::Nowhere
+        if owner == self.members.own_process() {
+            Location::NotOwned
         } else if self.members.is_process_connected(owner) {
             Location::At(owner.member)
         } else {
--- a/crates/ivypitch-ownership/src/state_transfer.rs
+++ b/crates/ivypitch-ownership/src/state_transfer.rs
@@ -1,4 +1,5 @@
-//! A member that restarted relearns the votes of its former process: every other member transfers what it knows.
+//! State transfer: every other member sends its vote log to a member that restarted and lost its
+//! votes.
 
 use std::collections::BTreeMap;
 
@@ -9,22 +10,24 @@
 use crate::ownership::Ownership;
 use crate::updates::MAX_RECORDS_PER_MESSAGE;
 
-/// A member that came up gets its transfer this long after a grant is valid; what it got sooner would not count.
-const FIRST_TRANSFER_SLACK: Nanos = 50 * MILLISECOND;
-/// A member whose own log is not complete transfers again after this time, if it has learned more.
-const RETRY_INTERVAL: Nanos = 400 * MILLISECOND;
-/// A member that is lost this soon after a transfer may not have read it.
+/// Delay of a new member's first transfer beyond the grant validity. An earlier transfer would not
+/// count.
+const FIRST_TRANSFER_MARGIN: Nanos = 50 * MILLISECOND;
+/// Interval after which a member with an incomplete vote log transfers again if it has learned
+/// more.
+const TRANSFER_RETRY_INTERVAL: Nanos = 400 * MILLISECOND;
+/// A member lost within this time after a transfer may not have read it.
 const TRANSFER_LOSS_WINDOW: Nanos = 2 * SECOND;
 
-/// Transfers to members that came up lately.
+/// Transfers to members that connected recently.
 pub(crate) struct StateTransfers {
     pending: BTreeMap<MemberId, PendingTransfer>,
-    /// By member id: the last process that got a transfer.
+    /// The last process that got a transfer, by member id.
     completed: Vec<Option<CompletedTransfer>>,
 }
 
 struct PendingTransfer {
-    due: Nanos,
+    send_at: Nanos,
     /// Until when the member may need transfers.
     expires_at: Nanos,
     incarnation: Incarnation,
@@ -46,10 +49,10 @@
         }
     }
 
-    pub(crate) fn next_due(&self) -> Nanos {
+    pub(crate) fn next_send_at(&self) -> Nanos {
         self.pending
             .values()
-            .map(|transfer| transfer.due)
+            .map(|transfer| transfer.send_at)
             .min()
             .unwrap_or(Nanos::MAX)
     }
@@ -69,15 +72,16 @@
             .is_some_and(|transfer| transfer.incarnation == process.incarnation)
     }
 
-    fn due(&self, now: Nanos) -> Vec<MemberId> {
+    fn members_to_send(&self, now: Nanos) -> Vec<MemberId> {
         self.pending
             .iter()
-            .filter(|(_, transfer)| transfer.due <= now)
+            .filter(|(_, transfer)| transfer.send_at <= now)
             .map(|(&member, _)| member)
             .collect()
     }
 
-    /// Plans the transfer after the one that is due now. Returns whether there is anything new to send now.
+    /// Schedules the transfer after the current one. Returns whether there are new records to send
+    /// now.
     fn advance(
         &mut self,
         now: Nanos,
@@ -88,32 +92,32 @@
         let Some(transfer) = self.pending.get_mut(&member) else {
             return false;
         };
-        let has_news = transfer.sent_revision != Some(revision);
+        let has_new_records = transfer.sent_revision != Some(revision);
         transfer.sent_revision = Some(revision);
         let incarnation = transfer.incarnation;
         if *completeness != VoteLogCompleteness::Complete && now < transfer.expires_at {
-            transfer.due = now + RETRY_INTERVAL;
+            transfer.send_at = now + TRANSFER_RETRY_INTERVAL;
         } else {
             self.pending.remove(&member);
         }
-        if has_news && let Some(completed) = self.completed.get_mut(member.as_usize()) {
+        if has_new_records && let Some(completed) = self.completed.get_mut(member.as_usize()) {
             *completed = Some(CompletedTransfer {
                 incarnation,
                 sent_at: now,
             });
         }
-        has_news
+        has_new_records
     }
 }
 
 impl Ownership {
-    /// A process of another member is connected.
+    /// Handles a newly connected process of another member.
     pub fn on_member_up(&mut self, now: Nanos, process: ProcessId) {
-        if process.member == self.this_member() {
+        if process.member == self.own_member() {
             return;
         }
         self.members.on_up(process);
-        // A process that was away and is back has forgotten nothing.
+        // A process that reconnects has kept its votes.
         if self.transfers.has_completed(process) {
             return;
         }
@@ -122,7 +126,7 @@
         let relearning_time =
             config.max_statement_timeout + config.retention + config.grant_validity;
         let transfer = PendingTransfer {
-            due: now + config.grant_validity + FIRST_TRANSFER_SLACK,
+            send_at: now + config.grant_validity + FIRST_TRANSFER_MARGIN,
             expires_at: now + relearning_time,
             incarnation: process.incarnation,
             sent_revision: None,
@@ -130,26 +134,26 @@
         self.transfers.pending.insert(process.member, transfer);
     }
 
-    /// A member has not been heard for a while and may be lost.
+    /// Handles a member that has been unreachable for a while and may be lost.
     pub fn on_member_suspected(&mut self, member: MemberId) {
         self.members.on_suspected(member);
     }
 
-    /// A member that was suspected is there.
+    /// Handles a suspected member that is reachable again.
     pub fn on_suspicion_cleared(&mut self, member: MemberId) {
         self.members.on_suspicion_cleared(member);
     }
 
-    /// Transfers to each member that came up lately all that it may have voted on. A member that restarted lately
-    /// itself transfers again as it learns more.
-    pub(crate) fn send_due_transfers(&mut self, now: Nanos, out: &mut dyn Output) {
-        let due = self.transfers.due(now);
-        if due.is_empty() {
+    /// Sends each recently connected member all records that it may have voted on. A member that
+    /// restarted recently itself transfers again as it learns more.
+    pub(crate) fn on_transfer_timer(&mut self, now: Nanos, out: &mut dyn Output) {
+        let members = self.transfers.members_to_send(now);
+        if members.is_empty() {
             return;
         }
         let completeness = self.vote_log.completeness(now);
         let revision = self.vote_log.revision();
-        for member in due {
+        for member in members {
             if self.transfers.advance(now, member, &completeness, revision) {
                 self.transfer_state(now, member, &completeness, out);
             }
--- a/crates/ivypitch-ownership/src/takeover.rs
+++ b/crates/ivypitch-ownership/src/takeover.rs
@@ -1,29 +1,30 @@
-//! Taking a statement over: a quorum of its voters lets this gateway act under a new epoch.
+//! Takeover: a quorum of a statement's voters lets this gateway own it in a new epoch.
 
 use ivypitch_types::{MemberId, Nanos, ProcessId};
 
-use crate::lookup_answer::Location;
+use crate::lookup_reply::Location;
 use crate::message::{Epoch, FinalAnswer, Message, StatementEnd, StatementId, StatementRecord};
 use crate::output::Output;
 use crate::ownership::Ownership;
 use crate::statement::StatementState;
-use crate::vote_log::VoteRefusal;
+use crate::vote_log::VoteDenial;
 
-/// The pause between tries grows up to this many takeover timeouts.
-const MAX_RETRY_PAUSE_TIMEOUTS: u32 = 4;
+/// Maximum backoff before a takeover is retried, in takeover timeouts.
+const MAX_RETRY_BACKOFF_TIMEOUTS: u32 = 4;
 
-/// A voter's answer to a takeover.
+/// A voter's answer to a takeover request.
 pub(crate) struct TakeoverVote {
     pub(crate) voter: MemberId,
     pub(crate) epoch: Epoch,
-    /// It lets no lower epoch act.
-    pub(crate) promised: bool,
-    /// What it knows of the statement.
+    /// Whether the voter promises to grant nothing to lower epochs.
+    pub(crate) is_promised: bool,
+    /// The voter's record of the statement.
     pub(crate) record: Option<StatementRecord>,
 }
 
 impl Ownership {
-    /// A process is gone. What it acted for has no owner; the first of its voters that is connected takes it over.
+    /// Handles the loss of a process. The first connected voter of each of its statements takes the
+    /// statement over.
     pub fn on_member_down(&mut self, now: Nanos, process: ProcessId, out: &mut dyn Output) {
         if !self.members.on_down(now, process) {
             return;
@@ -32,7 +33,7 @@
         let mut orphan_count = 0;
         let mut first_voter_count = 0;
         for id in self.vote_log.owned_by(process) {
-            let Some(rank) = self.orphan(now, id, process) else {
+            let Some(rank) = self.mark_orphaned(now, id, process) else {
                 continue;
             };
             orphan_count += 1;
@@ -48,8 +49,9 @@
         self.fire_statement_timers(now, out);
     }
 
-    /// Prepares to take a statement over, if it is in need of that. Returns this member's rank among its voters.
-    fn orphan(&mut self, now: Nanos, id: StatementId, lost: ProcessId) -> Option<usize> {
+    /// Prepares the takeover of a statement if it needs one. Returns this member's rank among its
+    /// connected voters.
+    fn mark_orphaned(&mut self, now: Nanos, id: StatementId, lost: ProcessId) -> Option<usize> {
         let record = self.vote_log.get(now, id)?;
         if !self.is_orphaned_by(now, &record, lost) {
             return None;
@@ -77,29 +79,30 @@
         Some(rank)
     }
 
-    /// The statement is open, or its rows were at the lost process and its engine may still have them.
+    /// Whether the statement is open, or its rows were cached at the lost process and its engine
+    /// may still have them.
     fn is_orphaned_by(&self, now: Nanos, record: &StatementRecord, lost: ProcessId) -> bool {
         match record.end {
             None => true,
-            Some(StatementEnd::Completed { rows_at }) => {
-                rows_at == lost
-                    && self.recent_ends.contains(now, record.id)
+            Some(StatementEnd::Completed { cached_at }) => {
+                cached_at == lost
+                    && self.recent_completions.contains(now, record.id)
                     && record.grants.iter().any(|grant| !grant.never_ran)
             }
             Some(StatementEnd::Aborted | StatementEnd::Rejected) => false,
         }
     }
 
-    /// How many of the statement's connected voters come before this member.
+    /// Number of the statement's connected voters that rank before this member.
     fn rank_among_connected(&self, id: StatementId) -> usize {
-        let this = self.this_member();
+        let own_member = self.own_member();
         self.connected_voters(id)
             .into_iter()
-            .take_while(|&voter| voter != this)
+            .take_while(|&voter| voter != own_member)
             .count()
     }
 
-    /// Asks all voters of the statement to let this gateway act under a new epoch.
+    /// Requests votes from all of the statement's voters to own it in a new epoch.
     pub(crate) fn request_takeover(
         &mut self,
         now: Nanos,
@@ -113,26 +116,27 @@
         };
         statement.epoch = epoch;
         statement.takeover.promises.clear();
-        // Lookups before the takeover do not count as tries.
-        statement.tries = if statement.state() == StatementState::TakingOver {
-            statement.tries + 1
+        // Lookups before the takeover do not count as rounds.
+        statement.rounds = if statement.state() == StatementState::TakingOver {
+            statement.rounds + 1
         } else {
             1
         };
-        // No longer than a grant is valid: after that a voter may have restarted and voted again, and its promise
-        // counts no more.
-        let pause_timeouts = u64::from(statement.tries.min(MAX_RETRY_PAUSE_TIMEOUTS));
-        let pause = (self.config.takeover_timeout * pause_timeouts).min(self.config.grant_validity);
+        // Limited to the grant validity: after that time a voter may have restarted and voted
+        // again, which voids its promise.
+        let backoff_timeouts = u64::from(statement.rounds.min(MAX_RETRY_BACKOFF_TIMEOUTS));
+        let backoff =
+            (self.config.takeover_timeout * backoff_timeouts).min(self.config.grant_validity);
         self.statements.transition(id, StatementState::TakingOver);
-        self.statements.set_timer(id, now + pause);
+        self.statements.set_timer(id, now + backoff);
         let voters = self.voters.voters_of(id);
-        let this = self.this_member();
-        for &voter in voters.iter().filter(|&&voter| voter != this) {
+        let own_member = self.own_member();
+        for &voter in voters.iter().filter(|&&voter| voter != own_member) {
             if self.members.is_connected(voter) {
                 out.send(voter, Message::TakeoverRequest { id, epoch });
             }
         }
-        if voters.contains(&this) {
+        if voters.contains(&own_member) {
             self.vote_for_own_takeover(now, id, epoch, out);
         }
     }
@@ -144,23 +148,23 @@
         epoch: Epoch,
         out: &mut dyn Output,
     ) {
-        let voter = self.this_member();
+        let voter = self.own_member();
         let result = self.vote_log.vote_on_takeover(now, id, epoch, &self.voters);
-        let (promised, record) = match result {
+        let (is_promised, record) = match result {
             Ok(record) => (true, record),
-            Err(VoteRefusal::Conflict(record)) => (false, Some(*record)),
-            Err(VoteRefusal::Abstained | VoteRefusal::Full) => return,
+            Err(VoteDenial::Conflict(record)) => (false, Some(*record)),
+            Err(VoteDenial::Abstained | VoteDenial::Full) => return,
         };
         let vote = TakeoverVote {
             voter,
             epoch,
-            promised,
+            is_promised,
             record,
         };
         self.on_takeover_vote(now, id, vote, out);
     }
 
-    /// Another gateway asks for this member's vote.
+    /// Votes on another gateway's takeover.
     pub(crate) fn on_takeover_request(
         &mut self,
         now: Nanos,
@@ -170,13 +174,13 @@
         out: &mut dyn Output,
     ) {
         let result = self.vote_log.vote_on_takeover(now, id, epoch, &self.voters);
-        let (promised, record) = match result {
+        let (is_promised, record) = match result {
             Ok(record) => {
                 self.on_superseded(now, id, epoch, out);
                 (true, record)
             }
-            Err(VoteRefusal::Conflict(record)) => (false, Some(*record)),
-            Err(VoteRefusal::Abstained | VoteRefusal::Full) => {
+            Err(VoteDenial::Conflict(record)) => (false, Some(*record)),
+            Err(VoteDenial::Abstained | VoteDenial::Full) => {
                 out.send(from, Message::Abstention { id, epoch });
                 return;
             }
@@ -184,14 +188,15 @@
         let reply = Message::TakeoverReply {
             id,
             epoch,
-            promised,
+            is_promised,
             record,
         };
         out.send(from, reply);
     }
 
-    /// Another gateway may act. An attempt of this one goes on at its engine and its clients get the end, but no
-    /// further attempt is granted; a takeover of this one's own is over.
+    /// Another gateway may own the statement. An attempt of this gateway continues at its engine and
+    /// its clients get the answer, but no further attempt is granted. A takeover by this gateway
+    /// ends.
     fn on_superseded(&mut self, now: Nanos, id: StatementId, epoch: Epoch, out: &mut dyn Output) {
         let Some(statement) = self.statements.get(id) else {
             return;
@@ -223,7 +228,7 @@
         }
     }
 
-    /// A voter has answered.
+    /// Handles a voter's reply.
     pub(crate) fn on_takeover_vote(
         &mut self,
         now: Nanos,
@@ -238,9 +243,9 @@
         if statement.state() != StatementState::TakingOver || statement.epoch != vote.epoch {
             return;
         }
-        if !vote.promised {
+        if !vote.is_promised {
             if let Some(record) = vote.record {
-                self.on_takeover_refused(now, id, &record, out);
+                self.on_takeover_denied(now, id, &record, out);
             }
             return;
         }
@@ -251,7 +256,7 @@
         }
     }
 
-    fn on_takeover_refused(
+    fn on_takeover_denied(
         &mut self,
         now: Nanos,
         id: StatementId,
@@ -259,10 +264,10 @@
         out: &mut dyn Output,
     ) {
         match self.locate(record) {
-            Location::At(member) if member != self.this_member() => {
+            Location::At(member) if member != self.own_member() => {
                 self.follow_or_close(now, id, member, out);
             }
-            // The takeover of a process that is lost too: the next try goes over it.
+            // Promised to a process that is lost as well: the next round uses a higher epoch.
             _ => {
                 if let Some(statement) = self.statements.get_mut(id) {
                     statement.epoch.number = statement.epoch.number.max(record.epoch.number);
@@ -271,18 +276,18 @@
         }
     }
 
-    /// This member's turn has come.
+    /// Starts this member's takeover after its stagger.
     pub(crate) fn on_orphan_timer(&mut self, now: Nanos, id: StatementId, out: &mut dyn Output) {
         let Some(statement) = self.statements.get(id) else {
             return;
         };
-        let promised = self.vote_log.get(now, id);
-        let next_number = promised.map_or(0, |record| record.epoch.number + 1);
+        let known = self.vote_log.get(now, id);
+        let next_number = known.map_or(0, |record| record.epoch.number + 1);
         let epoch_number = statement.epoch.number.max(next_number);
         self.request_takeover(now, id, epoch_number, out);
     }
 
-    /// No quorum has promised yet.
+    /// Handles a takeover round without a quorum.
     pub(crate) fn on_takeover_timer(&mut self, now: Nanos, id: StatementId, out: &mut dyn Output) {
         let has_quorum = self.has_quorum_connected(id);
         let Some(statement) = self.statements.get(id) else {
@@ -293,8 +298,8 @@
         let is_idempotent = statement.spec.is_idempotent;
         let epoch_number = statement.epoch.number + 1;
         if is_rejection_pending || (!is_late && !has_quorum) {
-            // Nobody may act for it now, or nobody can say that it did not run. Whoever waits is told so at once and may
-            // come back with the same id.
+            // No gateway can own it now, or none can exclude that it ran. Waiting clients get this
+            // answer immediately and may return with the same id.
             self.answer_waiters(id, &FinalAnswer::Aborted, out);
         }
         if is_rejection_pending {
--- a/crates/ivypitch-ownership/src/vote_log_entry.rs
+++ b/crates/ivypitch-ownership/src/vote_log_entry.rs
@@ -1,4 +1,4 @@
-//! What a voter remembers of one statement.
+//! A voter's entry for one statement.
 
 use ivypitch_types::{MILLISECOND, Nanos};
 
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct VoteLogEntry {
     /// Lower epochs get no grant.
-    pub(crate) promised: Epoch,
+    pub(crate) promised_epoch: Epoch,
     spec: Option<StatementSpec>,
     /// When its client's timeout ends.
     pub(crate) deadline: Nanos,
@@ -20,9 +20,9 @@
 }
 
 impl VoteLogEntry {
-    pub(crate) fn new(now: Nanos, promised: Epoch) -> VoteLogEntry {
+    pub(crate) fn new(now: Nanos, promised_epoch: Epoch) -> VoteLogEntry {
         VoteLogEntry {
-            promised,
+            promised_epoch,
             spec: None,
             deadline: now,
             grants: Vec::new(),
@@ -39,7 +39,7 @@
         });
         StatementRecord {
             id,
-            epoch: self.promised,
+            epoch: self.promised_epoch,
             spec,
             grants: self.grants.clone(),
             end: self.end,
@@ -58,7 +58,7 @@
         }
         self.grants.sort_unstable();
         self.merge_end(record);
-        // Of a completed statement the request is needed as long as its engine may still have the rows.
+        // A completed statement's request is needed as long as its engine may still have the rows.
         let is_over_without_rows = self
             .end
             .is_some_and(|end| !matches!(end, StatementEnd::Completed { .. }));
@@ -80,11 +80,11 @@
 
     fn merge_end(&mut self, record: &StatementRecord) {
         match (self.end, record.end) {
-            // That it completed is a fact, whoever reports it; no other end overrides it.
+            // Completion is a fact, whichever member reports it; no other end overrides it.
             (None | Some(StatementEnd::Aborted), Some(end @ StatementEnd::Completed { .. })) => {
                 self.end = Some(end);
             }
-            (None, Some(end)) if record.epoch >= self.promised => self.end = Some(end),
+            (None, Some(end)) if record.epoch >= self.promised_epoch => self.end = Some(end),
             _ => {}
         }
     }
@@ -95,21 +95,27 @@
         }
     }
 
-    /// Whether the voter must refuse the grant; `record` is what its owner knows.
+    /// Whether the voter must deny the grant; `record` is the requester's knowledge of the
+    /// statement.
     pub(crate) fn forbids_grant(&self, record: &StatementRecord, grant: &AttemptGrant) -> bool {
         let is_other_statement = match (&self.spec, &record.spec) {
             (Some(known), Some(asked)) => known.digest != asked.digest,
             _ => false,
         };
-        // The same attempt was granted before, to a process that the asker has forgotten about.
+        // The same attempt was granted before, to a process that the requester no longer knows of.
         let is_granted_twice = self.grants.iter().any(|known| known.is_same_attempt(grant));
-        // The asker's takeover was answered before that grant was given.
+        // The voter gave that grant after it answered the requester's takeover.
         let has_unknown_grant = self
             .grants
             .iter()
             .filter(|known| !known.never_ran)
-            .any(|known| !record.grants.iter().any(|of| of.is_same_attempt(known)));
-        self.promised != grant.epoch
+            .any(|known| {
+                !record
+                    .grants
+                    .iter()
+                    .any(|granted| granted.is_same_attempt(known))
+            });
+        self.promised_epoch != grant.epoch
             || self.end.is_some()
             || is_other_statement
             || is_granted_twice
--- a/crates/ivypitch-testbed/src/experiments/custody_cost.rs
+++ b/crates/ivypitch-testbed/src/experiments/custody_cost.rs
@@ -9,8 +9,8 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::processes::clients::{self, Ask, Manners, Story};
-use crate::processes::{Engines, Fleet, Setup};
+use crate::processes::clients::{self, ClientConfig, PlannedStatement, StatementHistory};
+use crate::processes::{Fleet, FleetConfig, FleetEngines};
 use crate::report::{Bound, Report};
 use crate::virtual_time::faults::Plan;
 use crate::virtual_time::ownership_fleet;
@@ -35,19 +35,19 @@
     idle_bytes_per_s: f64,
 }
 
-fn traffic(span_ms: u64, gap_ms: u64, seed: u64) -> Vec<Ask> {
+fn traffic(span_ms: u64, gap_ms: u64, seed: u64) -> Vec<PlannedStatement> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let no_preference = Arc::new(Vec::new());
     let (mut asks, mut at) = (Vec::new(), 0);
     while at < span_ms {
-        asks.push(Ask {
-            at,
+        asks.push(PlannedStatement {
+            at_ms: at,
             req: rng.random::<u64>() & 0xff_ffff_ffff,
-            load: rng.random_bool(0.4),
+            is_bulk_load: rng.random_bool(0.4),
             work_ms: rng.random_range(2..12),
             timeout_ms: TIMEOUT_MS,
-            asked_twice: false,
-            prefers: no_preference.clone(),
+            has_second_client: false,
+            gateway_weights: no_preference.clone(),
             owner: "acme",
         });
         at += rng.random_range(1..=2 * gap_ms);
@@ -62,38 +62,42 @@
     seed: u64,
 ) -> Result<Cost, String> {
     let custody = format!(r#""custody":{{"remembered_ms":{VOTE_RETENTION_MS}}}"#);
-    let mut fleet = Fleet::start(Setup {
+    let mut fleet = Fleet::start(FleetConfig {
         gateways,
-        engines: Engines::Processes {
+        engines: FleetEngines::Processes {
             count: 4,
             cores: 16.0,
         },
-        longest_ms: TIMEOUT_MS,
-        peers: has_peers.then_some(custody),
+        max_statement_timeout_ms: TIMEOUT_MS,
+        peer_settings: has_peers.then_some(custody),
         seed,
-        ..Setup::default()
+        ..FleetConfig::default()
     })?;
     // Voters vote only after this time; the traffic at rest is counted in its second half.
     let warm_up = Duration::from_millis(TIMEOUT_MS + VOTE_RETENTION_MS + 1000);
     thread::sleep(warm_up / 2);
-    let (bytes_before, _) = fleet.net.between_gateways();
+    let (bytes_before, _) = fleet.network.gateway_traffic();
     thread::sleep(warm_up / 2);
-    let (bytes_after, _) = fleet.net.between_gateways();
+    let (bytes_after, _) = fleet.network.gateway_traffic();
     let idle_bytes_per_s = (bytes_after - bytes_before) as f64 / (warm_up / 2).as_secs_f64();
     let asks = traffic(span_ms, 8, seed);
-    let addresses: Vec<_> = fleet.seats.iter().map(|seat| seat.address).collect();
-    let (cpu_before, (bytes_before, _), started_at) =
-        (fleet.cpu(), fleet.net.between_gateways(), Instant::now());
-    let manners = Manners {
-        patience: Duration::from_secs(4),
+    let addresses: Vec<_> = fleet.gateways.iter().map(|seat| seat.address).collect();
+    let (cpu_before, (bytes_before, _), started_at) = (
+        fleet.cpu_time_us(),
+        fleet.network.gateway_traffic(),
+        Instant::now(),
+    );
+    let manners = ClientConfig {
+        answer_timeout: Duration::from_secs(4),
         seed,
     };
-    let stories: Vec<Story> = clients::play(&asks, &addresses, manners, started_at);
+    let stories: Vec<StatementHistory> =
+        clients::run_clients(&asks, &addresses, manners, started_at);
     let elapsed_s = started_at.elapsed().as_secs_f64();
-    let cpu_us = fleet.cpu() - cpu_before;
+    let cpu_us = fleet.cpu_time_us() - cpu_before;
     let bytes =
-        (fleet.net.between_gateways().0 - bytes_before) as f64 - idle_bytes_per_s * elapsed_s;
-    fleet.finish();
+        (fleet.network.gateway_traffic().0 - bytes_before) as f64 - idle_bytes_per_s * elapsed_s;
+    fleet.shut_down();
     if let Some(crash) = fleet.crashes.first() {
         return Err(crash.clone());
     }
@@ -101,15 +105,20 @@
         let matching = asks
             .iter()
             .zip(&stories)
-            .filter(|(ask, _)| ask.load == load);
-        let mut times: Vec<u64> = matching.filter_map(|(_, story)| story.served).collect();
+            .filter(|(ask, _)| ask.is_bulk_load == load);
+        let mut times: Vec<u64> = matching
+            .filter_map(|(_, story)| story.served_after_us)
+            .collect();
         times.sort_unstable();
         times
     };
     Ok(Cost {
         load_latencies_us: latencies(true),
         lookup_latencies_us: latencies(false),
-        unserved: stories.iter().filter(|s| s.served.is_none()).count(),
+        unserved: stories
+            .iter()
+            .filter(|s| s.served_after_us.is_none())
+            .count(),
         cpu_us: cpu_us as f64 / asks.len() as f64,
         bytes: bytes.max(0.0) / asks.len() as f64,
         idle_bytes_per_s: idle_bytes_per_s / gateways as f64,
--- a/crates/ivypitch-testbed/src/experiments/fleet_cut.rs
+++ b/crates/ivypitch-testbed/src/experiments/fleet_cut.rs
@@ -9,9 +9,9 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::processes::clients::{self, Ask, Manners};
-use crate::processes::story::{Verdict, judge};
-use crate::processes::{Engines, Fleet, Said, Setup};
+use crate::processes::clients::{self, ClientConfig, PlannedStatement};
+use crate::processes::verdict::{Verdict, judge};
+use crate::processes::{EngineEvent, Fleet, FleetConfig, FleetEngines};
 use crate::report::{Bound, Report};
 use crate::virtual_time::faults::{Field, Plan, What};
 
@@ -24,7 +24,7 @@
 /// Number of gateways that get ten times as many statements as each of the others.
 const BUSY_GATEWAYS: usize = 2;
 
-fn traffic(span_ms: u64, is_skewed: bool, seed: u64) -> Vec<Ask> {
+fn traffic(span_ms: u64, is_skewed: bool, seed: u64) -> Vec<PlannedStatement> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0xc07);
     let weight = |gateway: usize| {
         if is_skewed && gateway < BUSY_GATEWAYS {
@@ -36,14 +36,14 @@
     let prefers = Arc::new((0..GATEWAYS).map(weight).collect::<Vec<f64>>());
     let (mut asks, mut at) = (Vec::new(), 0);
     while at < span_ms {
-        asks.push(Ask {
-            at,
+        asks.push(PlannedStatement {
+            at_ms: at,
             req: rng.random::<u64>() & 0xff_ffff_ffff,
-            load: rng.random_bool(0.1),
+            is_bulk_load: rng.random_bool(0.1),
             work_ms: rng.random_range(20..220),
             timeout_ms: TIMEOUT_MS,
-            asked_twice: false,
-            prefers: prefers.clone(),
+            has_second_client: false,
+            gateway_weights: prefers.clone(),
             owner: "acme",
         });
         at += rng.random_range(4..=16);
@@ -66,37 +66,45 @@
     seed: u64,
 ) -> Result<RunResult, String> {
     let peers = format!(r#""custody":{{"enabled":false}},"shares":{{"enabled":{is_coordinated}}}"#);
-    let mut fleet = Fleet::start(Setup {
+    let mut fleet = Fleet::start(FleetConfig {
         gateways: GATEWAYS,
-        engines: Engines::Processes {
+        engines: FleetEngines::Processes {
             count: ENGINES,
             cores: ENGINE_CORES,
         },
-        longest_ms: TIMEOUT_MS,
-        peers: Some(peers),
-        own: r#""teams":{"enabled":true},"#.into(),
+        max_statement_timeout_ms: TIMEOUT_MS,
+        peer_settings: Some(peers),
+        own_settings: r#""teams":{"enabled":true},"#.into(),
         seed,
-        settings: |settings| settings.replace("\"cores-by-kind\":[64]", "\"cores-by-kind\":[4]"),
+        change_config: |settings| {
+            settings.replace("\"cores-by-kind\":[64]", "\"cores-by-kind\":[4]")
+        },
         direct_engines: true,
-        ..Setup::default()
+        ..FleetConfig::default()
     })?;
     let from = Instant::now() + Duration::from_millis(3500);
-    let addresses: Vec<_> = fleet.seats.iter().map(|seat| seat.address).collect();
-    let manners = Manners {
-        patience: Duration::from_millis(2500),
+    let addresses: Vec<_> = fleet.gateways.iter().map(|seat| seat.address).collect();
+    let manners = ClientConfig {
+        answer_timeout: Duration::from_millis(2500),
         seed,
     };
     let asks = traffic(span_ms, is_skewed, seed);
     let client_asks = asks.clone();
     let clients_thread =
-        thread::spawn(move || clients::play(&client_asks, &addresses, manners, from));
-    fleet.play(plan, from);
+        thread::spawn(move || clients::run_clients(&client_asks, &addresses, manners, from));
+    fleet.inject_faults(plan, from);
     let stories = clients_thread
         .join()
         .map_err(|_| "the client thread panicked".to_owned())?;
-    fleet.finish();
-    let said = fleet.said.all();
-    let verdict = judge(&asks, &stories, &said, &fleet.done, &fleet.crashes);
+    fleet.shut_down();
+    let said = fleet.engine_events.all();
+    let verdict = judge(
+        &asks,
+        &stories,
+        &said,
+        &fleet.injected_faults,
+        &fleet.crashes,
+    );
     Ok(RunResult {
         verdict,
         last_start_after_drain_ms: last_start_after_drain_ms(&fleet, &said),
@@ -104,19 +112,19 @@
 }
 
 /// The largest time from the announcement of a drain to a start at that engine; 0: there was none.
-fn last_start_after_drain_ms(fleet: &Fleet, said: &[Said]) -> f64 {
+fn last_start_after_drain_ms(fleet: &Fleet, said: &[EngineEvent]) -> f64 {
     let mut latest = 0;
-    for done in &fleet.done {
+    for done in &fleet.injected_faults {
         let What::EngineDrains { engine, span } = done.fault.what else {
             continue;
         };
-        let until = done.at + span * 1000;
+        let until = done.at_us + span * 1000;
         let starts = said
             .iter()
-            .filter(|line| line.engine == engine && line.what == "start");
+            .filter(|line| line.engine == engine && line.kind == "start");
         let delays = starts
-            .filter(|line| line.at > done.at && line.at < until)
-            .map(|line| line.at - done.at);
+            .filter(|line| line.at_us > done.at_us && line.at_us < until)
+            .map(|line| line.at_us - done.at_us);
         latest = latest.max(delays.max().unwrap_or(0));
     }
     latest as f64 / 1000.0
--- a/crates/ivypitch-testbed/src/experiments/gateway_loss.rs
+++ b/crates/ivypitch-testbed/src/experiments/gateway_loss.rs
@@ -9,9 +9,9 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::processes::clients::{self, Ask, Manners};
-use crate::processes::story::{Verdict, judge};
-use crate::processes::{Engines, Fleet, Setup};
+use crate::processes::clients::{self, ClientConfig, PlannedStatement};
+use crate::processes::verdict::{Verdict, judge};
+use crate::processes::{Fleet, FleetConfig, FleetEngines};
 use crate::report::{Bound, Report};
 use crate::virtual_time::faults::{Fault, Field, Plan, What};
 
@@ -28,25 +28,25 @@
 const LOSS_INTERVAL_MS: u64 = 3000;
 
 /// Draws the statements of all clients.
-pub fn traffic(span_ms: u64, gap_ms: u64, seed: u64) -> Vec<Ask> {
+pub fn traffic(span_ms: u64, gap_ms: u64, seed: u64) -> Vec<PlannedStatement> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x7aff1c);
     let no_preference = Arc::new(Vec::new());
     let (mut asks, mut at) = (Vec::new(), 0);
     while at < span_ms {
         let load = rng.random_bool(0.4);
-        asks.push(Ask {
-            at,
+        asks.push(PlannedStatement {
+            at_ms: at,
             // The upper bits count the retries of a rejected statement.
             req: rng.random::<u64>() & 0xff_ffff_ffff,
-            load,
+            is_bulk_load: load,
             work_ms: if load {
                 rng.random_range(100..2500)
             } else {
                 rng.random_range(5..800)
             },
             timeout_ms: rng.random_range(MAX_TIMEOUT_MS * 3 / 4..MAX_TIMEOUT_MS),
-            asked_twice: rng.random_bool(0.1),
-            prefers: no_preference.clone(),
+            has_second_client: rng.random_bool(0.1),
+            gateway_weights: no_preference.clone(),
             owner: "acme",
         });
         at += rng.random_range(1..=2 * gap_ms);
@@ -54,25 +54,30 @@
     asks
 }
 
-/// Setup of the fleet.
-pub fn setup(seed: u64, has_peers: bool) -> Setup {
+/// FleetConfig of the fleet.
+pub fn setup(seed: u64, has_peers: bool) -> FleetConfig {
     let custody = format!(r#""custody":{{"remembered_ms":{VOTE_RETENTION_MS},"asks_from_ms":0}}"#);
-    Setup {
+    FleetConfig {
         gateways: GATEWAYS,
-        engines: Engines::Processes {
+        engines: FleetEngines::Processes {
             count: ENGINES,
             cores: 16.0,
         },
-        longest_ms: MAX_TIMEOUT_MS,
-        peers: has_peers.then_some(custody),
+        max_statement_timeout_ms: MAX_TIMEOUT_MS,
+        peer_settings: has_peers.then_some(custody),
         seed,
-        ..Setup::default()
+        ..FleetConfig::default()
     }
 }
 
 /// Runs a fleet of processes under a plan.
-pub fn run_fleet(setup: Setup, plan: &Plan, span_ms: u64, seed: u64) -> Result<Verdict, String> {
-    let has_peers = setup.peers.is_some();
+pub fn run_fleet(
+    setup: FleetConfig,
+    plan: &Plan,
+    span_ms: u64,
+    seed: u64,
+) -> Result<Verdict, String> {
+    let has_peers = setup.peer_settings.is_some();
     let mut fleet = Fleet::start(setup)?;
     let warm_up_ms = if has_peers {
         MAX_TIMEOUT_MS + VOTE_RETENTION_MS + 1000
@@ -80,25 +85,25 @@
         200
     };
     let from = Instant::now() + Duration::from_millis(warm_up_ms);
-    let addresses: Vec<_> = fleet.seats.iter().map(|seat| seat.address).collect();
-    let manners = Manners {
-        patience: Duration::from_millis(3500),
+    let addresses: Vec<_> = fleet.gateways.iter().map(|seat| seat.address).collect();
+    let manners = ClientConfig {
+        answer_timeout: Duration::from_millis(3500),
         seed,
     };
     let asks = traffic(span_ms, STATEMENT_GAP_MS, seed);
     let client_asks = asks.clone();
     let clients_thread =
-        thread::spawn(move || clients::play(&client_asks, &addresses, manners, from));
-    fleet.play(plan, from);
+        thread::spawn(move || clients::run_clients(&client_asks, &addresses, manners, from));
+    fleet.inject_faults(plan, from);
     let stories = clients_thread
         .join()
         .map_err(|_| "the client thread panicked".to_owned())?;
-    fleet.finish();
+    fleet.shut_down();
     Ok(judge(
         &asks,
         &stories,
-        &fleet.said.all(),
-        &fleet.done,
+        &fleet.engine_events.all(),
+        &fleet.injected_faults,
         &fleet.crashes,
     ))
 }
--- a/crates/ivypitch-testbed/src/experiments/scale/processes.rs
+++ b/crates/ivypitch-testbed/src/experiments/scale/processes.rs
@@ -6,13 +6,13 @@
 use std::time::{Duration, Instant};
 
 use super::slope::Measure;
-use crate::processes::child::LabProcess;
-use crate::processes::hollow_engines::id_at;
+use crate::processes::simulated_engines::id_for_gateway;
 use crate::processes::simulated_gateways::GATEWAYS_PER_THREAD;
+use crate::processes::testbed_process::TestbedProcess;
 use crate::processes::usage::{Sample, TICK_NS, cpu_ticks_ns};
-use crate::processes::{Engines, Fleet, Setup};
+use crate::processes::{Fleet, FleetConfig, FleetEngines};
 use crate::report::Bound;
-use crate::stand_ins::{Client, statement};
+use crate::test_servers::{Client, statement};
 
 /// Gateway processes of a fleet. The first receives the statements; the second votes, as the
 /// simulated gateways do.
@@ -147,11 +147,11 @@
     }
 
     fn bytes_out(&self) -> f64 {
-        self.rate(|sample| sample.own.bytes_out)
+        self.rate(|sample| sample.traffic.bytes_out)
     }
 
     fn bytes_in(&self) -> f64 {
-        self.rate(|sample| sample.own.bytes_in)
+        self.rate(|sample| sample.traffic.bytes_in)
     }
 
     /// Bytes out as counted by the relays and the engines.
@@ -200,12 +200,12 @@
         }
         thread::sleep(scheduled_at.saturating_duration_since(Instant::now()));
         if client.is_none() {
-            client = Client::reach(address);
+            client = Client::try_connect(address);
         }
-        let text = statement("lookup", id_at(0, number), TIMEOUT_MS);
+        let text = statement("lookup", id_for_gateway(0, number), TIMEOUT_MS);
         if client
             .as_mut()
-            .is_some_and(|client| client.try_ask(&text).is_none())
+            .is_some_and(|client| client.try_execute(&text).is_none())
         {
             client = None;
         }
@@ -232,7 +232,7 @@
         } else {
             "in_service"
         };
-        fleet.tell_state((number / 2) as usize % size.engines, state);
+        fleet.publish_engine_state((number / 2) as usize % size.engines, state);
     }
     0
 }
@@ -241,7 +241,7 @@
 fn wait_until_settled(fleet: &Fleet, durations: Durations) {
     let log_lines = || {
         fleet
-            .seats
+            .gateways
             .iter()
             .map(|seat| seat.log.all().len())
             .sum::<usize>()
@@ -259,21 +259,21 @@
 
 /// Runs one fleet.
 fn measure_fleet(size: Size, durations: Durations, seed: u64) -> Result<FleetMeasurement, String> {
-    let mut fleet = Fleet::start(Setup {
+    let mut fleet = Fleet::start(FleetConfig {
         gateways: REAL_GATEWAYS,
-        hollow: size.peers + 1 - REAL_GATEWAYS,
-        engines: Engines::Hollow {
+        simulated_gateways: size.peers + 1 - REAL_GATEWAYS,
+        engines: FleetEngines::Simulated {
             count: size.engines,
-            spare: 0,
+            unlisted: 0,
         },
         direct_engines: true,
-        longest_ms: durations.max_timeout_ms,
-        peers: Some(format!(
+        max_statement_timeout_ms: durations.max_timeout_ms,
+        peer_settings: Some(format!(
             r#""suspicion_ms":{SUSPICION_MS},"custody":{{"remembered_ms":{}}},"shares":{{"enabled":true}}"#,
             durations.vote_retention_ms
         )),
         seed,
-        ..Setup::default()
+        ..FleetConfig::default()
     })?;
     wait_until_settled(&fleet, durations);
     let sample = |fleet: &mut Fleet| {
@@ -287,7 +287,7 @@
     };
     // The traffic begins before the window and continues after it.
     let until = Instant::now() + durations.window + Duration::from_secs(2);
-    let address = fleet.seats[0].address;
+    let address = fleet.gateways[0].address;
     let clients: Vec<_> = (0..SESSIONS)
         .map(|session| thread::spawn(move || send_statements(address, size, session, until)))
         .collect();
@@ -296,7 +296,10 @@
         size,
         until - durations.window - Duration::from_secs(1),
     );
-    let simulator = fleet.crowd.as_ref().map_or(0, LabProcess::id);
+    let simulator = fleet
+        .simulated_gateways
+        .as_ref()
+        .map_or(0, TestbedProcess::id);
     let begin = sample(&mut fleet)?;
     let (started_at, simulator_cpu_before) = (Instant::now(), cpu_ticks_ns(simulator).unwrap_or(0));
     let changes = send_changes(&fleet, size, started_at + durations.window);
@@ -305,15 +308,19 @@
         .saturating_sub(simulator_cpu_before) as f64
         * 1e-9;
     let seconds = started_at.elapsed().as_secs_f64();
-    let simulator_cpu =
-        simulator_cpu_s / seconds / fleet.setup.hollow.div_ceil(GATEWAYS_PER_THREAD) as f64;
+    let simulator_cpu = simulator_cpu_s
+        / seconds
+        / fleet
+            .config
+            .simulated_gateways
+            .div_ceil(GATEWAYS_PER_THREAD) as f64;
     let end = sample(&mut fleet)?;
     for client in clients {
         client
             .join()
             .map_err(|_| "a client thread panicked".to_owned())?;
     }
-    fleet.finish();
+    fleet.shut_down();
     if let Some(crash) = fleet.crashes.first() {
         return Err(crash.clone());
     }
@@ -370,7 +377,7 @@
             );
             // On an overloaded machine, simulated gateways are reported lost and links break; the
             // cost of that is not the cost at rest.
-            let lost = (used.end.lost - used.begin.lost) as f64;
+            let lost = (used.end.lost_members - used.begin.lost_members) as f64;
             bounds.push(Bound::new(
                 &format!("{scenario}: live members reported lost"),
                 lost,
@@ -398,7 +405,11 @@
                 ),
                 (
                     "memory, status and mappings",
-                    relative_difference(end.resident as f64, end.mapped_resident as f64, 0.0),
+                    relative_difference(
+                        end.resident_bytes as f64,
+                        end.mapped_resident_bytes as f64,
+                        0.0,
+                    ),
                 ),
                 (
                     "bytes out, gateway and counterparts",
@@ -431,7 +442,9 @@
 /// Measured quantities of a gateway: name, unit and value.
 const GATEWAY_QUANTITIES: [(&str, &str, Quantity); 5] = [
     ("processor time", "us/s", ResourceUse::cpu_us),
-    ("memory", "bytes", |used| used.end.usage.resident as f64),
+    ("memory", "bytes", |used| {
+        used.end.usage.resident_bytes as f64
+    }),
     ("descriptors", "", |used| used.end.usage.descriptors as f64),
     ("bytes out", "bytes/s", ResourceUse::bytes_out),
     ("bytes in", "bytes/s", ResourceUse::bytes_in),
--- a/crates/ivypitch-testbed/src/experiments/scale/scheduler.rs
+++ b/crates/ivypitch-testbed/src/experiments/scale/scheduler.rs
@@ -10,7 +10,7 @@
 use ivypitch_types::{EngineIndex, Nanos, Outcome, SECOND, StatementIndex};
 
 use super::slope::Measure;
-use crate::stand_ins::{event, row_at};
+use crate::test_servers::{endpoint_event, row_at};
 use crate::virtual_time::cost;
 
 const MS: Nanos = 1_000_000;
@@ -226,7 +226,7 @@
             1_790_000_000_000 + engine as u64,
         )
     };
-    event(1, is_full, &(0..engines).map(row).collect::<Vec<String>>())
+    endpoint_event(1, is_full, &(0..engines).map(row).collect::<Vec<String>>())
 }
 
 /// Measured numbers of engines.
--- a/crates/ivypitch-testbed/src/experiments/soak/checker.rs
+++ b/crates/ivypitch-testbed/src/experiments/soak/checker.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 
 use super::observations::{Observations, Outcome, Process, ProcessEnd, Request};
-use crate::processes::Said;
+use crate::processes::EngineEvent;
 
 /// A millisecond in microseconds.
 const MS: u64 = 1000;
@@ -137,8 +137,8 @@
     verdict
 }
 
-fn lines_by_id(lines: &[Said]) -> BTreeMap<&str, Vec<&Said>> {
-    let mut by_id: BTreeMap<&str, Vec<&Said>> = BTreeMap::new();
+fn lines_by_id(lines: &[EngineEvent]) -> BTreeMap<&str, Vec<&EngineEvent>> {
+    let mut by_id: BTreeMap<&str, Vec<&EngineEvent>> = BTreeMap::new();
     for line in lines {
         by_id.entry(line.id.as_str()).or_default().push(line);
     }
@@ -146,7 +146,12 @@
 }
 
 /// Each request has one final answer in time, or an allowed loss.
-fn check_answer(run: &Observations, request: &Request, lines: &[&Said], verdict: &mut Verdict) {
+fn check_answer(
+    run: &Observations,
+    request: &Request,
+    lines: &[&EngineEvent],
+    verdict: &mut Verdict,
+) {
     let answer_deadline = request.sent_at + request.timeout + MAX_ANSWER_DELAY + OBSERVATION_SLACK;
     let is_late = request.ended_at > answer_deadline;
     match &request.outcome {
@@ -166,7 +171,11 @@
 }
 
 /// The allowed loss that explains a request without an answer; `None`: there is none.
-fn allowed_loss(run: &Observations, request: &Request, lines: &[&Said]) -> Option<AllowedLoss> {
+fn allowed_loss(
+    run: &Observations,
+    request: &Request,
+    lines: &[&EngineEvent],
+) -> Option<AllowedLoss> {
     let killed = run.processes.iter().find(|process| {
         let was_killed = matches!(
             process.end,
@@ -190,7 +199,7 @@
     }
     let elapsed = request.ended_at.saturating_sub(request.sent_at);
     // A client resends a request that crossed a close, so the request must not have run.
-    let has_run = lines.iter().any(|line| line.what == "start");
+    let has_run = lines.iter().any(|line| line.kind == "start");
     if request.outcome == Outcome::Closed
         && !has_run
         && elapsed <= MAX_CLOSE_CROSSING_TIME + OBSERVATION_SLACK
@@ -206,16 +215,21 @@
 }
 
 /// No attempt begins after the client has gone. With peers, statements outlive their clients.
-fn check_attempts(run: &Observations, request: &Request, lines: &[&Said], verdict: &mut Verdict) {
+fn check_attempts(
+    run: &Observations,
+    request: &Request,
+    lines: &[&EngineEvent],
+    verdict: &mut Verdict,
+) {
     let Some(abandoned_at) = request.abandoned_at.filter(|_| !run.has_peers) else {
         return;
     };
     let latest_start = abandoned_at + MAX_ATTEMPT_DELAY_AFTER_CLIENT + OBSERVATION_SLACK;
     if let Some(start) = lines
         .iter()
-        .find(|line| line.what == "start" && line.at > latest_start)
+        .find(|line| line.kind == "start" && line.at_us > latest_start)
     {
-        let after_ms = (start.at - abandoned_at) / MS;
+        let after_ms = (start.at_us - abandoned_at) / MS;
         verdict.add(
             FindingKind::LateAttempt,
             format!("{after_ms} ms after the client had gone: {request:?}"),
@@ -226,7 +240,7 @@
 /// A bulk load runs at most once, and not at all if its client was told that nothing ran.
 fn check_effects(
     run: &Observations,
-    lines_by_id: &BTreeMap<&str, Vec<&Said>>,
+    lines_by_id: &BTreeMap<&str, Vec<&EngineEvent>>,
     verdict: &mut Verdict,
 ) {
     for request in run.requests.iter().filter(|request| request.is_load) {
@@ -234,7 +248,7 @@
         let Some(lines) = lines_by_id.get(text.as_str()) else {
             continue;
         };
-        let starts = lines.iter().filter(|line| line.what == "start").count();
+        let starts = lines.iter().filter(|line| line.kind == "start").count();
         if starts > 1 {
             verdict.add(
                 FindingKind::EffectTwice,
@@ -254,14 +268,14 @@
 fn check_drains(run: &Observations, verdict: &mut Verdict) {
     for drain in &run.drains {
         let from = drain.announced_at + MAX_START_DELAY_AFTER_DRAIN + OBSERVATION_SLACK;
-        let is_late = |line: &&Said| {
-            line.what == "start"
+        let is_late = |line: &&EngineEvent| {
+            line.kind == "start"
                 && line.engine == drain.engine
-                && line.at > from
-                && line.at < drain.until
+                && line.at_us > from
+                && line.at_us < drain.until
         };
         if let Some(start) = run.engine_lines.iter().find(is_late) {
-            let after_ms = (start.at - drain.announced_at) / MS;
+            let after_ms = (start.at_us - drain.announced_at) / MS;
             verdict.add(
                 FindingKind::StartAtDrainingEngine,
                 format!("{after_ms} ms after the announcement: {start:?} {drain:?}"),
@@ -305,17 +319,17 @@
     else {
         return;
     };
-    let is_own = |line: &&Said| {
-        line.by == process.gateway && line.at >= process.spawned_at && line.at < ended_at
+    let is_own = |line: &&EngineEvent| {
+        line.gateway == process.gateway && line.at_us >= process.spawned_at && line.at_us < ended_at
     };
-    let starts = run.engine_lines.iter().filter(|line| line.what == "start");
+    let starts = run.engine_lines.iter().filter(|line| line.kind == "start");
     for start in starts.filter(is_own) {
         let end = run.engine_lines.iter().find(|line| {
             line.id == start.id
-                && line.at >= start.at
-                && matches!(line.what.as_str(), "end" | "fail" | "drop" | "stop")
+                && line.at_us >= start.at_us
+                && matches!(line.kind.as_str(), "end" | "fail" | "drop" | "stop")
         });
-        let runs_until = end.map_or(u64::MAX, |line| line.at);
+        let runs_until = end.map_or(u64::MAX, |line| line.at_us);
         if runs_until > ended_at + OBSERVATION_SLACK {
             verdict.add(
                 FindingKind::Orphan,
--- a/crates/ivypitch-testbed/src/experiments/soak/clients.rs
+++ b/crates/ivypitch-testbed/src/experiments/soak/clients.rs
@@ -16,9 +16,9 @@
 
 use super::load_balancer::LoadBalancer;
 use super::observations::{Outcome, Request};
-use crate::processes::engine::stamp;
+use crate::processes::engine::timestamp_us;
 use crate::processes::session::{Reply, Session, first_column};
-use crate::stand_ins::query;
+use crate::test_servers::query;
 
 /// A client with less time left does not retry.
 const MIN_TIME_FOR_RETRY: Duration = Duration::from_millis(30);
@@ -285,7 +285,7 @@
             _ => 1,
         };
         let written = session.write_in_pieces(&message, pieces).await;
-        let sent_at = stamp();
+        let sent_at = timestamp_us();
         let result = match (written, behaviour) {
             (Err(_), _) => AnswerResult::without_session(Outcome::Closed),
             (Ok(()), Behaviour::Disconnects(ms)) => disconnect(&mut session, statement, ms).await,
@@ -313,7 +313,7 @@
             sent_at,
             timeout: statement.timeout_ms * 1000,
             outcome: result.outcome,
-            ended_at: stamp(),
+            ended_at: timestamp_us(),
             abandoned_at: result.abandoned_at,
             is_first,
         }
@@ -332,7 +332,7 @@
         while Instant::now() < self.params.until {
             let gateway = self.rng.random_range(0..self.params.addresses.len());
             if self.params.load_balancer.accepts(gateway) {
-                let opened = Session::open(self.params.addresses[gateway]);
+                let opened = Session::connect(self.params.addresses[gateway]);
                 if let Ok(session) = with_timeout(CONNECT_TIMEOUT, opened).await {
                     self.gateway = gateway;
                     self.session = Some(session);
@@ -381,13 +381,13 @@
         let address = self.params.addresses[self.gateway];
         let kill = query(&format!("KILL QUERY {connection}"));
         let send_kill = async {
-            let killer = Session::open(address).await?;
+            let killer = Session::connect(address).await?;
             killer.write(&kill).await?;
             Ok(killer)
         };
         let killer = with_timeout(CONNECT_TIMEOUT, send_kill).await;
         SentKill {
-            at: stamp(),
+            at: timestamp_us(),
             is_sent: killer.is_ok(),
         }
     }
@@ -412,13 +412,13 @@
         }
         let address = self.params.addresses[gateway];
         let text = statement.text();
-        let opened = with_timeout(CONNECT_TIMEOUT, Session::open_with(address, &text)).await;
+        let opened = with_timeout(CONNECT_TIMEOUT, Session::connect_and_send(address, &text)).await;
         let mut session = opened.ok()?;
         self.gateway = gateway;
-        let sent_at = stamp();
+        let sent_at = timestamp_us();
         let kill = self.kill(session.connection).await;
         let answer = async {
-            match session.logged_in().await {
+            match session.read_login_answer().await {
                 Ok(()) => wait_for_answer(&mut session, statement).await,
                 Err(_) => AnswerResult::without_session(Outcome::Closed),
             }
@@ -472,7 +472,7 @@
         return result;
     }
     session.close();
-    AnswerResult::abandoned_at(stamp())
+    AnswerResult::abandoned_at(timestamp_us())
 }
 
 async fn wait_for_answer(session: &mut Session, statement: &NewStatement) -> AnswerResult {
@@ -481,7 +481,7 @@
         Timer::after(wait).await;
         None
     };
-    let answer = async { Some(session.answer().await) };
+    let answer = async { Some(session.read_answer().await) };
     match answer.or(timed_out).await {
         None => AnswerResult::without_session(Outcome::NoAnswer),
         Some(Err(_)) => AnswerResult::without_session(Outcome::Closed),
--- a/crates/ivypitch-testbed/src/experiments/soak/load_balancer.rs
+++ b/crates/ivypitch-testbed/src/experiments/soak/load_balancer.rs
@@ -3,7 +3,7 @@
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use crate::processes::engine::stamp;
+use crate::processes::engine::timestamp_us;
 
 /// Models the load balancer in front of the gateways.
 pub struct LoadBalancer {
@@ -32,6 +32,6 @@
 
     /// The gateway gets new connections now.
     pub fn accepts(&self, gateway: usize) -> bool {
-        stamp() < self.accepts_until[gateway].load(Ordering::Relaxed)
+        timestamp_us() < self.accepts_until[gateway].load(Ordering::Relaxed)
     }
 }
--- a/crates/ivypitch-testbed/src/experiments/soak/mod.rs
+++ b/crates/ivypitch-testbed/src/experiments/soak/mod.rs
@@ -19,7 +19,7 @@
 use self::observations::{Limits, Observations};
 use self::operator::{Operator, OperatorRecord};
 use self::plan::{SoakPlan, SoakSize};
-use crate::processes::{Engines, Fleet, Setup};
+use crate::processes::{Fleet, FleetConfig, FleetEngines};
 use crate::report::{Bound, Report};
 
 const GATEWAYS: usize = 3;
@@ -84,7 +84,7 @@
     let from = Instant::now();
     let load_balancer = Arc::new(LoadBalancer::new(GATEWAYS));
     let params = ClientParams {
-        addresses: fleet.seats.iter().map(|seat| seat.address).collect(),
+        addresses: fleet.gateways.iter().map(|seat| seat.address).collect(),
         load_balancer: load_balancer.clone(),
         clients: CLIENTS,
         until: from + Duration::from_millis(plan.span),
@@ -111,14 +111,14 @@
         requests,
         processes: record.processes.clone(),
         drains: record.drains.clone(),
-        engine_lines: fleet.said.all(),
+        engine_lines: fleet.engine_events.all(),
     };
     let mut verdict = check(&observations);
     add_panics(&fleet, &mut verdict);
     Ok(summary(verdict, &record))
 }
 
-fn setup(plan: &SoakPlan, seed: u64) -> Setup {
+fn setup(plan: &SoakPlan, seed: u64) -> FleetConfig {
     let peers = format!(
         r#""period_ms":200,"suspicion_ms":700,"custody":{{"remembered_ms":{VOTE_RETENTION_MS},"asks_from_ms":0}}"#
     );
@@ -127,17 +127,17 @@
     } else {
         |config| config
     };
-    Setup {
+    FleetConfig {
         gateways: GATEWAYS,
-        engines: Engines::Processes {
+        engines: FleetEngines::Processes {
             count: ENGINES,
             cores: ENGINE_CORES,
         },
-        longest_ms: MAX_TIMEOUT_MS,
-        peers: plan.has_peers.then_some(peers),
+        max_statement_timeout_ms: MAX_TIMEOUT_MS,
+        peer_settings: plan.has_peers.then_some(peers),
         seed,
-        settings,
-        ..Setup::default()
+        change_config: settings,
+        ..FleetConfig::default()
     }
 }
 
@@ -151,7 +151,7 @@
 
 /// Adds the panics in the logs of the gateways as findings.
 fn add_panics(fleet: &Fleet, verdict: &mut Verdict) {
-    for (gateway, seat) in fleet.seats.iter().enumerate() {
+    for (gateway, seat) in fleet.gateways.iter().enumerate() {
         for line in seat.log.all() {
             if line.contains("panicked") {
                 let lines = verdict.findings.entry(FindingKind::ExitCode).or_default();
--- a/crates/ivypitch-testbed/src/experiments/soak/observations.rs
+++ b/crates/ivypitch-testbed/src/experiments/soak/observations.rs
@@ -1,7 +1,7 @@
 //! Records of a soak run: requests as seen by clients, processes, drains, and log lines of engines.
 //! All times are microseconds of the system clock.
 
-use crate::processes::Said;
+use crate::processes::EngineEvent;
 
 /// Outcome of a request as seen by its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -100,5 +100,5 @@
     pub requests: Vec<Request>,
     pub processes: Vec<Process>,
     pub drains: Vec<Drain>,
-    pub engine_lines: Vec<Said>,
+    pub engine_lines: Vec<EngineEvent>,
 }
--- a/crates/ivypitch-testbed/tests/relay.rs
+++ b/crates/ivypitch-testbed/tests/relay.rs
@@ -5,18 +5,18 @@
 use std::net::{TcpListener, TcpStream};
 use std::thread;
 
-use ivypitch_testbed::processes::relay::{End, Net};
-use ivypitch_testbed::stand_ins::{PATIENCE, Seen};
+use ivypitch_testbed::processes::relay::{LinkEnd, RelayNetwork};
+use ivypitch_testbed::test_servers::{EventLog, WAIT_TIMEOUT};
 use test_case::test_case;
 
-const FROM: End = End::Gateway(0);
-const TO: End = End::Engine(0);
+const FROM: LinkEnd = LinkEnd::Gateway(0);
+const TO: LinkEnd = LinkEnd::Engine(0);
 const ROUNDS: usize = 20;
 
 /// Starts a server that reads one connection after the other to its end.
-fn start_server() -> (std::net::SocketAddr, Seen<String>) {
+fn start_server() -> (std::net::SocketAddr, EventLog<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (address, received) = (listener.local_addr().unwrap(), Seen::new());
+    let (address, received) = (listener.local_addr().unwrap(), EventLog::new());
     let all_received = received.clone();
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
@@ -30,7 +30,7 @@
 
 fn connect_and_write(address: std::net::SocketAddr, text: &str) -> TcpStream {
     let mut stream = TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     stream.write_all(text.as_bytes()).unwrap();
     stream
 }
@@ -41,26 +41,26 @@
 #[test_case(true; "a connection not yet accepted")]
 fn a_reset_discards_waiting_bytes_even_if_the_link_reopens_at_once(is_blocked: bool) {
     let (target, received) = start_server();
-    let net = Net::start(1);
+    let net = RelayNetwork::start(1);
     let relay = net.open(FROM, TO, target, false).unwrap();
     for round in 1..=ROUNDS {
         let text = format!("lost {round}.");
-        net.silence(FROM, TO);
+        net.block(FROM, TO);
         let mut lost = if is_blocked {
             let mut stream = None;
             net.change(FROM, TO, |_| stream = Some(connect_and_write(relay, &text)));
             stream.unwrap()
         } else {
             let lost = connect_and_write(relay, &text);
-            net.wait_stuck(FROM, TO, &text);
+            net.wait_for_blocked_data(FROM, TO, &text);
             lost
         };
         net.reset(FROM, TO);
-        net.hear(FROM, TO);
+        net.unblock(FROM, TO);
         assert!(!matches!(lost.read(&mut [0]), Ok(1)));
         // A link opened after the reset is intact.
         drop(connect_and_write(relay, "whole"));
-        received.wait_for("intact link", round, |message| message == "whole");
+        received.wait_for_nth("intact link", round, |message| message == "whole");
     }
     let arrived = received
         .all()
