--- a/crates/ivypitch-gateway/src/actors/engine_client.rs
+++ b/crates/ivypitch-gateway/src/actors/engine_client.rs
@@ -115,7 +115,7 @@
             return false;
         };
         let is_unknown =
-            response.status == status::FAILED && !response.never_ran && !response.closes;
+            response.status == status::FAILED && !response.never_ran && !response.closes_connection;
         is_unknown && idle.is_clean()
     }
 
@@ -241,7 +241,7 @@
             }
         };
         match connection.unread_input() {
-            UnreadInput::Nothing if !response.closes => {
+            UnreadInput::Nothing if !response.closes_connection => {
                 if connection.had_informational_response() {
                     self.on_unexpected_input();
                 } else {
--- a/crates/ivypitch-gateway/tests/wire/damaged_input.rs
+++ b/crates/ivypitch-gateway/tests/wire/damaged_input.rs
@@ -42,7 +42,7 @@
         let mut input = BytesMut::from(&bytes[..]);
         while let Ok(Some(packet)) = mysql::next_packet(&mut input, 100) {
             assert!(packet.payload.len() <= 100);
-            let _ = gateway_statements::kill_query(&packet.payload);
+            let _ = gateway_statements::parse_kill_query(&packet.payload);
             parsed += usize::from(mysql::parse_command(packet.payload).is_ok());
         }
         if let Ok(fields) = fields::parse(&Bytes::from(bytes.clone())) {
--- a/crates/ivypitch-testbed/src/experiments/custody.rs
+++ b/crates/ivypitch-testbed/src/experiments/custody.rs
@@ -41,18 +41,18 @@
             fleet.gateways, fleet.engines, fleet.fault_gap_ms
         );
         let simulate = |seed: u64| {
-            ownership_fleet::play(
+            ownership_fleet::run(
                 fleet,
-                &ownership_fleet::draw(fleet, seed, losses_only),
+                &ownership_fleet::draw_faults(fleet, seed, losses_only),
                 seed,
             )
         };
         let verdicts = run_seeds_in_parallel(plans, seed, simulate);
         if let Some(first) = verdicts.iter().position(|verdict| !verdict.holds()) {
             let seed = seed + first as u64;
-            let plan = ownership_fleet::draw(fleet, seed, losses_only);
+            let plan = ownership_fleet::draw_faults(fleet, seed, losses_only);
             let minimal =
-                plan.cut_down(40, |plan| !ownership_fleet::play(fleet, plan, seed).holds());
+                plan.minimize(40, |plan| !ownership_fleet::run(fleet, plan, seed).holds());
             println!("seed {seed} violates a guarantee; minimal plan that does:\n{minimal}");
         }
         let sum =
--- a/crates/ivypitch-testbed/src/experiments/custody_cost.rs
+++ b/crates/ivypitch-testbed/src/experiments/custody_cost.rs
@@ -12,7 +12,7 @@
 use crate::processes::clients::{self, ClientConfig, PlannedStatement, StatementHistory};
 use crate::processes::{Fleet, FleetConfig, FleetEngines};
 use crate::report::{Bound, Report};
-use crate::virtual_time::faults::Plan;
+use crate::virtual_time::faults::FaultPlan;
 use crate::virtual_time::ownership_fleet;
 
 /// Statement timeout.
@@ -229,7 +229,7 @@
             counts_bytes: true,
             ..ownership_fleet::Fleet::default()
         };
-        let verdict = ownership_fleet::play(&fleet, &Plan::default(), seed);
+        let verdict = ownership_fleet::run(&fleet, &FaultPlan::default(), seed);
         let scenario = format!("virtual time, {gateways} gateways, no faults");
         let statements = verdict.statements.max(1) as f64;
         let mut add_bound = |name: &str, value: f64, min: f64, max: f64| {
--- a/crates/ivypitch-testbed/src/experiments/fleet_cut.rs
+++ b/crates/ivypitch-testbed/src/experiments/fleet_cut.rs
@@ -13,7 +13,7 @@
 use crate::processes::verdict::{Verdict, judge};
 use crate::processes::{EngineEvent, Fleet, FleetConfig, FleetEngines};
 use crate::report::{Bound, Report};
-use crate::virtual_time::faults::{Field, Plan, What};
+use crate::virtual_time::faults::{FaultKind, FaultPlan, FaultPlanParams};
 
 const GATEWAYS: usize = 12;
 const ENGINES: usize = 6;
@@ -59,7 +59,7 @@
 }
 
 fn run_fleet(
-    plan: &Plan,
+    plan: &FaultPlan,
     span_ms: u64,
     is_skewed: bool,
     is_coordinated: bool,
@@ -115,10 +115,14 @@
 fn last_start_after_drain_ms(fleet: &Fleet, said: &[EngineEvent]) -> f64 {
     let mut latest = 0;
     for done in &fleet.injected_faults {
-        let What::EngineDrains { engine, span } = done.fault.what else {
+        let FaultKind::DrainEngine {
+            engine,
+            duration_ms,
+        } = done.fault.kind
+        else {
             continue;
         };
-        let until = done.at_us + span * 1000;
+        let until = done.at_us + duration_ms * 1000;
         let starts = said
             .iter()
             .filter(|line| line.engine == engine && line.kind == "start");
@@ -138,19 +142,19 @@
         "{GATEWAYS} gateways, {ENGINES} engine processes, {} s, {seeds} seeds",
         span_ms / 1000
     );
-    let field = Field {
+    let field = FaultPlanParams {
         gateways: GATEWAYS,
         zones: 3,
         engines: ENGINES,
-        span: span_ms,
-        gap: 1500,
-        losses_only: false,
+        duration_ms: span_ms,
+        mean_gap_ms: 1500,
+        has_only_losses: false,
     };
     let (mut min_gain, mut gain_sum, mut last_start_after_drain_ms, mut violations, mut crashes) =
         (f64::MAX, 0.0, 0.0f64, 0, 0);
     let mut drains = 0;
     for seed in seed..seed + seeds {
-        let plan = Plan::draw(field, seed);
+        let plan = FaultPlan::draw(field, seed);
         let runs = thread::scope(|scope| {
             let with = scope.spawn(|| run_fleet(&plan, span_ms, true, true, seed));
             let without = scope.spawn(|| run_fleet(&plan, span_ms, true, false, seed));
@@ -181,7 +185,7 @@
         drains += plan
             .faults
             .iter()
-            .filter(|fault| matches!(fault.what, What::EngineDrains { .. }))
+            .filter(|fault| matches!(fault.kind, FaultKind::DrainEngine { .. }))
             .count();
         min_gain = min_gain.min(service_with - service_without);
         gain_sum += service_with - service_without;
--- a/crates/ivypitch-testbed/src/experiments/gateway_loss.rs
+++ b/crates/ivypitch-testbed/src/experiments/gateway_loss.rs
@@ -13,7 +13,7 @@
 use crate::processes::verdict::{Verdict, judge};
 use crate::processes::{Fleet, FleetConfig, FleetEngines};
 use crate::report::{Bound, Report};
-use crate::virtual_time::faults::{Fault, Field, Plan, What};
+use crate::virtual_time::faults::{Fault, FaultKind, FaultPlan, FaultPlanParams};
 
 const GATEWAYS: usize = 8;
 const ENGINES: usize = 6;
@@ -73,7 +73,7 @@
 /// Runs a fleet of processes under a plan.
 pub fn run_fleet(
     setup: FleetConfig,
-    plan: &Plan,
+    plan: &FaultPlan,
     span_ms: u64,
     seed: u64,
 ) -> Result<Verdict, String> {
@@ -112,25 +112,28 @@
 pub fn run(quick: bool, seed: u64) -> Report {
     let mut report = Report::new("gateway-loss", seed);
     let span_ms = if quick { 12_000 } else { 60_000 };
-    let field = Field {
+    let field = FaultPlanParams {
         gateways: GATEWAYS,
         zones: 3,
         engines: ENGINES,
-        span: span_ms,
-        gap: LOSS_INTERVAL_MS,
-        losses_only: true,
+        duration_ms: span_ms,
+        mean_gap_ms: LOSS_INTERVAL_MS,
+        has_only_losses: true,
     };
-    let plan = Plan::draw(field, seed);
-    let no_faults = Plan::default();
+    let plan = FaultPlan::draw(field, seed);
+    let no_faults = FaultPlan::default();
     // Restarts one gateway after the other, as a release does.
     let restart_interval_ms = span_ms / (GATEWAYS as u64 + 2);
     let restarts = (0..GATEWAYS)
         .map(|gateway| Fault {
-            at: 500 + restart_interval_ms * gateway as u64,
-            what: What::End { gateway, back: 400 },
+            at_ms: 500 + restart_interval_ms * gateway as u64,
+            kind: FaultKind::ShutDown {
+                gateway,
+                restart_after_ms: 400,
+            },
         })
         .collect();
-    let rolling_restart = Plan { faults: restarts };
+    let rolling_restart = FaultPlan { faults: restarts };
     let runs = thread::scope(|scope| {
         let with_losses = scope.spawn(|| run_fleet(setup(seed, true), &plan, span_ms, seed));
         let without_losses =
--- a/crates/ivypitch-testbed/src/experiments/members.rs
+++ b/crates/ivypitch-testbed/src/experiments/members.rs
@@ -27,7 +27,7 @@
             partition_ms: None,
             config: ivypitch_membership::MembershipConfig::default(),
         };
-        let verdict = membership_fleet::play(hour, seed);
+        let verdict = membership_fleet::run(hour, seed);
         let name = "virtual time, 300 members, 5% of datagrams dropped, one hour: live members reported lost";
         report.bounds.push(Bound::new(
             name,
@@ -62,9 +62,9 @@
             ..without_losses
         };
         let (without_losses, with_losses, partitioned) = std::thread::scope(|scope| {
-            let without_losses = scope.spawn(|| membership_fleet::play(without_losses, seed));
-            let partitioned = scope.spawn(|| membership_fleet::play(partitioned, seed));
-            let with_losses = membership_fleet::play(with_losses, seed);
+            let without_losses = scope.spawn(|| membership_fleet::run(without_losses, seed));
+            let partitioned = scope.spawn(|| membership_fleet::run(partitioned, seed));
+            let with_losses = membership_fleet::run(with_losses, seed);
             (
                 without_losses.join().unwrap_or_default(),
                 with_losses,
--- a/crates/ivypitch-testbed/src/experiments/scale/changes.rs
+++ b/crates/ivypitch-testbed/src/experiments/scale/changes.rs
@@ -7,7 +7,7 @@
 use super::scheduler::endpoint_event_line;
 use super::slope::Measure;
 use crate::report::{Bound, Report};
-use crate::virtual_time::discovery_fleet::{Fleet, Outage, Verdict, play};
+use crate::virtual_time::discovery_fleet::{Fleet, Outage, Verdict, run};
 
 /// Budget for the time until all gateways have applied a change.
 pub const MAX_PROPAGATION_MS: f64 = 6000.0;
@@ -52,7 +52,7 @@
         (Vec::new(), Vec::new(), Vec::new());
     for &gateways in &GATEWAYS {
         let fleet = fault_free_fleet(gateways, quick);
-        let verdict = play(fleet, seed);
+        let verdict = run(fleet, seed);
         latency_ms.push((gateways as f64, f64::from(verdict.latency_ms(1.0))));
         bytes_per_change.push((
             gateways as f64,
@@ -107,7 +107,7 @@
         add_bounds(
             report,
             &format!("{target} gateways, {name}"),
-            &play(fleet, seed),
+            &run(fleet, seed),
         );
     }
     let measure = |name, unit, points| Measure {
--- a/crates/ivypitch-testbed/src/experiments/scale/scheduler.rs
+++ b/crates/ivypitch-testbed/src/experiments/scale/scheduler.rs
@@ -11,7 +11,7 @@
 
 use super::slope::Measure;
 use crate::test_servers::{endpoint_event, row_at};
-use crate::virtual_time::cost;
+use crate::virtual_time::resource_usage;
 
 const MS: Nanos = 1_000_000;
 /// Statements in flight at a time.
@@ -245,7 +245,7 @@
                 .map(|_| LoadedScheduler::new(size, seed))
                 .collect::<Vec<_>>()
         };
-        let (bytes, schedulers) = cost::memory(create);
+        let (bytes, schedulers) = resource_usage::measure_memory(create);
         retained.push(schedulers);
         costs[5].push((size as f64, bytes / copies as f64));
     }
@@ -257,23 +257,23 @@
         (0..(4 * calls).max(4 * MAX_IN_FLIGHT)).for_each(|_| loaded.run_statement());
         costs[0].push((
             x,
-            cost::middle_us(BATCHES, calls, || loaded.run_statement()),
+            resource_usage::median_call_us(BATCHES, calls, || loaded.run_statement()),
         ));
         costs[1].push((
             x,
-            cost::middle_us(BATCHES, calls, || loaded.apply_change(size)),
+            resource_usage::median_call_us(BATCHES, calls, || loaded.apply_change(size)),
         ));
         let endpoints = endpoints(size);
         let batches = if size > 10_000 { 1 } else { 3 };
         costs[2].push((
             x,
-            cost::middle_us(batches, 1, || loaded.apply_full_list(&endpoints)),
+            resource_usage::median_call_us(batches, 1, || loaded.apply_full_list(&endpoints)),
         ));
         let line = endpoint_event_line(size, true);
         costs[3].push((x, line.len() as f64));
         costs[4].push((
             x,
-            cost::middle_us(3, 1, || drop(discovery::parse_line(line.as_bytes()))),
+            resource_usage::median_call_us(3, 1, || drop(discovery::parse_line(line.as_bytes()))),
         ));
     }
     let names = [
--- a/crates/ivypitch-testbed/src/experiments/shares.rs
+++ b/crates/ivypitch-testbed/src/experiments/shares.rs
@@ -4,7 +4,7 @@
 use super::run_seeds_in_parallel;
 use crate::report::{Bound, Report};
 use crate::virtual_time::coordination_fleet;
-use crate::virtual_time::faults::Plan;
+use crate::virtual_time::faults::FaultPlan;
 
 /// Runs fault plans over coordinated fleets, then failing engines with and without coordination and
 /// with gateways that report wrong observations.
@@ -24,14 +24,14 @@
     let (plans, large_plans) = if quick { (60, 2) } else { (5000, 5000) };
     for (fleet, plans) in [(&small, plans), (&base, plans), (&large, large_plans)] {
         let simulate = |seed: u64| {
-            coordination_fleet::play(fleet, &coordination_fleet::draw(fleet, seed), seed)
+            coordination_fleet::run(fleet, &coordination_fleet::draw_faults(fleet, seed), seed)
         };
         let verdicts = run_seeds_in_parallel(plans, seed, simulate);
         if let Some(first) = verdicts.iter().position(|verdict| !verdict.holds()) {
             let seed = seed + first as u64;
-            let plan = coordination_fleet::draw(fleet, seed);
-            let minimal = plan.cut_down(30, |plan| {
-                !coordination_fleet::play(fleet, plan, seed).holds()
+            let plan = coordination_fleet::draw_faults(fleet, seed);
+            let minimal = plan.minimize(30, |plan| {
+                !coordination_fleet::run(fleet, plan, seed).holds()
             });
             println!("seed {seed} exceeds a quota; minimal plan that does:\n{minimal}");
         }
@@ -114,10 +114,10 @@
             failing_engines: 1,
             ..with.clone()
         };
-        let no_faults = Plan::default();
+        let no_faults = FaultPlan::default();
         let [with, without, faulty] = [&with, &without, &faulty].map(|fleet| {
             run_seeds_in_parallel(plans, seed, |seed| {
-                coordination_fleet::play(fleet, &no_faults, seed)
+                coordination_fleet::run(fleet, &no_faults, seed)
             })
         });
         let scenario =
--- a/crates/ivypitch-testbed/src/experiments/team_flood.rs
+++ b/crates/ivypitch-testbed/src/experiments/team_flood.rs
@@ -8,9 +8,9 @@
 use crate::figures::Figures;
 use crate::processes::loopback_run;
 use crate::report::{Bound, Report};
-use crate::virtual_time::engine::Model;
-use crate::virtual_time::fleet::{Fleet, Plan as FleetPlan};
-use crate::virtual_time::traffic::{self, Flood, Team, Work};
+use crate::virtual_time::engine::EngineConfig;
+use crate::virtual_time::scheduler_fleet::{Fleet, FleetConfig};
+use crate::virtual_time::traffic::{self, Flood, Team, WorkloadParams};
 
 /// Teams with their shares of the cores.
 pub const TEAMS: [(&str, f64); 3] = [("retail", 0.5), ("merchant", 0.35), ("agents", 0.15)];
@@ -21,23 +21,23 @@
 /// Factor by which a flood multiplies the demand of its team.
 const FLOOD_FACTOR: f64 = 10.0;
 
-fn budgets(works: &[Work], shares: &[f64]) -> Budgets {
+fn budgets(works: &[WorkloadParams], shares: &[f64]) -> Budgets {
     let min_priority_weight = works
         .iter()
         .map(|work| work.priority_weight)
         .fold(f64::INFINITY, f64::min);
-    let queue_params = |work: &Work| WorkloadQueueParams {
+    let queue_params = |work: &WorkloadParams| WorkloadQueueParams {
         priority_weight: work.priority_weight,
-        latency_objective: work.slo,
+        latency_objective: work.latency_objective,
         threads: work.threads,
-        is_bulk_load: work.effect == ivypitch_scheduler::Idempotency::NonIdempotent,
-        usual_work: work.slo / 3,
+        is_bulk_load: work.idempotency == ivypitch_scheduler::Idempotency::NonIdempotent,
+        usual_work: work.latency_objective / 3,
         slack: WorkloadQueueParams::default_slack(
-            work.slo,
+            work.latency_objective,
             work.priority_weight,
             min_priority_weight,
         ),
-        max_wait: (work.slo as f64 * 0.4) as u64,
+        max_wait: (work.latency_objective as f64 * 0.4) as u64,
     };
     Budgets {
         workloads: works.iter().map(queue_params).collect(),
@@ -61,13 +61,13 @@
 pub fn teams(cores: f64, flood: Flood) -> Vec<Team> {
     let team = |(index, (name, share)): (usize, &(&str, f64))| Team {
         name: (*name).to_owned(),
-        demand: cores * BASE_LOAD * share,
+        demand_cores: cores * BASE_LOAD * share,
         flood: if index == FLOODING_TEAM {
             flood
         } else {
             Flood::None
         },
-        tells: 1.0,
+        estimate_factor: 1.0,
     };
     TEAMS.iter().enumerate().map(team).collect()
 }
@@ -84,31 +84,31 @@
 fn flood_in_virtual_time(report: &mut Report, quick: bool, seed: u64) {
     let (gateways, engines, seconds) = if quick { (30, 12, 20) } else { (300, 60, 30) };
     let works = traffic::workloads(1.0);
-    let model = Model {
+    let model = EngineConfig {
         cores: 16.0,
-        ..Model::default()
+        ..EngineConfig::default()
     };
     let cores = engines as f64 * model.cores;
     let span = seconds * SECOND;
     let flood = Flood::Step {
-        times: FLOOD_FACTOR,
+        rate_factor: FLOOD_FACTOR,
         from: 5 * SECOND,
         until: span,
     };
     let shares: Vec<f64> = TEAMS.iter().map(|team| team.1).collect();
     let simulate = |flood: Flood, has_queues: bool| {
         let teams = teams(cores, flood);
-        let statements = traffic::statements(&works, &teams, span, seed);
-        let fleet = Fleet::new(FleetPlan {
+        let statements = traffic::draw_statements(&works, &teams, span, seed);
+        let fleet = Fleet::new(FleetConfig {
             gateways,
             engines,
-            model: model.clone(),
-            works: &works,
+            engine_config: model.clone(),
+            workloads: &works,
             teams: teams.iter().map(|team| team.name.clone()).collect(),
             statements: &statements,
             budgets: has_queues.then(|| budgets(&works, &shares)),
             seed,
-            allowances: shares.iter().map(|share| share * cores).collect(),
+            tenant_quotas: shares.iter().map(|share| share * cores).collect(),
         });
         fleet.run()
     };
@@ -137,7 +137,7 @@
         (
             "ramp",
             Flood::Ramp {
-                times: FLOOD_FACTOR,
+                rate_factor: FLOOD_FACTOR,
                 from: 5 * SECOND,
                 until: span,
             },
@@ -145,7 +145,7 @@
         (
             "pulses",
             Flood::Pulses {
-                times: FLOOD_FACTOR,
+                rate_factor: FLOOD_FACTOR,
                 from: 5 * SECOND,
                 until: span,
             },
@@ -176,31 +176,31 @@
     const TEAM_COUNT: usize = 1000;
     let (gateways, engines, span) = (4, 4, 10 * SECOND);
     let works = traffic::workloads(0.1);
-    let model = Model {
+    let model = EngineConfig {
         cores: 16.0,
-        ..Model::default()
+        ..EngineConfig::default()
     };
     let cores = engines as f64 * model.cores;
     let completed_core_s = |team_count: usize| {
         let all: Vec<Team> = (0..team_count)
             .map(|team| Team {
                 name: format!("team-{team}"),
-                demand: if team == 0 { 2.0 * cores } else { 0.0001 },
+                demand_cores: if team == 0 { 2.0 * cores } else { 0.0001 },
                 flood: Flood::None,
-                tells: 1.0,
+                estimate_factor: 1.0,
             })
             .collect();
-        let statements = traffic::statements(&works, &all, span, seed);
-        let fleet = Fleet::new(FleetPlan {
+        let statements = traffic::draw_statements(&works, &all, span, seed);
+        let fleet = Fleet::new(FleetConfig {
             gateways,
             engines,
-            model: model.clone(),
-            works: &works,
+            engine_config: model.clone(),
+            workloads: &works,
             teams: all.iter().map(|team| team.name.clone()).collect(),
             statements: &statements,
             budgets: Some(budgets(&works, &vec![1.0; team_count])),
             seed,
-            allowances: vec![cores; team_count],
+            tenant_quotas: vec![cores; team_count],
         });
         fleet.run().teams[0].completed_core_s
     };
@@ -299,14 +299,14 @@
 fn flood_over_sockets(report: &mut Report, quick: bool, seed: u64) {
     let (engines, seconds) = if quick { (4, 14) } else { (4, 40) };
     let works = traffic::workloads(0.1);
-    let model = Model {
+    let model = EngineConfig {
         cores: 8.0,
-        ..Model::default()
+        ..EngineConfig::default()
     };
     let cores = engines as f64 * model.cores;
     let span = seconds * SECOND;
     let step = Flood::Step {
-        times: 10.0,
+        rate_factor: 10.0,
         from: 3 * SECOND,
         until: span,
     };
@@ -318,7 +318,7 @@
             model: model.clone(),
             workloads: works.clone(),
             teams: all.iter().map(|team| team.name.clone()).collect(),
-            statements: traffic::statements(&works, &all, span, seed),
+            statements: traffic::draw_statements(&works, &all, span, seed),
             own_settings: has_queues.then(|| loopback_run::team_settings(&shares)),
             quota_cores: shares.iter().map(|(_, share)| share * cores).collect(),
             new_connections,
--- a/crates/ivypitch-testbed/tests/ownership.rs
+++ b/crates/ivypitch-testbed/tests/ownership.rs
@@ -1,8 +1,8 @@
 //! Ownership of statements in virtual time under fault plans. A plan that violates a guarantee is
 //! reduced and printed.
 
-use ivypitch_testbed::virtual_time::faults::Plan;
-use ivypitch_testbed::virtual_time::ownership_fleet::{Fleet, draw, play};
+use ivypitch_testbed::virtual_time::faults::FaultPlan;
+use ivypitch_testbed::virtual_time::ownership_fleet::{Fleet, draw_faults, run};
 use test_case::test_case;
 
 #[test_case(false; "all faults")]
@@ -15,10 +15,10 @@
     let mut in_flight = 0;
     let mut completed = 0;
     for seed in 0..12 {
-        let plan = draw(&fleet, seed, losses_only);
-        let verdict = play(&fleet, &plan, seed);
+        let plan = draw_faults(&fleet, seed, losses_only);
+        let verdict = run(&fleet, &plan, seed);
         if !verdict.holds() {
-            let minimal = plan.cut_down(30, |plan| !play(&fleet, plan, seed).holds());
+            let minimal = plan.minimize(30, |plan| !run(&fleet, plan, seed).holds());
             panic!("seed {seed}: {verdict:?}\nminimal plan that fails:\n{minimal}");
         }
         in_flight += verdict.in_flight_at_loss;
@@ -38,7 +38,8 @@
         ..Fleet::default()
     };
     assert!(
-        (0..20).any(|seed| play(&fleet, &draw(&fleet, seed, false), seed).dispatched_twice > 0)
+        (0..20)
+            .any(|seed| run(&fleet, &draw_faults(&fleet, seed, false), seed).dispatched_twice > 0)
     );
 }
 
@@ -49,7 +50,7 @@
         duration_ms: 6000,
         ..Fleet::default()
     };
-    let verdicts = (0..12).map(|seed| play(&fleet, &draw(&fleet, seed, true), seed));
+    let verdicts = (0..12).map(|seed| run(&fleet, &draw_faults(&fleet, seed, true), seed));
     let (twice, completed) = verdicts.fold((0, 0), |(twice, completed), verdict| {
         (
             twice + verdict.dispatched_twice,
@@ -65,13 +66,13 @@
 
 #[test]
 fn a_printed_plan_parses_back_and_bad_lines_are_reported() {
-    let plan = draw(&Fleet::default(), 5, false);
-    assert_eq!(plan.to_string().parse::<Plan>().unwrap(), plan);
-    let error = "at=5 kill gateway=1".parse::<Plan>().unwrap_err();
+    let plan = draw_faults(&Fleet::default(), 5, false);
+    assert_eq!(plan.to_string().parse::<FaultPlan>().unwrap(), plan);
+    let error = "at=5 kill gateway=1".parse::<FaultPlan>().unwrap_err();
     assert!(error.contains("back=NUMBER is missing"), "{error}");
     assert!(
         "at=5 explode"
-            .parse::<Plan>()
+            .parse::<FaultPlan>()
             .unwrap_err()
             .contains("no fault is called")
     );
--- a/crates/ivypitch-testbed/tests/scale.rs
+++ b/crates/ivypitch-testbed/tests/scale.rs
@@ -8,7 +8,7 @@
 use ivypitch_testbed::experiments::scale::scheduler::endpoint_event_line;
 use ivypitch_testbed::experiments::scale::slope::{Slope, budget_exceeded_at, cost_at};
 use ivypitch_testbed::virtual_time::discovery_fleet::{self, Outage, Verdict};
-use ivypitch_testbed::virtual_time::faults::Plan;
+use ivypitch_testbed::virtual_time::faults::FaultPlan;
 use ivypitch_testbed::virtual_time::membership_fleet::TransitTime;
 use ivypitch_testbed::virtual_time::{membership_fleet, ownership_fleet};
 use ivypitch_types::{MemberId, SECOND};
@@ -54,7 +54,7 @@
         partition_ms: None,
         config: ivypitch_membership::MembershipConfig::default(),
     };
-    membership_fleet::play(fleet, seed)
+    membership_fleet::run(fleet, seed)
 }
 
 #[test]
@@ -85,7 +85,7 @@
             counts_bytes: true,
             ..ownership_fleet::Fleet::default()
         };
-        let verdict = ownership_fleet::play(&fleet, &Plan::default(), 1);
+        let verdict = ownership_fleet::run(&fleet, &FaultPlan::default(), 1);
         let statements = verdict.statements as f64;
         (
             verdict.messages as f64 / statements,
@@ -195,8 +195,8 @@
 fn every_reachable_gateway_applies_a_change_within_six_seconds() {
     for seed in 0..4 {
         let base = discovery_fleet(150);
-        assert_changes_applied_in_time("no faults", seed, &discovery_fleet::play(base, seed));
-        let restarts = discovery_fleet::play(
+        assert_changes_applied_in_time("no faults", seed, &discovery_fleet::run(base, seed));
+        let restarts = discovery_fleet::run(
             discovery_fleet::Fleet {
                 restarts_per_second: 2.0,
                 ..base
@@ -208,8 +208,8 @@
             "seed {seed}: too few restarts were simulated"
         );
         assert_changes_applied_in_time("restarts", seed, &restarts);
-        let without_faults = discovery_fleet::play(base, seed);
-        let partitioned = discovery_fleet::play(
+        let without_faults = discovery_fleet::run(base, seed);
+        let partitioned = discovery_fleet::run(
             discovery_fleet::Fleet {
                 region_outage: OUTAGE,
                 ..base
@@ -225,7 +225,7 @@
             zone_outage: OUTAGE,
             ..base
         };
-        assert_changes_applied_in_time("a zone lost", seed, &discovery_fleet::play(lost, seed));
+        assert_changes_applied_in_time("a zone lost", seed, &discovery_fleet::run(lost, seed));
     }
 }
 
@@ -237,7 +237,7 @@
         ..discovery_fleet(300)
     };
     assert!(
-        discovery_fleet::play(slow, 1).latency_ms(1.0) > 6000,
+        discovery_fleet::run(slow, 1).latency_ms(1.0) > 6000,
         "the simulation does not depend on the bandwidth of the servers"
     );
 }
--- a/crates/ivypitch-testbed/tests/shares.rs
+++ b/crates/ivypitch-testbed/tests/shares.rs
@@ -1,7 +1,7 @@
 //! Coordination in virtual time under fault plans. A plan that exceeds a quota is reduced and
 //! printed.
 
-use ivypitch_testbed::virtual_time::coordination_fleet::{Fleet, draw, play};
+use ivypitch_testbed::virtual_time::coordination_fleet::{Fleet, draw_faults, run};
 
 #[test]
 fn no_quota_is_exceeded_under_partitions_and_restarts() {
@@ -11,10 +11,10 @@
         ..Fleet::default()
     };
     for seed in 0..10 {
-        let plan = draw(&fleet, seed);
-        let verdict = play(&fleet, &plan, seed);
+        let plan = draw_faults(&fleet, seed);
+        let verdict = run(&fleet, &plan, seed);
         if !verdict.holds() {
-            let minimal = plan.cut_down(30, |plan| !play(&fleet, plan, seed).holds());
+            let minimal = plan.minimize(30, |plan| !run(&fleet, plan, seed).holds());
             panic!("seed {seed}: {verdict:?}\nminimal plan that fails:\n{minimal}");
         }
     }
