--- a/crates/ivypitch-testbed/src/experiments/custody.rs
+++ b/crates/ivypitch-testbed/src/experiments/custody.rs
@@ -30,8 +30,8 @@
         (&eight, plans, true, 0.95),
         (&large, if quick { 4 } else { 5000 }, false, 0.0),
     ];
-    for (fleet, plans, losses_only, min_completed) in runs {
-        let faults = if losses_only {
+    for (fleet, plans, has_only_losses, min_completed) in runs {
+        let faults = if has_only_losses {
             "gateway losses only"
         } else {
             "all faults"
@@ -43,14 +43,14 @@
         let simulate = |seed: u64| {
             ownership_fleet::run(
                 fleet,
-                &ownership_fleet::draw_faults(fleet, seed, losses_only),
+                &ownership_fleet::draw_faults(fleet, seed, has_only_losses),
                 seed,
             )
         };
         let verdicts = run_seeds_in_parallel(plans, seed, simulate);
         if let Some(first) = verdicts.iter().position(|verdict| !verdict.holds()) {
             let seed = seed + first as u64;
-            let plan = ownership_fleet::draw_faults(fleet, seed, losses_only);
+            let plan = ownership_fleet::draw_faults(fleet, seed, has_only_losses);
             let minimal =
                 plan.minimize(40, |plan| !ownership_fleet::run(fleet, plan, seed).holds());
             println!("seed {seed} violates a guarantee; minimal plan that does:\n{minimal}");
--- a/crates/ivypitch-testbed/src/experiments/custody_cost.rs
+++ b/crates/ivypitch-testbed/src/experiments/custody_cost.rs
@@ -38,10 +38,10 @@
 fn traffic(span_ms: u64, gap_ms: u64, seed: u64) -> Vec<PlannedStatement> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let no_preference = Arc::new(Vec::new());
-    let (mut asks, mut at) = (Vec::new(), 0);
-    while at < span_ms {
-        asks.push(PlannedStatement {
-            at_ms: at,
+    let (mut statements, mut at_ms) = (Vec::new(), 0);
+    while at_ms < span_ms {
+        statements.push(PlannedStatement {
+            at_ms,
             req: rng.random::<u64>() & 0xff_ffff_ffff,
             is_bulk_load: rng.random_bool(0.4),
             work_ms: rng.random_range(2..12),
@@ -50,9 +50,9 @@
             gateway_weights: no_preference.clone(),
             owner: "acme",
         });
-        at += rng.random_range(1..=2 * gap_ms);
+        at_ms += rng.random_range(1..=2 * gap_ms);
     }
-    asks
+    statements
 }
 
 fn measure_processes(
@@ -80,19 +80,19 @@
     thread::sleep(warm_up / 2);
     let (bytes_after, _) = fleet.network.gateway_traffic();
     let idle_bytes_per_s = (bytes_after - bytes_before) as f64 / (warm_up / 2).as_secs_f64();
-    let asks = traffic(span_ms, 8, seed);
-    let addresses: Vec<_> = fleet.gateways.iter().map(|seat| seat.address).collect();
+    let statements = traffic(span_ms, 8, seed);
+    let addresses: Vec<_> = fleet.gateways.iter().map(|slot| slot.address).collect();
     let (cpu_before, (bytes_before, _), started_at) = (
         fleet.cpu_time_us(),
         fleet.network.gateway_traffic(),
         Instant::now(),
     );
-    let manners = ClientConfig {
+    let client_config = ClientConfig {
         answer_timeout: Duration::from_secs(4),
         seed,
     };
-    let stories: Vec<StatementHistory> =
-        clients::run_clients(&asks, &addresses, manners, started_at);
+    let histories: Vec<StatementHistory> =
+        clients::run_clients(&statements, &addresses, client_config, started_at);
     let elapsed_s = started_at.elapsed().as_secs_f64();
     let cpu_us = fleet.cpu_time_us() - cpu_before;
     let bytes =
@@ -102,12 +102,12 @@
         return Err(crash.clone());
     }
     let latencies = |load: bool| {
-        let matching = asks
+        let matching = statements
             .iter()
-            .zip(&stories)
-            .filter(|(ask, _)| ask.is_bulk_load == load);
+            .zip(&histories)
+            .filter(|(statement, _)| statement.is_bulk_load == load);
         let mut times: Vec<u64> = matching
-            .filter_map(|(_, story)| story.served_after_us)
+            .filter_map(|(_, history)| history.served_after_us)
             .collect();
         times.sort_unstable();
         times
@@ -115,12 +115,12 @@
     Ok(Cost {
         load_latencies_us: latencies(true),
         lookup_latencies_us: latencies(false),
-        unserved: stories
+        unserved: histories
             .iter()
-            .filter(|s| s.served_after_us.is_none())
+            .filter(|history| history.served_after_us.is_none())
             .count(),
-        cpu_us: cpu_us as f64 / asks.len() as f64,
-        bytes: bytes.max(0.0) / asks.len() as f64,
+        cpu_us: cpu_us as f64 / statements.len() as f64,
+        bytes: bytes.max(0.0) / statements.len() as f64,
         idle_bytes_per_s: idle_bytes_per_s / gateways as f64,
     })
 }
--- a/crates/ivypitch-testbed/src/experiments/fleet_cut.rs
+++ b/crates/ivypitch-testbed/src/experiments/fleet_cut.rs
@@ -33,22 +33,22 @@
             1.0
         }
     };
-    let prefers = Arc::new((0..GATEWAYS).map(weight).collect::<Vec<f64>>());
-    let (mut asks, mut at) = (Vec::new(), 0);
-    while at < span_ms {
-        asks.push(PlannedStatement {
-            at_ms: at,
+    let gateway_weights = Arc::new((0..GATEWAYS).map(weight).collect::<Vec<f64>>());
+    let (mut statements, mut at_ms) = (Vec::new(), 0);
+    while at_ms < span_ms {
+        statements.push(PlannedStatement {
+            at_ms,
             req: rng.random::<u64>() & 0xff_ffff_ffff,
             is_bulk_load: rng.random_bool(0.1),
             work_ms: rng.random_range(20..220),
             timeout_ms: TIMEOUT_MS,
             has_second_client: false,
-            gateway_weights: prefers.clone(),
+            gateway_weights: gateway_weights.clone(),
             owner: "acme",
         });
-        at += rng.random_range(4..=16);
+        at_ms += rng.random_range(4..=16);
     }
-    asks
+    statements
 }
 
 /// Results of a run.
@@ -83,52 +83,53 @@
         ..FleetConfig::default()
     })?;
     let from = Instant::now() + Duration::from_millis(3500);
-    let addresses: Vec<_> = fleet.gateways.iter().map(|seat| seat.address).collect();
-    let manners = ClientConfig {
+    let addresses: Vec<_> = fleet.gateways.iter().map(|slot| slot.address).collect();
+    let client_config = ClientConfig {
         answer_timeout: Duration::from_millis(2500),
         seed,
     };
-    let asks = traffic(span_ms, is_skewed, seed);
-    let client_asks = asks.clone();
-    let clients_thread =
-        thread::spawn(move || clients::run_clients(&client_asks, &addresses, manners, from));
+    let statements = traffic(span_ms, is_skewed, seed);
+    let client_statements = statements.clone();
+    let clients_thread = thread::spawn(move || {
+        clients::run_clients(&client_statements, &addresses, client_config, from)
+    });
     fleet.inject_faults(plan, from);
-    let stories = clients_thread
+    let histories = clients_thread
         .join()
         .map_err(|_| "the client thread panicked".to_owned())?;
     fleet.shut_down();
-    let said = fleet.engine_events.all();
+    let engine_events = fleet.engine_events.all();
     let verdict = judge(
-        &asks,
-        &stories,
-        &said,
+        &statements,
+        &histories,
+        &engine_events,
         &fleet.injected_faults,
         &fleet.crashes,
     );
     Ok(RunResult {
         verdict,
-        last_start_after_drain_ms: last_start_after_drain_ms(&fleet, &said),
+        last_start_after_drain_ms: last_start_after_drain_ms(&fleet, &engine_events),
     })
 }
 
 /// The largest time from the announcement of a drain to a start at that engine; 0: there was none.
-fn last_start_after_drain_ms(fleet: &Fleet, said: &[EngineEvent]) -> f64 {
+fn last_start_after_drain_ms(fleet: &Fleet, engine_events: &[EngineEvent]) -> f64 {
     let mut latest = 0;
-    for done in &fleet.injected_faults {
+    for injected in &fleet.injected_faults {
         let FaultKind::DrainEngine {
             engine,
             duration_ms,
-        } = done.fault.kind
+        } = injected.fault.kind
         else {
             continue;
         };
-        let until = done.at_us + duration_ms * 1000;
-        let starts = said
+        let until = injected.at_us + duration_ms * 1000;
+        let starts = engine_events
             .iter()
             .filter(|line| line.engine == engine && line.kind == "start");
         let delays = starts
-            .filter(|line| line.at_us > done.at_us && line.at_us < until)
-            .map(|line| line.at_us - done.at_us);
+            .filter(|line| line.at_us > injected.at_us && line.at_us < until)
+            .map(|line| line.at_us - injected.at_us);
         latest = latest.max(delays.max().unwrap_or(0));
     }
     latest as f64 / 1000.0
@@ -142,7 +143,7 @@
         "{GATEWAYS} gateways, {ENGINES} engine processes, {} s, {seeds} seeds",
         span_ms / 1000
     );
-    let field = FaultPlanParams {
+    let params = FaultPlanParams {
         gateways: GATEWAYS,
         zones: 3,
         engines: ENGINES,
@@ -154,7 +155,7 @@
         (f64::MAX, 0.0, 0.0f64, 0, 0);
     let mut drains = 0;
     for seed in seed..seed + seeds {
-        let plan = FaultPlan::draw(field, seed);
+        let plan = FaultPlan::draw(params, seed);
         let runs = thread::scope(|scope| {
             let with = scope.spawn(|| run_fleet(&plan, span_ms, true, true, seed));
             let without = scope.spawn(|| run_fleet(&plan, span_ms, true, false, seed));
--- a/crates/ivypitch-testbed/src/experiments/gateway_loss.rs
+++ b/crates/ivypitch-testbed/src/experiments/gateway_loss.rs
@@ -31,11 +31,11 @@
 pub fn traffic(span_ms: u64, gap_ms: u64, seed: u64) -> Vec<PlannedStatement> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x7aff1c);
     let no_preference = Arc::new(Vec::new());
-    let (mut asks, mut at) = (Vec::new(), 0);
-    while at < span_ms {
+    let (mut statements, mut at_ms) = (Vec::new(), 0);
+    while at_ms < span_ms {
         let load = rng.random_bool(0.4);
-        asks.push(PlannedStatement {
-            at_ms: at,
+        statements.push(PlannedStatement {
+            at_ms,
             // The upper bits count the retries of a rejected statement.
             req: rng.random::<u64>() & 0xff_ffff_ffff,
             is_bulk_load: load,
@@ -49,9 +49,9 @@
             gateway_weights: no_preference.clone(),
             owner: "acme",
         });
-        at += rng.random_range(1..=2 * gap_ms);
+        at_ms += rng.random_range(1..=2 * gap_ms);
     }
-    asks
+    statements
 }
 
 /// FleetConfig of the fleet.
@@ -85,23 +85,24 @@
         200
     };
     let from = Instant::now() + Duration::from_millis(warm_up_ms);
-    let addresses: Vec<_> = fleet.gateways.iter().map(|seat| seat.address).collect();
-    let manners = ClientConfig {
+    let addresses: Vec<_> = fleet.gateways.iter().map(|slot| slot.address).collect();
+    let client_config = ClientConfig {
         answer_timeout: Duration::from_millis(3500),
         seed,
     };
-    let asks = traffic(span_ms, STATEMENT_GAP_MS, seed);
-    let client_asks = asks.clone();
-    let clients_thread =
-        thread::spawn(move || clients::run_clients(&client_asks, &addresses, manners, from));
+    let statements = traffic(span_ms, STATEMENT_GAP_MS, seed);
+    let client_statements = statements.clone();
+    let clients_thread = thread::spawn(move || {
+        clients::run_clients(&client_statements, &addresses, client_config, from)
+    });
     fleet.inject_faults(plan, from);
-    let stories = clients_thread
+    let histories = clients_thread
         .join()
         .map_err(|_| "the client thread panicked".to_owned())?;
     fleet.shut_down();
     Ok(judge(
-        &asks,
-        &stories,
+        &statements,
+        &histories,
         &fleet.engine_events.all(),
         &fleet.injected_faults,
         &fleet.crashes,
@@ -112,7 +113,7 @@
 pub fn run(quick: bool, seed: u64) -> Report {
     let mut report = Report::new("gateway-loss", seed);
     let span_ms = if quick { 12_000 } else { 60_000 };
-    let field = FaultPlanParams {
+    let params = FaultPlanParams {
         gateways: GATEWAYS,
         zones: 3,
         engines: ENGINES,
@@ -120,7 +121,7 @@
         mean_gap_ms: LOSS_INTERVAL_MS,
         has_only_losses: true,
     };
-    let plan = FaultPlan::draw(field, seed);
+    let plan = FaultPlan::draw(params, seed);
     let no_faults = FaultPlan::default();
     // Restarts one gateway after the other, as a release does.
     let restart_interval_ms = span_ms / (GATEWAYS as u64 + 2);
--- a/crates/ivypitch-testbed/src/experiments/soak/mod.rs
+++ b/crates/ivypitch-testbed/src/experiments/soak/mod.rs
@@ -84,7 +84,7 @@
     let from = Instant::now();
     let load_balancer = Arc::new(LoadBalancer::new(GATEWAYS));
     let params = ClientParams {
-        addresses: fleet.gateways.iter().map(|seat| seat.address).collect(),
+        addresses: fleet.gateways.iter().map(|slot| slot.address).collect(),
         load_balancer: load_balancer.clone(),
         clients: CLIENTS,
         until: from + Duration::from_millis(plan.span),
@@ -151,8 +151,8 @@
 
 /// Adds the panics in the logs of the gateways as findings.
 fn add_panics(fleet: &Fleet, verdict: &mut Verdict) {
-    for (gateway, seat) in fleet.gateways.iter().enumerate() {
-        for line in seat.log.all() {
+    for (gateway, slot) in fleet.gateways.iter().enumerate() {
+        for line in slot.log.all() {
             if line.contains("panicked") {
                 let lines = verdict.findings.entry(FindingKind::ExitCode).or_default();
                 lines.push(format!("n{gateway}: {line}"));
--- a/crates/ivypitch-testbed/src/experiments/team_flood.rs
+++ b/crates/ivypitch-testbed/src/experiments/team_flood.rs
@@ -21,26 +21,26 @@
 /// Factor by which a flood multiplies the demand of its team.
 const FLOOD_FACTOR: f64 = 10.0;
 
-fn budgets(works: &[WorkloadParams], shares: &[f64]) -> Budgets {
-    let min_priority_weight = works
+fn budgets(workloads: &[WorkloadParams], shares: &[f64]) -> Budgets {
+    let min_priority_weight = workloads
         .iter()
-        .map(|work| work.priority_weight)
+        .map(|workload| workload.priority_weight)
         .fold(f64::INFINITY, f64::min);
-    let queue_params = |work: &WorkloadParams| WorkloadQueueParams {
-        priority_weight: work.priority_weight,
-        latency_objective: work.latency_objective,
-        threads: work.threads,
-        is_bulk_load: work.idempotency == ivypitch_scheduler::Idempotency::NonIdempotent,
-        usual_work: work.latency_objective / 3,
+    let queue_params = |workload: &WorkloadParams| WorkloadQueueParams {
+        priority_weight: workload.priority_weight,
+        latency_objective: workload.latency_objective,
+        threads: workload.threads,
+        is_bulk_load: workload.idempotency == ivypitch_scheduler::Idempotency::NonIdempotent,
+        usual_work: workload.latency_objective / 3,
         slack: WorkloadQueueParams::default_slack(
-            work.latency_objective,
-            work.priority_weight,
+            workload.latency_objective,
+            workload.priority_weight,
             min_priority_weight,
         ),
-        max_wait: (work.latency_objective as f64 * 0.4) as u64,
+        max_wait: (workload.latency_objective as f64 * 0.4) as u64,
     };
     Budgets {
-        workloads: works.iter().map(queue_params).collect(),
+        workloads: workloads.iter().map(queue_params).collect(),
         teams: shares
             .iter()
             .map(|&share| TeamBudget {
@@ -83,12 +83,12 @@
 
 fn flood_in_virtual_time(report: &mut Report, quick: bool, seed: u64) {
     let (gateways, engines, seconds) = if quick { (30, 12, 20) } else { (300, 60, 30) };
-    let works = traffic::workloads(1.0);
-    let model = EngineConfig {
+    let workloads = traffic::workloads(1.0);
+    let engine_config = EngineConfig {
         cores: 16.0,
         ..EngineConfig::default()
     };
-    let cores = engines as f64 * model.cores;
+    let cores = engines as f64 * engine_config.cores;
     let span = seconds * SECOND;
     let flood = Flood::Step {
         rate_factor: FLOOD_FACTOR,
@@ -98,15 +98,15 @@
     let shares: Vec<f64> = TEAMS.iter().map(|team| team.1).collect();
     let simulate = |flood: Flood, has_queues: bool| {
         let teams = teams(cores, flood);
-        let statements = traffic::draw_statements(&works, &teams, span, seed);
+        let statements = traffic::draw_statements(&workloads, &teams, span, seed);
         let fleet = Fleet::new(FleetConfig {
             gateways,
             engines,
-            engine_config: model.clone(),
-            workloads: &works,
+            engine_config: engine_config.clone(),
+            workloads: &workloads,
             teams: teams.iter().map(|team| team.name.clone()).collect(),
             statements: &statements,
-            budgets: has_queues.then(|| budgets(&works, &shares)),
+            budgets: has_queues.then(|| budgets(&workloads, &shares)),
             seed,
             tenant_quotas: shares.iter().map(|share| share * cores).collect(),
         });
@@ -175,12 +175,12 @@
 fn add_one_busy_team_of_many(report: &mut Report, seed: u64) {
     const TEAM_COUNT: usize = 1000;
     let (gateways, engines, span) = (4, 4, 10 * SECOND);
-    let works = traffic::workloads(0.1);
-    let model = EngineConfig {
+    let workloads = traffic::workloads(0.1);
+    let engine_config = EngineConfig {
         cores: 16.0,
         ..EngineConfig::default()
     };
-    let cores = engines as f64 * model.cores;
+    let cores = engines as f64 * engine_config.cores;
     let completed_core_s = |team_count: usize| {
         let all: Vec<Team> = (0..team_count)
             .map(|team| Team {
@@ -190,15 +190,15 @@
                 estimate_factor: 1.0,
             })
             .collect();
-        let statements = traffic::draw_statements(&works, &all, span, seed);
+        let statements = traffic::draw_statements(&workloads, &all, span, seed);
         let fleet = Fleet::new(FleetConfig {
             gateways,
             engines,
-            engine_config: model.clone(),
-            workloads: &works,
+            engine_config: engine_config.clone(),
+            workloads: &workloads,
             teams: all.iter().map(|team| team.name.clone()).collect(),
             statements: &statements,
-            budgets: Some(budgets(&works, &vec![1.0; team_count])),
+            budgets: Some(budgets(&workloads, &vec![1.0; team_count])),
             seed,
             tenant_quotas: vec![cores; team_count],
         });
@@ -298,12 +298,12 @@
 
 fn flood_over_sockets(report: &mut Report, quick: bool, seed: u64) {
     let (engines, seconds) = if quick { (4, 14) } else { (4, 40) };
-    let works = traffic::workloads(0.1);
-    let model = EngineConfig {
+    let workloads = traffic::workloads(0.1);
+    let engine_config = EngineConfig {
         cores: 8.0,
         ..EngineConfig::default()
     };
-    let cores = engines as f64 * model.cores;
+    let cores = engines as f64 * engine_config.cores;
     let span = seconds * SECOND;
     let step = Flood::Step {
         rate_factor: 10.0,
@@ -315,10 +315,10 @@
         let all = teams(cores, flood);
         loopback_run::run(loopback_run::RunPlan {
             engines,
-            model: model.clone(),
-            workloads: works.clone(),
+            model: engine_config.clone(),
+            workloads: workloads.clone(),
             teams: all.iter().map(|team| team.name.clone()).collect(),
-            statements: traffic::draw_statements(&works, &all, span, seed),
+            statements: traffic::draw_statements(&workloads, &all, span, seed),
             own_settings: has_queues.then(|| loopback_run::team_settings(&shares)),
             quota_cores: shares.iter().map(|(_, share)| share * cores).collect(),
             new_connections,
--- a/crates/ivypitch-testbed/tests/ownership.rs
+++ b/crates/ivypitch-testbed/tests/ownership.rs
@@ -7,7 +7,7 @@
 
 #[test_case(false; "all faults")]
 #[test_case(true; "gateway losses only")]
-fn under_fault_plans_no_load_runs_twice_and_every_client_is_answered(losses_only: bool) {
+fn under_fault_plans_no_load_runs_twice_and_every_client_is_answered(has_only_losses: bool) {
     let fleet = Fleet {
         duration_ms: 6000,
         ..Fleet::default()
@@ -15,7 +15,7 @@
     let mut in_flight = 0;
     let mut completed = 0;
     for seed in 0..12 {
-        let plan = draw_faults(&fleet, seed, losses_only);
+        let plan = draw_faults(&fleet, seed, has_only_losses);
         let verdict = run(&fleet, &plan, seed);
         if !verdict.holds() {
             let minimal = plan.minimize(30, |plan| !run(&fleet, plan, seed).holds());
--- a/crates/ivypitch-testbed/tests/relay.rs
+++ b/crates/ivypitch-testbed/tests/relay.rs
@@ -41,22 +41,22 @@
 #[test_case(true; "a connection not yet accepted")]
 fn a_reset_discards_waiting_bytes_even_if_the_link_reopens_at_once(is_blocked: bool) {
     let (target, received) = start_server();
-    let net = RelayNetwork::start(1);
-    let relay = net.open(FROM, TO, target, false).unwrap();
+    let network = RelayNetwork::start(1);
+    let relay = network.open(FROM, TO, target, false).unwrap();
     for round in 1..=ROUNDS {
         let text = format!("lost {round}.");
-        net.block(FROM, TO);
+        network.block(FROM, TO);
         let mut lost = if is_blocked {
             let mut stream = None;
-            net.change(FROM, TO, |_| stream = Some(connect_and_write(relay, &text)));
+            network.change(FROM, TO, |_| stream = Some(connect_and_write(relay, &text)));
             stream.unwrap()
         } else {
             let lost = connect_and_write(relay, &text);
-            net.wait_for_blocked_data(FROM, TO, &text);
+            network.wait_for_blocked_data(FROM, TO, &text);
             lost
         };
-        net.reset(FROM, TO);
-        net.unblock(FROM, TO);
+        network.reset(FROM, TO);
+        network.unblock(FROM, TO);
         assert!(!matches!(lost.read(&mut [0]), Ok(1)));
         // A link opened after the reset is intact.
         drop(connect_and_write(relay, "whole"));
--- a/crates/ivypitch-testbed/tests/soak_checker.rs
+++ b/crates/ivypitch-testbed/tests/soak_checker.rs
@@ -9,11 +9,11 @@
 const SECOND: u64 = 1_000_000;
 const ID: u64 = 7;
 
-fn line(at: u64, what: &str) -> EngineEvent {
+fn event(at_us: u64, kind: &str) -> EngineEvent {
     EngineEvent {
-        at_us: at,
+        at_us,
         engine: 0,
-        kind: what.to_owned(),
+        kind: kind.to_owned(),
         id: format!("{ID:016x}"),
         gateway: 0,
     }
@@ -55,8 +55,8 @@
         processes: vec![process],
         drains: Vec::new(),
         engine_lines: vec![
-            line(2 * SECOND + 1000, "start"),
-            line(2 * SECOND + 190_000, "end"),
+            event(2 * SECOND + 1000, "start"),
+            event(2 * SECOND + 190_000, "end"),
         ],
     }
 }
@@ -80,7 +80,7 @@
 #[test_case(|run| run.requests[0].ended_at += 2 * SECOND, FindingKind::LostAnswer; "an answer that comes late")]
 #[test_case(|run| run.requests[0].outcome = Outcome::Closed, FindingKind::LostAnswer; "a close without an answer to a statement that ran")]
 #[test_case(|run| run.requests[0].outcome = Outcome::Rows("8".into()), FindingKind::OtherRows; "rows of another statement")]
-#[test_case(|run| run.engine_lines.push(line(2 * SECOND + 100_000, "start")), FindingKind::EffectTwice; "a second start")]
+#[test_case(|run| run.engine_lines.push(event(2 * SECOND + 100_000, "start")), FindingKind::EffectTwice; "a second start")]
 #[test_case(|run| run.requests[0].outcome = Outcome::Rejected, FindingKind::RejectedButRan; "a rejection of a statement that ran")]
 #[test_case(|run| run.requests[0].abandoned_at = Some(SECOND), FindingKind::LateAttempt; "an attempt long after its client has gone")]
 #[test_case(|run| run.drains.push(Drain { engine: 0, announced_at: SECOND, until: 9 * SECOND }), FindingKind::StartAtDrainingEngine; "a start at a draining engine")]
