--- a/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/engines.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/engines.rs
@@ -1,4 +1,5 @@
-//! Statements at engines, the gateways' own outlier detection, and which engines the fleet has ejected.
+//! Statements at engines, the gateways' own outlier detection, and which engines the fleet has
+//! ejected.
 
 use ivypitch_coordination::AttemptHealth;
 use ivypitch_scheduler::OutlierStatus;
@@ -69,7 +70,8 @@
         }
     }
 
-    /// Sends a statement to a random engine that is not ejected; a probe now and then, as the scheduler does.
+    /// Sends a statement to a random engine that is not ejected; a probe now and then, as the
+    /// scheduler does.
     pub(super) fn send_statement(&mut self, by: Process) {
         if !self.is_current(by) {
             return;
--- a/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/mod.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/mod.rs
@@ -1,5 +1,6 @@
-//! Coordination of a whole fleet in virtual time: the deciding crate of many gateways over a fault plan, with demand that is
-//! uneven and moves, and engines that fail and recover. Quotas are counted where they are used, not by what any gateway says.
+//! Coordination of a whole fleet in virtual time: the deciding crate of many gateways over a fault
+//! plan, with demand that is uneven and moves, and engines that fail and recover. Quotas are
+//! counted where they are used, not by what any gateway says.
 
 mod engines;
 mod event;
@@ -48,11 +49,13 @@
     pub datagram_loss: f64,
     /// False: even quotas, and engines judged by each gateway alone.
     pub is_coordinated: bool,
-    /// One in ten gateways has ten times the demand of the others; which ones changes in the middle.
+    /// One in ten gateways has ten times the demand of the others; which ones changes in the
+    /// middle.
     pub has_uneven_demand: bool,
     /// Engines that fail from a third of the duration to two thirds.
     pub failing_engines: usize,
-    /// One gateway sees all engines as failing, another sees failing ones as healthy, half cannot reach one engine.
+    /// One gateway sees all engines as failing, another sees failing ones as healthy, half cannot
+    /// reach one engine.
     pub has_faulty_gateways: bool,
     /// Clocks of gateways run at different rates.
     pub has_clock_drift: bool,
--- a/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/quotas.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/quotas.rs
@@ -111,8 +111,8 @@
         verdict.window_exceeded += u64::from(spent > total_units);
     }
 
-    /// Returns the units of the level quota that the gateway may use. A suspended process uses none: it looks at the time
-    /// before it goes on.
+    /// Returns the units of the level quota that the gateway may use. A suspended process uses
+    /// none: it looks at the time before it goes on.
     fn count_quotas_of(&mut self, gateway: usize) -> u32 {
         let is_coordinated = self.fleet.is_coordinated;
         let gateway = &mut self.gateways[gateway];
--- a/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/verdict.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/verdict.rs
@@ -15,7 +15,8 @@
     pub below_reserved: u64,
     /// Part of the demand that could be used, from 2 s on.
     pub usable: f64,
-    /// Milliseconds from an engine's failure until 99 in 100 gateways send it nothing but probes; `u64::MAX`: never.
+    /// Milliseconds from an engine's failure until 99 in 100 gateways send it nothing but probes;
+    /// `u64::MAX`: never.
     pub ejected_ms: u64,
     /// Milliseconds from its recovery until 99 in 100 use it again; `u64::MAX`: never.
     pub returned_ms: u64,
--- a/crates/ivypitch-testbed/src/virtual_time/discovery_fleet/mod.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/discovery_fleet/mod.rs
@@ -1,11 +1,13 @@
-//! Changes of the endpoint list on their way to a whole fleet in virtual time: each gateway's real watch over connections with
-//! loss and restarts, with a region partitioned or a zone lost, from servers that share the connections evenly. Counted is the
-//! time from an event at the discovery service until each gateway that can be reached has applied it.
+//! Changes of the endpoint list on their way to a whole fleet in virtual time: each gateway's real
+//! watch over connections with loss and restarts, with a region partitioned or a zone lost, from
+//! servers that share the connections evenly. Counted is the time from an event at the discovery
+//! service until each gateway that can be reached has applied it.
 //!
-//! Taken as given: a lost segment is sent again after 0.2 s, after twice that when lost again, and so on, and holds up what is
-//! behind it; a connection on which nothing arrives for 2 s is closed (`actors/discovery.rs`); the scheduler's actor takes
-//! [`Fleet::apply_change`] for each change, one after the other; a gateway that restarts reads the whole list first, and then
-//! all changes behind it.
+//! Taken as given: a lost segment is sent again after 0.2 s, after twice that when lost again, and
+//! so on, and holds up what is behind it; a connection on which nothing arrives for 2 s is closed
+//! (`actors/discovery.rs`); the scheduler's actor takes [`Fleet::apply_change`] for each change,
+//! one after the other; a gateway that restarts reads the whole list first, and then all changes
+//! behind it.
 
 mod gateway;
 mod network;
--- a/crates/ivypitch-testbed/src/virtual_time/faults.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/faults.rs
@@ -1,5 +1,5 @@
-//! Fault plans: drawn from a seed, printed, read back from a file, cut down to the least that still fails. The same
-//! plan is played on processes and in virtual time.
+//! Fault plans: drawn from a seed, printed, parsed from a file and minimized to the faults that
+//! still make a run fail. The same plan is applied to processes and to simulations in virtual time.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,55 +7,59 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// What happens; gateways and engines by number, zones by number, spans in milliseconds.
+/// The kind of a fault. Gateways, engines and zones are given by index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
-    /// Killed outright; it starts again after so long with nothing kept.
+    /// The gateway's process is killed; a new one starts after `restart_after_ms` without any
+    /// state.
     Kill {
         gateway: usize,
         restart_after_ms: u64,
     },
-    /// Stopped for so long, then goes on where it was.
+    /// The gateway's process is suspended for `duration_ms` and then resumes with its state.
     Suspend { gateway: usize, duration_ms: u64 },
-    /// Told to end; it starts again after so long.
+    /// The gateway is asked to shut down; a new process starts after `restart_after_ms`.
     ShutDown {
         gateway: usize,
         restart_after_ms: u64,
     },
-    /// No link between this zone and the others.
+    /// The links between this zone and the other zones are cut.
     PartitionZone { zone: usize, duration_ms: u64 },
-    /// No link between this gateway and the others; its engines stay.
+    /// The links between this gateway and the other gateways are cut; its engines stay reachable.
     PartitionGateway { gateway: usize, duration_ms: u64 },
-    /// Nothing from one to the other arrives; back it does.
+    /// Messages from one gateway to another are lost; the opposite direction works.
     DropMessages {
         from: usize,
         to: usize,
         duration_ms: u64,
     },
-    /// All from one to the other comes so much later.
+    /// Messages from one gateway to another arrive `delay_ms` later.
     DelayMessages {
         from: usize,
         to: usize,
         delay_ms: u64,
         duration_ms: u64,
     },
-    /// All links between the two break once.
+    /// All links between the two gateways are reset once.
     ResetLinks { from: usize, to: usize },
-    /// The engine's process dies and begins anew.
+    /// The engine's process crashes and a new one starts.
     CrashEngine { engine: usize },
-    /// The engine drains for so long, then serves again.
+    /// The engine drains for `duration_ms` and then serves again.
     DrainEngine { engine: usize, duration_ms: u64 },
 }
 
+/// A fault and its time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fault {
     /// Milliseconds from the start of the run.
     pub at_ms: u64,
+    /// The kind of the fault.
     pub kind: FaultKind,
 }
 
 impl Fault {
-    /// Milliseconds until it is over, or what it took away is back; `None` where nothing follows.
+    /// Milliseconds until the fault ends or its gateway restarts; `None` for a fault without an
+    /// end.
     pub fn duration_ms(&self) -> Option<u64> {
         match self.kind {
             FaultKind::Kill {
@@ -130,19 +134,19 @@
     type Err = String;
 
     fn from_str(line: &str) -> Result<Fault, String> {
-        let words: Vec<&str> = line.split_whitespace().collect();
+        let tokens: Vec<&str> = line.split_whitespace().collect();
         let number = |name: &str| {
-            let value = words
+            let value = tokens
                 .iter()
-                .find_map(|w| w.strip_prefix(name)?.strip_prefix('='));
+                .find_map(|token| token.strip_prefix(name)?.strip_prefix('='));
             value
                 .and_then(|v| v.parse::<u64>().ok())
                 .ok_or_else(|| format!("{line:?}: {name}=NUMBER is missing"))
         };
         let index = |name: &str| number(name).map(|n| n as usize);
-        let name = words
+        let name = tokens
             .iter()
-            .find(|w| !w.contains('='))
+            .find(|token| !token.contains('='))
             .copied()
             .unwrap_or_default();
         let kind = match name {
@@ -197,8 +201,10 @@
     }
 }
 
+/// The faults of a run, in order of time. Written and parsed as one line per fault.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FaultPlan {
+    /// The faults.
     pub faults: Vec<Fault>,
 }
 
@@ -213,7 +219,7 @@
 impl FromStr for FaultPlan {
     type Err = String;
 
-    /// A fault a line; empty lines and what follows `#` are passed over.
+    /// Parses one fault per line; empty lines and text after `#` are ignored.
     fn from_str(text: &str) -> Result<FaultPlan, String> {
         let lines = text
             .lines()
@@ -226,34 +232,39 @@
     }
 }
 
-/// What a plan is drawn for.
+/// The fleet and the intensity for which a plan is drawn.
 #[derive(Clone, Copy, Debug)]
 pub struct FaultPlanParams {
+    /// Number of gateways.
     pub gateways: usize,
+    /// Number of zones.
     pub zones: usize,
+    /// Number of engines.
     pub engines: usize,
-    /// Milliseconds; the last faults leave time for what they do to end.
+    /// Duration of the run in milliseconds. Its last sixth has no new faults, so that earlier ones
+    /// can end.
     pub duration_ms: u64,
-    /// Mean milliseconds between faults.
+    /// Mean time between faults in milliseconds.
     pub mean_gap_ms: u64,
-    /// Only gateways are killed, stopped and ended.
+    /// Whether gateways are only killed, suspended and shut down.
     pub has_only_losses: bool,
 }
 
 impl FaultPlan {
+    /// Draws a plan from the seed.
     pub fn draw(params: FaultPlanParams, seed: u64) -> FaultPlan {
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x5eed_fa17);
         let mut faults = Vec::new();
         let mut at_ms = params.mean_gap_ms / 2;
-        // A gateway that is away is left alone until it is back.
+        // A gateway that is down gets no further process faults until it has run again for 1 s.
         let mut down_until_ms = vec![0u64; params.gateways];
         while at_ms + params.duration_ms / 6 < params.duration_ms {
             let gateway = rng.random_range(0..params.gateways);
             let other = (gateway + rng.random_range(1..params.gateways.max(2))) % params.gateways;
             let duration_ms = rng.random_range(300..3000);
             let restart_after_ms = [80, 400, 1500, 4000][rng.random_range(0..4usize)];
-            let kinds = if params.has_only_losses { 4 } else { 12 };
-            let kind = match rng.random_range(0..kinds) {
+            let kind_count = if params.has_only_losses { 4 } else { 12 };
+            let kind = match rng.random_range(0..kind_count) {
                 0 | 1 => FaultKind::Kill {
                     gateway,
                     restart_after_ms,
@@ -316,34 +327,34 @@
         FaultPlan { faults }
     }
 
-    /// The least of it that still fails: faults are left out in halves, then one by one, as long as it does. At most
-    /// `most` plays.
+    /// Returns a smaller plan that still fails: leaves out ever smaller groups of faults, from
+    /// halves to single ones, as long as the run fails without them. Uses at most `max_runs` runs.
     pub fn minimize(
         &self,
         max_runs: usize,
         mut fails: impl FnMut(&FaultPlan) -> bool,
     ) -> FaultPlan {
         let mut minimal = self.clone();
-        let mut size = minimal.faults.len().div_ceil(2).max(1);
+        let mut group_size = minimal.faults.len().div_ceil(2).max(1);
         let mut runs = 0;
         while runs < max_runs && !minimal.faults.is_empty() {
-            let mut begin = 0;
-            let before = minimal.faults.len();
-            while begin < minimal.faults.len() && runs < max_runs {
-                let end = (begin + size).min(minimal.faults.len());
+            let mut start = 0;
+            let faults_before = minimal.faults.len();
+            while start < minimal.faults.len() && runs < max_runs {
+                let end = (start + group_size).min(minimal.faults.len());
                 let mut candidate = minimal.clone();
-                candidate.faults.drain(begin..end);
+                candidate.faults.drain(start..end);
                 runs += 1;
                 if fails(&candidate) {
                     minimal = candidate;
                 } else {
-                    begin = end;
+                    start = end;
                 }
             }
-            if size == 1 && minimal.faults.len() == before {
+            if group_size == 1 && minimal.faults.len() == faults_before {
                 break;
             }
-            size = (size / 2).max(1);
+            group_size = (group_size / 2).max(1);
         }
         minimal
     }
--- a/crates/ivypitch-testbed/src/virtual_time/membership_fleet/mod.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/membership_fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Membership of a whole fleet in virtual time: how soon a loss is known to all, and which running members are taken for
-//! lost.
+//! Membership of a whole fleet in virtual time: how soon a loss is known to all, and which running
+//! members are taken for lost.
 
 mod measurements;
 mod simulation;
@@ -39,7 +39,8 @@
     pub datagram_loss: f64,
     /// How long the others take.
     pub transit: TransitTime,
-    /// Seconds after all have found each other that are not counted, as updates of the start still travel.
+    /// Seconds after all have found each other that are not counted, as updates of the start still
+    /// travel.
     pub settle_seconds: u64,
     /// Seconds that are counted.
     pub seconds: u64,
--- a/crates/ivypitch-testbed/src/virtual_time/mod.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/mod.rs
@@ -1,5 +1,6 @@
-//! Whole fleets as values in virtual time: engines, gateways' deciding crates, networks with faults, open-loop
-//! traffic, all by a seed. Knows no process, no socket and no experiment.
+//! Deterministic simulations of whole fleets in virtual time: engines, the gateways' decision
+//! crates, networks with faults and open-loop traffic, all drawn from a seed. Independent of
+//! processes, sockets and experiments.
 
 pub mod coordination_fleet;
 pub mod discovery_fleet;
--- a/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/mod.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/mod.rs
@@ -1,5 +1,6 @@
-//! Ownership of statements by a whole fleet in virtual time: the deciding crate of many gateways over a fault plan, with
-//! engines that count every start by id and clients that come back. What engines and clients counted is the verdict.
+//! Ownership of statements by a whole fleet in virtual time: the deciding crate of many gateways
+//! over a fault plan, with engines that count every start by id and clients that come back. What
+//! engines and clients counted is the verdict.
 
 mod action;
 mod clients;
@@ -27,7 +28,8 @@
     pub zones: usize,
     /// Number of engines.
     pub engines: usize,
-    /// Milliseconds in which clients submit statements; the run goes on until all have their answer.
+    /// Milliseconds in which clients submit statements; the run goes on until all have their
+    /// answer.
     pub duration_ms: u64,
     /// Mean milliseconds between statements, of the whole fleet.
     pub statement_gap_ms: u64,
@@ -63,7 +65,8 @@
     }
 }
 
-/// The fault plan of a run of this fleet. With `losses_only` gateways are lost and nothing else happens.
+/// The fault plan of a run of this fleet. With `losses_only` gateways are lost and nothing else
+/// happens.
 pub fn draw_faults(fleet: &Fleet, seed: u64, losses_only: bool) -> FaultPlan {
     let params = FaultPlanParams {
         gateways: fleet.gateways,
--- a/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/simulation.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/simulation.rs
@@ -137,7 +137,8 @@
         self.verdict()
     }
 
-    /// All gateways are connected and have transferred their state to each other before the first client comes.
+    /// All gateways are connected and have transferred their state to each other before the first
+    /// client comes.
     fn connect_all(&mut self) {
         self.now = FIRST_CLIENT_AT;
         for by in 0..self.fleet.gateways {
--- a/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/verdict.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/verdict.rs
@@ -31,7 +31,8 @@
     pub in_flight_at_loss: u64,
     /// Of these, statements that completed without running again.
     pub completed_after_loss: u64,
-    /// Milliseconds from a loss to the first poll of the engine by another gateway: the longest of 99 in 100.
+    /// Milliseconds from a loss to the first poll of the engine by another gateway: the longest of
+    /// 99 in 100.
     pub first_poll_p99_ms: u64,
     /// Statements that were taken over with an attempt.
     pub polled: u64,
--- a/crates/ivypitch-testbed/src/virtual_time/scheduler_fleet.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/scheduler_fleet.rs
@@ -1,6 +1,7 @@
-//! Gateways, engines and clients at large size in virtual time: the decision module and the teams' queues as they
-//! are, the engines as [`crate::virtual_time::engine::Engine`], a network of fixed delay. A seed replays a run exactly. It counts
-//! at the clients and at the engines what no rule may allow.
+//! Simulation of many gateways, engines and clients in virtual time: the real scheduler and the
+//! real teams' queues, engines as [`crate::virtual_time::engine::Engine`] and a network of fixed
+//! latency. A seed replays a run exactly. Violations of guarantees are counted at the clients and
+//! at the engines, independently of the gateways.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -21,100 +22,104 @@
 use crate::virtual_time::engine::{Engine, EngineConfig, Query, QueryEnd};
 use crate::virtual_time::traffic::{Statement, WorkloadParams};
 
-const NETWORK: Nanos = 500_000;
-/// A refused client tries so often in all.
-const TRIES: u32 = 3;
-/// After the last arrival the run goes on for so long.
-const AFTER: Nanos = 30 * SECOND;
+/// One-way latency between a gateway and an engine or a client.
+const NETWORK_LATENCY: Nanos = 500_000;
+/// Maximum number of times that a client submits a statement that is rejected.
+const MAX_SUBMISSIONS: u32 = 3;
+/// Time that the run continues after the last arrival.
+const MAX_OVERTIME: Nanos = 30 * SECOND;
 
+/// A fleet and its traffic.
 pub struct FleetConfig<'a> {
+    /// Number of gateways.
     pub gateways: usize,
+    /// Number of engines.
     pub engines: usize,
+    /// Properties of every engine.
     pub engine_config: EngineConfig,
+    /// The workloads that statements refer to.
     pub workloads: &'a [WorkloadParams],
+    /// Names of the teams.
     pub teams: Vec<String>,
+    /// The traffic, in order of arrival.
     pub statements: &'a [Statement],
-    /// `None`: without the teams' queues.
+    /// Budgets of the teams; `None`: no teams' queues.
     pub budgets: Option<Budgets>,
+    /// Seed of the run.
     pub seed: u64,
-    /// Core-seconds a second that each customer may ask for without being worth less: the module's own allowance.
+    /// The scheduler's quota of each tenant in core-seconds per second; demand above it has a lower
+    /// priority weight.
     pub tenant_quotas: Vec<f64>,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Arrive {
-        stmt: usize,
-    },
-    AtEngine {
-        attempt: usize,
-    },
-    EngineEnds {
-        engine: usize,
-    },
-    GiveUp {
-        attempt: usize,
-    },
-    Told {
-        attempt: usize,
-        how: u8,
-    },
-    TimedOut {
-        attempt: usize,
-    },
-    Wake {
-        gateway: usize,
-        mark: u64,
-    },
-    TeamsWake {
-        gateway: usize,
-    },
-    Over {
+    /// A client submits its statement to a gateway.
+    ClientArrival { statement: usize },
+    /// An attempt reaches its engine.
+    AttemptArrival { attempt: usize },
+    /// The next query of an engine may have ended.
+    EngineTimer { engine: usize },
+    /// The cancellation of an attempt reaches its engine.
+    CancelArrival { attempt: usize },
+    /// The result of an attempt reaches its gateway.
+    ResultArrival { attempt: usize, result: u8 },
+    /// The timeout of an attempt fires at its gateway.
+    AttemptTimeout { attempt: usize },
+    /// A timer of a gateway's scheduler fires.
+    SchedulerTimer { gateway: usize, timer: u64 },
+    /// The timer of a gateway's queues fires.
+    QueueTimer { gateway: usize },
+    /// The deadline of a statement, plus the grace time for the answer, has passed.
+    Deadline {
         gateway: usize,
         slot: usize,
         serial: u64,
     },
 }
 
-const HOW_GOOD: u8 = 0;
-const HOW_ERROR: u8 = 1;
-const HOW_FULL: u8 = 2;
-const HOW_CANCELLED: u8 = 3;
-const HOW_TIMED_OUT: u8 = 4;
+const RESULT_COMPLETED: u8 = 0;
+const RESULT_ERROR: u8 = 1;
+const RESULT_OVERLOADED: u8 = 2;
+const RESULT_CANCELLED: u8 = 3;
+const RESULT_TIMED_OUT: u8 = 4;
 
-struct Open {
-    stmt: usize,
+/// A statement at a gateway.
+struct OpenStatement {
+    statement: usize,
     serial: u64,
     deadline: Nanos,
-    out: Option<usize>,
+    current_attempt: Option<usize>,
     attempts: u32,
     priority: u8,
-    answered: bool,
-    real: Option<Nanos>,
-    took: Option<Nanos>,
+    is_answered: bool,
+    measured_work: Option<Nanos>,
+    duration: Option<Nanos>,
 }
 
+/// An attempt at an engine.
 struct Attempt {
     gateway: usize,
     slot: usize,
-    stmt: usize,
+    statement: usize,
     number: u32,
     engine: usize,
     priority: u8,
-    sent: Nanos,
-    timeout: Nanos,
-    work: f64,
-    running: bool,
-    told: bool,
+    sent_at: Nanos,
+    times_out_at: Nanos,
+    measured_work_core_s: f64,
+    is_running: bool,
+    has_ended: bool,
 }
 
-enum Act {
+/// An action that a scheduler requests.
+enum Action {
     Send {
         slot: usize,
         engine: usize,
         timeout: Nanos,
     },
-    Withdraw {
+    Cancel {
         slot: usize,
         attempt: u32,
     },
@@ -128,52 +133,52 @@
     Forget {
         slot: usize,
     },
-    Wake {
-        mark: u64,
+    SetTimer {
+        timer: u64,
         after: Nanos,
     },
 }
 
-/// What a module asks for; emptied after each call.
+/// Actions that a scheduler requests, emptied after each call.
 #[derive(Default)]
-struct Desk {
-    acts: Vec<Act>,
+struct SchedulerActions {
+    requested: Vec<Action>,
     priorities: Vec<u8>,
 }
 
-impl Output for Desk {
-    fn send(&mut self, stmt: StatementIndex, engine: EngineIndex, timeout: Nanos) {
-        self.acts.push(Act::Send {
-            slot: stmt.0,
+impl Output for SchedulerActions {
+    fn send(&mut self, statement: StatementIndex, engine: EngineIndex, timeout: Nanos) {
+        self.requested.push(Action::Send {
+            slot: statement.0,
             engine: engine.0,
             timeout,
         });
     }
-    fn cancel(&mut self, stmt: StatementIndex, attempt: u32) {
-        self.acts.push(Act::Withdraw {
-            slot: stmt.0,
+    fn cancel(&mut self, statement: StatementIndex, attempt: u32) {
+        self.requested.push(Action::Cancel {
+            slot: statement.0,
             attempt,
         });
     }
-    fn set_resources(&mut self, stmt: StatementIndex, _grant_mb: f64, priority: u8) {
+    fn set_resources(&mut self, statement: StatementIndex, _grant_mb: f64, priority: u8) {
         self.priorities
-            .resize(self.priorities.len().max(stmt.0 + 1), 1);
-        self.priorities[stmt.0] = priority;
+            .resize(self.priorities.len().max(statement.0 + 1), 1);
+        self.priorities[statement.0] = priority;
     }
-    fn reject(&mut self, stmt: StatementIndex, retry_after: Nanos) {
-        self.acts.push(Act::Reject {
-            slot: stmt.0,
+    fn reject(&mut self, statement: StatementIndex, retry_after: Nanos) {
+        self.requested.push(Action::Reject {
+            slot: statement.0,
             retry_after,
         });
     }
-    fn abort(&mut self, stmt: StatementIndex) {
-        self.acts.push(Act::Abort { slot: stmt.0 });
+    fn abort(&mut self, statement: StatementIndex) {
+        self.requested.push(Action::Abort { slot: statement.0 });
     }
-    fn forget(&mut self, stmt: StatementIndex) {
-        self.acts.push(Act::Forget { slot: stmt.0 });
+    fn forget(&mut self, statement: StatementIndex) {
+        self.requested.push(Action::Forget { slot: statement.0 });
     }
-    fn set_timer(&mut self, mark: u64, after: Nanos) {
-        self.acts.push(Act::Wake { mark, after });
+    fn set_timer(&mut self, timer: u64, after: Nanos) {
+        self.requested.push(Action::SetTimer { timer, after });
     }
     fn request_load_report(&mut self, _engine: EngineIndex) {}
     fn broadcast(&mut self, _bytes: &[u8]) {}
@@ -181,99 +186,111 @@
     fn log(&mut self, _line: &str) {}
 }
 
+/// Statements that the queues have released (with whether their team is within its share) and
+/// rejected.
 #[derive(Default)]
-struct TeamsDesk {
+struct QueueActions {
     released: Vec<(StatementIndex, bool)>,
     rejected: Vec<(StatementIndex, Nanos)>,
 }
 
-impl ivypitch_queueing::Output for TeamsDesk {
-    fn release(&mut self, stmt: StatementIndex, within: bool) {
-        self.released.push((stmt, within));
+impl ivypitch_queueing::Output for QueueActions {
+    fn release(&mut self, statement: StatementIndex, is_within_share: bool) {
+        self.released.push((statement, is_within_share));
     }
-    fn reject(&mut self, stmt: StatementIndex, retry_after: Nanos) {
-        self.rejected.push((stmt, retry_after));
+    fn reject(&mut self, statement: StatementIndex, retry_after: Nanos) {
+        self.rejected.push((statement, retry_after));
     }
     fn log_mode_change(&mut self, _team: Option<usize>, _line: &str) {}
 }
 
-struct Node {
-    module: Scheduler,
-    teams: Option<TeamQueues>,
-    desk: Desk,
-    teams_desk: TeamsDesk,
-    slots: Vec<Option<Open>>,
-    free: Vec<usize>,
-    over: Vec<(StatementIndex, Option<Nanos>, Option<Nanos>)>,
-    woken_at: Option<Nanos>,
+/// A gateway's scheduler, its queues and its open statements.
+struct Gateway {
+    scheduler: Scheduler,
+    queues: Option<TeamQueues>,
+    actions: SchedulerActions,
+    queue_actions: QueueActions,
+    /// Open statements by the index that scheduler and queues know.
+    slots: Vec<Option<OpenStatement>>,
+    free_slots: Vec<usize>,
+    /// Ended statements that the queues do not know of yet, with their measured work and duration.
+    ended: Vec<(StatementIndex, Option<Nanos>, Option<Nanos>)>,
+    /// Earliest timer that is scheduled for the queues.
+    queue_timer: Option<Nanos>,
 }
 
-/// What a statement's client knows, and what engines did for it.
+/// What the client of a statement received, and what engines ran for it.
 #[derive(Clone, Copy, Default)]
-struct Client {
-    tries: u32,
+struct ClientState {
+    submissions: u32,
     answers: u32,
-    served: Option<Nanos>,
+    served_at: Option<Nanos>,
     may_have_run: bool,
-    doubled: bool,
+    has_run_twice: bool,
 }
 
+/// A running simulation.
 pub struct Fleet<'a> {
-    plan: FleetConfig<'a>,
+    config: FleetConfig<'a>,
     now: Nanos,
     events: BinaryHeap<Reverse<(Nanos, u64, Event)>>,
-    order: u64,
-    nodes: Vec<Node>,
+    last_event_serial: u64,
+    gateways: Vec<Gateway>,
     engines: Vec<Engine>,
-    /// When each engine is next looked at.
-    engine_due: Vec<Option<Nanos>>,
+    /// Time at which each engine is next checked for ended queries.
+    engine_timers: Vec<Option<Nanos>>,
     attempts: Vec<Attempt>,
-    clients: Vec<Client>,
-    serial: u64,
+    clients: Vec<ClientState>,
+    last_statement_serial: u64,
     rng: ChaCha8Rng,
-    used: Vec<f64>,
-    /// Refusals by the queues and by the modules, by team.
-    refused: Vec<(u64, u64)>,
+    /// Work of completed queries in core-seconds, by team.
+    used_core_s: Vec<f64>,
+    /// Rejections by the queues and by the schedulers, by team.
+    rejections: Vec<(u64, u64)>,
 }
 
-/// The facts that a deployment of this plan would be told.
-pub fn deployment(plan: &FleetConfig, me: usize) -> Deployment {
-    let workload = |w: &WorkloadParams| Workload {
-        latency_objective: w.latency_objective,
-        latency_objective_stretch: w.latency_objective_stretch,
-        statement_timeout: w.timeout,
-        priority_weight: w.priority_weight,
-        idempotency: w.idempotency,
+/// The deployment that a gateway of this fleet is configured with.
+pub fn deployment(config: &FleetConfig, member_index: usize) -> Deployment {
+    let workload = |params: &WorkloadParams| Workload {
+        latency_objective: params.latency_objective,
+        latency_objective_stretch: params.latency_objective_stretch,
+        statement_timeout: params.timeout,
+        priority_weight: params.priority_weight,
+        idempotency: params.idempotency,
         deduplication_scope: DeduplicationScope::All,
         deduplication_window: 0,
         is_ordered_by_key: false,
         allowed_zones: None,
         allowed_engine_kinds: None,
-        threads: w.threads,
-        is_bulk_load: w.idempotency == Idempotency::NonIdempotent,
+        threads: params.threads,
+        is_bulk_load: params.idempotency == Idempotency::NonIdempotent,
         waits_for_bulk_loads: false,
     };
-    let rate = |core_s: &f64| {
-        let parts: f64 = plan.workloads.iter().map(|w| w.statement_weight).sum();
-        let mean: f64 = plan
+    let tenant = |core_s: &f64| {
+        let total_weight: f64 = config
+            .workloads
+            .iter()
+            .map(|workload| workload.statement_weight)
+            .sum();
+        let mean_work_core_s: f64 = config
             .workloads
             .iter()
-            .map(|w| w.mean_work_core_s * w.statement_weight / parts)
+            .map(|workload| workload.mean_work_core_s * workload.statement_weight / total_weight)
             .sum();
         Tenant {
-            quota_per_second: core_s / mean,
+            quota_per_second: core_s / mean_work_core_s,
         }
     };
     Deployment {
-        gateways: plan.gateways,
-        member_index: me,
+        gateways: config.gateways,
+        member_index,
         tick: SECOND / 1000,
-        workloads: plan.workloads.iter().map(workload).collect(),
+        workloads: config.workloads.iter().map(workload).collect(),
         engine_kinds: vec![EngineKind {
-            cores: plan.engine_config.cores,
+            cores: config.engine_config.cores,
             memory_mb: 65536.0,
         }],
-        tenants: plan.tenant_quotas.iter().map(rate).collect(),
+        tenants: config.tenant_quotas.iter().map(tenant).collect(),
         over_quota_priority_weight: 0.1,
         max_open_statements: usize::MAX,
         report_fields: vec![ReportField::InFlightAttempts],
@@ -286,8 +303,8 @@
         max_attempts: 4,
         drain_grace: SECOND / 4,
         answer_grace: 5_000_000,
-        slow_start_initial_fraction: plan.engine_config.cold_speed_fraction,
-        slow_start_duration: plan.engine_config.warm_up_duration,
+        slow_start_initial_fraction: config.engine_config.cold_speed_fraction,
+        slow_start_duration: config.engine_config.warm_up_duration,
         overload_factor: 2.5,
         overload_window: 3 * SECOND,
         retry_budget: Some(RetryBudget {
@@ -300,21 +317,22 @@
 }
 
 impl<'a> Fleet<'a> {
-    pub fn new(plan: FleetConfig<'a>) -> Fleet<'a> {
-        let rng = ChaCha8Rng::seed_from_u64(plan.seed);
-        let rows: Vec<EngineEndpoint> = (0..plan.engines)
-            .map(|e| EngineEndpoint {
-                engine: EngineIndex(e),
-                id: e as u64 * 7919 + 17,
+    /// Starts all gateways and schedules all arrivals.
+    pub fn new(config: FleetConfig<'a>) -> Fleet<'a> {
+        let rng = ChaCha8Rng::seed_from_u64(config.seed);
+        let endpoints: Vec<EngineEndpoint> = (0..config.engines)
+            .map(|engine| EngineEndpoint {
+                engine: EngineIndex(engine),
+                id: engine as u64 * 7919 + 17,
                 state: EngineState::Ready,
                 weight: 1.0,
                 ..EngineEndpoint::default()
             })
             .collect();
-        let engine = |e: usize| {
-            let seed = plan.seed.wrapping_mul(31).wrapping_add(e as u64);
+        let engine = |index: usize| {
+            let seed = config.seed.wrapping_mul(31).wrapping_add(index as u64);
             Engine::new(
-                plan.engine_config.clone(),
+                config.engine_config.clone(),
                 ChaCha8Rng::seed_from_u64(seed),
                 0,
             )
@@ -322,480 +340,561 @@
         let mut fleet = Fleet {
             now: 0,
             events: BinaryHeap::new(),
-            order: 0,
-            nodes: Vec::new(),
-            engines: (0..plan.engines).map(engine).collect(),
-            engine_due: vec![None; plan.engines],
+            last_event_serial: 0,
+            gateways: Vec::new(),
+            engines: (0..config.engines).map(engine).collect(),
+            engine_timers: vec![None; config.engines],
             attempts: Vec::new(),
-            clients: vec![Client::default(); plan.statements.len()],
-            serial: 0,
+            clients: vec![ClientState::default(); config.statements.len()],
+            last_statement_serial: 0,
             rng,
-            used: vec![0.0; plan.teams.len()],
-            refused: vec![(0, 0); plan.teams.len()],
-            plan,
+            used_core_s: vec![0.0; config.teams.len()],
+            rejections: vec![(0, 0); config.teams.len()],
+            config,
         };
-        for me in 0..fleet.plan.gateways {
-            let seed = fleet.plan.seed.wrapping_mul(1_000).wrapping_add(me as u64);
-            let module = Scheduler::new(deployment(&fleet.plan, me), seed, 0);
-            let teams = fleet
-                .plan
+        for gateway in 0..fleet.config.gateways {
+            let seed = fleet
+                .config
+                .seed
+                .wrapping_mul(1_000)
+                .wrapping_add(gateway as u64);
+            let scheduler = Scheduler::new(deployment(&fleet.config, gateway), seed, 0);
+            let queues = fleet
+                .config
                 .budgets
                 .clone()
                 .map(|budgets| TeamQueues::new(budgets, seed, 0));
-            fleet.nodes.push(Node {
-                module,
-                teams,
-                desk: Desk::default(),
-                teams_desk: TeamsDesk::default(),
+            fleet.gateways.push(Gateway {
+                scheduler,
+                queues,
+                actions: SchedulerActions::default(),
+                queue_actions: QueueActions::default(),
                 slots: Vec::new(),
-                free: Vec::new(),
-                over: Vec::new(),
-                woken_at: None,
+                free_slots: Vec::new(),
+                ended: Vec::new(),
+                queue_timer: None,
             });
-            let node = &mut fleet.nodes[me];
-            node.module
-                .on_endpoints_updated(0, EndpointUpdateKind::Full, &rows, &mut node.desk);
-            if let Some(teams) = &mut node.teams {
-                let cores = fleet.plan.engines as f64 * fleet.plan.engine_config.cores
-                    / fleet.plan.gateways as f64;
-                teams.set_capacity(0, cores, &mut node.teams_desk);
+            let gateway_state = &mut fleet.gateways[gateway];
+            gateway_state.scheduler.on_endpoints_updated(
+                0,
+                EndpointUpdateKind::Full,
+                &endpoints,
+                &mut gateway_state.actions,
+            );
+            if let Some(queues) = &mut gateway_state.queues {
+                let cores = fleet.config.engines as f64 * fleet.config.engine_config.cores
+                    / fleet.config.gateways as f64;
+                queues.set_capacity(0, cores, &mut gateway_state.queue_actions);
             }
-            fleet.settle(me);
+            fleet.apply_actions(gateway);
         }
-        for stmt in 0..fleet.plan.statements.len() {
-            fleet.at(
-                fleet.plan.statements[stmt].arrives_at,
-                Event::Arrive { stmt },
+        for statement in 0..fleet.config.statements.len() {
+            fleet.schedule(
+                fleet.config.statements[statement].arrives_at,
+                Event::ClientArrival { statement },
             );
         }
         fleet
     }
 
+    /// Runs the simulation to its end and returns what was counted.
     pub fn run(mut self) -> Figures {
-        let last = self.plan.statements.last().map_or(0, |s| s.arrives_at);
+        let last_arrival = self.config.statements.last().map_or(0, |s| s.arrives_at);
         while let Some(Reverse((at, _, event))) = self.events.pop() {
-            if at > last + AFTER {
+            if at > last_arrival + MAX_OVERTIME {
                 break;
             }
             self.now = at;
-            self.happen(event);
+            self.on_event(event);
         }
-        self.figures()
+        self.into_figures()
     }
 
-    fn at(&mut self, when: Nanos, event: Event) {
-        self.order += 1;
+    fn schedule(&mut self, at: Nanos, event: Event) {
+        self.last_event_serial += 1;
         self.events
-            .push(Reverse((when.max(self.now), self.order, event)));
+            .push(Reverse((at.max(self.now), self.last_event_serial, event)));
     }
 
-    fn happen(&mut self, event: Event) {
+    fn on_event(&mut self, event: Event) {
         let now = self.now;
         match event {
-            Event::Arrive { stmt } => self.arrive(stmt),
-            Event::AtEngine { attempt } => self.at_engine(attempt),
-            Event::EngineEnds { engine } => {
-                // Another look was set since, at an earlier time.
-                if self.engine_due[engine] == Some(now) {
-                    self.engine_due[engine] = None;
-                    self.engine_moves(engine);
+            Event::ClientArrival { statement } => self.on_client_arrival(statement),
+            Event::AttemptArrival { attempt } => self.on_attempt_arrival(attempt),
+            Event::EngineTimer { engine } => {
+                // Otherwise the timer was replaced by an earlier one.
+                if self.engine_timers[engine] == Some(now) {
+                    self.engine_timers[engine] = None;
+                    self.update_engine(engine);
                 }
             }
-            Event::GiveUp { attempt } => {
+            Event::CancelArrival { attempt } => {
                 let engine = self.attempts[attempt].engine;
-                if std::mem::take(&mut self.attempts[attempt].running) {
+                if std::mem::take(&mut self.attempts[attempt].is_running) {
                     self.engines[engine].cancel(now, attempt as u64);
-                    self.engine_moves(engine);
+                    self.update_engine(engine);
                 }
-                self.tell(attempt, HOW_CANCELLED);
+                self.send_result(attempt, RESULT_CANCELLED);
             }
-            Event::TimedOut { attempt } => {
-                if !self.attempts[attempt].told {
+            Event::AttemptTimeout { attempt } => {
+                if !self.attempts[attempt].has_ended {
                     let engine = self.attempts[attempt].engine;
-                    if std::mem::take(&mut self.attempts[attempt].running) {
+                    if std::mem::take(&mut self.attempts[attempt].is_running) {
                         self.engines[engine].cancel(now, attempt as u64);
-                        self.engine_moves(engine);
+                        self.update_engine(engine);
                     }
-                    self.told(attempt, HOW_TIMED_OUT);
+                    self.on_result(attempt, RESULT_TIMED_OUT);
                 }
             }
-            Event::Told { attempt, how } => self.told(attempt, how),
-            Event::Wake { gateway, mark } => {
-                let node = &mut self.nodes[gateway];
-                node.module.on_timer(now, mark, &mut node.desk);
-                self.settle(gateway);
+            Event::ResultArrival { attempt, result } => self.on_result(attempt, result),
+            Event::SchedulerTimer { gateway, timer } => {
+                let gateway_state = &mut self.gateways[gateway];
+                gateway_state
+                    .scheduler
+                    .on_timer(now, timer, &mut gateway_state.actions);
+                self.apply_actions(gateway);
             }
-            Event::TeamsWake { gateway } => {
-                let node = &mut self.nodes[gateway];
-                node.woken_at = None;
-                if let Some(teams) = &mut node.teams {
-                    teams.on_timer(now, &mut node.teams_desk);
+            Event::QueueTimer { gateway } => {
+                let gateway_state = &mut self.gateways[gateway];
+                gateway_state.queue_timer = None;
+                if let Some(queues) = &mut gateway_state.queues {
+                    queues.on_timer(now, &mut gateway_state.queue_actions);
                 }
-                self.settle(gateway);
+                self.apply_actions(gateway);
             }
-            Event::Over {
+            Event::Deadline {
                 gateway,
                 slot,
                 serial,
             } => {
-                let node = &mut self.nodes[gateway];
-                let same = node.slots[slot]
+                let gateway_state = &mut self.gateways[gateway];
+                let unanswered = gateway_state.slots[slot]
                     .as_ref()
-                    .filter(|open| open.serial == serial && !open.answered);
-                if let Some(stmt) = same.map(|open| open.stmt) {
-                    self.clients[stmt].answers += 1;
-                    self.expire(gateway, slot);
+                    .filter(|open| open.serial == serial && !open.is_answered);
+                if let Some(statement) = unanswered.map(|open| open.statement) {
+                    self.clients[statement].answers += 1;
+                    self.on_deadline(gateway, slot);
                 }
             }
         }
     }
 
-    fn arrive(&mut self, stmt: usize) {
+    fn on_client_arrival(&mut self, statement: usize) {
         let now = self.now;
-        let asked = &self.plan.statements[stmt];
-        let gateway = self.rng.random_range(0..self.plan.gateways);
-        let deadline = asked.arrives_at + self.plan.workloads[asked.workload].timeout;
-        self.clients[stmt].tries += 1;
-        self.serial += 1;
-        let serial = self.serial;
-        let node = &mut self.nodes[gateway];
-        let slot = node.free.pop().unwrap_or_else(|| {
-            node.slots.push(None);
-            node.slots.len() - 1
+        let submitted = &self.config.statements[statement];
+        let gateway = self.rng.random_range(0..self.config.gateways);
+        let deadline = submitted.arrives_at + self.config.workloads[submitted.workload].timeout;
+        self.clients[statement].submissions += 1;
+        self.last_statement_serial += 1;
+        let serial = self.last_statement_serial;
+        let gateway_state = &mut self.gateways[gateway];
+        let slot = gateway_state.free_slots.pop().unwrap_or_else(|| {
+            gateway_state.slots.push(None);
+            gateway_state.slots.len() - 1
         });
-        node.slots[slot] = Some(Open {
-            stmt,
+        gateway_state.slots[slot] = Some(OpenStatement {
+            statement,
             serial,
             deadline,
-            out: None,
+            current_attempt: None,
             attempts: 0,
             priority: 1,
-            answered: false,
-            real: None,
-            took: None,
+            is_answered: false,
+            measured_work: None,
+            duration: None,
         });
-        let (team, workload) = (asked.team, asked.workload);
-        if let Some(teams) = &mut node.teams {
-            let estimated_work = (asked.estimated_work_core_s * 1e9) as Nanos;
-            let claim = QueueArrival {
+        let (team, workload) = (submitted.team, submitted.workload);
+        if let Some(queues) = &mut gateway_state.queues {
+            let estimated_work = (submitted.estimated_work_core_s * 1e9) as Nanos;
+            let arrival = QueueArrival {
                 team,
                 workload,
                 estimated_work,
                 bytes: 200,
                 deadline,
             };
-            teams.on_statement_arrived(now, StatementIndex(slot), claim, &mut node.teams_desk);
+            queues.on_statement_arrived(
+                now,
+                StatementIndex(slot),
+                arrival,
+                &mut gateway_state.queue_actions,
+            );
         } else {
-            self.pass_on(gateway, slot, false);
+            self.submit_to_scheduler(gateway, slot, false);
         }
-        self.at(
+        self.schedule(
             deadline + 5_000_000,
-            Event::Over {
+            Event::Deadline {
                 gateway,
                 slot,
                 serial,
             },
         );
-        self.settle(gateway);
+        self.apply_actions(gateway);
     }
 
-    fn pass_on(&mut self, gateway: usize, slot: usize, within: bool) {
-        let node = &mut self.nodes[gateway];
-        let Some(open) = &node.slots[slot] else {
+    fn submit_to_scheduler(&mut self, gateway: usize, slot: usize, is_within_share: bool) {
+        let gateway_state = &mut self.gateways[gateway];
+        let Some(open) = &gateway_state.slots[slot] else {
             return;
         };
-        let asked = &self.plan.statements[open.stmt];
+        let submitted = &self.config.statements[open.statement];
         let arrival = Arrival {
-            workload: asked.workload,
+            workload: submitted.workload,
             key: 0,
-            table_group: asked.table_group,
+            table_group: submitted.table_group,
             time_left: open.deadline.saturating_sub(self.now),
             is_repeat: false,
-            // A team within its share has no allowance to go over.
-            tenant: if within { usize::MAX } else { asked.team },
+            // A statement within its team's share is exempt from the tenant's quota.
+            tenant: if is_within_share {
+                usize::MAX
+            } else {
+                submitted.team
+            },
             estimated_memory_mb: 0.0,
-            estimated_work: (asked.estimated_work_core_s * 1e9) as Nanos,
+            estimated_work: (submitted.estimated_work_core_s * 1e9) as Nanos,
         };
-        node.module
-            .on_statement_arrived(self.now, StatementIndex(slot), arrival, &mut node.desk);
+        gateway_state.scheduler.on_statement_arrived(
+            self.now,
+            StatementIndex(slot),
+            arrival,
+            &mut gateway_state.actions,
+        );
     }
 
-    /// Does all that module and queues of a gateway ask for.
-    fn settle(&mut self, gateway: usize) {
+    /// Applies all actions that the scheduler and the queues of a gateway request, and sets the
+    /// queue timer.
+    fn apply_actions(&mut self, gateway: usize) {
         loop {
-            let node = &mut self.nodes[gateway];
-            if let Some((ix, real, took)) = node.over.pop() {
-                if let Some(teams) = &mut node.teams {
-                    teams.on_statement_ended(self.now, ix, real, took, &mut node.teams_desk);
+            let gateway_state = &mut self.gateways[gateway];
+            if let Some((statement, measured_work, duration)) = gateway_state.ended.pop() {
+                if let Some(queues) = &mut gateway_state.queues {
+                    queues.on_statement_ended(
+                        self.now,
+                        statement,
+                        measured_work,
+                        duration,
+                        &mut gateway_state.queue_actions,
+                    );
                 }
-            } else if let Some((ix, within)) = node.teams_desk.released.pop() {
-                self.pass_on(gateway, ix.0, within);
-            } else if let Some((ix, retry_after)) = node.teams_desk.rejected.pop() {
-                if let Some(open) = &self.nodes[gateway].slots[ix.0] {
-                    self.refused[self.plan.statements[open.stmt].team].0 += 1;
+            } else if let Some((statement, is_within_share)) =
+                gateway_state.queue_actions.released.pop()
+            {
+                self.submit_to_scheduler(gateway, statement.0, is_within_share);
+            } else if let Some((statement, retry_after)) =
+                gateway_state.queue_actions.rejected.pop()
+            {
+                if let Some(open) = &self.gateways[gateway].slots[statement.0] {
+                    self.rejections[self.config.statements[open.statement].team].0 += 1;
                 }
-                self.answer(gateway, ix.0, Some(retry_after));
-                self.free(gateway, ix.0);
-            } else if !node.desk.acts.is_empty() {
-                for act in std::mem::take(&mut node.desk.acts) {
-                    self.act(gateway, act);
+                self.answer_without_result(gateway, statement.0, Some(retry_after));
+                self.free_slot(gateway, statement.0);
+            } else if !gateway_state.actions.requested.is_empty() {
+                for action in std::mem::take(&mut gateway_state.actions.requested) {
+                    self.apply_action(gateway, action);
                 }
             } else {
                 break;
             }
         }
-        let node = &mut self.nodes[gateway];
-        let wake = node.teams.as_ref().and_then(TeamQueues::next_timer);
-        if let Some(at) = wake.filter(|&at| node.woken_at.is_none_or(|set| at < set)) {
-            node.woken_at = Some(at);
-            self.at(at, Event::TeamsWake { gateway });
+        let gateway_state = &mut self.gateways[gateway];
+        let next_timer = gateway_state
+            .queues
+            .as_ref()
+            .and_then(TeamQueues::next_timer);
+        if let Some(at) = next_timer.filter(|&at| {
+            gateway_state
+                .queue_timer
+                .is_none_or(|scheduled| at < scheduled)
+        }) {
+            gateway_state.queue_timer = Some(at);
+            self.schedule(at, Event::QueueTimer { gateway });
         }
     }
 
-    fn act(&mut self, gateway: usize, act: Act) {
+    fn apply_action(&mut self, gateway: usize, action: Action) {
         let now = self.now;
-        match act {
-            Act::Send {
+        match action {
+            Action::Send {
                 slot,
                 engine,
                 timeout,
             } => {
-                let priority = self.nodes[gateway]
-                    .desk
+                let priority = self.gateways[gateway]
+                    .actions
                     .priorities
                     .get(slot)
                     .copied()
                     .unwrap_or(1);
                 let attempt = self.attempts.len();
-                let Some(open) = &mut self.nodes[gateway].slots[slot] else {
+                let Some(open) = &mut self.gateways[gateway].slots[slot] else {
                     return;
                 };
                 open.priority = priority;
-                open.out = Some(attempt);
+                open.current_attempt = Some(attempt);
                 self.attempts.push(Attempt {
                     gateway,
                     slot,
-                    stmt: open.stmt,
+                    statement: open.statement,
                     number: open.attempts,
                     engine,
                     priority,
-                    sent: now,
-                    timeout: now + timeout,
-                    work: 0.0,
-                    running: false,
-                    told: false,
+                    sent_at: now,
+                    times_out_at: now + timeout,
+                    measured_work_core_s: 0.0,
+                    is_running: false,
+                    has_ended: false,
                 });
                 open.attempts += 1;
-                self.at(now + NETWORK, Event::AtEngine { attempt });
-                self.at(now + timeout, Event::TimedOut { attempt });
+                self.schedule(now + NETWORK_LATENCY, Event::AttemptArrival { attempt });
+                self.schedule(now + timeout, Event::AttemptTimeout { attempt });
             }
-            Act::Withdraw { slot, attempt } => {
-                let out = self.nodes[gateway].slots[slot]
+            Action::Cancel { slot, attempt } => {
+                let current = self.gateways[gateway].slots[slot]
                     .as_ref()
-                    .and_then(|open| open.out);
-                if let Some(out) = out.filter(|&out| self.attempts[out].number == attempt) {
-                    self.at(now + NETWORK, Event::GiveUp { attempt: out });
+                    .and_then(|open| open.current_attempt);
+                if let Some(current) =
+                    current.filter(|&current| self.attempts[current].number == attempt)
+                {
+                    self.schedule(
+                        now + NETWORK_LATENCY,
+                        Event::CancelArrival { attempt: current },
+                    );
                 }
             }
-            Act::Reject { slot, retry_after } => {
-                if let Some(open) = &self.nodes[gateway].slots[slot] {
-                    self.refused[self.plan.statements[open.stmt].team].1 += 1;
+            Action::Reject { slot, retry_after } => {
+                if let Some(open) = &self.gateways[gateway].slots[slot] {
+                    self.rejections[self.config.statements[open.statement].team].1 += 1;
                 }
-                self.answer(gateway, slot, Some(retry_after));
+                self.answer_without_result(gateway, slot, Some(retry_after));
             }
-            Act::Abort { slot } => self.answer(gateway, slot, None),
-            Act::Forget { slot } => {
-                let node = &mut self.nodes[gateway];
-                if let Some(open) = &node.slots[slot] {
-                    node.over.push((StatementIndex(slot), open.real, open.took));
+            Action::Abort { slot } => self.answer_without_result(gateway, slot, None),
+            Action::Forget { slot } => {
+                let gateway_state = &mut self.gateways[gateway];
+                if let Some(open) = &gateway_state.slots[slot] {
+                    gateway_state.ended.push((
+                        StatementIndex(slot),
+                        open.measured_work,
+                        open.duration,
+                    ));
                 }
-                self.free(gateway, slot);
+                self.free_slot(gateway, slot);
+            }
+            Action::SetTimer { timer, after } => {
+                self.schedule(now + after, Event::SchedulerTimer { gateway, timer })
             }
-            Act::Wake { mark, after } => self.at(now + after, Event::Wake { gateway, mark }),
         }
     }
 
-    fn free(&mut self, gateway: usize, slot: usize) {
-        let node = &mut self.nodes[gateway];
-        if node.slots[slot].take().is_some() {
-            node.free.push(slot);
+    fn free_slot(&mut self, gateway: usize, slot: usize) {
+        let gateway_state = &mut self.gateways[gateway];
+        if gateway_state.slots[slot].take().is_some() {
+            gateway_state.free_slots.push(slot);
         }
     }
 
-    /// A final answer that is no result: `Some`: refused, and when to come back.
-    fn answer(&mut self, gateway: usize, slot: usize, refused: Option<Nanos>) {
-        let Some(open) = &mut self.nodes[gateway].slots[slot] else {
+    /// Answers a client without a result: rejected with a retry-after time, or aborted if `None`.
+    fn answer_without_result(&mut self, gateway: usize, slot: usize, rejected: Option<Nanos>) {
+        let Some(open) = &mut self.gateways[gateway].slots[slot] else {
             return;
         };
-        if std::mem::replace(&mut open.answered, true) {
-            self.clients[open.stmt].answers += 2;
+        if std::mem::replace(&mut open.is_answered, true) {
+            self.clients[open.statement].answers += 2;
             return;
         }
-        let stmt = open.stmt;
-        self.clients[stmt].answers += 1;
-        let asked = &self.plan.statements[stmt];
-        let Some(retry_after) = refused else { return };
-        let again = self.now + 2 * NETWORK + retry_after;
-        let in_time = again < asked.arrives_at + self.plan.workloads[asked.workload].timeout / 2;
-        if self.clients[stmt].tries < TRIES && in_time {
-            self.at(again, Event::Arrive { stmt });
+        let statement = open.statement;
+        self.clients[statement].answers += 1;
+        let submitted = &self.config.statements[statement];
+        let Some(retry_after) = rejected else { return };
+        let resubmit_at = self.now + 2 * NETWORK_LATENCY + retry_after;
+        let has_time = resubmit_at
+            < submitted.arrives_at + self.config.workloads[submitted.workload].timeout / 2;
+        if self.clients[statement].submissions < MAX_SUBMISSIONS && has_time {
+            self.schedule(resubmit_at, Event::ClientArrival { statement });
         }
     }
 
-    fn expire(&mut self, gateway: usize, slot: usize) {
-        let node = &mut self.nodes[gateway];
-        if let Some(open) = &mut node.slots[slot] {
-            open.answered = true;
+    fn on_deadline(&mut self, gateway: usize, slot: usize) {
+        let gateway_state = &mut self.gateways[gateway];
+        if let Some(open) = &mut gateway_state.slots[slot] {
+            open.is_answered = true;
         }
-        let left = node
-            .teams
-            .as_mut()
-            .is_some_and(|t| t.remove(self.now, StatementIndex(slot), &mut node.teams_desk));
-        if left {
-            self.free(gateway, slot);
+        let was_queued = gateway_state.queues.as_mut().is_some_and(|queues| {
+            queues.remove(
+                self.now,
+                StatementIndex(slot),
+                &mut gateway_state.queue_actions,
+            )
+        });
+        if was_queued {
+            self.free_slot(gateway, slot);
         } else {
-            node.module
-                .on_statement_expired(self.now, StatementIndex(slot), &mut node.desk);
+            gateway_state.scheduler.on_statement_expired(
+                self.now,
+                StatementIndex(slot),
+                &mut gateway_state.actions,
+            );
         }
-        self.settle(gateway);
+        self.apply_actions(gateway);
     }
 
-    fn at_engine(&mut self, attempt: usize) {
+    fn on_attempt_arrival(&mut self, attempt: usize) {
         let now = self.now;
-        let e = &self.attempts[attempt];
-        if e.told || now >= e.timeout {
+        let arrived = &self.attempts[attempt];
+        if arrived.has_ended || now >= arrived.times_out_at {
             return;
         }
-        let (stmt, engine) = (e.stmt, e.engine);
-        let asked = &self.plan.statements[stmt];
-        let work = &self.plan.workloads[asked.workload];
+        let (statement, engine) = (arrived.statement, arrived.engine);
+        let submitted = &self.config.statements[statement];
+        let workload = &self.config.workloads[submitted.workload];
         let query = Query {
             id: attempt as u64,
-            work_core_s: asked.work_core_s,
-            threads: work.threads,
-            priority: e.priority,
-            table_group: asked.table_group,
+            work_core_s: submitted.work_core_s,
+            threads: workload.threads,
+            priority: arrived.priority,
+            table_group: submitted.table_group,
         };
         if self.engines[engine].start(now, query) {
-            let client = &mut self.clients[stmt];
-            client.doubled |= client.may_have_run && work.idempotency == Idempotency::NonIdempotent;
+            let client = &mut self.clients[statement];
+            client.has_run_twice |=
+                client.may_have_run && workload.idempotency == Idempotency::NonIdempotent;
             client.may_have_run = true;
-            self.attempts[attempt].running = true;
-            self.engine_moves(engine);
+            self.attempts[attempt].is_running = true;
+            self.update_engine(engine);
         } else {
-            self.tell(attempt, HOW_FULL);
+            self.send_result(attempt, RESULT_OVERLOADED);
         }
     }
 
-    /// Takes out what has ended at an engine and looks again at its next end.
-    fn engine_moves(&mut self, engine: usize) {
+    /// Handles the queries that have ended at an engine and schedules the check at its next end.
+    fn update_engine(&mut self, engine: usize) {
         for (id, end) in self.engines[engine].take_ended(self.now) {
             let attempt = id as usize;
-            self.attempts[attempt].running = false;
-            let how = match end {
+            self.attempts[attempt].is_running = false;
+            let result = match end {
                 QueryEnd::Completed(work) => {
-                    self.attempts[attempt].work = work;
-                    self.used[self.plan.statements[self.attempts[attempt].stmt].team] += work;
-                    HOW_GOOD
+                    self.attempts[attempt].measured_work_core_s = work;
+                    self.used_core_s
+                        [self.config.statements[self.attempts[attempt].statement].team] += work;
+                    RESULT_COMPLETED
                 }
-                QueryEnd::Error => HOW_ERROR,
+                QueryEnd::Error => RESULT_ERROR,
             };
-            self.tell(attempt, how);
+            self.send_result(attempt, result);
         }
         let next = self.engines[engine].next_end();
-        if let Some(at) = next.filter(|&at| self.engine_due[engine].is_none_or(|due| at < due)) {
-            self.engine_due[engine] = Some(at);
-            self.at(at, Event::EngineEnds { engine });
+        if let Some(at) =
+            next.filter(|&at| self.engine_timers[engine].is_none_or(|scheduled| at < scheduled))
+        {
+            self.engine_timers[engine] = Some(at);
+            self.schedule(at, Event::EngineTimer { engine });
         }
     }
 
-    fn tell(&mut self, attempt: usize, how: u8) {
-        self.at(self.now + NETWORK, Event::Told { attempt, how });
+    fn send_result(&mut self, attempt: usize, result: u8) {
+        self.schedule(
+            self.now + NETWORK_LATENCY,
+            Event::ResultArrival { attempt, result },
+        );
     }
 
-    fn told(&mut self, attempt: usize, how: u8) {
+    fn on_result(&mut self, attempt: usize, result: u8) {
         let now = self.now;
-        let e = &mut self.attempts[attempt];
-        if std::mem::replace(&mut e.told, true) {
+        let ended_attempt = &mut self.attempts[attempt];
+        if std::mem::replace(&mut ended_attempt.has_ended, true) {
             return;
         }
-        let (gateway, slot, engine, work) = (e.gateway, e.slot, e.engine, e.work);
-        let took = now - e.sent;
-        let outcome = match how {
-            HOW_GOOD => Outcome::Completed,
-            HOW_ERROR => Outcome::Error,
-            HOW_FULL => Outcome::Overloaded,
-            HOW_CANCELLED => Outcome::Cancelled,
+        let (gateway, slot, engine, work_core_s) = (
+            ended_attempt.gateway,
+            ended_attempt.slot,
+            ended_attempt.engine,
+            ended_attempt.measured_work_core_s,
+        );
+        let duration = now - ended_attempt.sent_at;
+        let outcome = match result {
+            RESULT_COMPLETED => Outcome::Completed,
+            RESULT_ERROR => Outcome::Error,
+            RESULT_OVERLOADED => Outcome::Overloaded,
+            RESULT_CANCELLED => Outcome::Cancelled,
             _ => Outcome::TimedOut,
         };
-        let node = &mut self.nodes[gateway];
-        let Some(open) = node.slots[slot]
+        let gateway_state = &mut self.gateways[gateway];
+        let Some(open) = gateway_state.slots[slot]
             .as_mut()
-            .filter(|open| open.out == Some(attempt))
+            .filter(|open| open.current_attempt == Some(attempt))
         else {
             return;
         };
-        open.out = None;
-        let threads = self.plan.workloads[self.plan.statements[open.stmt].workload].threads;
+        open.current_attempt = None;
+        let threads =
+            self.config.workloads[self.config.statements[open.statement].workload].threads;
         if !outcome.never_ran() {
-            let on_engine = (took as f64 * threads) as Nanos;
-            let real = if how == HOW_GOOD {
-                (work * 1e9) as Nanos
+            let thread_time = (duration as f64 * threads) as Nanos;
+            let measured_work = if result == RESULT_COMPLETED {
+                (work_core_s * 1e9) as Nanos
             } else {
-                on_engine
+                thread_time
             };
-            open.real = Some(open.real.unwrap_or(0) + real);
+            open.measured_work = Some(open.measured_work.unwrap_or(0) + measured_work);
         }
-        if how == HOW_GOOD {
-            open.took = Some(took);
-            if !std::mem::replace(&mut open.answered, true) {
-                self.clients[open.stmt].answers += 1;
-                self.clients[open.stmt].served = Some(now + NETWORK);
+        if result == RESULT_COMPLETED {
+            open.duration = Some(duration);
+            if !std::mem::replace(&mut open.is_answered, true) {
+                self.clients[open.statement].answers += 1;
+                self.clients[open.statement].served_at = Some(now + NETWORK_LATENCY);
             }
         }
         let report = [self.engines[engine].running() as f32];
         let ended = AttemptEnded {
-            attempt: e.number,
+            attempt: ended_attempt.number,
             engine: EngineIndex(engine),
             outcome,
-            duration: took,
-            has_final_answer: open.answered,
-            measured_cost: (how == HOW_GOOD).then_some((work * 1000.0, 0.0)),
-            load_report: if matches!(how, HOW_GOOD | HOW_ERROR) {
+            duration,
+            has_final_answer: open.is_answered,
+            measured_cost: (result == RESULT_COMPLETED).then_some((work_core_s * 1000.0, 0.0)),
+            load_report: if matches!(result, RESULT_COMPLETED | RESULT_ERROR) {
                 &report
             } else {
                 &[]
             },
         };
-        node.module
-            .on_attempt_ended(now, StatementIndex(slot), &ended, &mut node.desk);
-        self.settle(gateway);
+        gateway_state.scheduler.on_attempt_ended(
+            now,
+            StatementIndex(slot),
+            &ended,
+            &mut gateway_state.actions,
+        );
+        self.apply_actions(gateway);
     }
 
-    fn figures(self) -> Figures {
+    fn into_figures(self) -> Figures {
         let mut teams: Vec<TeamFigures> = self
-            .plan
+            .config
             .teams
             .iter()
             .map(|name| TeamFigures::new(name))
             .collect();
         let (mut doubled, mut unanswered, mut twice) = (0, 0, 0);
-        for (client, asked) in self.clients.iter().zip(self.plan.statements) {
-            let work = &self.plan.workloads[asked.workload];
-            let took = client.served.map(|at| at - asked.arrives_at);
-            teams[asked.team].count(
-                work.priority_weight,
-                asked.latency_objective,
-                took,
-                client.tries,
+        for (client, submitted) in self.clients.iter().zip(self.config.statements) {
+            let workload = &self.config.workloads[submitted.workload];
+            let latency = client.served_at.map(|at| at - submitted.arrives_at);
+            teams[submitted.team].count(
+                workload.priority_weight,
+                submitted.latency_objective,
+                latency,
+                client.submissions,
             );
-            doubled += u64::from(client.doubled);
-            unanswered += u64::from(client.answers < client.tries);
-            twice += u64::from(client.answers > client.tries);
+            doubled += u64::from(client.has_run_twice);
+            unanswered += u64::from(client.answers < client.submissions);
+            twice += u64::from(client.answers > client.submissions);
         }
-        for ((team, used), refused) in teams.iter_mut().zip(&self.used).zip(&self.refused) {
+        for ((team, used), rejections) in teams
+            .iter_mut()
+            .zip(&self.used_core_s)
+            .zip(&self.rejections)
+        {
             team.used = *used;
-            (team.refused_waiting, team.refused_later) = *refused;
+            (team.refused_waiting, team.refused_later) = *rejections;
         }
         let mut figures = Figures {
             teams,
@@ -806,15 +905,15 @@
         };
         let errors = Histogram::new_with_bounds(1, 10_000, 2);
         let mut errors = errors.unwrap_or_else(|_| unreachable!());
-        for node in &self.nodes {
-            if let Some(teams) = &node.teams {
-                figures.told += teams.wait_statistics().estimates;
-                figures.good += teams.wait_statistics().good_estimates;
-                let _ = errors.add(&teams.wait_statistics().errors_percent);
+        for gateway_state in &self.gateways {
+            if let Some(queues) = &gateway_state.queues {
+                figures.told += queues.wait_statistics().estimates;
+                figures.good += queues.wait_statistics().good_estimates;
+                let _ = errors.add(&queues.wait_statistics().errors_percent);
             }
         }
         figures.median_error = errors.value_at_quantile(0.5) as f64 / 100.0;
-        figures.wasted = self.engines.iter().map(|e| e.wasted_core_s).sum();
+        figures.wasted = self.engines.iter().map(|engine| engine.wasted_core_s).sum();
         figures
     }
 }
--- a/crates/ivypitch-testbed/src/virtual_time/traffic.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/traffic.rs
@@ -1,4 +1,5 @@
-//! Who asks for what: workloads, teams, and when their statements come, by a seed. Arrivals don't wait for answers.
+//! Open-loop traffic drawn from a seed: workloads, teams and the arrivals of their statements.
+//! Arrivals do not wait for answers.
 
 use ivypitch_scheduler::Idempotency;
 use ivypitch_types::{Nanos, SECOND};
@@ -6,33 +7,41 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, LogNormal};
 
+/// Properties of the statements of one workload.
 #[derive(Clone, Debug)]
 pub struct WorkloadParams {
+    /// Name of the workload.
     pub name: &'static str,
+    /// Weight of a statement of this workload among all workloads.
     pub priority_weight: f64,
+    /// Latency objective of a statement without work.
     pub latency_objective: Nanos,
-    /// The SLO time grows by this multiple of work over threads.
+    /// The latency objective grows by this multiple of work divided by threads.
     pub latency_objective_stretch: f64,
+    /// Statement timeout.
     pub timeout: Nanos,
+    /// Whether statements may run more than once.
     pub idempotency: Idempotency,
+    /// Threads of a statement.
     pub threads: f64,
-    /// Mean core-seconds, and the coefficient of variation.
+    /// Mean work of a statement in core-seconds.
     pub mean_work_core_s: f64,
+    /// Coefficient of variation of the work.
     pub work_variation: f64,
-    /// Part of the statements.
+    /// Relative frequency of this workload among all statements.
     pub statement_weight: f64,
 }
 
-/// Lookups, reports and loads; `scale` shortens all alike.
+/// The workloads of lookups, reports and loads, with all times and work multiplied by `scale`.
 pub fn workloads(scale: f64) -> Vec<WorkloadParams> {
-    let s = |seconds: f64| (seconds * scale * SECOND as f64) as Nanos;
+    let scaled = |seconds: f64| (seconds * scale * SECOND as f64) as Nanos;
     vec![
         WorkloadParams {
             name: "lookup",
             priority_weight: 1.0,
-            latency_objective: s(0.8),
+            latency_objective: scaled(0.8),
             latency_objective_stretch: 2.0,
-            timeout: s(4.0),
+            timeout: scaled(4.0),
             idempotency: Idempotency::Idempotent,
             threads: 1.0,
             mean_work_core_s: 0.14 * scale,
@@ -42,9 +51,9 @@
         WorkloadParams {
             name: "report",
             priority_weight: 8.0,
-            latency_objective: s(3.0),
+            latency_objective: scaled(3.0),
             latency_objective_stretch: 2.5,
-            timeout: s(25.0),
+            timeout: scaled(25.0),
             idempotency: Idempotency::Idempotent,
             threads: 2.0,
             mean_work_core_s: 4.0 * scale,
@@ -54,9 +63,9 @@
         WorkloadParams {
             name: "load",
             priority_weight: 8.0,
-            latency_objective: s(4.0),
+            latency_objective: scaled(4.0),
             latency_objective_stretch: 2.5,
-            timeout: s(25.0),
+            timeout: scaled(25.0),
             idempotency: Idempotency::NonIdempotent,
             threads: 2.0,
             mean_work_core_s: 2.2 * scale,
@@ -66,23 +75,24 @@
     ]
 }
 
-/// How a team's traffic goes beyond its usual.
+/// A temporary rise of a team's arrival rate above its usual rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Flood {
+    /// The usual rate.
     None,
-    /// So many times its rate from a time on until another.
+    /// The usual rate times `rate_factor` from `from` until `until`.
     Step {
         rate_factor: f64,
         from: Nanos,
         until: Nanos,
     },
-    /// Rising to that over the whole time.
+    /// A linear rise from the usual rate to `rate_factor` times the usual rate.
     Ramp {
         rate_factor: f64,
         from: Nanos,
         until: Nanos,
     },
-    /// That for 200 ms in each second.
+    /// The usual rate times `rate_factor` during the first 200 ms of each second.
     Pulses {
         rate_factor: f64,
         from: Nanos,
@@ -124,113 +134,150 @@
     }
 }
 
+/// A team and its traffic.
 #[derive(Clone, Debug)]
 pub struct Team {
+    /// Name of the team.
     pub name: String,
-    /// Core-seconds a second that it usually asks for.
+    /// Usual demand, in core-seconds per second.
     pub demand_cores: f64,
+    /// Rise of the rate above the usual one.
     pub flood: Flood,
-    /// What it says its statements cost, against what they do; 0: says nothing.
+    /// Ratio of the estimated work to the work of its statements, before random errors; 0: it gives
+    /// no estimates.
     pub estimate_factor: f64,
 }
 
+/// One statement of the traffic.
 #[derive(Clone, Debug)]
 pub struct Statement {
+    /// Time of the first arrival.
     pub arrives_at: Nanos,
+    /// Index of the team.
     pub team: usize,
+    /// Index of the workload.
     pub workload: usize,
+    /// Table group that it reads.
     pub table_group: u32,
-    /// Core-seconds.
+    /// Work in core-seconds with a good plan and a cold table group.
     pub work_core_s: f64,
+    /// Estimate of the work that the client gives, in core-seconds; 0: none.
     pub estimated_work_core_s: f64,
+    /// Latency objective of this statement.
     pub latency_objective: Nanos,
 }
 
-/// Several for each engine at the largest size, or few engines would have all the work.
-const GROUPS: u32 = 240;
-/// Told estimates scatter by so much.
-const TOLD_SCATTER: f64 = 0.3;
+/// Number of table groups. It must be several times the largest number of engines, or a few engines
+/// would get all the work.
+const TABLE_GROUPS: u32 = 240;
+/// Standard deviation of the logarithm of an estimate's error.
+const ESTIMATE_ERROR_SIGMA: f64 = 0.3;
 
-/// All statements of a time, in the order of their coming. A team's usual ones are the same whether it floods or
-/// not, and whatever others do.
+/// Draws all statements that arrive within `span`, in order of arrival. A team's usual statements
+/// depend neither on its own flood nor on the other teams.
 pub fn draw_statements(
-    works: &[WorkloadParams],
+    workloads: &[WorkloadParams],
     teams: &[Team],
     span: Nanos,
     seed: u64,
 ) -> Vec<Statement> {
-    let parts: f64 = works.iter().map(|w| w.statement_weight).sum();
-    let mean: f64 = works
+    let total_weight: f64 = workloads
         .iter()
-        .map(|w| w.mean_work_core_s * w.statement_weight / parts)
+        .map(|workload| workload.statement_weight)
         .sum();
-    let mut all = Vec::new();
-    for (t, team) in teams.iter().enumerate() {
+    let mean_work_core_s: f64 = workloads
+        .iter()
+        .map(|workload| workload.mean_work_core_s * workload.statement_weight / total_weight)
+        .sum();
+    let mut statements = Vec::new();
+    for (team_index, team) in teams.iter().enumerate() {
         let mut rng =
-            ChaCha8Rng::seed_from_u64(seed.wrapping_mul(1_000_003).wrapping_add(t as u64));
-        let mut extra =
-            ChaCha8Rng::seed_from_u64(seed.wrapping_mul(7_000_003).wrapping_add(t as u64));
-        let rate = team.demand_cores / mean;
-        draw(works, team, t, rate, span, &mut rng, &mut all, |_| 1.0);
+            ChaCha8Rng::seed_from_u64(seed.wrapping_mul(1_000_003).wrapping_add(team_index as u64));
+        let mut flood_rng =
+            ChaCha8Rng::seed_from_u64(seed.wrapping_mul(7_000_003).wrapping_add(team_index as u64));
+        let rate = team.demand_cores / mean_work_core_s;
+        draw_team(
+            workloads,
+            team,
+            team_index,
+            rate,
+            span,
+            &mut rng,
+            &mut statements,
+            |_| 1.0,
+        );
         if team.flood != Flood::None {
-            let max_extra = team.flood.max_rate_factor() - 1.0;
-            draw(
-                works,
+            let max_extra_rate_factor = team.flood.max_rate_factor() - 1.0;
+            draw_team(
+                workloads,
                 team,
-                t,
-                rate * max_extra,
+                team_index,
+                rate * max_extra_rate_factor,
                 span,
-                &mut extra,
-                &mut all,
-                |at| (team.flood.rate_factor(at) - 1.0) / max_extra,
+                &mut flood_rng,
+                &mut statements,
+                |at| (team.flood.rate_factor(at) - 1.0) / max_extra_rate_factor,
             );
         }
     }
-    all.sort_by_key(|s| (s.arrives_at, s.team));
-    all
+    statements.sort_by_key(|statement| (statement.arrives_at, statement.team));
+    statements
 }
 
 #[expect(clippy::too_many_arguments)]
-fn draw(
-    works: &[WorkloadParams],
+fn draw_team(
+    workloads: &[WorkloadParams],
     team: &Team,
-    t: usize,
+    team_index: usize,
     rate: f64,
     span: Nanos,
     rng: &mut ChaCha8Rng,
-    all: &mut Vec<Statement>,
+    statements: &mut Vec<Statement>,
     keep_probability: impl Fn(Nanos) -> f64,
 ) {
-    let Ok(gap) = Exp::new(rate) else { return };
-    let parts: f64 = works.iter().map(|w| w.statement_weight).sum();
+    let Ok(gap_distribution) = Exp::new(rate) else {
+        return;
+    };
+    let total_weight: f64 = workloads
+        .iter()
+        .map(|workload| workload.statement_weight)
+        .sum();
     let mut at_s = 0.0;
     loop {
-        at_s += gap.sample(rng);
+        at_s += gap_distribution.sample(rng);
         let arrives_at = (at_s * 1e9) as Nanos;
         if arrives_at >= span {
             return;
         }
-        let mut pick = rng.random_range(0.0..parts);
-        let workload = works
+        let mut drawn_weight = rng.random_range(0.0..total_weight);
+        let workload = workloads
             .iter()
-            .position(|w| {
-                pick -= w.statement_weight;
-                pick < 0.0
+            .position(|workload| {
+                drawn_weight -= workload.statement_weight;
+                drawn_weight < 0.0
             })
             .unwrap_or(0);
-        let params = &works[workload];
-        let sigma2 = (1.0 + params.work_variation * params.work_variation).ln();
-        let lognormal = LogNormal::new(params.mean_work_core_s.ln() - sigma2 / 2.0, sigma2.sqrt());
-        let work_core_s = lognormal.map_or(params.mean_work_core_s, |d| d.sample(rng));
-        let error_factor = LogNormal::new(0.0, TOLD_SCATTER).map_or(1.0, |d| d.sample(rng));
-        let table_group = rng.random_range(0..GROUPS).min(rng.random_range(0..GROUPS));
+        let params = &workloads[workload];
+        let sigma_squared = (1.0 + params.work_variation * params.work_variation).ln();
+        let work_distribution = LogNormal::new(
+            params.mean_work_core_s.ln() - sigma_squared / 2.0,
+            sigma_squared.sqrt(),
+        );
+        let work_core_s = work_distribution.map_or(params.mean_work_core_s, |distribution| {
+            distribution.sample(rng)
+        });
+        let error_factor = LogNormal::new(0.0, ESTIMATE_ERROR_SIGMA)
+            .map_or(1.0, |distribution| distribution.sample(rng));
+        let table_group = rng
+            .random_range(0..TABLE_GROUPS)
+            .min(rng.random_range(0..TABLE_GROUPS));
         if rng.random_bool(keep_probability(arrives_at).clamp(0.0, 1.0)) {
             let latency_objective = params.latency_objective
                 + (params.latency_objective_stretch * work_core_s / params.threads * 1e9) as Nanos;
             let estimated_work_core_s = work_core_s * error_factor * team.estimate_factor;
-            all.push(Statement {
+            statements.push(Statement {
                 arrives_at,
-                team: t,
+                team: team_index,
                 workload,
                 table_group,
                 work_core_s,
