--- a/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/engines.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/engines.rs
@@ -1,49 +1,57 @@
-//! Statements at engines, the gateways' own outlier detection, and which engines the fleet has
-//! ejected.
+//! Statements sent to engines, the gateways' own outlier detection, and the engines that the fleet
+//! has ejected.
 
 use ivypitch_coordination::AttemptHealth;
 use ivypitch_scheduler::OutlierStatus;
 use ivypitch_types::{MILLISECOND, Nanos, SECOND};
 use rand::Rng;
 
-use super::STEP;
+use super::MEASUREMENT_INTERVAL;
 use super::event::Event;
 use super::gateway::{OwnOutcome, Process};
 use super::simulation::Simulation;
 
+/// Number of the engine with index 0.
 const FIRST_ENGINE_NUMBER: u64 = 1000;
-/// With faulty gateways: this one sees all engines as failing,
+/// Index of the faulty gateway that observes all engines as failing.
 const ACCUSING_GATEWAY: usize = 3;
-/// and this one sees none.
+/// Index of the faulty gateway that observes failing engines as healthy.
 const BLIND_GATEWAY: usize = 4;
-/// So many sends lie between two probes of a gateway.
+/// Minimum number of sends of a gateway between two engine probes.
 const SENDS_BETWEEN_PROBES: u32 = 16;
+/// Minimum time between two probes of an engine by one gateway.
 const PROBE_INTERVAL: Nanos = SECOND;
-/// As in the scheduler's outlier detection.
+/// Number of recent outcomes per engine, as in the scheduler's outlier detection.
 const MAX_OWN_OUTCOMES: usize = 8;
+/// Time after which an outcome no longer counts, as in the scheduler's outlier detection.
 const OWN_OUTCOME_TTL: Nanos = 10 * SECOND;
+/// Success rate below which an engine is ejected, as in the scheduler's outlier detection.
 const MIN_SUCCESS_RATE: f64 = 0.375;
-/// The part of the gateways that counts as all.
+/// Fraction of the gateways that counts as all of them.
 const NEARLY_ALL: f64 = 0.99;
+/// Fraction of the gateways that counts as none of them.
 const NEARLY_NONE: f64 = 0.01;
-/// Sends are counted over so many steps.
-const LOAD_STEPS: u64 = 12;
+/// Number of measurements in the interval over which sends are counted.
+const LOAD_MEASUREMENTS: u64 = 12;
+/// Length of that interval in seconds.
 const LOAD_INTERVAL_SECONDS: f64 = 0.24;
 
-/// The number that all gateways know an engine by.
+/// The number by which all gateways identify an engine.
 pub(super) fn engine_number(engine: usize) -> u64 {
     FIRST_ENGINE_NUMBER + engine as u64
 }
 
-/// What is counted of engines.
+/// Measurements of engines.
 pub(super) struct EngineCounts {
     /// Sends to each engine in the current interval.
     sends: Vec<u32>,
+    /// Statements sent to failing engines.
     pub(super) sent_to_failing: u64,
-    /// When nearly all gateways had ejected the failing engines, and used them again.
+    /// Time at which nearly all gateways had ejected the failing engines.
     pub(super) ejected_at: Option<Nanos>,
+    /// Time at which nearly all gateways used the recovered engines again.
     pub(super) returned_at: Option<Nanos>,
-    /// In engine-seconds, of all gateways.
+    /// Time for which healthy engines were ejected, in engine-seconds of all gateways.
     pub(super) falsely_ejected: f64,
 }
 
@@ -70,8 +78,8 @@
         }
     }
 
-    /// Sends a statement to a random engine that is not ejected; a probe now and then, as the
-    /// scheduler does.
+    /// Draws an engine and sends it a statement unless it is ejected; an ejected engine gets a
+    /// probe from time to time, as in the scheduler.
     pub(super) fn send_statement(&mut self, by: Process) {
         if !self.is_current(by) {
             return;
@@ -106,9 +114,9 @@
         if !gateway.own_ejected.contains(&engine) && !status.is_ejected {
             return true;
         }
-        let has_turn = !status.is_ejected || status.is_probe_assigned;
+        let may_probe = !status.is_ejected || status.is_probe_assigned;
         let next_probe = gateway.next_probe.get(&engine).copied().unwrap_or(0);
-        if gateway.sends_since_probe <= SENDS_BETWEEN_PROBES || !has_turn || now < next_probe {
+        if gateway.sends_since_probe <= SENDS_BETWEEN_PROBES || !may_probe || now < next_probe {
             return false;
         }
         gateway.sends_since_probe = 0;
@@ -130,7 +138,8 @@
         }
     }
 
-    /// With faulty gateways, every other one cannot reach the last engine.
+    /// Whether the gateway cannot reach the engine: with faulty gateways, every other one cannot
+    /// reach the last engine.
     fn is_cut_off(&self, gateway: usize, engine: usize) -> bool {
         engine == self.fleet.engines - 1 && gateway.is_multiple_of(2)
     }
@@ -180,21 +189,23 @@
 
     pub(super) fn count_engines(&mut self) {
         let running: Vec<usize> = (0..self.fleet.gateways)
-            .filter(|&g| self.gateways[g].is_running())
+            .filter(|&gateway| self.gateways[gateway].is_running())
             .collect();
         self.count_failing(&running);
         self.count_falsely_ejected(&running);
-        if (self.now / STEP).is_multiple_of(LOAD_STEPS) {
+        if (self.now / MEASUREMENT_INTERVAL).is_multiple_of(LOAD_MEASUREMENTS) {
             self.count_load();
         }
     }
 
     fn count_failing(&mut self, running: &[usize]) {
-        let ejected_part = |engine: usize| {
-            let ejected = running.iter().filter(|&&g| self.has_ejected(g, engine));
+        let ejected_fraction = |engine: usize| {
+            let ejected = running
+                .iter()
+                .filter(|&&gateway| self.has_ejected(gateway, engine));
             ejected.count() as f64 / running.len().max(1) as f64
         };
-        // The blind gateway goes on using them.
+        // The blind gateway keeps using the failing engines.
         let tolerance = if self.fleet.has_faulty_gateways {
             1.0 / running.len().max(1) as f64
         } else {
@@ -203,8 +214,8 @@
         let mut failing = 0..self.fleet.failing_engines;
         let is_ejected = failing
             .clone()
-            .all(|engine| ejected_part(engine) >= NEARLY_ALL - tolerance);
-        let is_returned = failing.all(|engine| ejected_part(engine) <= NEARLY_NONE + tolerance);
+            .all(|engine| ejected_fraction(engine) >= NEARLY_ALL - tolerance);
+        let is_returned = failing.all(|engine| ejected_fraction(engine) <= NEARLY_NONE + tolerance);
         let counts = &mut self.engine_counts;
         if counts.ejected_at.is_none() && self.now >= self.schedule.engines_fail && is_ejected {
             counts.ejected_at = Some(self.now);
@@ -215,7 +226,8 @@
         }
     }
 
-    /// Not counted: the accusing gateway, and those that cannot reach the engine.
+    /// Counts ejections of healthy engines, except by the accusing gateway and by gateways that
+    /// cannot reach the engine.
     fn count_falsely_ejected(&mut self, running: &[usize]) {
         let has_reason = |gateway: usize, engine: usize| {
             self.fleet.has_faulty_gateways
@@ -225,10 +237,13 @@
         for engine in self.fleet.failing_engines..self.fleet.engines {
             falsely_ejected += running
                 .iter()
-                .filter(|&&g| !has_reason(g, engine) && self.has_ejected(g, engine))
+                .filter(|&&gateway| {
+                    !has_reason(gateway, engine) && self.has_ejected(gateway, engine)
+                })
                 .count();
         }
-        self.engine_counts.falsely_ejected += falsely_ejected as f64 * STEP as f64 / SECOND as f64;
+        self.engine_counts.falsely_ejected +=
+            falsely_ejected as f64 * MEASUREMENT_INTERVAL as f64 / SECOND as f64;
     }
 
     fn count_load(&mut self) {
--- a/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/event.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/event.rs
@@ -1,4 +1,4 @@
-//! What happens at a point in time.
+//! Events of the simulation.
 
 use ivypitch_coordination::{AttemptHealth, CoordinationMessage, GossipMessage};
 
@@ -17,15 +17,15 @@
         to: Process,
         gossip: GossipMessage,
     },
-    /// The coordinator's timer is due.
+    /// The coordinator's timer fires.
     Timer(Process),
-    /// Membership looks whether a member is there.
+    /// A gateway updates its view of whether a member is reachable.
     CheckMember {
         by: usize,
         member: usize,
     },
-    /// Quotas and engines are counted.
-    Step,
+    /// Quotas and engines are measured.
+    Measure,
     FaultBegins(Fault),
     FaultEnds(Fault),
     Restart {
@@ -42,16 +42,17 @@
 }
 
 impl Event {
-    /// The gateway that handles it.
+    /// The gateway that handles the event, if it is for one gateway.
     pub(super) fn gateway(&self) -> Option<usize> {
         match self {
             Event::Message { to, .. } | Event::Gossip { to, .. } => Some(to.gateway),
             Event::Timer(process) | Event::Send(process) => Some(process.gateway),
             Event::AttemptEnded { by, .. } => Some(by.gateway),
             Event::CheckMember { by, .. } => Some(*by),
-            Event::Step | Event::FaultBegins(_) | Event::FaultEnds(_) | Event::Restart { .. } => {
-                None
-            }
+            Event::Measure
+            | Event::FaultBegins(_)
+            | Event::FaultEnds(_)
+            | Event::Restart { .. } => None,
         }
     }
 }
--- a/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/faults.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of a plan.
+//! Begin and end of the faults of a plan.
 
 use std::collections::BTreeSet;
 use std::ops::Range;
@@ -11,12 +11,12 @@
 use super::simulation::Simulation;
 use crate::virtual_time::faults::{Fault, FaultKind};
 
-/// A loss is noticed after so many milliseconds.
-const LOSS_NOTICED_MS: Range<u64> = 300..1000;
-/// A return is.
-const RETURN_NOTICED_MS: Range<u64> = 20..300;
-/// The end of a partition is.
-const HEAL_NOTICED_MS: Range<u64> = 20..400;
+/// Time until the loss of a member is detected, in milliseconds.
+const LOSS_DETECTION_MS: Range<u64> = 300..1000;
+/// Time until the return of a member is detected, in milliseconds.
+const RETURN_DETECTION_MS: Range<u64> = 20..300;
+/// Time until the end of a partition is detected, in milliseconds.
+const PARTITION_END_DETECTION_MS: Range<u64> = 20..400;
 
 impl Simulation<'_> {
     pub(super) fn begin_fault(&mut self, fault: Fault) {
@@ -34,13 +34,13 @@
             }
             FaultKind::Suspend { gateway, .. } if self.gateways[gateway].is_up => {
                 self.gateways[gateway].is_suspended = true;
-                self.check_members_of(&BTreeSet::from([gateway]), LOSS_NOTICED_MS);
+                self.check_members_of(&BTreeSet::from([gateway]), LOSS_DETECTION_MS);
             }
             FaultKind::PartitionZone { .. } | FaultKind::PartitionGateway { .. } => {
                 for direction in self.partitioned_directions(fault.kind) {
                     *self.network.partitions.entry(direction).or_default() += 1;
                 }
-                self.check_members_of(&self.all_gateways(), LOSS_NOTICED_MS);
+                self.check_members_of(&self.all_gateways(), LOSS_DETECTION_MS);
             }
             FaultKind::DropMessages { from, to, .. } => {
                 *self.network.silenced.entry((from, to)).or_default() += 1;
@@ -52,7 +52,7 @@
                     .delays
                     .insert((from, to), delay_ms * MILLISECOND);
             }
-            // Without links to break, or engines that restart.
+            // The simulation has no links that can be reset and no engines that restart or drain.
             FaultKind::Suspend { .. }
             | FaultKind::ResetLinks { .. }
             | FaultKind::CrashEngine { .. }
@@ -71,7 +71,7 @@
                 for direction in self.partitioned_directions(fault.kind) {
                     *self.network.partitions.entry(direction).or_default() -= 1;
                 }
-                self.check_members_of(&self.all_gateways(), HEAL_NOTICED_MS);
+                self.check_members_of(&self.all_gateways(), PARTITION_END_DETECTION_MS);
             }
             FaultKind::DropMessages { from, to, .. } => {
                 *self.network.silenced.entry((from, to)).or_default() -= 1;
@@ -96,7 +96,7 @@
         stopped.is_up = false;
         stopped.is_suspended = false;
         stopped.held_events.clear();
-        self.check_members_of(&BTreeSet::from([gateway]), LOSS_NOTICED_MS);
+        self.check_members_of(&BTreeSet::from([gateway]), LOSS_DETECTION_MS);
         let restart_at = self.now + restart_after_ms * MILLISECOND;
         self.schedule(restart_at, Event::Restart { gateway });
     }
@@ -108,7 +108,7 @@
             let after = self.rng.random_range(0..MILLISECOND);
             self.schedule(self.now + after, event);
         }
-        self.check_members_of(&BTreeSet::from([gateway]), RETURN_NOTICED_MS);
+        self.check_members_of(&BTreeSet::from([gateway]), RETURN_DETECTION_MS);
     }
 
     fn all_gateways(&self) -> BTreeSet<usize> {
@@ -124,7 +124,7 @@
         };
         let gateways = self.fleet.gateways;
         (0..gateways * gateways)
-            .map(|i| (i / gateways, i % gateways))
+            .map(|pair| (pair / gateways, pair % gateways))
             .filter(|&(from, to)| is_partitioned(from, to))
             .collect()
     }
--- a/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/gateway.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/gateway.rs
@@ -1,4 +1,4 @@
-//! One gateway of the fleet.
+//! The state of one gateway of the fleet.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -10,7 +10,7 @@
 
 use super::event::Event;
 
-/// A process of a gateway.
+/// One process of a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Process {
     pub(super) gateway: usize,
@@ -26,17 +26,17 @@
     }
 }
 
-/// What a gateway would use of the quotas, and the statements that it sends.
+/// Demand of a gateway for the quotas, and its rate of statements.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Demand {
-    /// Units of the level quota.
+    /// Demand for the level quota, in units.
     pub(super) level_units: f64,
-    /// Units of the window quota a second.
+    /// Demand for the window quota, in units per second.
     pub(super) spent_per_second: f64,
     pub(super) statements_per_second: f64,
 }
 
-/// An outcome as the gateway's own outlier detection counts it.
+/// The outcome of an attempt as the gateway's own outlier detection records it.
 #[derive(Clone, Copy)]
 pub(super) struct OwnOutcome {
     pub(super) at: Nanos,
@@ -46,34 +46,39 @@
 pub(super) struct Gateway {
     pub(super) coordinator: Coordinator,
     pub(super) process: Process,
-    /// Rate of its clock over true time, and when the clock began.
+    /// Rate of the gateway's clock relative to true time.
     pub(super) clock_rate: f64,
+    /// True time at which the process and its clock started.
     pub(super) started_at: Nanos,
     pub(super) is_up: bool,
     pub(super) is_suspended: bool,
-    /// What arrives while it is suspended.
+    /// Events that arrived while the process was suspended.
     pub(super) held_events: Vec<Event>,
-    /// By member: the process that it takes for reachable.
+    /// By member: the incarnation that the gateway considers reachable.
     pub(super) reachable: Vec<Option<u64>>,
     pub(super) next_timer: Nanos,
     pub(super) demand: Demand,
-    /// Demand for the window quota that does not make a unit yet.
+    /// Demand for the window quota that does not yet add up to a unit.
     pub(super) unspent_demand: f64,
+    /// Status of each engine as the fleet has agreed on it, by engine number.
     pub(super) fleet_status: BTreeMap<u64, OutlierStatus>,
-    /// Own outlier detection, as the scheduler's.
+    /// Recent outcomes by engine, for the gateway's own outlier detection, which follows the
+    /// scheduler's.
     pub(super) own_outcomes: BTreeMap<usize, VecDeque<OwnOutcome>>,
+    /// Engines that the gateway's own outlier detection has ejected.
     pub(super) own_ejected: BTreeSet<usize>,
+    /// Earliest time of the next engine probe, by engine.
     pub(super) next_probe: BTreeMap<usize, Nanos>,
     pub(super) sends_since_probe: u32,
 }
 
 impl Gateway {
-    /// Time as its clock shows it.
+    /// Converts true time to the time of the gateway's clock.
     pub(super) fn local_time(&self, at: Nanos) -> Nanos {
         self.started_at + (at.saturating_sub(self.started_at) as f64 * self.clock_rate) as Nanos
     }
 
-    /// When its clock shows this time.
+    /// Converts a time of the gateway's clock to true time.
     pub(super) fn true_time(&self, local: Nanos) -> Nanos {
         if local == Nanos::MAX {
             return Nanos::MAX;
@@ -87,14 +92,14 @@
     }
 }
 
-/// What a coordinator asks for.
+/// An action that a coordinator requests.
 pub(super) enum Action {
     Send(MemberId, CoordinationMessage),
     SendGossip(MemberId, GossipMessage),
     SetStatus(u64, OutlierStatus),
 }
 
-/// Collects the actions in order.
+/// Collects the requested actions in order.
 #[derive(Default)]
 pub(super) struct Actions(pub(super) Vec<Action>);
 
--- a/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/membership.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/membership.rs
@@ -1,4 +1,5 @@
-//! Which gateways take which for reachable: the outcome of failure detection, without its messages.
+//! Which gateways consider which members reachable: the outcome of failure detection, without its
+//! messages.
 
 use std::collections::BTreeSet;
 use std::ops::Range;
@@ -11,7 +12,7 @@
 use super::simulation::Simulation;
 
 impl Simulation<'_> {
-    /// A gateway looks whether a member is there, and tells its coordinator what has changed.
+    /// Updates the view that `by` has of a member and notifies its coordinator of a change.
     pub(super) fn check_member(&mut self, by: usize, member: usize) {
         let actual = self.reachable_process(by, member);
         let believed = self.gateways[by].reachable[member];
@@ -35,15 +36,16 @@
         }
     }
 
-    /// The process that runs at `member`, if `by` can reach it.
+    /// The incarnation that runs at `member`, if `by` can reach it.
     fn reachable_process(&self, by: usize, member: usize) -> Option<u64> {
         let gateway = &self.gateways[member];
         let is_reachable = gateway.is_running() && !self.network.is_partitioned(by, member);
         is_reachable.then_some(gateway.process.incarnation)
     }
 
-    /// What has changed about these gateways is noticed after so many milliseconds.
-    pub(super) fn check_members_of(&mut self, gateways: &BTreeSet<usize>, after_ms: Range<u64>) {
+    /// Schedules the updates of all outdated views of or by these gateways, after a random delay
+    /// within `delay_ms`.
+    pub(super) fn check_members_of(&mut self, gateways: &BTreeSet<usize>, delay_ms: Range<u64>) {
         for by in 0..self.fleet.gateways {
             for member in 0..self.fleet.gateways {
                 let is_concerned = gateways.contains(&by) || gateways.contains(&member);
@@ -51,10 +53,10 @@
                 if by == member || !is_concerned || self.reachable_process(by, member) == believed {
                     continue;
                 }
-                let after = self
+                let delay = self
                     .rng
-                    .random_range(after_ms.start * MILLISECOND..after_ms.end * MILLISECOND);
-                self.schedule(self.now + after, Event::CheckMember { by, member });
+                    .random_range(delay_ms.start * MILLISECOND..delay_ms.end * MILLISECOND);
+                self.schedule(self.now + delay, Event::CheckMember { by, member });
             }
         }
     }
--- a/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/mod.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/mod.rs
@@ -1,6 +1,6 @@
-//! Coordination of a whole fleet in virtual time: the deciding crate of many gateways over a fault
-//! plan, with demand that is uneven and moves, and engines that fail and recover. Quotas are
-//! counted where they are used, not by what any gateway says.
+//! Simulation of the coordination of a whole fleet in virtual time: the coordination crate of many
+//! gateways under a fault plan, with uneven and changing demand and with engines that fail and
+//! recover. Quota use is counted where it happens, independently of what the gateways report.
 
 mod engines;
 mod event;
@@ -21,14 +21,16 @@
 use simulation::Simulation;
 pub use verdict::Verdict;
 
-/// The quota whose demand is a level.
+/// Index of the quota whose demand is a level.
 const LEVEL_QUOTA: QuotaIndex = QuotaIndex(0);
-/// The quota that is spent over a window.
+/// Index of the quota that is spent within a sliding window.
 const WINDOW_QUOTA: QuotaIndex = QuotaIndex(1);
+/// Window of the window quota.
 const SPEND_WINDOW: Nanos = SECOND;
+/// Duration of a quota lease.
 const LEASE_DURATION: Nanos = 2 * SECOND;
-/// How often quotas and engines are counted.
-const STEP: Nanos = 20 * MILLISECOND;
+/// Interval in which quotas and engines are measured.
+const MEASUREMENT_INTERVAL: Nanos = 20 * MILLISECOND;
 
 /// A fleet and its load.
 #[derive(Clone, Debug)]
@@ -39,25 +41,26 @@
     pub zones: usize,
     /// Number of engines.
     pub engines: usize,
-    /// Milliseconds that are simulated.
+    /// Simulated duration in milliseconds.
     pub duration_ms: u64,
-    /// Mean milliseconds between faults.
+    /// Mean time between faults in milliseconds.
     pub fault_gap_ms: u64,
-    /// Statements a second of a gateway in the mean.
+    /// Mean rate of statements of a gateway, per second.
     pub statements_per_second: f64,
-    /// Part of the datagrams that are lost.
+    /// Fraction of the datagrams that are lost.
     pub datagram_loss: f64,
-    /// False: even quotas, and engines judged by each gateway alone.
+    /// Whether gateways coordinate. If not, quotas are divided evenly and each gateway judges the
+    /// engines alone.
     pub is_coordinated: bool,
-    /// One in ten gateways has ten times the demand of the others; which ones changes in the
-    /// middle.
+    /// Whether one in ten gateways has ten times the demand of the others. Other gateways have it
+    /// after half of the duration.
     pub has_uneven_demand: bool,
-    /// Engines that fail from a third of the duration to two thirds.
+    /// Number of engines that fail from one third to two thirds of the duration.
     pub failing_engines: usize,
-    /// One gateway sees all engines as failing, another sees failing ones as healthy, half cannot
-    /// reach one engine.
+    /// Whether one gateway observes all engines as failing, another observes failing engines as
+    /// healthy, and half of the gateways cannot reach one engine.
     pub has_faulty_gateways: bool,
-    /// Clocks of gateways run at different rates.
+    /// Whether the clocks of the gateways run at different rates.
     pub has_clock_drift: bool,
 }
 
@@ -81,13 +84,13 @@
 }
 
 impl Fleet {
-    /// Units of each quota.
+    /// Total units of each quota.
     fn total_units(&self) -> u32 {
         UNITS_PER_MEMBER * self.gateways as u32
     }
 }
 
-/// Draws a fault plan for this fleet.
+/// Draws a fault plan for the fleet from the seed.
 pub fn draw_faults(fleet: &Fleet, seed: u64) -> FaultPlan {
     let params = FaultPlanParams {
         gateways: fleet.gateways,
@@ -100,12 +103,12 @@
     FaultPlan::draw(params, seed)
 }
 
-/// Runs the fleet over a fault plan.
+/// Runs the fleet under a fault plan. The same arguments give the same result.
 pub fn run(fleet: &Fleet, plan: &FaultPlan, seed: u64) -> Verdict {
     Simulation::new(fleet, plan, seed).run()
 }
 
-/// The gateways' configuration in a fleet of this size.
+/// The coordination settings of the gateways in a fleet of this size.
 pub fn config(gateways: usize) -> CoordinationConfig {
     let quota = |name: &str, window| SharedQuotaConfig {
         name: name.into(),
--- a/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/network.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/network.rs
@@ -1,4 +1,4 @@
-//! Links and datagrams between the gateways.
+//! The network between the gateways: links, which keep the order of messages, and datagrams.
 
 use std::collections::BTreeMap;
 
@@ -10,26 +10,29 @@
 use super::event::Event;
 use super::simulation::Simulation;
 
-/// The least time that a message or datagram takes.
+/// Minimum transit time of a message or a datagram.
 const MIN_TRANSIT: Nanos = MILLISECOND / 5;
+/// Maximum transit time of a message on a link.
 const MAX_LINK_TRANSIT: Nanos = 2 * MILLISECOND;
+/// Maximum transit time of a datagram.
 const MAX_DATAGRAM_TRANSIT: Nanos = 3 * MILLISECOND;
-/// Part of the datagrams that arrive twice, the second time so much later.
+/// Fraction of the datagrams that arrive twice.
 const DUPLICATE_FRACTION: f64 = 0.002;
+/// Time between the two arrivals of a duplicated datagram.
 const DUPLICATE_DELAY: Nanos = 800 * MILLISECOND;
 
-/// From one gateway to another.
+/// Sender and receiver of a direction between two gateways.
 pub(super) type Direction = (usize, usize);
 
-/// The state of each direction.
+/// The faults and the order of messages, by direction.
 #[derive(Default)]
 pub(super) struct Network {
-    /// Partitions that are in force.
+    /// Number of partitions in force, by direction.
     pub(super) partitions: BTreeMap<Direction, u32>,
-    /// Asymmetric partitions that are in force.
+    /// Number of one-way message losses in force, by direction.
     pub(super) silenced: BTreeMap<Direction, u32>,
     pub(super) delays: BTreeMap<Direction, Nanos>,
-    /// Links keep the order of their messages.
+    /// Arrival of the last message on each link, so that links keep the order of messages.
     last_arrival: BTreeMap<Direction, Nanos>,
 }
 
@@ -38,7 +41,7 @@
         is_in_force(&self.partitions, (from, to))
     }
 
-    /// Whether nothing passes, for whatever reason.
+    /// Whether no message passes, because of a partition or a one-way loss.
     pub(super) fn is_cut(&self, from: usize, to: usize) -> bool {
         self.is_partitioned(from, to) || is_in_force(&self.silenced, (from, to))
     }
--- a/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/quotas.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/quotas.rs
@@ -1,4 +1,4 @@
-//! The use of the quotas, counted at each step.
+//! Measurement of the use of the quotas.
 
 use std::collections::VecDeque;
 
@@ -6,13 +6,15 @@
 use ivypitch_types::{Nanos, SECOND};
 
 use super::simulation::Simulation;
-use super::{LEVEL_QUOTA, SPEND_WINDOW, STEP, WINDOW_QUOTA};
+use super::{LEVEL_QUOTA, MEASUREMENT_INTERVAL, SPEND_WINDOW, WINDOW_QUOTA};
 
-/// Demand counts from then on.
+/// Time after the start from which demand is counted, so that quotas have followed the demand.
 const SETTLING_TIME: Nanos = 2 * SECOND;
+/// Interval of the printed series.
 const SERIES_INTERVAL: Nanos = SECOND / 4;
-/// Units that no gateway is to fall below.
+/// Units that every gateway is guaranteed.
 const RESERVED_UNITS: u32 = UNITS_PER_MEMBER / 10;
+/// Environment variable that makes runs print the series.
 const TRACE_VARIABLE: &str = "IVYPITCH_LAB_TRACE";
 
 struct Spent {
@@ -26,15 +28,16 @@
     used: f64,
 }
 
-/// What all gateways together have used.
+/// Use of the quotas by all gateways together.
 pub(super) struct QuotaCounts {
-    /// Of the window quota, within its window.
+    /// Units of the window quota that were spent within its window, oldest first.
     spent: VecDeque<Spent>,
     spent_in_window: u32,
-    /// Of the level quota, once settled.
+    /// Demand for the level quota after the settling time.
     pub(super) demanded: f64,
+    /// Used demand for the level quota after the settling time.
     pub(super) used: f64,
-    /// The same by quarter second, where it is to be printed.
+    /// Demand and use of the level quota by quarter second, if they are to be printed.
     series: Option<Vec<Usage>>,
 }
 
@@ -91,28 +94,29 @@
 }
 
 impl Simulation<'_> {
-    /// Counts what all may use and do use, and reports demand.
+    /// Measures what all gateways are allowed to use and do use, and reports their demand to the
+    /// coordinators.
     pub(super) fn count_quotas(&mut self) {
         let mut usable_by_all = 0;
-        for g in 0..self.fleet.gateways {
-            if self.gateways[g].is_up {
-                usable_by_all += self.count_quotas_of(g);
+        for gateway in 0..self.fleet.gateways {
+            if self.gateways[gateway].is_up {
+                usable_by_all += self.count_quotas_of(gateway);
             }
         }
         self.quota_counts.expire_spent(self.now);
         let total_units = self.fleet.total_units();
         let spent = self.quota_counts.spent_in_window;
         let verdict = &mut self.verdict;
-        let usable_part = f64::from(usable_by_all) / f64::from(total_units);
-        let spent_part = f64::from(spent) / f64::from(total_units);
-        verdict.max_usable = verdict.max_usable.max(usable_part);
-        verdict.max_spent = verdict.max_spent.max(spent_part);
+        let usable_fraction = f64::from(usable_by_all) / f64::from(total_units);
+        let spent_fraction = f64::from(spent) / f64::from(total_units);
+        verdict.max_usable = verdict.max_usable.max(usable_fraction);
+        verdict.max_spent = verdict.max_spent.max(spent_fraction);
         verdict.level_exceeded += u64::from(usable_by_all > total_units);
         verdict.window_exceeded += u64::from(spent > total_units);
     }
 
     /// Returns the units of the level quota that the gateway may use. A suspended process uses
-    /// none: it looks at the time before it goes on.
+    /// none: it checks the time before it continues.
     fn count_quotas_of(&mut self, gateway: usize) -> u32 {
         let is_coordinated = self.fleet.is_coordinated;
         let gateway = &mut self.gateways[gateway];
@@ -132,7 +136,8 @@
         gateway
             .coordinator
             .set_demand_level(now, LEVEL_QUOTA, demanded);
-        gateway.unspent_demand += gateway.demand.spent_per_second * STEP as f64 / SECOND as f64;
+        gateway.unspent_demand +=
+            gateway.demand.spent_per_second * MEASUREMENT_INTERVAL as f64 / SECOND as f64;
         let wanted = gateway.unspent_demand.floor() as u32;
         gateway.unspent_demand -= f64::from(wanted);
         let mut spent = 0;
--- a/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/simulation.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/simulation.rs
@@ -1,4 +1,4 @@
-//! The simulation: its queue of events and the calls of coordinators.
+//! The simulation: its event queue and the calls of the coordinators.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -13,17 +13,20 @@
 use super::gateway::{Action, Actions, Demand, Gateway, Process};
 use super::network::Network;
 use super::quotas::QuotaCounts;
-use super::{Fleet, LEVEL_QUOTA, SPEND_WINDOW, STEP, Verdict, config};
+use super::{Fleet, LEVEL_QUOTA, MEASUREMENT_INTERVAL, SPEND_WINDOW, Verdict, config};
 use crate::virtual_time::faults::FaultPlan;
 
-/// The first processes have run for so long, and have recovered.
+/// Time at which the run starts. The first processes have run long enough before to have recovered
+/// their state.
 const START: Nanos = 20 * SECOND;
+/// Number of timer calls of each coordinator before the start.
 const TIMERS_BEFORE_START: u64 = 30;
-/// Makes the coordinators of a fleet agree.
+/// Seed that all coordinators of a fleet share, so that they make the same choices.
 const FLEET_SEED: u64 = 7;
+/// Number of the last endpoint event that every gateway knows at its start.
 const LAST_EVENT: u64 = 1;
 
-/// What changes over a run.
+/// Times of the changes within a run.
 #[derive(Clone, Copy)]
 pub(super) struct Schedule {
     pub(super) start: Nanos,
@@ -37,7 +40,7 @@
 enum Phase {
     Healthy,
     Failing,
-    Moved,
+    DemandMoved,
     Recovered,
 }
 
@@ -87,7 +90,7 @@
         };
         simulation.start_gateways();
         simulation.draw_demand(0);
-        simulation.schedule(START, Event::Step);
+        simulation.schedule(START, Event::Measure);
         for fault in &plan.faults {
             let at = START + fault.at_ms * MILLISECOND;
             simulation.schedule(at, Event::FaultBegins(*fault));
@@ -95,14 +98,18 @@
         simulation
     }
 
-    /// All reach all, and have run for a while.
+    /// Starts all gateways with full connectivity, as if they had run until the start.
     fn start_gateways(&mut self) {
-        for g in 0..self.fleet.gateways {
-            let gateway = self.new_gateway(g, 0);
+        for index in 0..self.fleet.gateways {
+            let gateway = self.new_gateway(index, 0);
             self.gateways.push(gateway);
         }
         self.now = START;
-        let processes: Vec<Process> = self.gateways.iter().map(|g| g.process).collect();
+        let processes: Vec<Process> = self
+            .gateways
+            .iter()
+            .map(|gateway| gateway.process)
+            .collect();
         for gateway in &mut self.gateways {
             run_before_start(gateway);
             let now = gateway.local_time(START);
@@ -115,9 +122,9 @@
             }
         }
         for process in processes {
-            let first = START + 1 + process.gateway as u64;
-            self.schedule(first, Event::Timer(process));
-            self.schedule(first, Event::Send(process));
+            let first_timer = START + 1 + process.gateway as u64;
+            self.schedule(first_timer, Event::Timer(process));
+            self.schedule(first_timer, Event::Send(process));
         }
     }
 
@@ -184,21 +191,24 @@
         self.schedule(self.now + 1, Event::Send(process));
     }
 
-    /// Gives each gateway its part of nine tenths of the quotas. `shift` moves who has the most.
+    /// Divides 0.9 of the level quota and 0.8 of the window quota among the gateways as their
+    /// demand. `shift` selects other gateways for the high demand.
     fn draw_demand(&mut self, shift: usize) {
         let gateways = self.fleet.gateways;
-        let has_most = |g: usize| self.fleet.has_uneven_demand && (g + shift).is_multiple_of(10);
+        let has_high_demand =
+            |g: usize| self.fleet.has_uneven_demand && (g + shift).is_multiple_of(10);
         let weights: Vec<f64> = (0..gateways)
-            .map(|g| if has_most(g) { 10.0 } else { 1.0 })
+            .map(|g| if has_high_demand(g) { 10.0 } else { 1.0 })
             .collect();
-        let all: f64 = weights.iter().sum();
-        let units = f64::from(UNITS_PER_MEMBER) * gateways as f64;
+        let total_weight: f64 = weights.iter().sum();
+        let total_units = f64::from(UNITS_PER_MEMBER) * gateways as f64;
         for (gateway, weight) in self.gateways.iter_mut().zip(weights) {
             gateway.demand = Demand {
-                level_units: 0.9 * units * weight / all,
-                spent_per_second: 0.8 * units * weight / all * SECOND as f64 / SPEND_WINDOW as f64,
+                level_units: 0.9 * total_units * weight / total_weight,
+                spent_per_second: 0.8 * total_units * weight / total_weight * SECOND as f64
+                    / SPEND_WINDOW as f64,
                 statements_per_second: self.fleet.statements_per_second * gateways as f64 * weight
-                    / all,
+                    / total_weight,
             };
         }
     }
@@ -230,10 +240,10 @@
             self.failing = (0..self.fleet.failing_engines).collect();
         }
         if self.phase == Phase::Failing && self.now >= self.schedule.demand_moves {
-            self.phase = Phase::Moved;
+            self.phase = Phase::DemandMoved;
             self.draw_demand(5);
         }
-        if self.phase == Phase::Moved && self.now >= self.schedule.engines_recover {
+        if self.phase == Phase::DemandMoved && self.now >= self.schedule.engines_recover {
             self.phase = Phase::Recovered;
             self.failing.clear();
         }
@@ -287,7 +297,7 @@
             }
             Event::Timer(process) => self.on_timer(process),
             Event::CheckMember { by, member } => self.check_member(by, member),
-            Event::Step => self.step(),
+            Event::Measure => self.measure(),
             Event::FaultBegins(fault) => self.begin_fault(fault),
             Event::FaultEnds(fault) => self.end_fault(fault),
             Event::Restart { gateway } => self.restart(gateway),
@@ -307,8 +317,8 @@
         }
     }
 
-    fn step(&mut self) {
-        self.schedule(self.now + STEP, Event::Step);
+    fn measure(&mut self) {
+        self.schedule(self.now + MEASUREMENT_INTERVAL, Event::Measure);
         self.count_quotas();
         self.count_engines();
     }
@@ -317,7 +327,7 @@
         self.gateways[process.gateway].process == process
     }
 
-    /// Calls a gateway's coordinator, carries out what it asks for and sets its timer.
+    /// Calls a gateway's coordinator, applies the actions that it requests and sets its timer.
     pub(super) fn call(
         &mut self,
         gateway: usize,
@@ -343,9 +353,9 @@
     fn set_timer(&mut self, gateway: usize) {
         let earliest = self.now + 1;
         let gateway = &mut self.gateways[gateway];
-        let due = gateway.true_time(gateway.coordinator.next_timer());
-        if due < gateway.next_timer {
-            let at = due.max(earliest);
+        let timer = gateway.true_time(gateway.coordinator.next_timer());
+        if timer < gateway.next_timer {
+            let at = timer.max(earliest);
             gateway.next_timer = at;
             let process = gateway.process;
             self.schedule(at, Event::Timer(process));
--- a/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/verdict.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/verdict.rs
@@ -1,41 +1,44 @@
-//! What a simulation came to.
+//! The result of a simulation.
 
-/// What was counted while the fleet ran.
+/// Violations and measurements of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
-    /// Instants at which all gateways together might use more than the level quota.
+    /// Number of measurements at which all gateways together were allowed more than the level
+    /// quota.
     pub level_exceeded: u64,
-    /// Instants at which more than the window quota was spent within a window.
+    /// Number of measurements at which more than the window quota had been spent within the window.
     pub window_exceeded: u64,
-    /// The most that all gateways together might use, as a part of the level quota.
+    /// Maximum that all gateways together were allowed to use, as a fraction of the level quota.
     pub max_usable: f64,
-    /// The most that was spent within a window, as a part of the window quota.
+    /// Maximum that was spent within a window, as a fraction of the window quota.
     pub max_spent: f64,
-    /// Instants at which a gateway might use less than its reserved minimum.
+    /// Number of measurements at which a gateway was allowed less than its reserved minimum.
     pub below_reserved: u64,
-    /// Part of the demand that could be used, from 2 s on.
+    /// Fraction of the demand for the level quota that was usable, from 2 s after the start on.
     pub usable: f64,
-    /// Milliseconds from an engine's failure until 99 in 100 gateways send it nothing but probes;
-    /// `u64::MAX`: never.
+    /// Milliseconds from the engines' failure until 99 % of the gateways have ejected them and send
+    /// them only probes; `u64::MAX`: never.
     pub ejected_ms: u64,
-    /// Milliseconds from its recovery until 99 in 100 use it again; `u64::MAX`: never.
+    /// Milliseconds from the engines' recovery until 99 % of the gateways use them again;
+    /// `u64::MAX`: never.
     pub returned_ms: u64,
-    /// The most that was sent to a recovered engine in a quarter second, over its usual.
+    /// Maximum number of statements sent to a recovered engine in 0.24 s, relative to the usual
+    /// number.
     pub max_return_load: f64,
-    /// Statements sent to a failing engine, as a part of all.
+    /// Fraction of all statements that were sent to failing engines.
     pub sent_to_failing: f64,
-    /// Engines that some gateway ejected though nothing was wrong, in engine-seconds a gateway.
+    /// Time for which healthy engines were ejected, in engine-seconds per gateway.
     pub falsely_ejected: f64,
-    /// Bytes of gossip a gateway a second.
+    /// Bytes of gossip per gateway and second.
     pub gossip_bytes: f64,
-    /// Bytes on links a gateway a second.
+    /// Bytes on links per gateway and second.
     pub link_bytes: f64,
-    /// Statements sent.
+    /// Number of statements sent.
     pub sent: u64,
 }
 
 impl Verdict {
-    /// Whether every guarantee held.
+    /// Whether all guarantees on quotas held.
     pub fn holds(&self) -> bool {
         self.level_exceeded + self.window_exceeded + self.below_reserved == 0
     }
