--- a/crates/ivypitch-testbed/src/virtual_time/discovery_fleet/gateway.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/discovery_fleet/gateway.rs
@@ -1,4 +1,4 @@
-//! One gateway's watch.
+//! The state of one gateway and its watch.
 
 use ivypitch_discovery::EndpointWatch;
 use ivypitch_types::Nanos;
@@ -19,21 +19,21 @@
 
 pub(super) struct Gateway {
     pub(super) watch: EndpointWatch,
-    /// Counts connections; what belongs to an earlier one is ignored.
+    /// Serial of the current connection. Events of earlier connections are ignored.
     pub(super) connection: u64,
-    /// Counts processes.
+    /// Serial of the current process.
     pub(super) process: u64,
-    /// It has restarted and does not have the list yet.
+    /// Whether the gateway has restarted and not yet received the list.
     pub(super) needs_list: bool,
     pub(super) is_connected: bool,
     pub(super) is_up: bool,
-    /// Since when it can be reached.
+    /// Time since which the gateway has been reachable.
     pub(super) reachable_since: Nanos,
-    /// When a quiet connection counts as dead.
+    /// Time at which the connection is closed unless data arrives before.
     pub(super) silent_at: Nanos,
-    /// Arrival of the last line: a connection keeps their order.
+    /// Arrival of the last line, so that a connection keeps the order of its lines.
     pub(super) last_arrival: Nanos,
-    /// Until when it applies what has arrived.
+    /// Time at which the gateway will have applied all that has arrived.
     pub(super) busy_until: Nanos,
 }
 
@@ -53,7 +53,7 @@
         }
     }
 
-    pub(super) fn is_on(&self, connection: Connection) -> bool {
+    pub(super) fn is_current(&self, connection: Connection) -> bool {
         self.is_up && self.connection == connection.serial
     }
 
--- a/crates/ivypitch-testbed/src/virtual_time/discovery_fleet/network.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/discovery_fleet/network.rs
@@ -1,4 +1,4 @@
-//! The servers' connections to the gateways.
+//! Connections between the servers and the gateways.
 
 use ivypitch_discovery::WatchLine;
 use ivypitch_types::{MILLISECOND, Nanos, SECOND};
@@ -7,12 +7,15 @@
 use super::gateway::Connection;
 use super::simulation::{Event, Simulation};
 
-/// As in `actors/discovery.rs`.
+/// Time without data after which a gateway closes its connection, as in `actors/discovery.rs`.
 const SILENCE_TIMEOUT: Nanos = 2 * SECOND;
-const FIRST_RETRANSMISSION: Nanos = 200 * MILLISECOND;
-/// One way within a region; more for each region in between.
+/// Delay of the first retransmission of a lost segment; it doubles with each further loss.
+const FIRST_RETRANSMISSION_DELAY: Nanos = 200 * MILLISECOND;
+/// Minimum one-way transit time within a region.
 const MIN_TRANSIT: Nanos = MILLISECOND / 5;
+/// Maximum one-way transit time within a region.
 const MAX_TRANSIT: Nanos = 3 * MILLISECOND;
+/// Additional one-way transit time per region of distance from region 0.
 const TRANSIT_PER_REGION: Nanos = 10 * MILLISECOND;
 
 impl Simulation {
@@ -24,7 +27,8 @@
         self.has_region_outage && self.region(gateway) == 0
     }
 
-    /// A connection is open: the server sends what is behind the last event known.
+    /// Handles an opened connection: the server sends the list if it is needed, and all changes
+    /// after the last known one.
     pub(super) fn on_connected(&mut self, gateway: usize) {
         let second = self.now / SECOND;
         *self.connects_by_second.entry(second).or_default() += 1;
@@ -51,7 +55,7 @@
         }
     }
 
-    /// The connection is over; the watch says when the next one is opened.
+    /// Handles a closed connection: the next one is opened after the backoff of the watch.
     pub(super) fn on_disconnected(&mut self, gateway: usize) {
         let disconnected = &mut self.gateways[gateway];
         disconnected.is_connected = false;
@@ -60,7 +64,7 @@
         self.schedule_connect(gateway, backoff);
     }
 
-    /// Something arrived on a connection that is not silent.
+    /// Postpones the silence timeout, since data has arrived on the connection.
     pub(super) fn postpone_silence(&mut self, gateway: usize) {
         self.gateways[gateway].silent_at = self.now + SILENCE_TIMEOUT;
     }
@@ -76,10 +80,10 @@
     fn send(&mut self, gateway: usize, line: WatchLine, bytes: u64) {
         let sent_at = self.serve(gateway, bytes);
         let mut arrival = sent_at + self.transit(gateway);
-        let mut retransmission = FIRST_RETRANSMISSION;
+        let mut retransmission_delay = FIRST_RETRANSMISSION_DELAY;
         while self.rng.random_bool(self.fleet.segment_loss) {
-            arrival += retransmission;
-            retransmission *= 2;
+            arrival += retransmission_delay;
+            retransmission_delay *= 2;
         }
         let receiver = &mut self.gateways[gateway];
         arrival = arrival.max(receiver.last_arrival + 1);
@@ -91,7 +95,7 @@
         self.schedule(arrival, Event::Line { to, line });
     }
 
-    /// Returns when the gateway's server has sent the bytes.
+    /// Occupies the gateway's server with the bytes and returns the time at which they are sent.
     fn serve(&mut self, gateway: usize, bytes: u64) -> Nanos {
         let server = gateway % self.fleet.servers;
         let seconds = bytes as f64 / self.fleet.server_bytes_per_second;
@@ -105,7 +109,7 @@
     }
 
     fn transit(&mut self, gateway: usize) -> Nanos {
-        let between_regions = self.region(gateway) as u64 * TRANSIT_PER_REGION;
-        between_regions + self.rng.random_range(MIN_TRANSIT..MAX_TRANSIT)
+        let region_transit = self.region(gateway) as u64 * TRANSIT_PER_REGION;
+        region_transit + self.rng.random_range(MIN_TRANSIT..MAX_TRANSIT)
     }
 }
--- a/crates/ivypitch-testbed/src/virtual_time/discovery_fleet/simulation.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/discovery_fleet/simulation.rs
@@ -1,4 +1,4 @@
-//! The simulation: its queue of events and what each does.
+//! The simulation: its event queue and the handling of events.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -11,30 +11,32 @@
 use super::gateway::{Connection, Gateway, Process};
 use super::{Fleet, Outage, Verdict};
 
-/// As in `actors/discovery.rs`.
+/// Connect timeout of a gateway, as in `actors/discovery.rs`.
 const CONNECT_TIMEOUT: Nanos = 500 * MILLISECOND;
-/// The service sends the position of its last event in this interval.
+/// Interval in which the discovery service sends the position of its last event.
 const POSITION_INTERVAL: Nanos = SECOND;
+/// Size of such a message, in bytes.
 const POSITION_BYTES: u64 = 12;
-/// A gateway that is restarted is away for so long.
+/// Time for which a restarting gateway is down.
 const RESTART_TIME: Nanos = 3 * SECOND / 2;
-/// Changes begin then.
+/// Time of the first change.
 const START: Nanos = 5 * SECOND;
-/// Time for the last changes to arrive.
-const END_SECONDS: u64 = 12;
-/// The loss of a zone's engines becomes known so much later.
-const ZONE_LOSS_KNOWN_AFTER: Nanos = SECOND;
-/// Every tenth second has a burst, beginning with this one.
+/// Time after the last second of changes in which they can still arrive, in seconds.
+const DELIVERY_SECONDS: u64 = 12;
+/// Time until the discovery service detects the loss of a zone's engines.
+const ZONE_LOSS_DETECTION_TIME: Nanos = SECOND;
+/// The first second with a burst of changes.
 const FIRST_BURST_SECOND: u64 = 5;
+/// Interval between bursts, in seconds.
 const BURST_INTERVAL_SECONDS: u64 = 10;
 
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Event {
-    /// So many rows of the list change.
+    /// `rows` rows of the list change in one event.
     Change {
         rows: u64,
     },
-    /// The service sends its last position.
+    /// The discovery service sends the position of its last event.
     Position,
     Line {
         to: Connection,
@@ -70,7 +72,7 @@
     events: BTreeMap<u64, Event>,
     last_serial: u64,
     pub(super) gateways: Vec<Gateway>,
-    /// By position, from 1 on.
+    /// Changes by position, the first at position 1.
     pub(super) changes: Vec<Change>,
     pub(super) server_free_at: Vec<Nanos>,
     pub(super) bytes_by_server_second: BTreeMap<(usize, u64), u64>,
@@ -90,7 +92,7 @@
             events: BTreeMap::new(),
             last_serial: 0,
             gateways: (0..fleet.gateways)
-                .map(|g| Gateway::new(gateway_seed(g)))
+                .map(|gateway| Gateway::new(gateway_seed(gateway)))
                 .collect(),
             changes: Vec::new(),
             server_free_at: vec![0; fleet.servers],
@@ -108,7 +110,7 @@
     }
 
     fn end(&self) -> Nanos {
-        START + (self.fleet.seconds + END_SECONDS) * SECOND
+        START + (self.fleet.seconds + DELIVERY_SECONDS) * SECOND
     }
 
     fn schedule_changes(&mut self) {
@@ -143,7 +145,7 @@
         }
     }
 
-    /// The zone's engines are back with its gateways.
+    /// Takes zone 1 down and up again; its engines return together with its gateways.
     fn schedule_zone_outage(&mut self, from: Nanos, until: Nanos) {
         for gateway in 0..self.fleet.gateways {
             if gateway % self.fleet.zones == 1 {
@@ -151,7 +153,7 @@
             }
         }
         let rows = self.fleet.zone_rows;
-        self.schedule(from + ZONE_LOSS_KNOWN_AFTER, Event::Change { rows });
+        self.schedule(from + ZONE_LOSS_DETECTION_TIME, Event::Change { rows });
         self.schedule(until, Event::Change { rows });
     }
 
@@ -228,7 +230,7 @@
 
     fn on_line(&mut self, to: Connection, line: WatchLine) {
         let now = self.now;
-        if !self.gateways[to.gateway].is_on(to) || self.is_partitioned(to.gateway) {
+        if !self.gateways[to.gateway].is_current(to) || self.is_partitioned(to.gateway) {
             return;
         }
         self.postpone_silence(to.gateway);
@@ -258,7 +260,7 @@
 
     fn on_silence_timer(&mut self, connection: Connection) {
         let gateway = &self.gateways[connection.gateway];
-        if !gateway.is_on(connection) {
+        if !gateway.is_current(connection) {
             return;
         }
         let silent_at = gateway.silent_at;
@@ -271,11 +273,11 @@
 
     fn on_missing_events_timer(&mut self, connection: Connection) {
         let gateway = &mut self.gateways[connection.gateway];
-        let is_due = gateway
+        let has_expired = gateway
             .watch
             .missing_events_deadline()
             .is_some_and(|deadline| deadline <= self.now);
-        if gateway.is_on(connection) && is_due {
+        if gateway.is_current(connection) && has_expired {
             gateway.watch.on_events_missing();
             self.on_disconnected(connection.gateway);
         }
--- a/crates/ivypitch-testbed/src/virtual_time/membership_fleet/measurements.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/membership_fleet/measurements.rs
@@ -1,4 +1,4 @@
-//! What is counted of losses and suspicions.
+//! Measurements of losses and of suspected partitions.
 
 use std::collections::BTreeMap;
 
@@ -6,22 +6,22 @@
 use ivypitch_types::{MILLISECOND, Nanos, ProcessId};
 
 use super::simulation::Simulation;
-use super::{RESTART_AFTER, Verdict};
+use super::{RESTART_DELAY, Verdict};
 
 /// A process that was killed.
 struct Kill {
     at: Nanos,
-    /// Members that have noticed.
+    /// Number of members that have detected the kill.
     detected_by: u64,
 }
 
 pub(super) struct Measurements {
-    /// Losses are no error where a partition is played.
+    /// Whether the run has a partition. Declaring a running member lost is then no error.
     has_partition: bool,
-    /// By member and incarnation.
+    /// Kills by member and incarnation.
     kills: BTreeMap<(usize, u64), Kill>,
     detection_ms: Vec<u64>,
-    /// How often each member was falsely declared lost.
+    /// Number of times that each member was falsely declared lost.
     false_losses: BTreeMap<usize, u64>,
     suspecting_in_minority: u64,
     suspecting_elsewhere: u64,
@@ -77,17 +77,18 @@
         }
     }
 
-    /// `end`: of the run; the last kills are not judged, as they may not be known by then.
+    /// Adds the measurements to the verdict. Kills less than the restart delay before `end`, the
+    /// end of the run, do not count as undetected, since there was not enough time to detect them.
     pub(super) fn add_to(mut self, verdict: &mut Verdict, members: usize, end: Nanos) {
         self.detection_ms.sort_unstable();
         verdict.kills = self.kills.len() as u64;
         verdict.detection_p50_ms = quantile(&self.detection_ms, 0.5);
         verdict.detection_p99_ms = quantile(&self.detection_ms, 0.99);
         verdict.max_detection_ms = quantile(&self.detection_ms, 1.0);
-        // Neither the killed member nor one that is itself down at the time.
+        // Excludes the killed member and one other member that may be down at the time.
         let others = members as u64 - 2;
         for kill in self.kills.values() {
-            if kill.at + RESTART_AFTER < end {
+            if kill.at + RESTART_DELAY < end {
                 verdict.undetected_pairs += others.saturating_sub(kill.detected_by);
             }
         }
--- a/crates/ivypitch-testbed/src/virtual_time/membership_fleet/mod.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/membership_fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Membership of a whole fleet in virtual time: how soon a loss is known to all, and which running
-//! members are taken for lost.
+//! Simulation of the membership of a whole fleet in virtual time: how soon all members detect a
+//! loss, and which running members are falsely declared lost.
 
 mod measurements;
 mod simulation;
@@ -12,80 +12,84 @@
 use measurements::Measurements;
 use simulation::Simulation;
 
-/// A killed member restarts after so long.
-const RESTART_AFTER: Nanos = 1500 * MILLISECOND;
-/// How long the members have to find each other.
+/// Time after which a killed member restarts.
+const RESTART_DELAY: Nanos = 1500 * MILLISECOND;
+/// Maximum time for all members to reach each other after the start.
 const MAX_JOIN_TIME: Nanos = 60 * SECOND;
-/// Whether all have found each other is looked at in this interval.
+/// Interval in which the simulation checks whether all members reach each other.
 const JOIN_CHECK_INTERVAL: Nanos = 100 * MILLISECOND;
 
-/// How long a datagram takes.
+/// Bounds of the transit time of a datagram.
 #[derive(Clone, Copy, Debug)]
 pub struct TransitTime {
-    /// In milliseconds.
+    /// Minimum in milliseconds.
     pub min_ms: f64,
-    /// In milliseconds.
+    /// Maximum in milliseconds.
     pub max_ms: f64,
 }
 
-/// A fleet and what happens to it.
+/// A fleet and its faults.
 #[derive(Clone, Copy, Debug)]
 pub struct Fleet {
     /// Number of members.
     pub members: usize,
-    /// Number of zones that they are spread over.
+    /// Number of zones that the members are spread over.
     pub zones: usize,
-    /// Part of the datagrams that are lost.
+    /// Fraction of the datagrams that are lost.
     pub datagram_loss: f64,
-    /// How long the others take.
+    /// Transit time of the other datagrams.
     pub transit: TransitTime,
-    /// Seconds after all have found each other that are not counted, as updates of the start still
-    /// travel.
+    /// Time in seconds that is not measured after all members reach each other, since updates of
+    /// the start are still being gossiped.
     pub settle_seconds: u64,
-    /// Seconds that are counted.
+    /// Measured time in seconds.
     pub seconds: u64,
-    /// A member is killed in this interval, and comes back; `None`: never.
+    /// Interval in which a random member is killed and later restarted; `None`: never.
     pub kill_interval_ms: Option<u64>,
-    /// One zone is partitioned in the middle, for so long; `None`: never.
+    /// Duration of a partition of one zone that begins after half of the measured time; `None`: no
+    /// partition.
     pub partition_ms: Option<u64>,
-    /// Failure detection.
+    /// Settings of the failure detection.
     pub config: MembershipConfig,
 }
 
-/// What was counted.
+/// The result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
-    /// Members that were killed.
+    /// Number of kills.
     pub kills: u64,
-    /// Milliseconds from a kill until a running member knows, over all pairs: the median,
+    /// Median time in milliseconds from a kill until a running member detects it, over all pairs of
+    /// members.
     pub detection_p50_ms: u64,
-    /// the 99th percentile,
+    /// 99th percentile of that time.
     pub detection_p99_ms: u64,
-    /// and the longest.
+    /// Maximum of that time.
     pub max_detection_ms: u64,
-    /// Pairs that did not learn of it before the member was back.
+    /// Number of pairs in which the loss was not detected before the member restarted.
     pub undetected_pairs: u64,
-    /// Members that were declared lost though they ran and could be reached.
+    /// Number of members that were declared lost although they ran and were reachable.
     pub falsely_lost_members: u64,
-    /// How often that was noticed.
+    /// Number of such declarations by all members.
     pub false_loss_events: u64,
-    /// Datagrams that a member sends a second.
+    /// Datagrams that a member sends per second.
     pub datagrams_per_member_second: f64,
-    /// Bytes that a member sends a second.
+    /// Bytes that a member sends per second.
     pub bytes_per_member_second: f64,
-    /// Milliseconds from the start until all reached all.
+    /// Time in milliseconds from the start until all members reached each other.
     pub joined_ms: u64,
-    /// Bytes that a member sent until counting began,
+    /// Bytes that a member sent before the measured time.
     pub start_bytes_per_member: f64,
-    /// and in the busiest second of that.
+    /// Bytes per member in the busiest second before the measured time.
     pub peak_bytes_per_member_second: f64,
-    /// Processor time of a member a second once all reach all, this simulation's own included.
+    /// Processor time per member and second of the measured time, including that of the simulation
+    /// itself.
     pub cpu_per_member_second: f64,
-    /// Memory of a member once all reach all, datagrams in transit included.
+    /// Memory per member in bytes at the begin of the measured time, including datagrams in
+    /// transit.
     pub memory_per_member: f64,
-    /// Members on the smaller side of a partition that suspected it,
+    /// Number of suspicions of a partition by members on its smaller side.
     pub suspecting_in_minority: u64,
-    /// and those on the other side that did.
+    /// Number of suspicions of a partition by members on its larger side.
     pub suspecting_elsewhere: u64,
 }
 
@@ -103,7 +107,7 @@
     let start = simulation.now;
     let cpu_before = resource_usage::thread_cpu_s();
     let mut measurements = Measurements::new(fleet.partition_ms.is_some());
-    run_counted(&mut simulation, &mut measurements, start);
+    run_measured(&mut simulation, &mut measurements, start);
     let member_seconds = fleet.members as f64 * fleet.seconds as f64;
     verdict.cpu_per_member_second = (resource_usage::thread_cpu_s() - cpu_before) / member_seconds;
     verdict.datagrams_per_member_second = simulation.sent_datagrams as f64 / member_seconds;
@@ -112,7 +116,7 @@
     verdict
 }
 
-/// Starts all members, until all reach all and the updates of the start have travelled.
+/// Starts all members and runs until all reach each other and the settling time has passed.
 fn join(simulation: &mut Simulation) -> Verdict {
     let members = simulation.fleet.members as f64;
     let memory_before = resource_usage::resident_bytes();
@@ -147,8 +151,9 @@
     verdict
 }
 
-/// Kills and restarts members and partitions a zone, as the fleet has it.
-fn run_counted(simulation: &mut Simulation, measurements: &mut Measurements, start: Nanos) {
+/// Runs the measured time, in which members are killed and restarted and a zone is partitioned as
+/// the fleet requires.
+fn run_measured(simulation: &mut Simulation, measurements: &mut Measurements, start: Nanos) {
     let fleet = simulation.fleet;
     let end = start + fleet.seconds * SECOND;
     let kill_interval = fleet.kill_interval_ms.map(|ms| ms * MILLISECOND);
@@ -173,7 +178,7 @@
             let member = simulation.rng.random_range(0..fleet.members);
             if let Some(incarnation) = simulation.kill(member) {
                 measurements.on_kill(simulation.now, member, incarnation);
-                let at = simulation.now + RESTART_AFTER;
+                let at = simulation.now + RESTART_DELAY;
                 restarts.push(Restart { at, member });
             }
         }
--- a/crates/ivypitch-testbed/src/virtual_time/membership_fleet/simulation.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/membership_fleet/simulation.rs
@@ -1,4 +1,4 @@
-//! The members, and the network between them.
+//! The simulation: the members and the network between them.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -15,30 +15,31 @@
 
 const PROTOCOL_VERSION: u16 = 1;
 
-enum Wakeup {
+enum EventKind {
     Datagram(Vec<u8>),
     Timer,
 }
 
 struct Event {
     member: usize,
-    wakeup: Wakeup,
+    kind: EventKind,
 }
 
 pub(super) struct Simulation {
     pub(super) fleet: Fleet,
     pub(super) now: Nanos,
-    /// `None`: no process runs.
+    /// The process of each member; `None` while it is down.
     members: Vec<Option<Membership>>,
     incarnations: Vec<u64>,
-    /// Events by time; those of the same time in the order in which they were scheduled.
+    /// Time and serial of each event. Events of the same time are handled in the order in which
+    /// they were scheduled.
     queue: BinaryHeap<Reverse<(Nanos, u64)>>,
     events: BTreeMap<u64, Event>,
     last_serial: u64,
-    /// By member: the timer that is set.
+    /// Earliest timer that is scheduled, by member.
     timers: Vec<Nanos>,
     pub(super) rng: ChaCha8Rng,
-    /// The first zone is partitioned from the others.
+    /// Whether the first zone is partitioned from the others.
     pub(super) is_partitioned: bool,
     pub(super) sent_datagrams: u64,
     pub(super) sent_bytes: u64,
@@ -104,7 +105,7 @@
         member.is_multiple_of(self.fleet.zones)
     }
 
-    /// Whether all members reach all.
+    /// Whether all members reach each other.
     pub(super) fn is_complete(&self) -> bool {
         self.members.iter().flatten().all(|membership| {
             let reachable = membership.connectivity().reachable_members();
@@ -112,7 +113,7 @@
         })
     }
 
-    /// Runs until that time.
+    /// Runs until the given time. Membership events are measured if `measurements` is given.
     pub(super) fn run(&mut self, until: Nanos, mut measurements: Option<&mut Measurements>) {
         while let Some(&Reverse((at, serial))) = self.queue.peek()
             && at <= until
@@ -122,7 +123,7 @@
                 continue;
             };
             self.now = at;
-            if self.wake(event.member, event.wakeup) {
+            if self.handle(event.member, event.kind) {
                 self.after_call(event.member);
                 self.take_events(event.member, measurements.as_deref_mut());
             }
@@ -130,19 +131,19 @@
         self.now = until;
     }
 
-    /// False: there is nothing to do.
-    fn wake(&mut self, member: usize, wakeup: Wakeup) -> bool {
+    /// Passes an event to a member. Returns false if the member is down or the timer is outdated.
+    fn handle(&mut self, member: usize, kind: EventKind) -> bool {
         let Some(membership) = &mut self.members[member] else {
             return false;
         };
-        match wakeup {
-            Wakeup::Datagram(data) => membership.on_datagram(self.now, &data),
-            Wakeup::Timer if self.timers[member] == self.now => {
+        match kind {
+            EventKind::Datagram(data) => membership.on_datagram(self.now, &data),
+            EventKind::Timer if self.timers[member] == self.now => {
                 self.timers[member] = Nanos::MAX;
                 membership.on_timer(self.now);
             }
-            // The timer was set anew.
-            Wakeup::Timer => return false,
+            // The timer has been replaced.
+            EventKind::Timer => return false,
         }
         true
     }
@@ -155,13 +156,13 @@
         {
             self.send(member, datagram);
         }
-        let Some(due) = self.members[member].as_ref().map(Membership::next_timer) else {
+        let Some(timer) = self.members[member].as_ref().map(Membership::next_timer) else {
             return;
         };
-        if due < self.timers[member] {
-            let at = due.max(self.now + 1);
+        if timer < self.timers[member] {
+            let at = timer.max(self.now + 1);
             self.timers[member] = at;
-            self.schedule(at, member, Wakeup::Timer);
+            self.schedule(at, member, EventKind::Timer);
         }
     }
 
@@ -176,7 +177,7 @@
         let transit = self.fleet.transit;
         let transit_ms = self.rng.random_range(transit.min_ms..transit.max_ms);
         let arrival = self.now + (transit_ms * MILLISECOND as f64) as Nanos;
-        self.schedule(arrival, to, Wakeup::Datagram(datagram.data));
+        self.schedule(arrival, to, EventKind::Datagram(datagram.data));
     }
 
     fn take_events(&mut self, member: usize, mut measurements: Option<&mut Measurements>) {
@@ -190,22 +191,23 @@
         }
     }
 
-    fn schedule(&mut self, at: Nanos, member: usize, wakeup: Wakeup) {
+    fn schedule(&mut self, at: Nanos, member: usize, kind: EventKind) {
         self.last_serial += 1;
-        self.events
-            .insert(self.last_serial, Event { member, wakeup });
+        self.events.insert(self.last_serial, Event { member, kind });
         self.queue.push(Reverse((at, self.last_serial)));
     }
 
     fn member_list(&self) -> MemberList {
-        let member = |i: usize| MemberAddress {
-            name: format!("n{i}"),
-            zone: (i % self.fleet.zones) as u16,
-            address: ([127, 0, 0, 1], 1000 + i as u16).into(),
+        let address = |index: usize| MemberAddress {
+            name: format!("n{index}"),
+            zone: (index % self.fleet.zones) as u16,
+            address: ([127, 0, 0, 1], 1000 + index as u16).into(),
         };
         MemberList {
-            members: (0..self.fleet.members).map(member).collect(),
-            zones: (0..self.fleet.zones).map(|z| format!("z{z}")).collect(),
+            members: (0..self.fleet.members).map(address).collect(),
+            zones: (0..self.fleet.zones)
+                .map(|zone| format!("z{zone}"))
+                .collect(),
         }
     }
 }
