--- a/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/action.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/action.rs
@@ -1,8 +1,9 @@
-//! What a gateway's ownership asks for, kept until the call has returned.
+//! Actions that a gateway's ownership requests, collected until its call has returned.
 
 use ivypitch_ownership::{FinalAnswer, GrantDenial, Message, Output, StatementId, StatementSpec};
 use ivypitch_types::{MemberId, Nanos};
 
+/// An action that the ownership of a gateway requests.
 pub(super) enum Action {
     Send(MemberId, Message),
     Dispatch {
@@ -23,6 +24,7 @@
     },
 }
 
+/// Collects the requested actions in order.
 #[derive(Default)]
 pub(super) struct Actions(pub(super) Vec<Action>);
 
--- a/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/clients.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: each submits one statement, and comes back to any gateway until it has an answer.
+//! Clients: each submits one statement and retries at a random gateway until it has an answer.
 
 use ivypitch_ownership::{Arrival, ArrivalDecision, FinalAnswer, StatementId, StatementSpec};
 use ivypitch_types::{MILLISECOND, Nanos};
@@ -8,12 +8,12 @@
 use super::event::Event;
 use super::simulation::Simulation;
 
-/// A client with less time than this left does not come back any more.
+/// Minimum time until the deadline with which a client still retries.
 const MIN_REMAINING: Nanos = 50 * MILLISECOND;
-/// Statements with more work than this are looked up before they run.
+/// Work above which a statement is looked up at other gateways before it runs.
 const MIN_LOOKUP_WORK: Nanos = 200 * MILLISECOND;
 
-/// What a client was told.
+/// The answer that a client received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ClientAnswer {
     Rows,
@@ -33,7 +33,7 @@
     }
 }
 
-/// Where a client is.
+/// The process at which a client waits.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct Session {
     gateway: usize,
@@ -41,17 +41,19 @@
     token: u64,
 }
 
+/// A statement with the state of its client and its starts at engines.
 pub(super) struct SubmittedStatement {
     pub(super) id: StatementId,
     pub(super) spec: StatementSpec,
     pub(super) work: Nanos,
     pub(super) first_arrival: Nanos,
     deadline: Nanos,
-    /// How often engines have started it.
+    /// Number of times that engines have started the statement.
     pub(super) starts: u32,
-    /// The same when its gateway was lost while it ran.
+    /// Number of starts at the time when its gateway was lost while it ran.
     pub(super) starts_at_loss: Option<u32>,
-    pub(super) has_returned: bool,
+    /// Whether the client has retried.
+    pub(super) has_retried: bool,
     pub(super) answers: Vec<ClientAnswer>,
     session: Option<Session>,
     pub(super) is_over: bool,
@@ -73,7 +75,7 @@
             deadline,
             starts: 0,
             starts_at_loss: None,
-            has_returned: false,
+            has_retried: false,
             answers: Vec::new(),
             session: None,
             is_over: false,
@@ -81,7 +83,7 @@
     }
 }
 
-/// A client that waits at a gateway.
+/// A client that is waiting at a gateway.
 #[derive(Clone, Copy)]
 pub(super) struct WaitingClient {
     pub(super) statement: usize,
@@ -89,12 +91,12 @@
 }
 
 impl Simulation<'_> {
-    /// A client that got no answer will come back.
-    pub(super) fn return_later(&mut self, statement: usize) {
+    /// Ends a client's session without an answer and schedules its retry.
+    pub(super) fn retry_later(&mut self, statement: usize) {
         self.statements[statement].session = None;
         let delay = self.random_delay(20, 600);
         if !self.statements[statement].is_over {
-            self.statements[statement].has_returned = true;
+            self.statements[statement].has_retried = true;
             self.schedule_after(delay, Event::ClientArrival { statement });
         }
     }
@@ -115,14 +117,14 @@
             return;
         }
         let token = self.open_session(statement, gateway);
-        // A gateway that is stopped takes nothing; the client has patience for a while.
-        let patience = remaining.min(self.random_delay(5000, 7000));
-        if self.gateways[gateway].is_stopped {
+        // A suspended gateway accepts nothing, and the client gives up sooner.
+        let give_up_delay = remaining.min(self.random_delay(5000, 7000));
+        if self.gateways[gateway].is_suspended {
             let delay = self.random_delay(600, 1800);
             self.schedule_after(delay, Event::ClientGivesUp { statement, token });
             return;
         }
-        self.schedule_after(patience, Event::ClientGivesUp { statement, token });
+        self.schedule_after(give_up_delay, Event::ClientGivesUp { statement, token });
         let spec = StatementSpec {
             remaining_ms: (remaining / MILLISECOND) as u32,
             ..self.statements[statement].spec.clone()
@@ -145,9 +147,9 @@
     fn submit(&mut self, statement: usize, gateway: usize, token: u64, spec: StatementSpec) {
         let now = self.now;
         let id = self.statements[statement].id;
-        self.trace(|| format!("client of {id:x} comes to {gateway}"));
+        self.trace(|| format!("client of {id:x} submits to {gateway}"));
         let Some(ownership) = self.gateways[gateway].ownership.as_mut() else {
-            self.start_local(gateway, id, spec, Some(token));
+            self.start_statement(gateway, id, spec, Some(token));
             return;
         };
         let mut actions = Actions::default();
@@ -158,13 +160,13 @@
             waiter_token: token,
         };
         match ownership.on_arrival(now, arrival, &mut actions) {
-            ArrivalDecision::Proceed => self.start_local(gateway, id, spec, Some(token)),
+            ArrivalDecision::Proceed => self.start_statement(gateway, id, spec, Some(token)),
             ArrivalDecision::Answer(answer) => actions.0.push(Action::Answer {
                 waiter: token,
                 answer,
             }),
-            // Held until the ownership says that it proceeds.
-            ArrivalDecision::Wait => self.hold_local(gateway, id, spec, Some(token)),
+            // The statement is kept until the ownership lets it proceed.
+            ArrivalDecision::Wait => self.insert_statement(gateway, id, spec, Some(token)),
         }
         self.apply_actions(gateway, actions);
     }
@@ -176,12 +178,12 @@
         };
         let id = self.statements[statement].id;
         let gateway = &self.gateways[session.gateway];
-        if gateway.incarnation == session.incarnation && !gateway.is_stopped {
+        if gateway.incarnation == session.incarnation && !gateway.is_suspended {
             self.with_ownership(session.gateway, |ownership, _, _| {
                 ownership.on_client_stopped_waiting(id, token);
             });
         }
-        self.return_later(statement);
+        self.retry_later(statement);
     }
 
     fn close_client(&mut self, statement: usize) {
@@ -200,8 +202,8 @@
             incarnation: self.gateways[gateway].incarnation,
             token,
         };
-        let is_here = self.statements[statement].session == Some(session);
-        if !is_here || self.statements[statement].is_over {
+        let is_waiting = self.statements[statement].session == Some(session);
+        if !is_waiting || self.statements[statement].is_over {
             return;
         }
         let id = self.statements[statement].id;
--- a/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/event.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/event.rs
@@ -1,10 +1,11 @@
-//! Events of a run.
+//! Events of the simulation.
 
 use ivypitch_ownership::{Message, StatementId};
 
-/// Events of a gateway name its incarnation, and pass by any other.
+/// An event. Events of a gateway's process name its incarnation and are ignored by any other.
 #[derive(Clone, Debug)]
 pub(super) enum Event {
+    /// A message between gateways arrives.
     Delivery {
         to: usize,
         incarnation: u64,
@@ -16,7 +17,7 @@
         gateway: usize,
         incarnation: u64,
     },
-    /// One gateway comes to see another as it is.
+    /// A gateway updates its view of another one.
     ViewUpdate {
         by: usize,
         of: usize,
@@ -24,24 +25,26 @@
     ClientArrival {
         statement: usize,
     },
-    /// A client has waited long enough for a silent gateway.
+    /// A client gives up waiting for a gateway.
     ClientGivesUp {
         statement: usize,
         token: u64,
     },
-    /// The dispatch that was decided happens.
+    /// A decided attempt is dispatched to its engine.
     Dispatch {
         gateway: usize,
         incarnation: u64,
         id: StatementId,
         attempt: u32,
     },
+    /// A gateway polls an attempt.
     Poll {
         gateway: usize,
         incarnation: u64,
         id: StatementId,
         serial: u64,
     },
+    /// The deadline of a statement has passed.
     Deadline {
         gateway: usize,
         incarnation: u64,
--- a/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/faults.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the plan as they begin and end.
+//! Begin and end of the faults of a plan.
 
 use std::collections::BTreeSet;
 
@@ -8,11 +8,13 @@
 
 use super::action::Actions;
 use super::event::Event;
-use super::membership::{LOSS_NOTICED, PARTITION_END_NOTICED, RETURN_NOTICED};
+use super::membership::{
+    LOSS_DETECTION_DELAY, PARTITION_END_DETECTION_DELAY, RETURN_DETECTION_DELAY,
+};
 use super::simulation::Simulation;
 use crate::virtual_time::faults::FaultKind;
 
-/// A gateway that shuts down ends after this time.
+/// Time from a shutdown request until the process ends, in milliseconds.
 const SHUTDOWN_MS: u64 = 300;
 
 impl Simulation<'_> {
@@ -33,7 +35,7 @@
                 gateway,
                 restart_after_ms,
             } => {
-                if self.is_up(gateway) && !self.gateways[gateway].is_stopped {
+                if self.is_up(gateway) && !self.gateways[gateway].is_suspended {
                     self.shut_down(gateway);
                     self.schedule_after(SHUTDOWN_MS * MILLISECOND, Event::FaultEnds(index));
                     let restart_after = (SHUTDOWN_MS + restart_after_ms) * MILLISECOND;
@@ -44,11 +46,11 @@
                 gateway,
                 duration_ms,
             } => {
-                if self.is_up(gateway) && !self.gateways[gateway].is_stopped {
-                    self.gateways[gateway].is_stopped = true;
+                if self.is_up(gateway) && !self.gateways[gateway].is_suspended {
+                    self.gateways[gateway].is_suspended = true;
                     self.schedule_after(duration_ms * MILLISECOND, Event::FaultEnds(index));
-                    self.schedule_view_updates(&BTreeSet::from([gateway]), LOSS_NOTICED);
-                    self.lose_patience(gateway);
+                    self.schedule_view_updates(&BTreeSet::from([gateway]), LOSS_DETECTION_DELAY);
+                    self.schedule_give_ups(gateway);
                 }
             }
             FaultKind::PartitionZone { .. } | FaultKind::PartitionGateway { .. } => {
@@ -56,7 +58,7 @@
                     *self.partitions.entry(link).or_default() += 1;
                 }
                 let all = (0..self.fleet.gateways).collect();
-                self.schedule_view_updates(&all, LOSS_NOTICED);
+                self.schedule_view_updates(&all, LOSS_DETECTION_DELAY);
                 self.schedule_fault_end(index);
             }
             FaultKind::DropMessages { from, to, .. } => {
@@ -92,7 +94,7 @@
                     *self.partitions.entry(link).or_default() -= 1;
                 }
                 let all = (0..self.fleet.gateways).collect();
-                self.schedule_view_updates(&all, PARTITION_END_NOTICED);
+                self.schedule_view_updates(&all, PARTITION_END_DETECTION_DELAY);
             }
             FaultKind::DropMessages { from, to, .. } => {
                 *self.broken_links.entry((from, to)).or_default() -= 1;
@@ -114,7 +116,7 @@
         let started = self.start_gateway(gateway);
         let incarnation = started.incarnation;
         self.gateways[gateway] = started;
-        self.schedule_view_updates(&BTreeSet::from([gateway]), RETURN_NOTICED);
+        self.schedule_view_updates(&BTreeSet::from([gateway]), RETURN_DETECTION_DELAY);
         let timer = Event::Timer {
             gateway,
             incarnation,
@@ -127,7 +129,7 @@
         self.schedule_after(duration_ms * MILLISECOND, Event::FaultEnds(index));
     }
 
-    /// The gateway hands off what it acts for.
+    /// Starts the shutdown of a gateway, which hands off the statements that it owns.
     fn shut_down(&mut self, gateway: usize) {
         self.gateways[gateway].is_shutting_down = true;
         let now = self.now;
@@ -142,8 +144,8 @@
         self.apply_actions(gateway, actions);
     }
 
-    /// Clients of a stopped gateway go elsewhere after a while.
-    fn lose_patience(&mut self, gateway: usize) {
+    /// Lets the clients of a suspended gateway give up after a random time.
+    fn schedule_give_ups(&mut self, gateway: usize) {
         for client in self.clients_at(gateway) {
             let delay = self.random_delay(600, 1800);
             let gives_up = Event::ClientGivesUp {
@@ -155,17 +157,17 @@
     }
 
     fn resume(&mut self, gateway: usize) {
-        if !self.gateways[gateway].is_stopped {
+        if !self.gateways[gateway].is_suspended {
             return;
         }
         self.trace(|| format!("gateway {gateway} resumes"));
-        self.gateways[gateway].is_stopped = false;
+        self.gateways[gateway].is_suspended = false;
         let held_events = std::mem::take(&mut self.gateways[gateway].held_events);
         for event in held_events {
             let delay = self.rng.random_range(0..MILLISECOND);
             self.schedule_after(delay, event);
         }
-        self.schedule_view_updates(&BTreeSet::from([gateway]), RETURN_NOTICED);
+        self.schedule_view_updates(&BTreeSet::from([gateway]), RETURN_DETECTION_DELAY);
     }
 
     fn crash(&mut self, gateway: usize) {
@@ -181,19 +183,19 @@
         crashed.ownership = None;
         crashed.incarnation = 0;
         crashed.local.clear();
-        crashed.is_stopped = false;
+        crashed.is_suspended = false;
         crashed.held_events.clear();
         crashed.is_shutting_down = false;
         for id in dispatched {
-            self.note_loss(id);
+            self.record_loss(id);
         }
-        self.schedule_view_updates(&BTreeSet::from([gateway]), LOSS_NOTICED);
+        self.schedule_view_updates(&BTreeSet::from([gateway]), LOSS_DETECTION_DELAY);
         for client in self.clients_at(gateway) {
-            self.return_later(client.statement);
+            self.retry_later(client.statement);
         }
     }
 
-    fn note_loss(&mut self, id: StatementId) {
+    fn record_loss(&mut self, id: StatementId) {
         let statement = &mut self.statements[self.by_id[&id]];
         let is_running = self
             .engines
@@ -207,7 +209,7 @@
 
     fn partitioned_links(&self, kind: FaultKind) -> Vec<(usize, usize)> {
         let zones = self.fleet.zones;
-        let is_apart = |a: usize, b: usize| match kind {
+        let is_partitioned = |a: usize, b: usize| match kind {
             FaultKind::PartitionZone { zone, .. } => (a % zones == zone) != (b % zones == zone),
             FaultKind::PartitionGateway { gateway, .. } => (a == gateway) != (b == gateway),
             _ => false,
@@ -215,11 +217,11 @@
         let all = 0..self.fleet.gateways;
         all.clone()
             .flat_map(|a| all.clone().map(move |b| (a, b)))
-            .filter(|&(a, b)| is_apart(a, b))
+            .filter(|&(a, b)| is_partitioned(a, b))
             .collect()
     }
 
-    /// What is on its way is lost.
+    /// Drops the messages in transit between two gateways.
     fn drop_messages_between(&mut self, one: usize, other: usize) {
         self.events.retain(|_, event| match event {
             Event::Delivery { from, to, .. } => {
--- a/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/membership.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/membership.rs
@@ -1,4 +1,4 @@
-//! What gateways know of each other: what is true, some time after it changed.
+//! The gateways' views of each other, which follow the true state with a random delay.
 
 use std::collections::BTreeSet;
 
@@ -12,18 +12,18 @@
     pub(super) max_ms: u64,
 }
 
-/// A loss is noticed within this time.
-pub(super) const LOSS_NOTICED: DelayRange = DelayRange {
+/// Delay until the loss of a gateway is detected.
+pub(super) const LOSS_DETECTION_DELAY: DelayRange = DelayRange {
     min_ms: 300,
     max_ms: 1000,
 };
-/// A gateway that is there again is noticed within this time.
-pub(super) const RETURN_NOTICED: DelayRange = DelayRange {
+/// Delay until the return of a gateway is detected.
+pub(super) const RETURN_DETECTION_DELAY: DelayRange = DelayRange {
     min_ms: 20,
     max_ms: 300,
 };
-/// The end of a partition is noticed within this time.
-pub(super) const PARTITION_END_NOTICED: DelayRange = DelayRange {
+/// Delay until the end of a partition is detected.
+pub(super) const PARTITION_END_DETECTION_DELAY: DelayRange = DelayRange {
     min_ms: 20,
     max_ms: 400,
 };
@@ -56,11 +56,11 @@
             .partitions
             .get(&(by, of))
             .is_none_or(|&faults| faults == 0);
-        let is_running = self.is_up(of) && !self.gateways[of].is_stopped;
+        let is_running = self.is_up(of) && !self.gateways[of].is_suspended;
         (is_running && is_connected).then_some(self.gateways[of].incarnation)
     }
 
-    /// All views of these gateways, and theirs of all others, are brought up to date.
+    /// Schedules the updates of all outdated views of or by these gateways.
     pub(super) fn schedule_view_updates(&mut self, gateways: &BTreeSet<usize>, delay: DelayRange) {
         for by in 0..self.fleet.gateways {
             for of in 0..self.fleet.gateways {
--- a/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/mod.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/mod.rs
@@ -1,6 +1,7 @@
-//! Ownership of statements by a whole fleet in virtual time: the deciding crate of many gateways
-//! over a fault plan, with engines that count every start by id and clients that come back. What
-//! engines and clients counted is the verdict.
+//! Simulation of statement ownership in a whole fleet in virtual time: the ownership crate of many
+//! gateways under a fault plan, with engines that count every start by statement id and clients
+//! that retry. Violations are counted at the engines and the clients, independently of the
+//! gateways.
 
 mod action;
 mod clients;
@@ -28,22 +29,23 @@
     pub zones: usize,
     /// Number of engines.
     pub engines: usize,
-    /// Milliseconds in which clients submit statements; the run goes on until all have their
+    /// Time in milliseconds in which clients submit statements. The run continues until all have an
     /// answer.
     pub duration_ms: u64,
-    /// Mean milliseconds between statements, of the whole fleet.
+    /// Mean time between statements of the whole fleet in milliseconds.
     pub statement_gap_ms: u64,
-    /// Mean milliseconds between faults.
+    /// Mean time between faults in milliseconds.
     pub fault_gap_ms: u64,
-    /// Part of the statements that are loads, which are not idempotent.
+    /// Fraction of the statements that are bulk loads, which are not idempotent.
     pub load_fraction: f64,
-    /// False: loads are dispatched without a grant, for the test that shows what it is for.
+    /// Whether attempts need a grant. False only for the test that shows that without grants bulk
+    /// loads run twice.
     pub requires_grants: bool,
-    /// What a gateway without a quorum does.
+    /// What a gateway does with a statement for which it has no quorum.
     pub no_quorum: NoQuorumPolicy,
-    /// False: as without peers.
+    /// Whether gateways know each other. If not, each one runs without ownership.
     pub has_peers: bool,
-    /// Requests have a realistic size, and messages are counted in bytes.
+    /// Whether requests have a realistic size and the bytes of messages are counted.
     pub counts_bytes: bool,
 }
 
@@ -65,21 +67,21 @@
     }
 }
 
-/// The fault plan of a run of this fleet. With `losses_only` gateways are lost and nothing else
-/// happens.
-pub fn draw_faults(fleet: &Fleet, seed: u64, losses_only: bool) -> FaultPlan {
+/// Draws a fault plan for the fleet from the seed. With `has_only_losses`, gateways are only
+/// killed, suspended and shut down.
+pub fn draw_faults(fleet: &Fleet, seed: u64, has_only_losses: bool) -> FaultPlan {
     let params = FaultPlanParams {
         gateways: fleet.gateways,
         zones: fleet.zones,
         engines: fleet.engines,
         duration_ms: fleet.duration_ms,
         mean_gap_ms: fleet.fault_gap_ms,
-        has_only_losses: losses_only,
+        has_only_losses,
     };
     FaultPlan::draw(params, seed)
 }
 
-/// Runs the fleet over the plan. The same arguments give the same verdict.
+/// Runs the fleet under a fault plan. The same arguments give the same result.
 pub fn run(fleet: &Fleet, plan: &FaultPlan, seed: u64) -> Verdict {
     Simulation::new(fleet, plan, seed).run()
 }
--- a/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/network.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/network.rs
@@ -1,4 +1,4 @@
-//! Messages between gateways: their delay, and the links that lose them.
+//! Messages between gateways, with their delays and losses.
 
 use ivypitch_gateway::wire::peer_frames::{Frame, encode_frame};
 use ivypitch_ownership::Message;
--- a/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/scheduling.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/scheduling.rs
@@ -1,4 +1,4 @@
-//! What stands for a gateway's scheduler: attempts at engines, and polling them.
+//! A simple substitute for a gateway's scheduler: dispatches attempts to engines and polls them.
 
 use ivypitch_ownership::{FinalAnswer, GrantDecision, StatementId, StatementSpec};
 use ivypitch_types::{MILLISECOND, Nanos};
@@ -10,31 +10,35 @@
 use super::event::Event;
 use super::simulation::Simulation;
 
+/// Interval in which a gateway polls an attempt.
 const POLL_INTERVAL: Nanos = 60 * MILLISECOND;
-/// A gateway polls an attempt that it has taken over after this time.
+/// Time from a takeover until the first poll of the attempt.
 const FIRST_POLL_DELAY: Nanos = MILLISECOND / 2;
-/// From the decision to dispatch to the dispatch; the process may be stopped between.
+/// Time from the decision to dispatch until the dispatch. The process may be suspended in between.
 const DISPATCH_DELAY: Nanos = MILLISECOND / 10;
-const MAX_TRIES: u32 = 4;
+/// Maximum number of attempts of a statement at one gateway.
+const MAX_ATTEMPTS: u32 = 4;
 
-/// A statement that is with a gateway's scheduler.
+/// A statement at the scheduler of a gateway.
 pub(super) struct LocalStatement {
     spec: StatementSpec,
     deadline: Nanos,
-    /// Attempts numbered so far.
-    attempts: u32,
+    /// Number of the next attempt; a statement that was taken over with an attempt starts at 1.
+    next_attempt: u32,
     engine: usize,
     pub(super) is_dispatched: bool,
     may_have_run: bool,
-    tries: u32,
-    /// The client that submitted it.
+    /// Attempts requested at this gateway.
+    requested_attempts: u32,
+    /// Token of the client that submitted the statement at this gateway.
     token: Option<u64>,
-    /// Distinguishes it from others under the same id.
+    /// Distinguishes the statement from earlier ones with the same id, so that their events are
+    /// ignored.
     serial: u64,
 }
 
 impl Simulation<'_> {
-    pub(super) fn hold_local(
+    pub(super) fn insert_statement(
         &mut self,
         gateway: usize,
         id: StatementId,
@@ -49,18 +53,18 @@
         let local = LocalStatement {
             spec,
             deadline,
-            attempts: 0,
+            next_attempt: 0,
             engine: 0,
             is_dispatched: false,
             may_have_run: false,
-            tries: 0,
+            requested_attempts: 0,
             token,
             serial,
         };
         self.gateways[gateway].local.insert(id, local);
     }
 
-    pub(super) fn start_local(
+    pub(super) fn start_statement(
         &mut self,
         gateway: usize,
         id: StatementId,
@@ -68,7 +72,7 @@
         token: Option<u64>,
     ) {
         self.gateways[gateway].local.remove(&id);
-        self.hold_local(gateway, id, spec, token);
+        self.insert_statement(gateway, id, spec, token);
         self.try_attempt(gateway, id);
     }
 
@@ -80,13 +84,13 @@
         remaining: Nanos,
         engine: Option<u64>,
     ) {
-        self.trace(|| format!("{gateway} takes {id:x} over, at engine {engine:?}"));
+        self.trace(|| format!("{gateway} takes over {id:x}, at engine {engine:?}"));
         let spec = StatementSpec {
             remaining_ms: (remaining / MILLISECOND) as u32,
             ..spec
         };
         self.gateways[gateway].local.remove(&id);
-        self.hold_local(gateway, id, spec, None);
+        self.insert_statement(gateway, id, spec, None);
         let Some(engine) = engine else {
             self.try_attempt(gateway, id);
             return;
@@ -95,7 +99,7 @@
             local.engine = engine as usize;
             local.is_dispatched = true;
             local.may_have_run = true;
-            local.attempts = 1;
+            local.next_attempt = 1;
             self.schedule_deadline(gateway, id);
             self.schedule_poll(gateway, id, FIRST_POLL_DELAY);
         }
@@ -129,7 +133,7 @@
         }
     }
 
-    /// The next attempt, as the scheduler would decide.
+    /// Requests the next attempt at a random engine, or gives up.
     pub(super) fn try_attempt(&mut self, gateway: usize, id: StatementId) {
         let engines: Vec<usize> = (0..self.engines.len())
             .filter(|&engine| !self.engines[engine].is_draining)
@@ -138,13 +142,13 @@
         let Some(local) = self.gateways[gateway].local.get_mut(&id) else {
             return;
         };
-        if engines.is_empty() || local.tries >= MAX_TRIES || now >= local.deadline {
+        if engines.is_empty() || local.requested_attempts >= MAX_ATTEMPTS || now >= local.deadline {
             self.give_up(gateway, id);
             return;
         }
-        local.tries += 1;
-        let attempt = local.attempts;
-        local.attempts += 1;
+        local.requested_attempts += 1;
+        let attempt = local.next_attempt;
+        local.next_attempt += 1;
         let engine = engines[self.rng.random_range(0..engines.len())];
         local.engine = engine;
         if attempt == 0 {
@@ -159,14 +163,14 @@
             None => GrantDecision::Granted,
         };
         match decision {
-            GrantDecision::Granted => self.dispatch_soon(gateway, id, attempt),
+            GrantDecision::Granted => self.schedule_dispatch(gateway, id, attempt),
             GrantDecision::Pending => {}
             GrantDecision::Denied(denial) => actions.0.push(Action::Deny(id, denial)),
         }
         self.apply_actions(gateway, actions);
     }
 
-    pub(super) fn dispatch_soon(&mut self, gateway: usize, id: StatementId, attempt: u32) {
+    pub(super) fn schedule_dispatch(&mut self, gateway: usize, id: StatementId, attempt: u32) {
         let dispatch = Event::Dispatch {
             gateway,
             incarnation: self.gateways[gateway].incarnation,
@@ -183,7 +187,7 @@
         let Some(local) = self.gateways[gateway].local.get_mut(&id) else {
             return;
         };
-        if local.attempts != attempt + 1 || now >= local.deadline {
+        if local.next_attempt != attempt + 1 || now >= local.deadline {
             return;
         }
         local.is_dispatched = true;
@@ -232,13 +236,13 @@
             self.first_polls_ms.push((now - lost_at) / MILLISECOND);
         }
         if is_completed {
-            self.answer_local(gateway, id, ClientAnswer::Rows);
+            self.answer_statement(gateway, id, ClientAnswer::Rows);
         } else {
             self.schedule_poll(gateway, id, POLL_INTERVAL);
         }
     }
 
-    /// The engine knows nothing of the statement.
+    /// Handles a poll of a query that the engine does not know.
     fn on_query_unknown(&mut self, gateway: usize, id: StatementId, engine: usize) {
         self.engines[engine].queries.remove(&id);
         let Some(local) = self.gateways[gateway].local.get_mut(&id) else {
@@ -271,10 +275,15 @@
         } else {
             ClientAnswer::Aborted
         };
-        self.answer_local(gateway, id, answer);
+        self.answer_statement(gateway, id, answer);
     }
 
-    pub(super) fn answer_local(&mut self, gateway: usize, id: StatementId, answer: ClientAnswer) {
+    pub(super) fn answer_statement(
+        &mut self,
+        gateway: usize,
+        id: StatementId,
+        answer: ClientAnswer,
+    ) {
         let Some(local) = self.gateways[gateway].local.remove(&id) else {
             return;
         };
--- a/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/simulation.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/simulation.rs
@@ -1,4 +1,4 @@
-//! The event loop: gateways, messages between them, and the calls of their ownership decisions.
+//! The simulation: its event queue, the gateways and the calls of their ownership.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -19,27 +19,31 @@
 use super::verdict::Verdict;
 use crate::virtual_time::faults::FaultPlan;
 
-/// The first processes started long before the first client comes, so that their voters vote.
+/// Time at which the first client can submit a statement. The first processes start long before,
+/// since voters do not vote right after a start.
 const FIRST_CLIENT_AT: Nanos = 10_000 * MILLISECOND;
-/// The run ends at the latest so long after the last client was to come.
+/// Maximum time that the run continues after clients have stopped submitting, in milliseconds.
 const MAX_OVERTIME_MS: u64 = 30_000;
+/// Size of a request if bytes are not counted.
 const REQUEST_BYTES: usize = 4;
+/// Realistic size of a request, for runs that count bytes.
 const COUNTED_REQUEST_BYTES: usize = 200;
 
+/// The state of one gateway.
 pub(super) struct Gateway {
-    /// `None` while it is down, and without peers.
+    /// `None` while the gateway is down, and always in a fleet without peers.
     pub(super) ownership: Option<Ownership>,
-    /// Zero while it is down.
+    /// Incarnation of the process; 0 while the gateway is down.
     pub(super) incarnation: u64,
-    /// Statements that are with its scheduler.
+    /// Statements at the scheduler of the gateway.
     pub(super) local: BTreeMap<StatementId, LocalStatement>,
-    pub(super) is_stopped: bool,
-    /// What came while it was stopped.
+    pub(super) is_suspended: bool,
+    /// Events that arrived while the process was suspended.
     pub(super) held_events: Vec<Event>,
-    /// Incarnations of the other gateways that it is connected to.
+    /// By member: the incarnation that the gateway is connected to.
     pub(super) connected: Vec<Option<u64>>,
     pub(super) is_shutting_down: bool,
-    /// The earliest timer that is set.
+    /// Time of the earliest scheduled timer.
     pub(super) timer: Nanos,
 }
 
@@ -49,7 +53,7 @@
     pub(super) now: Nanos,
     pub(super) rng: ChaCha8Rng,
     queue: BinaryHeap<Reverse<(Nanos, u64)>>,
-    /// By serial. A fault may remove events that are on their way.
+    /// Events by serial. A fault may remove scheduled events.
     pub(super) events: BTreeMap<u64, Event>,
     last_serial: u64,
     pub(super) gateways: Vec<Gateway>,
@@ -59,24 +63,25 @@
     pub(super) by_token: BTreeMap<u64, usize>,
     pub(super) last_token: u64,
     last_incarnation: u64,
-    /// Links from one gateway to another, with the number of faults that break them.
+    /// Number of faults that break the link from one gateway to another.
     pub(super) broken_links: BTreeMap<(usize, usize), u32>,
-    /// The same for partitions, which the membership notices.
+    /// Number of partitions between two gateways, which membership detects in contrast to broken
+    /// links.
     pub(super) partitions: BTreeMap<(usize, usize), u32>,
     pub(super) delays: BTreeMap<(usize, usize), Nanos>,
-    /// No message overtakes another on its link.
+    /// Time of the last delivery on each link, so that links keep the order of messages.
     pub(super) last_delivery: BTreeMap<(usize, usize), Nanos>,
-    /// Statements whose clients have no answer yet.
+    /// Number of statements whose clients have no answer yet.
     pub(super) open_statements: usize,
-    /// When statements lost their gateway while they ran.
+    /// Time at which a running statement lost its gateway.
     pub(super) lost_at: BTreeMap<StatementId, Nanos>,
     pub(super) first_polls_ms: Vec<u64>,
     pub(super) messages: u64,
     pub(super) bytes: u64,
     pub(super) max_vote_log_entries: usize,
-    /// Of processes that are gone.
+    /// Counters of the processes that have ended.
     pub(super) counters: Vec<OwnershipCounters>,
-    is_traced: bool,
+    is_tracing: bool,
 }
 
 impl<'a> Simulation<'a> {
@@ -114,7 +119,7 @@
             bytes: 0,
             max_vote_log_entries: 0,
             counters: Vec::new(),
-            is_traced: std::env::var_os("IVYPITCH_LAB_TRACE").is_some(),
+            is_tracing: std::env::var_os("IVYPITCH_LAB_TRACE").is_some(),
         }
     }
 
@@ -134,11 +139,11 @@
         self.connect_all();
         let max_duration = (self.fleet.duration_ms + MAX_OVERTIME_MS) * MILLISECOND;
         self.run_until(FIRST_CLIENT_AT + max_duration);
-        self.verdict()
+        self.into_verdict()
     }
 
-    /// All gateways are connected and have transferred their state to each other before the first
-    /// client comes.
+    /// Connects all gateways and lets them transfer their state to each other before the first
+    /// client arrives.
     fn connect_all(&mut self) {
         self.now = FIRST_CLIENT_AT;
         for by in 0..self.fleet.gateways {
@@ -207,7 +212,7 @@
             ownership,
             incarnation,
             local: BTreeMap::new(),
-            is_stopped: false,
+            is_suspended: false,
             held_events: Vec::new(),
             connected: vec![None; self.fleet.gateways],
             is_shutting_down: false,
@@ -224,9 +229,9 @@
     }
 
     fn on_event(&mut self, event: Event) {
-        // A stopped process does nothing; all that concerns it waits.
+        // Events of a suspended process are kept until it resumes.
         if let Some(gateway) = event.handled_by()
-            && self.gateways[gateway].is_stopped
+            && self.gateways[gateway].is_suspended
         {
             self.gateways[gateway].held_events.push(event);
             return;
@@ -241,7 +246,7 @@
             } => {
                 let is_alive = self.is_running_as(to, incarnation)
                     && self.is_running_as(from, from_incarnation);
-                // A link that broke meanwhile delivers nothing more.
+                // A link that has broken since the message was sent does not deliver it.
                 if is_alive && !self.is_link_down(from, to) {
                     self.trace(|| format!("{from} -> {to}: {message:?}"));
                     self.with_ownership(to, |ownership, now, out| {
@@ -300,13 +305,13 @@
     }
 
     pub(super) fn trace(&self, line: impl Fn() -> String) {
-        if self.is_traced {
+        if self.is_tracing {
             let now_ms = self.now as f64 / MILLISECOND as f64;
             eprintln!("{now_ms:>9.3} {}", line());
         }
     }
 
-    /// Calls a gateway's ownership, and does what it asks for.
+    /// Calls a gateway's ownership and applies the actions that it requests.
     pub(super) fn with_ownership(
         &mut self,
         gateway: usize,
@@ -344,14 +349,14 @@
     fn apply_action(&mut self, gateway: usize, action: Action) {
         match action {
             Action::Send(to, message) => self.send(gateway, to.as_usize(), message),
-            Action::Dispatch { id, attempt } => self.dispatch_soon(gateway, id, attempt),
+            Action::Dispatch { id, attempt } => self.schedule_dispatch(gateway, id, attempt),
             Action::Deny(
                 id,
                 GrantDenial::NoQuorum {
                     is_provably_unsent: true,
                 },
             ) => {
-                self.answer_local(gateway, id, ClientAnswer::Rejected);
+                self.answer_statement(gateway, id, ClientAnswer::Rejected);
             }
             Action::Deny(
                 id,
@@ -359,7 +364,7 @@
                     is_provably_unsent: false,
                 },
             ) => {
-                self.answer_local(gateway, id, ClientAnswer::Aborted);
+                self.answer_statement(gateway, id, ClientAnswer::Aborted);
             }
             Action::Deny(id, GrantDenial::OwnedElsewhere) => {
                 self.gateways[gateway].local.remove(&id);
@@ -378,7 +383,7 @@
     }
 }
 
-/// The ownership configuration of all gateways.
+/// The ownership settings of all gateways.
 fn ownership_config(fleet: &Fleet) -> OwnershipConfig {
     OwnershipConfig {
         max_statement_timeout: 6_000 * MILLISECOND,
--- a/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/verdict.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/verdict.rs
@@ -1,4 +1,4 @@
-//! What engines and clients counted.
+//! The result of a run, as counted by engines and clients.
 
 use ivypitch_ownership::Ownership;
 use ivypitch_types::MILLISECOND;
@@ -6,48 +6,50 @@
 use super::clients::{ClientAnswer, SubmittedStatement};
 use super::simulation::Simulation;
 
-/// What a run came to.
+/// The result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
-    /// Statements submitted.
+    /// Number of submitted statements.
     pub statements: u64,
-    /// Of these, loads.
+    /// Number of submitted bulk loads.
     pub loads: u64,
-    /// Loads dispatched more than once.
+    /// Number of bulk loads that were dispatched more than once.
     pub dispatched_twice: u64,
-    /// Loads whose clients were told that nothing had run, though it had.
+    /// Number of bulk loads that ran although their clients received a rejection, which promises
+    /// that nothing ran.
     pub rejected_but_ran: u64,
-    /// Loads whose clients were told two ends that can't both be.
+    /// Number of bulk loads whose clients received contradicting answers.
     pub contradicting_answers: u64,
-    /// Clients that never got an answer.
+    /// Number of clients that never received an answer.
     pub unanswered: u64,
-    /// Statements that completed, as far as their clients know.
+    /// Number of statements that completed according to their clients.
     pub served: u64,
-    /// Statements that were rejected at least once.
+    /// Number of statements that were rejected at least once.
     pub rejected: u64,
-    /// Statements that were aborted at least once.
+    /// Number of statements that were aborted at least once.
     pub aborted: u64,
-    /// Statements that ran at an engine when their gateway was lost, and whose client came back.
+    /// Number of statements that ran at an engine when their gateway was lost and whose client
+    /// retried.
     pub in_flight_at_loss: u64,
-    /// Of these, statements that completed without running again.
+    /// Number of these statements that completed without running again.
     pub completed_after_loss: u64,
-    /// Milliseconds from a loss to the first poll of the engine by another gateway: the longest of
-    /// 99 in 100.
+    /// 99th percentile of the time in milliseconds from the loss of a gateway to the first poll of
+    /// the statement by another gateway.
     pub first_poll_p99_ms: u64,
-    /// Statements that were taken over with an attempt.
+    /// Number of statements that were taken over with an attempt to poll.
     pub polled: u64,
-    /// Messages between gateways.
+    /// Number of messages between gateways.
     pub messages: u64,
-    /// Their bytes, where they are counted.
+    /// Bytes of these messages, if they are counted.
     pub bytes: u64,
-    /// Statements that one gateway remembered as a voter, at most.
+    /// Maximum number of entries in the vote log of a gateway.
     pub max_vote_log_entries: usize,
-    /// Faults of the plan.
+    /// Number of faults of the plan.
     pub faults: u64,
 }
 
 impl Verdict {
-    /// The promises that hold whatever happens.
+    /// Whether all guarantees held that must hold under every fault plan.
     pub fn holds(&self) -> bool {
         self.dispatched_twice == 0
             && self.rejected_but_ran == 0
@@ -57,7 +59,8 @@
 }
 
 impl Simulation<'_> {
-    pub(super) fn verdict(mut self) -> Verdict {
+    /// Returns what was counted.
+    pub(super) fn into_verdict(mut self) -> Verdict {
         let running = self
             .gateways
             .iter()
@@ -77,33 +80,36 @@
             self.count_statement(&mut verdict, statement);
         }
         self.first_polls_ms.sort_unstable();
-        let position = self.first_polls_ms.len().saturating_sub(1) * 99 / 100;
-        verdict.first_poll_p99_ms = self.first_polls_ms.get(position).copied().unwrap_or(0);
+        let index = self.first_polls_ms.len().saturating_sub(1) * 99 / 100;
+        verdict.first_poll_p99_ms = self.first_polls_ms.get(index).copied().unwrap_or(0);
         verdict
     }
 
     fn count_statement(&self, verdict: &mut Verdict, statement: &SubmittedStatement) {
         let id = statement.id;
         let is_load = !statement.spec.is_idempotent;
-        let got = |answer: ClientAnswer| statement.answers.contains(&answer);
-        let is_served = got(ClientAnswer::Rows) || got(ClientAnswer::Completed);
+        let has_answer = |answer: ClientAnswer| statement.answers.contains(&answer);
+        let is_served = has_answer(ClientAnswer::Rows) || has_answer(ClientAnswer::Completed);
         verdict.loads += u64::from(is_load);
         if is_load && statement.starts > 1 {
             self.trace(|| format!("load {id:x} started {} times", statement.starts));
             verdict.dispatched_twice += 1;
         }
-        if is_load && got(ClientAnswer::Rejected) && statement.starts > 0 {
+        if is_load && has_answer(ClientAnswer::Rejected) && statement.starts > 0 {
             self.trace(|| format!("load {id:x} rejected and started"));
             verdict.rejected_but_ran += 1;
         }
-        if is_load && is_served && (got(ClientAnswer::Rejected) || got(ClientAnswer::Aborted)) {
+        if is_load
+            && is_served
+            && (has_answer(ClientAnswer::Rejected) || has_answer(ClientAnswer::Aborted))
+        {
             verdict.contradicting_answers += 1;
         }
         verdict.unanswered += u64::from(!statement.is_over);
         verdict.served += u64::from(is_served);
-        verdict.rejected += u64::from(got(ClientAnswer::Rejected));
-        verdict.aborted += u64::from(got(ClientAnswer::Aborted));
-        let Some(starts_at_loss) = statement.starts_at_loss.filter(|_| statement.has_returned)
+        verdict.rejected += u64::from(has_answer(ClientAnswer::Rejected));
+        verdict.aborted += u64::from(has_answer(ClientAnswer::Aborted));
+        let Some(starts_at_loss) = statement.starts_at_loss.filter(|_| statement.has_retried)
         else {
             return;
         };
