--- a/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/quotas.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/quotas.rs
@@ -94,8 +94,8 @@
 }
 
 impl Simulation<'_> {
-    /// Measures what all gateways are allowed to use and do use, and reports their demand to the
-    /// coordinators.
+    /// Measures the allowed and the actual use of the quotas by all gateways, and reports their
+    /// demand to the coordinators.
     pub(super) fn count_quotas(&mut self) {
         let mut usable_by_all = 0;
         for gateway in 0..self.fleet.gateways {
--- a/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/simulation.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/coordination_fleet/simulation.rs
@@ -135,7 +135,7 @@
             incarnation: self.last_incarnation,
         };
         let zones = (0..self.fleet.gateways)
-            .map(|g| (g % self.fleet.zones) as u16)
+            .map(|member| (member % self.fleet.zones) as u16)
             .collect();
         let mut coordinator = Coordinator::new(CoordinatorParams {
             process: process.id(),
@@ -196,9 +196,9 @@
     fn draw_demand(&mut self, shift: usize) {
         let gateways = self.fleet.gateways;
         let has_high_demand =
-            |g: usize| self.fleet.has_uneven_demand && (g + shift).is_multiple_of(10);
+            |member: usize| self.fleet.has_uneven_demand && (member + shift).is_multiple_of(10);
         let weights: Vec<f64> = (0..gateways)
-            .map(|g| if has_high_demand(g) { 10.0 } else { 1.0 })
+            .map(|member| if has_high_demand(member) { 10.0 } else { 1.0 })
             .collect();
         let total_weight: f64 = weights.iter().sum();
         let total_units = f64::from(UNITS_PER_MEMBER) * gateways as f64;
--- a/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/verdict.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/ownership_fleet/verdict.rs
@@ -59,7 +59,7 @@
 }
 
 impl Simulation<'_> {
-    /// Returns what was counted.
+    /// Returns the measurements.
     pub(super) fn into_verdict(mut self) -> Verdict {
         let running = self
             .gateways
--- a/crates/ivypitch-testbed/src/virtual_time/scheduler_fleet.rs
+++ b/crates/ivypitch-testbed/src/virtual_time/scheduler_fleet.rs
@@ -219,7 +219,7 @@
     queue_timer: Option<Nanos>,
 }
 
-/// What the client of a statement received, and what engines ran for it.
+/// The answers that the client of a statement received, and the starts of the statement at engines.
 #[derive(Clone, Copy, Default)]
 struct ClientState {
     submissions: u32,
@@ -397,9 +397,13 @@
         fleet
     }
 
-    /// Runs the simulation to its end and returns what was counted.
+    /// Runs the simulation to its end and returns the measurements.
     pub fn run(mut self) -> Figures {
-        let last_arrival = self.config.statements.last().map_or(0, |s| s.arrives_at);
+        let last_arrival = self
+            .config
+            .statements
+            .last()
+            .map_or(0, |statement| statement.arrives_at);
         while let Some(Reverse((at, _, event))) = self.events.pop() {
             if at > last_arrival + MAX_OVERTIME {
                 break;
@@ -874,46 +878,46 @@
             .iter()
             .map(|name| TeamFigures::new(name))
             .collect();
-        let (mut doubled, mut unanswered, mut twice) = (0, 0, 0);
+        let (mut repeated_bulk_loads, mut unanswered, mut answered_twice) = (0, 0, 0);
         for (client, submitted) in self.clients.iter().zip(self.config.statements) {
             let workload = &self.config.workloads[submitted.workload];
             let latency = client.served_at.map(|at| at - submitted.arrives_at);
-            teams[submitted.team].count(
+            teams[submitted.team].record_statement(
                 workload.priority_weight,
                 submitted.latency_objective,
                 latency,
                 client.submissions,
             );
-            doubled += u64::from(client.has_run_twice);
+            repeated_bulk_loads += u64::from(client.has_run_twice);
             unanswered += u64::from(client.answers < client.submissions);
-            twice += u64::from(client.answers > client.submissions);
+            answered_twice += u64::from(client.answers > client.submissions);
         }
         for ((team, used), rejections) in teams
             .iter_mut()
             .zip(&self.used_core_s)
             .zip(&self.rejections)
         {
-            team.used = *used;
-            (team.refused_waiting, team.refused_later) = *rejections;
+            team.completed_core_s = *used;
+            (team.rejected_by_queues, team.rejected_by_scheduler) = *rejections;
         }
         let mut figures = Figures {
             teams,
-            doubled,
+            repeated_bulk_loads,
             unanswered,
-            twice,
+            answered_twice,
             ..Figures::default()
         };
         let errors = Histogram::new_with_bounds(1, 10_000, 2);
         let mut errors = errors.unwrap_or_else(|_| unreachable!());
         for gateway_state in &self.gateways {
             if let Some(queues) = &gateway_state.queues {
-                figures.told += queues.wait_statistics().estimates;
-                figures.good += queues.wait_statistics().good_estimates;
+                figures.wait_estimates += queues.wait_statistics().estimates;
+                figures.good_wait_estimates += queues.wait_statistics().good_estimates;
                 let _ = errors.add(&queues.wait_statistics().errors_percent);
             }
         }
-        figures.median_error = errors.value_at_quantile(0.5) as f64 / 100.0;
-        figures.wasted = self.engines.iter().map(|engine| engine.wasted_core_s).sum();
+        figures.median_wait_estimate_error = errors.value_at_quantile(0.5) as f64 / 100.0;
+        figures.wasted_core_s = self.engines.iter().map(|engine| engine.wasted_core_s).sum();
         figures
     }
 }
