--- a/crates/ivypitch-simulator-adapter/src/action.rs
+++ b/crates/ivypitch-simulator-adapter/src/action.rs
@@ -1,11 +1,11 @@
-//! The scheduler's actions as records of the reply.
+//! Encodes the scheduler's actions as records of the reply.
 
 use crate::codec::Reply;
 use crate::ids::Ids;
 use ivypitch_scheduler::Output;
 use ivypitch_types::{EngineIndex, Nanos, StatementIndex};
 
-/// Codes of the records, named as in the simulator's documentation.
+/// Record codes, named as in the simulator's documentation.
 mod code {
     pub const TERMS: u8 = 10;
     pub const PUBLISH: u8 = 20;
@@ -20,21 +20,21 @@
     pub const FINISH_ERROR: u8 = 130;
 }
 
-/// Time-outs are signed on the wire; a negative one would expire at once.
+/// Timeouts are signed on the wire; a negative one would expire at once.
 const MAX_TIMEOUT: Nanos = i64::MAX as u64;
-/// Target of a message to every peer.
+/// Target that addresses a message to every peer.
 const EVERY_PEER: u32 = u32::MAX;
 const MAX_MESSAGE_BYTES: usize = 256;
 const SUBSCRIBE: u8 = 1;
 
-/// Declares that an instance has failed.
-pub(crate) fn give_in(reply: &mut Reply, instance: u32, text: &str) {
+/// Reports that an instance has failed.
+pub(crate) fn report_failure(reply: &mut Reply, instance: u32, text: &str) {
     reply
         .record(code::GIVE_IN, instance)
         .put_counted(text.as_bytes());
 }
 
-/// Writes the actions of one instance's scheduler to the reply.
+/// Writes the actions of the scheduler of one instance to the reply.
 pub(crate) struct WireOutput<'a> {
     pub reply: &'a mut Reply,
     pub instance: u32,
@@ -42,8 +42,8 @@
 }
 
 impl WireOutput<'_> {
-    /// Begins a record about a statement.
-    fn statement_record(&mut self, code: u8, statement: StatementIndex) -> &mut Reply {
+    /// Starts a record about a statement.
+    fn start_statement_record(&mut self, code: u8, statement: StatementIndex) -> &mut Reply {
         let request = self.ids.request(statement);
         self.reply
             .record(code, self.instance)
@@ -54,29 +54,29 @@
 impl Output for WireOutput<'_> {
     fn send(&mut self, statement: StatementIndex, engine: EngineIndex, timeout: Nanos) {
         let engine = self.ids.engine(engine);
-        self.statement_record(code::ISSUE, statement)
+        self.start_statement_record(code::ISSUE, statement)
             .put(&engine)
             .put(&timeout.min(MAX_TIMEOUT).to_le_bytes());
     }
 
     fn cancel(&mut self, statement: StatementIndex, attempt: u32) {
-        self.statement_record(code::WITHDRAW, statement)
+        self.start_statement_record(code::WITHDRAW, statement)
             .put(&(attempt as u16).to_le_bytes());
     }
 
     fn set_resources(&mut self, statement: StatementIndex, grant_mb: f64, priority: u8) {
-        self.statement_record(code::TERMS, statement)
+        self.start_statement_record(code::TERMS, statement)
             .put(&(grant_mb as f32).to_le_bytes())
             .put(&[priority]);
     }
 
     fn reject(&mut self, statement: StatementIndex, retry_after: Nanos) {
-        self.statement_record(code::NOT_NOW, statement)
+        self.start_statement_record(code::NOT_NOW, statement)
             .put(&retry_after.to_le_bytes());
     }
 
     fn abort(&mut self, statement: StatementIndex) {
-        self.statement_record(code::FINISH_ERROR, statement);
+        self.start_statement_record(code::FINISH_ERROR, statement);
     }
 
     fn forget(&mut self, statement: StatementIndex) {
--- a/crates/ivypitch-simulator-adapter/src/codec.rs
+++ b/crates/ivypitch-simulator-adapter/src/codec.rs
@@ -1,11 +1,11 @@
-//! Frames and fields of the simulator's wire: little-endian, without padding.
+//! Frames and fields of the simulator's wire format: little-endian, without padding.
 //!
-//! Decoding names the record and the offset where it fails, and never allocates more than has arrived.
+//! Decoding errors name the record and the offset. Decoding never allocates more than was received.
 
 use crate::error::{DecodeError, DecodeProblem, InputError};
 use std::io::Read;
 
-/// Larger frames are rejected; the largest batches run to megabytes.
+/// Maximum size of a frame; the largest batches have some megabytes.
 pub const MAX_FRAME_BYTES: usize = 256 << 20;
 /// Size of a batch's header.
 pub const BATCH_HEADER_BYTES: usize = 20;
@@ -14,7 +14,7 @@
 
 const BATCH_HEADER: &str = "batch header";
 
-/// An engine's address and port, as they came.
+/// An engine's address and port, as received.
 pub type EngineId = [u8; 6];
 
 /// A batch of events.
@@ -22,15 +22,15 @@
 pub struct Batch {
     /// Number of records in the body.
     pub records: u32,
-    /// Time of the events in nanoseconds.
+    /// Time of the events, in nanoseconds.
     pub clock: u64,
-    /// Number of the batch, to be repeated in the reply.
+    /// Sequence number of the batch, which the reply repeats.
     pub sequence_number: u32,
     /// The records, without the header.
     pub body: Vec<u8>,
 }
 
-/// Reads the next batch; `None` at a clean end of the input.
+/// Reads the next batch; returns `None` if the input ends between batches.
 ///
 /// # Errors
 ///
@@ -78,99 +78,99 @@
     }
 }
 
-/// Decodes fields in turn.
+/// Decodes consecutive fields.
 pub struct Cursor<'a> {
     bytes: &'a [u8],
     position: usize,
     /// Offset of the bytes in the frame.
-    base: usize,
+    base_offset: usize,
     record: &'static str,
 }
 
 impl<'a> Cursor<'a> {
-    /// A cursor over bytes at the offset `base` of a frame. Errors name `record`.
-    pub fn new(bytes: &'a [u8], base: usize, record: &'static str) -> Self {
+    /// Creates a cursor over bytes at the offset `base_offset` of a frame. Errors name `record`.
+    pub fn new(bytes: &'a [u8], base_offset: usize, record: &'static str) -> Self {
         Cursor {
             bytes,
             position: 0,
-            base,
+            base_offset,
             record,
         }
     }
 
-    /// Sets the record that errors name from now on.
+    /// Sets the record that subsequent errors name.
     pub fn set_record(&mut self, record: &'static str) {
         self.record = record;
     }
 
-    /// Number of bytes that are left.
+    /// Returns the number of bytes left.
     pub fn remaining(&self) -> usize {
         self.bytes.len() - self.position
     }
 
-    /// An error at the current position.
+    /// Returns an error at the current position.
     pub fn error(&self, problem: DecodeProblem) -> DecodeError {
         self.error_before(0, problem)
     }
 
-    /// An error so many bytes before the current position.
+    /// Returns an error that is `bytes` before the current position.
     pub fn error_before(&self, bytes: usize, problem: DecodeProblem) -> DecodeError {
         DecodeError {
             record: self.record,
-            offset: self.base + self.position - bytes,
+            offset: self.base_offset + self.position - bytes,
             problem,
         }
     }
 
-    /// The next `count` bytes.
+    /// Takes the next `count` bytes.
     pub fn take(&mut self, count: usize) -> Result<&'a [u8], DecodeError> {
         let left = self.remaining();
         if count > left {
-            let wanted = count;
-            return Err(self.error(DecodeProblem::RecordTruncated { wanted, left }));
+            let needed = count;
+            return Err(self.error(DecodeProblem::RecordTruncated { needed, left }));
         }
         let taken = &self.bytes[self.position..self.position + count];
         self.position += count;
         Ok(taken)
     }
 
-    fn array<const N: usize>(&mut self) -> Result<[u8; N], DecodeError> {
+    fn take_array<const N: usize>(&mut self) -> Result<[u8; N], DecodeError> {
         let mut array = [0; N];
         array.copy_from_slice(self.take(N)?);
         Ok(array)
     }
 
-    /// The next byte.
+    /// Decodes a byte.
     pub fn u8(&mut self) -> Result<u8, DecodeError> {
-        Ok(self.array::<1>()?[0])
+        Ok(self.take_array::<1>()?[0])
     }
 
-    /// The next two bytes.
+    /// Decodes a 16-bit unsigned integer.
     pub fn u16(&mut self) -> Result<u16, DecodeError> {
-        Ok(u16::from_le_bytes(self.array()?))
+        Ok(u16::from_le_bytes(self.take_array()?))
     }
 
-    /// The next four bytes.
+    /// Decodes a 32-bit unsigned integer.
     pub fn u32(&mut self) -> Result<u32, DecodeError> {
-        Ok(u32::from_le_bytes(self.array()?))
+        Ok(u32::from_le_bytes(self.take_array()?))
     }
 
-    /// The next eight bytes.
+    /// Decodes a 64-bit unsigned integer.
     pub fn u64(&mut self) -> Result<u64, DecodeError> {
-        Ok(u64::from_le_bytes(self.array()?))
+        Ok(u64::from_le_bytes(self.take_array()?))
     }
 
-    /// The next four bytes as a number with a fraction.
+    /// Decodes a 32-bit floating-point number.
     pub fn f32(&mut self) -> Result<f32, DecodeError> {
-        Ok(f32::from_le_bytes(self.array()?))
+        Ok(f32::from_le_bytes(self.take_array()?))
     }
 
-    /// An engine's id.
+    /// Decodes an engine's id.
     pub fn engine(&mut self) -> Result<EngineId, DecodeError> {
-        self.array()
+        self.take_array()
     }
 
-    /// A load report: a count of one byte and as many values, which replace those of `report`.
+    /// Decodes a load report into `report`: a count of one byte, then as many values.
     pub fn load_report(&mut self, report: &mut Vec<f32>) -> Result<(), DecodeError> {
         report.clear();
         for _ in 0..self.u8()? {
@@ -180,7 +180,7 @@
     }
 }
 
-/// A reply that is being written.
+/// A reply under construction.
 #[derive(Default)]
 pub struct Reply {
     bytes: Vec<u8>,
@@ -188,33 +188,33 @@
 }
 
 impl Reply {
-    /// Begins a new reply.
+    /// Starts a new reply.
     pub fn start(&mut self) {
         self.bytes.clear();
         self.bytes.resize(REPLY_HEADER_BYTES, 0);
         self.records = 0;
     }
 
-    /// Begins a record of an instance; its fields follow.
+    /// Starts a record of an instance; its fields follow.
     pub fn record(&mut self, code: u8, instance: u32) -> &mut Self {
         self.records += 1;
         self.bytes.push(code);
         self.put(&instance.to_le_bytes())
     }
 
-    /// Adds a field.
+    /// Appends a field.
     pub fn put(&mut self, bytes: &[u8]) -> &mut Self {
         self.bytes.extend_from_slice(bytes);
         self
     }
 
-    /// Adds a count of two bytes and the bytes; what is beyond the count's range is cut off.
+    /// Appends a count of two bytes and the bytes, truncated to the range of the count.
     pub fn put_counted(&mut self, bytes: &[u8]) -> &mut Self {
         let bytes = &bytes[..bytes.len().min(u16::MAX as usize)];
         self.put(&(bytes.len() as u16).to_le_bytes()).put(bytes)
     }
 
-    /// Completes the reply to the batch of that number.
+    /// Completes the reply to the batch with this sequence number.
     pub fn finish(&mut self, sequence_number: u32) -> &[u8] {
         let length = self.bytes.len() as u32;
         self.bytes[0..4].copy_from_slice(&length.to_le_bytes());
--- a/crates/ivypitch-simulator-adapter/src/event.rs
+++ b/crates/ivypitch-simulator-adapter/src/event.rs
@@ -1,4 +1,4 @@
-//! The simulator's events, decoded from the records of a batch.
+//! Decodes the simulator's events from the records of a batch.
 
 use crate::codec::{Cursor, EngineId};
 use crate::error::{DecodeError, DecodeProblem};
@@ -9,7 +9,7 @@
 };
 use ivypitch_types::{EngineIndex, Nanos, Outcome};
 
-/// Codes of the records, named as in the simulator's documentation.
+/// Record codes, named as in the simulator's documentation.
 mod code {
     pub const BEGIN: u8 = 10;
     pub const PEERS_KNOWN: u8 = 20;
@@ -25,20 +25,21 @@
     pub const LIST: u8 = 120;
 }
 
-/// Size of an entry of an endpoint list.
+/// Size of an entry of an endpoint list, in bytes.
 const LIST_ENTRY_BYTES: usize = 25;
 
-/// Bits of an arrival's attributes.
+/// Bit of an arrival's attributes: the estimated work is given.
 const HAS_ESTIMATED_WORK: u16 = 1;
+/// Bit of an arrival's attributes: the client has sent the statement before.
 const IS_REPEAT: u16 = 2;
 
-/// True costs are work in ms times 4096, plus memory in steps of 4 MB.
+/// A measured cost is the work in ms times 4096, plus the memory in steps of 4 MB.
 const COST_MEMORY_BITS: u32 = 12;
 const COST_MEMORY_STEP_MB: f64 = 4.0;
 
 /// A record of a batch.
 pub(crate) enum Record<'a> {
-    /// A numbered endpoint list of the process, which endpoint updates of instances refer to.
+    /// A numbered endpoint list of the process, to which endpoint updates of instances refer.
     EndpointList {
         number: u16,
         engines: Vec<ListedEngine>,
@@ -47,24 +48,24 @@
     Event { instance: u32, event: Event<'a> },
 }
 
-/// An entry of an endpoint list. The index in its endpoint differs among instances and is not set.
+/// An entry of an endpoint list. The engine index is not set, because it differs among instances.
 pub(crate) struct ListedEngine {
     pub id: EngineId,
     pub endpoint: EngineEndpoint,
 }
 
-/// How an attempt ended.
+/// The end of an attempt.
 pub(crate) struct EndedAttempt {
     pub attempt: u32,
     pub engine: EngineId,
     pub outcome: Outcome,
     pub duration: Nanos,
     pub has_final_answer: bool,
-    /// Work in ms and memory in MB.
+    /// Work in ms and memory in MB, if reported.
     pub measured_cost: Option<(f64, f64)>,
 }
 
-/// What has happened at an instance. Load reports are decoded beside it.
+/// An event of an instance, without its load report, which is decoded separately.
 pub(crate) enum Event<'a> {
     Begin {
         seed: u64,
@@ -108,11 +109,11 @@
 }
 
 impl<'a> Record<'a> {
-    /// Decodes the next record. The load report of an event, if it has one, is left in `report`.
+    /// Decodes the next record, and the load report of its event, if it has one, into `report`.
     pub fn decode(cursor: &mut Cursor<'a>, report: &mut Vec<f32>) -> Result<Self, DecodeError> {
         cursor.set_record("record");
         let code = cursor.u8()?;
-        let Some(name) = name(code) else {
+        let Some(name) = record_name(code) else {
             return Err(cursor.error_before(1, DecodeProblem::UnknownCode(code)));
         };
         cursor.set_record(name);
@@ -142,7 +143,7 @@
     }
 }
 
-fn name(code: u8) -> Option<&'static str> {
+fn record_name(code: u8) -> Option<&'static str> {
     Some(match code {
         code::BEGIN => "BEGIN",
         code::PEERS_KNOWN => "PEERS_KNOWN",
@@ -189,7 +190,7 @@
         0 => EngineState::Gone,
         1 => EngineState::Ready,
         2 => EngineState::Draining,
-        other => return Err(cursor.error(DecodeProblem::UnknownPhase(other))),
+        other => return Err(cursor.error(DecodeProblem::UnknownEngineState(other))),
     };
     let weight = f64::from(cursor.f32()?);
     let started_at = cursor.u64()?;
@@ -226,7 +227,7 @@
     let request = RequestId(cursor.u32()?);
     let workload = usize::from(cursor.u8()?);
     let key = cursor.u64()?;
-    let tables = cursor.f32()?;
+    let table_group_number = cursor.f32()?;
     let time_left = cursor.u64()?;
     let attributes = cursor.u16()?;
     let tenant = cursor.u32()? as usize;
@@ -236,7 +237,7 @@
     let arrival = Arrival {
         workload,
         key,
-        table_group: table_group_index(tables),
+        table_group: table_group_index(table_group_number),
         time_left,
         is_repeat: attributes & IS_REPEAT != 0,
         tenant,
@@ -250,7 +251,7 @@
     let request = RequestId(cursor.u32()?);
     let _engine = cursor.engine()?;
     let attempt = u32::from(cursor.u16()?);
-    let _took = cursor.u64()?;
+    let _duration = cursor.u64()?;
     Ok(Event::ResponseStarted { request, attempt })
 }
 
@@ -272,12 +273,12 @@
         outcome,
         duration,
         has_final_answer,
-        measured_cost: measured_cost(cost),
+        measured_cost: decode_measured_cost(cost),
     };
     Ok(Event::AttemptEnded { request, ended })
 }
 
-fn measured_cost(cost: u32) -> Option<(f64, f64)> {
+fn decode_measured_cost(cost: u32) -> Option<(f64, f64)> {
     if cost == 0 {
         return None;
     }
@@ -306,7 +307,7 @@
 ) -> Result<Event<'a>, DecodeError> {
     let engine = cursor.engine()?;
     decode_outcome(cursor)?;
-    let _took = cursor.u64()?;
+    let _duration = cursor.u64()?;
     cursor.load_report(report)?;
     Ok(Event::LoadReport { engine })
 }
--- a/crates/ivypitch-simulator-adapter/src/host.rs
+++ b/crates/ivypitch-simulator-adapter/src/host.rs
@@ -1,6 +1,6 @@
-//! The instances of the simulator: each event becomes a call of one instance's scheduler.
+//! Hosts the simulator's instances: each event is a call of the scheduler of one instance.
 
-use crate::action::{WireOutput, give_in};
+use crate::action::{WireOutput, report_failure};
 use crate::codec::{BATCH_HEADER_BYTES, Batch, Cursor, Reply};
 use crate::error::{DecodeError, DecodeProblem};
 use crate::event::{EndedAttempt, Event, ListedEngine, Record};
@@ -16,12 +16,13 @@
     ids: Ids,
 }
 
-/// The instances that live, by the simulator's number.
+/// The running instances, by the simulator's instance number.
 #[derive(Default)]
 struct Instances(HashMap<u32, Instance>);
 
 impl Instances {
-    /// Calls an instance's scheduler; one that does not live is ignored. A panic ends the instance with a `GIVE_IN`.
+    /// Calls the scheduler of an instance; does nothing if the instance is not running. A panic
+    /// ends the instance with a `GIVE_IN`.
     fn call(
         &mut self,
         instance: u32,
@@ -39,12 +40,12 @@
         let result = catch_unwind(AssertUnwindSafe(|| call(scheduler, &mut output)));
         if let Err(panic) = result {
             let text = panic_text(panic.as_ref());
-            give_in(reply, instance, &format!("panic in the module: {text}"));
+            report_failure(reply, instance, &format!("panic in the module: {text}"));
             self.0.remove(&instance);
         }
     }
 
-    /// As [`Self::call`], about a statement; one that the scheduler has forgotten is ignored.
+    /// As [`Self::call`], for a statement; does nothing if the scheduler has dropped the statement.
     fn call_about(
         &mut self,
         instance: u32,
@@ -68,22 +69,22 @@
         .unwrap_or("panic")
 }
 
-/// All instances of this process, and the endpoint lists that belong to the process rather than to any of them.
+/// All instances of this process, and the endpoint lists, which all instances share.
 #[derive(Default)]
 pub struct Host {
     instances: Instances,
     lists: HashMap<u16, Vec<ListedEngine>>,
-    /// The load report of the event that is handled.
+    /// Load report of the event being handled.
     report: Vec<f32>,
 }
 
 impl Host {
-    /// Handles the events of a batch; the actions are left in `reply`.
+    /// Handles the events of a batch and writes the actions to `reply`.
     ///
     /// # Errors
     ///
-    /// A record cannot be decoded. Events before it have been handled.
-    pub fn play(&mut self, batch: &Batch, reply: &mut Reply) -> Result<(), DecodeError> {
+    /// A record cannot be decoded. The events before it have been handled.
+    pub fn handle_batch(&mut self, batch: &Batch, reply: &mut Reply) -> Result<(), DecodeError> {
         reply.start();
         let mut cursor = Cursor::new(&batch.body, BATCH_HEADER_BYTES, "record");
         for _ in 0..batch.records {
@@ -103,7 +104,7 @@
         Ok(())
     }
 
-    /// Handles an event. Errors are placed at the cursor, which stands behind it.
+    /// Handles an event. Errors have the position of the cursor, which is after the event.
     fn on_event(
         &mut self,
         now: Nanos,
@@ -115,15 +116,15 @@
         let instances = &mut self.instances;
         match event {
             Event::Begin { seed, settings } => {
-                let begun = begin(now, seed, settings);
-                self.on_begin(now, instance, begun.map_err(|p| cursor.error(p)), reply);
+                let started = create_instance(now, seed, settings);
+                self.on_begin(now, instance, started.map_err(|p| cursor.error(p)), reply);
             }
             Event::EndpointsUpdated { kind, list } => {
                 let Some(engines) = self.lists.get(&list) else {
                     return Err(cursor.error(DecodeProblem::UnknownList(list)));
                 };
                 instances.call(instance, reply, |scheduler, output| {
-                    let endpoints = endpoints(engines, output.ids);
+                    let endpoints = resolve_endpoints(engines, output.ids);
                     scheduler.on_endpoints_updated(now, kind, &endpoints, output);
                 });
             }
@@ -182,17 +183,18 @@
         Ok(())
     }
 
-    /// Starts an instance anew. One whose settings cannot be used ends with a `GIVE_IN`, the others live on.
+    /// Starts an instance, in place of any of the same number. Invalid settings end this instance
+    /// with a `GIVE_IN`; the others keep running.
     fn on_begin(
         &mut self,
         now: Nanos,
         instance: u32,
-        begun: Result<Instance, DecodeError>,
+        started: Result<Instance, DecodeError>,
         reply: &mut Reply,
     ) {
-        match begun {
-            Ok(begun) => {
-                self.instances.0.insert(instance, begun);
+        match started {
+            Ok(started) => {
+                self.instances.0.insert(instance, started);
                 self.instances.call(instance, reply, |scheduler, output| {
                     scheduler.start(now, output);
                 });
@@ -200,13 +202,13 @@
             Err(error) => {
                 eprintln!("ivypitch-simulator-adapter: {error}");
                 self.instances.0.remove(&instance);
-                give_in(reply, instance, &error.problem.to_string());
+                report_failure(reply, instance, &error.problem.to_string());
             }
         }
     }
 }
 
-fn begin(now: Nanos, seed: u64, settings: &[u8]) -> Result<Instance, DecodeProblem> {
+fn create_instance(now: Nanos, seed: u64, settings: &[u8]) -> Result<Instance, DecodeProblem> {
     let config = ivypitch_config::read_deployment(settings).map_err(DecodeProblem::Settings)?;
     Ok(Instance {
         scheduler: Scheduler::new(config.scheduler, seed, now),
@@ -214,8 +216,8 @@
     })
 }
 
-/// The endpoints of a list, with the indices of one instance.
-fn endpoints(engines: &[ListedEngine], ids: &mut Ids) -> Vec<EngineEndpoint> {
+/// Returns the endpoints of a list, with the engine indices of one instance.
+fn resolve_endpoints(engines: &[ListedEngine], ids: &mut Ids) -> Vec<EngineEndpoint> {
     engines
         .iter()
         .map(|listed| EngineEndpoint {
@@ -225,7 +227,7 @@
         .collect()
 }
 
-/// Reports the end of an attempt; one on an engine that the instance does not know is ignored.
+/// Reports the end of an attempt to the scheduler, unless the instance does not know the engine.
 fn end_attempt(
     now: Nanos,
     scheduler: &mut Scheduler,
--- a/crates/ivypitch-simulator-adapter/src/ids.rs
+++ b/crates/ivypitch-simulator-adapter/src/ids.rs
@@ -1,4 +1,4 @@
-//! The simulator's ids of one instance, and the scheduler's indices that stand for them.
+//! Maps the simulator's ids to the scheduler's indices, for one instance.
 
 use crate::codec::EngineId;
 use ivypitch_types::{EngineIndex, StatementIndex};
@@ -8,19 +8,19 @@
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Default, Debug)]
 pub(crate) struct RequestId(pub u32);
 
-/// Ids and indices of one instance.
+/// The ids and indices of one instance.
 #[derive(Default)]
 pub(crate) struct Ids {
     engines: Vec<EngineId>,
     engine_indices: HashMap<EngineId, EngineIndex>,
     requests: Vec<RequestId>,
-    /// Indices that the scheduler has forgotten; the last is used first.
+    /// Indices that the scheduler has dropped; the last one is reused first.
     free_statements: Vec<StatementIndex>,
     statement_indices: HashMap<RequestId, StatementIndex>,
 }
 
 impl Ids {
-    /// The index of an engine, a new one for a new engine.
+    /// Returns the index of an engine; assigns one to a new engine.
     pub fn engine_index_or_insert(&mut self, id: EngineId) -> EngineIndex {
         let next = EngineIndex(self.engines.len());
         let index = *self.engine_indices.entry(id).or_insert(next);
@@ -38,7 +38,7 @@
         self.engines[index.0]
     }
 
-    /// Gives a statement that arrives an index.
+    /// Assigns an index to a statement that arrives.
     pub fn insert_statement(&mut self, request: RequestId) -> StatementIndex {
         let index = self.free_statements.pop().unwrap_or_else(|| {
             self.requests.push(RequestId::default());
@@ -49,7 +49,7 @@
         index
     }
 
-    /// The index of a statement that the scheduler has not forgotten.
+    /// Returns the index of a statement, unless the scheduler has dropped it.
     pub fn statement_index(&self, request: RequestId) -> Option<StatementIndex> {
         self.statement_indices.get(&request).copied()
     }
--- a/crates/ivypitch-simulator-adapter/tests/wire.rs
+++ b/crates/ivypitch-simulator-adapter/tests/wire.rs
@@ -1,4 +1,5 @@
-//! The frames printed in the operators' wire page, typed again as bytes, and what malformed input gets.
+//! The example frames of the simulator's wire documentation, as bytes, and the errors of malformed
+//! input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -6,11 +7,11 @@
 use ivypitch_simulator_adapter::codec::{Reply, read_batch};
 use test_case::test_case;
 
-fn hex(text: &str) -> Vec<u8> {
+fn decode_hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
     digits
         .chunks(2)
-        .map(|d| u8::from_str_radix(std::str::from_utf8(d).unwrap(), 16).unwrap())
+        .map(|pair| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap())
         .collect()
 }
 
@@ -27,7 +28,7 @@
   "categories": [{"goal-time-ns": 800000000, "give-up-ns": 4000000000, "effect": "safe", "worth": 1.0}],
   "contract": {"cold-from": 0.3}, "extra": {"cores-by-kind": [8]}, "host-types": ["std-8"]}"#;
 
-fn begin(instance: u32, settings: &str) -> Vec<u8> {
+fn begin_record(instance: u32, settings: &str) -> Vec<u8> {
     let mut record = vec![10];
     record.extend(instance.to_le_bytes());
     record.extend(9u64.to_le_bytes());
@@ -37,47 +38,47 @@
 }
 
 const LIST: &str = "78 0000 01000000 0a124a07 931f 0000 0000 0000 01 0000803f 0000000000000000";
-const KNOWN: &str = "14 03000000 02 2900000000000000 0000";
+const PEERS_KNOWN: &str = "14 03000000 02 2900000000000000 0000";
 const INBOUND: &str = "1e 03000000 c4913a5d 00 640ad2557c3bf091 00003041 001c4e0e00000000 0100 00000000 0000c043 \
                        001bb70000000000";
 const DONE: &str = "32 03000000 c4913a5d 0000 0a124a07 931f c800 a0491a0100000000 01 60100100 03 000040400000e040\
                     cdcccc3e";
 
-fn run(input: &[u8]) -> Output {
+fn run_adapter(input: &[u8]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_ivypitch-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    // The child may end before it has read all.
+    // The adapter may exit before it has read all of its input.
     let _ = child.stdin.take().unwrap().write_all(input);
     child.wait_with_output().unwrap()
 }
 
 #[test]
-fn an_empty_batch_gets_the_empty_reply_of_the_page() {
-    let output = run(&hex("14000000 00000000 90bf68f501000000 01000000"));
-    assert_eq!(output.stdout, hex("0c000000 00000000 01000000"));
+fn an_empty_batch_gets_the_documented_empty_reply() {
+    let output = run_adapter(&decode_hex("14000000 00000000 90bf68f501000000 01000000"));
+    assert_eq!(output.stdout, decode_hex("0c000000 00000000 01000000"));
     assert!(output.status.success());
 }
 
 #[test]
-fn the_events_of_the_page_are_read_and_answered() {
-    let mut body = begin(3, SETTINGS);
+fn documented_events_are_decoded_and_answered() {
+    let mut body = begin_record(3, SETTINGS);
     for record in [
         LIST,
-        KNOWN,
+        PEERS_KNOWN,
         INBOUND,
         "46 03000000 4d00000000000000",
         "3c 05000000 192b6f0e",
         DONE,
     ] {
-        body.extend(hex(record));
+        body.extend(decode_hex(record));
     }
-    let output = run(&frame(7, &body));
+    let output = run_adapter(&frame(7, &body));
     assert!(output.status.success(), "{output:?}");
-    let issue = hex("46 03000000 c4913a5d 0a124a07 931f");
+    let issue = decode_hex("46 03000000 c4913a5d 0a124a07 931f");
     assert!(
         output.stdout.windows(issue.len()).any(|w| w == issue),
         "{:x?}",
@@ -86,44 +87,61 @@
 }
 
 #[test]
-fn an_instance_ended_and_begun_in_one_batch_starts_empty() {
-    let mut body = begin(3, SETTINGS);
+fn an_instance_destroyed_and_started_in_one_batch_starts_empty() {
+    let mut body = begin_record(3, SETTINGS);
     body.extend(
         [
-            hex(LIST),
-            hex(KNOWN),
-            hex("64 03000000"),
-            begin(3, SETTINGS),
-            hex(INBOUND),
+            decode_hex(LIST),
+            decode_hex(PEERS_KNOWN),
+            decode_hex("64 03000000"),
+            begin_record(3, SETTINGS),
+            decode_hex(INBOUND),
         ]
         .concat(),
     );
-    let output = run(&frame(6, &body));
+    let output = run_adapter(&frame(6, &body));
     assert!(output.status.success());
-    let issue = hex("46 03000000 c4913a5d");
+    let issue = decode_hex("46 03000000 c4913a5d");
     assert!(
         !output.stdout.windows(issue.len()).any(|w| w == issue),
-        "it has no list yet"
+        "the new instance has no endpoint list yet"
     );
 }
 
 #[test]
-fn a_list_number_is_taken_by_the_latest_list_before_the_event() {
+fn a_list_number_refers_to_the_latest_list_before_the_event() {
     let second = LIST.replace("0a124a07", "0a124a08");
-    let mut body = begin(3, SETTINGS);
-    body.extend([hex(LIST), hex(&second), hex(KNOWN), hex(INBOUND), hex(LIST)].concat());
-    let output = run(&frame(6, &body));
-    let issue = hex("46 03000000 c4913a5d 0a124a08 931f");
+    let mut body = begin_record(3, SETTINGS);
+    body.extend(
+        [
+            decode_hex(LIST),
+            decode_hex(&second),
+            decode_hex(PEERS_KNOWN),
+            decode_hex(INBOUND),
+            decode_hex(LIST),
+        ]
+        .concat(),
+    );
+    let output = run_adapter(&frame(6, &body));
+    let issue = decode_hex("46 03000000 c4913a5d 0a124a08 931f");
     assert!(output.stdout.windows(issue.len()).any(|w| w == issue));
 }
 
 #[test]
-fn settings_that_do_not_parse_end_that_instance_alone() {
-    let mut body = begin(4, "{\"categories\": 7}");
-    body.extend([begin(3, SETTINGS), hex(LIST), hex(KNOWN), hex(INBOUND)].concat());
-    let output = run(&frame(5, &body));
+fn invalid_settings_end_only_their_instance() {
+    let mut body = begin_record(4, "{\"categories\": 7}");
+    body.extend(
+        [
+            begin_record(3, SETTINGS),
+            decode_hex(LIST),
+            decode_hex(PEERS_KNOWN),
+            decode_hex(INBOUND),
+        ]
+        .concat(),
+    );
+    let output = run_adapter(&frame(5, &body));
     assert!(output.status.success());
-    let (give_in, issue) = (hex("32 04000000"), hex("46 03000000"));
+    let (give_in, issue) = (decode_hex("32 04000000"), decode_hex("46 03000000"));
     assert!(
         output.stdout.windows(5).any(|w| w == give_in)
             && output.stdout.windows(5).any(|w| w == issue)
@@ -131,22 +149,22 @@
     assert!(String::from_utf8_lossy(&output.stderr).contains("BEGIN at byte"));
 }
 
-#[test_case(hex("1400"), "batch header at byte 2"; "a header cut off")]
-#[test_case(hex("ffffffff 00000000 90bf68f501000000 01000000"), "batch header at byte 0"; "an oversized frame")]
-#[test_case(hex("03000000 00000000 90bf68f501000000 01000000"), "batch header at byte 0"; "an undersized frame")]
-#[test_case(hex("40000000 01000000 90bf68f501000000 01000000 46"), "batch header at byte 21"; "a frame cut off")]
-#[test_case(frame(1, &hex("46 0300")), "WAKE at byte 21"; "a record cut off")]
-#[test_case(frame(1, &hex("ff 03000000")), "record at byte 20"; "an unknown code")]
-#[test_case(frame(2, &hex("64 03000000")), "record at byte 25"; "a count of records past the frame")]
-#[test_case(frame(0, &hex("64 03000000")), "batch at byte 20"; "bytes after the last record")]
-#[test_case(frame(1, &hex("78 0000 ffffff7f")), "LIST at byte 27"; "a count of rows past the frame")]
-#[test_case(frame(1, &hex("0a 03000000 0900000000000000 ffffffff")), "BEGIN at byte 37"; "settings past the frame")]
-fn malformed_input_ends_the_adapter_with_one_plain_line(input: Vec<u8>, wanted: &str) {
-    let output = run(&input);
+#[test_case(decode_hex("1400"), "batch header at byte 2"; "a truncated header")]
+#[test_case(decode_hex("ffffffff 00000000 90bf68f501000000 01000000"), "batch header at byte 0"; "an oversized frame")]
+#[test_case(decode_hex("03000000 00000000 90bf68f501000000 01000000"), "batch header at byte 0"; "an undersized frame")]
+#[test_case(decode_hex("40000000 01000000 90bf68f501000000 01000000 46"), "batch header at byte 21"; "a truncated frame")]
+#[test_case(frame(1, &decode_hex("46 0300")), "WAKE at byte 21"; "a truncated record")]
+#[test_case(frame(1, &decode_hex("ff 03000000")), "record at byte 20"; "an unknown code")]
+#[test_case(frame(2, &decode_hex("64 03000000")), "record at byte 25"; "a record count that exceeds the frame")]
+#[test_case(frame(0, &decode_hex("64 03000000")), "batch at byte 20"; "bytes after the last record")]
+#[test_case(frame(1, &decode_hex("78 0000 ffffff7f")), "LIST at byte 27"; "an entry count that exceeds the frame")]
+#[test_case(frame(1, &decode_hex("0a 03000000 0900000000000000 ffffffff")), "BEGIN at byte 37"; "settings that exceed the frame")]
+fn malformed_input_ends_the_adapter_with_a_one_line_error(input: Vec<u8>, expected: &str) {
+    let output = run_adapter(&input);
     let line = String::from_utf8_lossy(&output.stderr).into_owned();
     assert_eq!(output.status.code(), Some(1), "{line}");
     assert!(
-        line.contains(wanted) && line.trim_end().lines().count() == 1,
+        line.contains(expected) && line.trim_end().lines().count() == 1,
         "{line}"
     );
 }
@@ -156,7 +174,7 @@
     let mut reply = Reply::default();
     reply.start();
     reply.record(110, 5).put_counted(b"two servers known");
-    let wanted = "24000000 01000000 0c000000 6e 05000000 1100 74776f2073657276657273206b6e6f776e";
-    assert_eq!(reply.finish(12), hex(wanted));
+    let expected = "24000000 01000000 0c000000 6e 05000000 1100 74776f2073657276657273206b6e6f776e";
+    assert_eq!(reply.finish(12), decode_hex(expected));
     assert_eq!(read_batch(&mut &b""[..]).unwrap(), None);
 }
