--- a/crates/ivypitch-cli/src/check.rs
+++ b/crates/ivypitch-cli/src/check.rs
@@ -1,4 +1,4 @@
-//! `ivypitch check`: all errors of an own settings file at once, or its checked form as plain JSON.
+//! `ivypitch check`: prints all errors of an operator settings file, or its complete form as JSON.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -10,13 +10,13 @@
 /// The arguments of `ivypitch check`.
 #[derive(clap::Args)]
 pub struct Check {
-    /// The file: records in Nickel (.ncl) or plain JSON (.json).
+    /// The operator settings file, in Nickel (.ncl) or plain JSON (.json).
     #[arg(required_unless_present = "fields")]
     file: Option<PathBuf>,
-    /// Check its names, too, against a platform's configuration.
+    /// Also check its names against a platform's configuration.
     #[arg(long, value_name = "CONFIG")]
     against: Option<PathBuf>,
-    /// Print the whole of it, with defaults, as plain JSON.
+    /// Print the complete settings, with defaults, as plain JSON.
     #[arg(long)]
     emit: bool,
     /// Print every field with its type, bounds and default.
@@ -25,7 +25,7 @@
 }
 
 impl Check {
-    /// Prints the result on standard output, or each error with its place on standard error.
+    /// Prints the result on standard output, or all errors with line and path on standard error.
     pub fn run(self) -> ExitCode {
         if self.fields {
             print_fields();
@@ -42,7 +42,7 @@
                     eprintln!("{}: {error}", file.display());
                 }
                 if errors.len() > 1 {
-                    eprintln!("{} faults", errors.len());
+                    eprintln!("{} errors", errors.len());
                 }
                 ExitCode::FAILURE
             }
@@ -50,15 +50,15 @@
     }
 
     fn check(&self, file: &Path) -> Result<(), Vec<SettingsError>> {
-        let node = ivypitch_config_eval::read(file)?;
-        let checked = operator::check(&node)?;
+        let settings = ivypitch_config_eval::read(file)?;
+        let checked = operator::check(&settings)?;
         if let Some(path) = &self.against {
-            check_against(path, &node, &checked)?;
+            check_against(path, &settings, &checked)?;
         }
         if self.emit {
             println!("{checked}");
         } else {
-            println!("{}: good", file.display());
+            println!("{}: valid", file.display());
         }
         Ok(())
     }
@@ -72,10 +72,10 @@
     }
 }
 
-/// Checks the names in the settings against a platform's configuration.
+/// Checks the names of gateways, teams and workloads against a platform's configuration.
 fn check_against(
     path: &Path,
-    node: &SourceValue,
+    settings: &SourceValue,
     checked: &serde_json::Value,
 ) -> Result<(), Vec<SettingsError>> {
     let configuration = configuration::from_file(path).map_err(|error| {
@@ -96,12 +96,12 @@
         Ok(_) => Ok(()),
         Err(errors) => Err(errors
             .into_iter()
-            .map(|error| with_line(error, node))
+            .map(|error| with_line(error, settings))
             .collect()),
     }
 }
 
-fn with_line(error: SettingsError, node: &SourceValue) -> SettingsError {
-    let line = node.line_of(&error.path);
+fn with_line(error: SettingsError, settings: &SourceValue) -> SettingsError {
+    let line = settings.line_of(&error.path);
     error.at_line(line)
 }
--- a/crates/ivypitch-cli/src/fleet/client.rs
+++ b/crates/ivypitch-cli/src/fleet/client.rs
@@ -1,4 +1,4 @@
-//! A MySQL client that knows one statement, `SHOW FLEET`.
+//! A MySQL client for a single statement, `SHOW FLEET`.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -8,16 +8,16 @@
 use ivypitch_gateway::wire::mysql::{ProtocolError, next_packet};
 use serde_json::Value;
 
-/// A gateway that sends nothing for so long counts as silent.
-const TIMEOUT: Duration = Duration::from_secs(3);
+/// Timeout for connecting and for each read.
+const IO_TIMEOUT: Duration = Duration::from_secs(3);
 const MAX_PACKET_BYTES: usize = 4 << 20;
-const READ_BYTES: usize = 8192;
+const READ_BUFFER_BYTES: usize = 8192;
 
 const CONNECT_WITH_DB: u32 = 1 << 3;
 const PROTOCOL_41: u32 = 1 << 9;
 const SECURE_CONNECTION: u32 = 1 << 15;
 const PLUGIN_AUTH: u32 = 1 << 19;
-/// A largest packet of 16 MB and UTF-8.
+/// Maximum packet size of 16 MB (little-endian) and character set 45, UTF-8.
 const MAX_PACKET_AND_CHARSET: [u8; 5] = [0, 0, 0, 1, 45];
 const RESERVED: [u8; 23] = [0; 23];
 /// User `app`, an empty password, database `dw`.
@@ -27,41 +27,41 @@
 const OK_HEADER: u8 = 0;
 const EOF_HEADER: u8 = 0xfe;
 const ERROR_HEADER: u8 = 0xff;
-/// A longer packet with the same first byte is a row.
+/// A longer packet that starts with the EOF header is a row.
 const MAX_EOF_BYTES: usize = 8;
 
-/// Why a gateway gives no view.
+/// Why no view was received from a gateway.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
-    /// No connection, or it broke.
+    /// The connection could not be opened, or it failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// What came is not the client protocol.
+    /// The reply does not follow the client protocol.
     #[error(transparent)]
     Protocol(#[from] ProtocolError),
-    /// Not a gateway, or one with other credentials.
+    /// The server is not a gateway, or requires other credentials.
     #[error("login refused")]
     LoginRefused,
-    /// The gateway has nothing to show.
-    #[error("it shares nothing: peers.shares is not enabled there")]
+    /// Coordination is not enabled at the gateway.
+    #[error("no shared state: peers.shares is not enabled at this gateway")]
     NotEnabled,
-    /// A row without a readable column.
-    #[error("row not understood")]
+    /// The first column of the row cannot be decoded.
+    #[error("malformed row")]
     MalformedRow,
-    /// A result without rows.
-    #[error("no row")]
+    /// The result has no rows.
+    #[error("result has no rows")]
     NoRow,
-    /// A view that is no JSON.
+    /// The view is not valid JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
 }
 
-/// The one row of `SHOW FLEET`, as JSON.
+/// Returns the only row of `SHOW FLEET`, as JSON.
 pub(super) fn fetch_view(address: SocketAddr) -> Result<Value, FleetError> {
     let mut connection = Connection::open(address)?;
     connection.log_in()?;
     connection.send(0, SHOW_FLEET)?;
-    let row = connection.first_row()?;
+    let row = connection.read_first_row()?;
     let text = first_column(&row).ok_or(FleetError::MalformedRow)?;
     Ok(serde_json::from_slice(text)?)
 }
@@ -73,8 +73,8 @@
 
 impl Connection {
     fn open(address: SocketAddr) -> Result<Connection, FleetError> {
-        let stream = TcpStream::connect_timeout(&address, TIMEOUT)?;
-        stream.set_read_timeout(Some(TIMEOUT))?;
+        let stream = TcpStream::connect_timeout(&address, IO_TIMEOUT)?;
+        stream.set_read_timeout(Some(IO_TIMEOUT))?;
         Ok(Connection {
             stream,
             input: BytesMut::new(),
@@ -82,8 +82,8 @@
     }
 
     fn log_in(&mut self) -> Result<(), FleetError> {
-        // The greeting: with an empty password nothing depends on it.
-        self.next()?;
+        // The greeting is skipped: the reply to its challenge is empty for an empty password.
+        self.read_packet()?;
         let flags = CONNECT_WITH_DB | PROTOCOL_41 | SECURE_CONNECTION | PLUGIN_AUTH;
         let login = [
             &flags.to_le_bytes()[..],
@@ -92,30 +92,30 @@
             CREDENTIALS,
         ];
         self.send(1, &login.concat())?;
-        if self.next()?.first() != Some(&OK_HEADER) {
+        if self.read_packet()?.first() != Some(&OK_HEADER) {
             return Err(FleetError::LoginRefused);
         }
         Ok(())
     }
 
-    /// The first row of a result: it follows the packet that ends the columns.
-    fn first_row(&mut self) -> Result<Bytes, FleetError> {
-        let mut ends = 0;
+    /// Reads the first row of a result, which follows the EOF packet after the columns.
+    fn read_first_row(&mut self) -> Result<Bytes, FleetError> {
+        let mut eof_packets = 0;
         loop {
-            let payload = self.next()?;
+            let payload = self.read_packet()?;
             match payload.first() {
                 Some(&ERROR_HEADER) => return Err(FleetError::NotEnabled),
-                Some(&EOF_HEADER) if payload.len() <= MAX_EOF_BYTES => ends += 1,
-                _ if ends == 1 => return Ok(payload),
+                Some(&EOF_HEADER) if payload.len() <= MAX_EOF_BYTES => eof_packets += 1,
+                _ if eof_packets == 1 => return Ok(payload),
                 _ => {}
             }
-            if ends > 1 {
+            if eof_packets > 1 {
                 return Err(FleetError::NoRow);
             }
         }
     }
 
-    /// Sends one short packet with this sequence number.
+    /// Sends one packet, which must be shorter than 16 MB, with this sequence number.
     fn send(&mut self, sequence: u8, payload: &[u8]) -> Result<(), FleetError> {
         let length = (payload.len() as u32).to_le_bytes();
         let header = [length[0], length[1], length[2], sequence];
@@ -123,23 +123,24 @@
         Ok(())
     }
 
-    /// The next packet's payload.
-    fn next(&mut self) -> Result<Bytes, FleetError> {
+    /// Reads the payload of the next packet.
+    fn read_packet(&mut self) -> Result<Bytes, FleetError> {
         loop {
             if let Some(packet) = next_packet(&mut self.input, MAX_PACKET_BYTES)? {
                 return Ok(packet.payload);
             }
-            let mut piece = [0; READ_BYTES];
-            let bytes = self.stream.read(&mut piece)?;
+            let mut buffer = [0; READ_BUFFER_BYTES];
+            let bytes = self.stream.read(&mut buffer)?;
             if bytes == 0 {
                 return Err(io::Error::from(io::ErrorKind::UnexpectedEof).into());
             }
-            self.input.extend_from_slice(&piece[..bytes]);
+            self.input.extend_from_slice(&buffer[..bytes]);
         }
     }
 }
 
-/// The first column of a row: a length of one, three, four or nine bytes, and the text. `None`: the row is cut short.
+/// Decodes the first column of a row: a length of one, three, four or nine bytes, then the text.
+/// Returns `None` if the row is truncated.
 pub fn first_column(row: &[u8]) -> Option<&[u8]> {
     let (&first, rest) = row.split_first()?;
     let length_bytes = match first {
--- a/crates/ivypitch-cli/src/fleet/mod.rs
+++ b/crates/ivypitch-cli/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! `ivypitch fleet`: what gateways share, as each of them sees it, and where their views differ.
+//! `ivypitch fleet`: prints the shared state of the fleet as each gateway sees it, and differences.
 
 mod client;
 mod differences;
@@ -16,17 +16,17 @@
 /// The arguments of `ivypitch fleet`.
 #[derive(clap::Args)]
 pub struct Fleet {
-    /// Where gateways listen for clients.
+    /// Addresses at which the gateways accept clients.
     #[arg(required = true, value_name = "ADDRESS")]
     gateways: Vec<SocketAddr>,
-    /// Only what differs between them, a line each.
+    /// Print only the differences between the views, one per line.
     #[arg(long)]
     differences: bool,
 }
 
 impl Fleet {
-    /// Asks each gateway and prints the views and their differences on standard output; a gateway that gives no view is
-    /// named on standard error and makes the command fail.
+    /// Queries each gateway and prints the views and their differences on standard output. A
+    /// gateway that returns no view is reported on standard error and makes the command fail.
     pub fn run(self) -> ExitCode {
         let mut views = Vec::new();
         let mut exit_code = ExitCode::SUCCESS;
@@ -50,9 +50,12 @@
 }
 
 fn print_views(views: &[GatewayView]) {
-    let all: Vec<Value> = views
+    let entries: Vec<Value> = views
         .iter()
         .map(|view| json!({"gateway": view.gateway(), "view": view.json()}))
         .collect();
-    println!("{}", serde_json::to_string_pretty(&all).unwrap_or_default());
+    println!(
+        "{}",
+        serde_json::to_string_pretty(&entries).unwrap_or_default()
+    );
 }
--- a/crates/ivypitch-cli/src/fleet/view.rs
+++ b/crates/ivypitch-cli/src/fleet/view.rs
@@ -1,25 +1,26 @@
-//! What one gateway says of the fleet.
+//! One gateway's view of the fleet, as `SHOW FLEET` returns it.
 
 use std::collections::BTreeSet;
 
 use serde_json::Value;
 
-/// The view of one gateway. What is missing in it counts as 0 or as empty: gateways of another version may say less.
+/// The view of one gateway. Missing keys count as 0 or empty, because gateways of other versions
+/// may omit some.
 #[derive(Clone, Debug)]
 pub struct GatewayView {
     gateway: String,
     json: Value,
 }
 
-/// How much of a quota a gateway holds.
+/// A gateway's view of one quota.
 pub(super) struct QuotaView<'a> {
     pub(super) name: Option<&'a str>,
-    pub(super) held_units: u64,
+    pub(super) usable_units: u64,
     pub(super) total_units: u64,
 }
 
 impl GatewayView {
-    /// The view that the gateway of this name or address gave.
+    /// Creates a view from the JSON that a gateway returned. `gateway` is its name or address.
     pub fn new(gateway: impl Into<String>, json: Value) -> GatewayView {
         GatewayView {
             gateway: gateway.into(),
@@ -27,42 +28,44 @@
         }
     }
 
-    /// The gateway's name or address.
+    /// Name or address of the gateway.
     pub fn gateway(&self) -> &str {
         &self.gateway
     }
 
-    /// The view as it came.
+    /// The JSON as received.
     pub fn json(&self) -> &Value {
         &self.json
     }
 
-    /// The last event of the endpoint list that the gateway has.
+    /// Position of the last endpoint event that the gateway has received.
     pub(super) fn watch_position(&self) -> u64 {
         number(&self.json, "journal")
     }
 
-    /// The gateway hears most of the fleet.
-    pub(super) fn is_connected(&self) -> bool {
+    /// Whether the gateway can reach a majority of the fleet.
+    pub(super) fn reaches_majority(&self) -> bool {
         self.json["hearing"] == "Most"
     }
 
-    /// Its member id.
+    /// Member id of the gateway.
     pub(super) fn member(&self) -> u64 {
         number(&self.json, "place")
     }
 
-    /// The members that it hears.
-    pub(super) fn heard_members(&self) -> &[Value] {
+    /// Member ids that the gateway can reach.
+    pub(super) fn reachable_members(&self) -> &[Value] {
         self.list("heard")
     }
 
-    pub(super) fn hears(&self, member: u64) -> bool {
-        let heard = self.heard_members().iter();
-        heard.filter_map(Value::as_u64).any(|heard| heard == member)
+    pub(super) fn can_reach(&self, member: u64) -> bool {
+        let reachable = self.reachable_members().iter();
+        reachable
+            .filter_map(Value::as_u64)
+            .any(|reachable| reachable == member)
     }
 
-    /// The engines that it has ejected as outliers.
+    /// Engines that the gateway has ejected as outliers.
     pub(super) fn ejected_engines(&self) -> BTreeSet<u64> {
         let engines = self.list("engines").iter();
         engines
@@ -79,7 +82,7 @@
         let quota = &self.json["bounds"][index];
         QuotaView {
             name: quota["name"].as_str(),
-            held_units: number(quota, "held"),
+            usable_units: number(quota, "held"),
             total_units: number(quota, "units"),
         }
     }
--- a/crates/ivypitch-cli/src/lib.rs
+++ b/crates/ivypitch-cli/src/lib.rs
@@ -1,4 +1,4 @@
-//! What the command `ivypitch` does beside serving: each command in a module of its own.
+//! The commands of `ivypitch` other than `serve`, each in its own module.
 
 #![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used)]
 
--- a/crates/ivypitch-cli/src/main.rs
+++ b/crates/ivypitch-cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The command `ivypitch`: a gateway, checks of settings, views of the fleet and the testbed.
+//! The command `ivypitch`: runs a gateway, checks settings, shows the fleet and runs the testbed.
 
 #![warn(missing_docs)]
 
@@ -14,7 +14,8 @@
 use ivypitch_gateway::lifecycle::startup::{self, StartupError};
 use ivypitch_gateway::lifecycle::{clock::Clock, configuration, gateway::Gateway};
 
-/// Query gateway: decides which statement runs, on which engine, with how much memory and at which priority.
+/// Query gateway: decides which statement runs, on which engine, with how much memory and at which
+/// priority.
 #[derive(Parser)]
 #[command(version, arg_required_else_help = true)]
 struct Arguments {
@@ -29,10 +30,10 @@
         after_help = "Example: ivypitch serve --config config.json --own deploy/ivypitch.ncl"
     )]
     Serve(Serve),
-    /// Check an own settings file: every fault with its place.
+    /// Check an operator settings file and print every error with its line and path.
     #[command(after_help = "Example: ivypitch check deploy/ivypitch.ncl --against config.json")]
     Check(check::Check),
-    /// What gateways share, as each sees it, as JSON, and where their views differ.
+    /// Print the shared state of the fleet as each gateway sees it, as JSON, and the differences.
     #[command(after_help = "Example: ivypitch fleet 10.0.0.4:3306 10.0.1.4:3306 --differences")]
     Fleet(fleet::Fleet),
     /// Emulated engines, load and experiments on this machine's loopback addresses.
@@ -42,13 +43,15 @@
 
 #[derive(clap::Args)]
 struct Serve {
-    /// The platform's configuration, one JSON object; the variables PROXY_LISTEN and PROXY_NAME win over it.
+    /// The platform's configuration, one JSON object. The variables PROXY_LISTEN and PROXY_NAME
+    /// override it.
     #[arg(long, env = "PROXY_CONFIG", value_name = "FILE")]
     config: PathBuf,
-    /// The own settings: records in Nickel (.ncl) or plain JSON (.json). Without it all that they set up is off.
+    /// The operator settings, in Nickel (.ncl) or plain JSON (.json). Without them, all that they
+    /// configure is off.
     #[arg(long, env = "IVYPITCH_OWN", value_name = "FILE")]
     own: Option<PathBuf>,
-    /// How log lines are written; wins over the own settings.
+    /// Format of log lines; overrides the operator settings.
     #[arg(long, env = "IVYPITCH_LOG_FORMAT", value_name = "FORMAT", value_parser = ["text", "logfmt", "json"])]
     log_format: Option<String>,
 }
@@ -74,14 +77,14 @@
     }
 }
 
-/// Starts a gateway and serves until SIGTERM.
+/// Starts a gateway and runs it until SIGTERM.
 fn run_gateway(arguments: Serve, clock: Clock) -> Result<(), StartupError> {
-    let stated_format = arguments.log_format.as_deref().and_then(Format::of);
-    logger::set_format(stated_format.unwrap_or_default());
+    let explicit_format = arguments.log_format.as_deref().and_then(Format::of);
+    logger::set_format(explicit_format.unwrap_or_default());
     let signals = startup::catch_signals()?;
     let configuration = configuration::from_environment(&arguments.config)?;
     let operator = match arguments.own {
-        Some(path) => Some(load_operator_config(path, stated_format)?),
+        Some(path) => Some(load_operator_config(path, explicit_format)?),
         None => None,
     };
     if let Some(gateway) = Gateway::start(configuration, operator, clock, signals)? {
@@ -90,14 +93,14 @@
     Ok(())
 }
 
-/// Reads the operators' settings, which may set the format of log lines.
+/// Loads the operator settings and sets the log format, which `explicit_format` overrides.
 fn load_operator_config(
     path: PathBuf,
-    stated_format: Option<Format>,
+    explicit_format: Option<Format>,
 ) -> Result<LoadedOperatorConfig, OperatorConfigError> {
     let file = OperatorConfigFile { path };
     let config = file.load()?;
-    let format = stated_format.or_else(|| Format::of(&config.log.format));
+    let format = explicit_format.or_else(|| Format::of(&config.log.format));
     logger::set_format(format.unwrap_or_default());
     Ok(LoadedOperatorConfig { file, config })
 }
--- a/crates/ivypitch-config-eval/src/lib.rs
+++ b/crates/ivypitch-config-eval/src/lib.rs
@@ -1,8 +1,8 @@
-//! Evaluates an operator's settings file: records in Nickel, which merge, or plain JSON.
+//! Evaluates an operator's settings file, in Nickel with merged records or in plain JSON.
 //!
-//! The result is a plain value that knows its lines; types, units, bounds and defaults belong to
-//! [`ivypitch_config::schema`]. Only the short-lived command `ivypitch check` uses this crate: the evaluator costs some ten
-//! megabytes of memory.
+//! The result is a plain value with line numbers; types, units, bounds and defaults belong to
+//! [`ivypitch_config::schema`]. Only the short-lived command `ivypitch check` uses this crate,
+//! because the evaluator takes some ten megabytes of memory.
 
 #![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used)]
 
@@ -16,26 +16,26 @@
 use nickel_lang_core::position::{PosTable, TermPos};
 use nickel_lang_core::program::{Program, ProgramBuilder};
 
-/// A larger file is no settings file.
+/// A larger file is not a settings file.
 const MAX_FILE_BYTES: u64 = 1 << 20;
-/// No valid file nests more deeply.
+/// No valid settings file nests more deeply.
 const MAX_DEPTH: usize = 32;
 
 type Errors = Vec<SettingsError>;
 
-/// Reads and evaluates a file; the extension `json` marks plain JSON, all else is Nickel.
+/// Reads and evaluates a file: plain JSON if its extension is `json`, else Nickel.
 ///
 /// # Errors
 ///
-/// All errors that keep the file from having a value.
+/// All errors that prevent the file from being evaluated to a plain value.
 pub fn read(path: &Path) -> Result<SourceValue, Errors> {
-    let bytes = std::fs::metadata(path).map_err(unreadable)?.len();
+    let bytes = std::fs::metadata(path).map_err(unreadable_file)?.len();
     if bytes > MAX_FILE_BYTES {
         let max_bytes = MAX_FILE_BYTES;
         let problem = Problem::TooLarge { bytes, max_bytes };
         return Err(vec![SettingsError::new("", problem)]);
     }
-    let text = std::fs::read_to_string(path).map_err(unreadable)?;
+    let text = std::fs::read_to_string(path).map_err(unreadable_file)?;
     if path
         .extension()
         .is_some_and(|extension| extension == "json")
@@ -45,11 +45,11 @@
     let program = ProgramBuilder::new()
         .add_path(path)
         .build::<CacheImpl>()
-        .map_err(unreadable)?;
+        .map_err(unreadable_file)?;
     evaluate(program)
 }
 
-fn unreadable(cause: impl ToString) -> Errors {
+fn unreadable_file(cause: impl ToString) -> Errors {
     vec![SettingsError::unreadable(cause)]
 }
 
@@ -75,19 +75,19 @@
         }
         Err(error) => {
             let report = report_as_str(&mut program.files(), error, ColorOpt::Never);
-            Err(unreadable(report.trim()))
+            Err(unreadable_file(report.trim()))
         }
     }
 }
 
-/// Converts evaluated values, with the positions of the program that they come from.
+/// Converts evaluated values, with line numbers from the positions of the program.
 struct Converter<'a> {
     files: &'a Files,
     positions: &'a PosTable,
 }
 
 impl Converter<'_> {
-    /// Converts a value at a path; `key_position` is where its key stands, if it has one.
+    /// Converts the value at `path`. `key_position` is the position of its key, if it has one.
     fn convert(
         &self,
         value: &NickelValue,
@@ -123,13 +123,13 @@
             }
             ValueContentRef::Record(record) => {
                 let fields = record.into_opt().into_iter().flat_map(|data| &data.fields);
-                let with_value =
+                let fields_with_value =
                     fields.filter_map(|(key, field)| Some((key, field.value.as_ref()?)));
-                let converted = with_value.map(|(key, value)| {
+                let converted = fields_with_value.map(|(key, value)| {
                     let separator = if path.is_empty() { "" } else { "." };
                     let path = format!("{path}{separator}{}", key.label());
-                    let inner = self.convert(value, key.pos, &path, depth + 1)?;
-                    Ok((key.label().to_owned(), inner))
+                    let field_value = self.convert(value, key.pos, &path, depth + 1)?;
+                    Ok((key.label().to_owned(), field_value))
                 });
                 SourceValueKind::Record(collect_all(converted)?)
             }
@@ -151,14 +151,14 @@
     }
 }
 
-/// All values, or the errors of all that have none.
+/// Returns all values, or the errors of all results if there are any.
 fn collect_all<T>(results: impl Iterator<Item = Result<T, Errors>>) -> Result<Vec<T>, Errors> {
     let mut values = Vec::new();
     let mut errors = Vec::new();
     for result in results {
         match result {
             Ok(value) => values.push(value),
-            Err(more) => errors.extend(more),
+            Err(result_errors) => errors.extend(result_errors),
         }
     }
     if errors.is_empty() {
--- a/crates/ivypitch-config/src/deployment.rs
+++ b/crates/ivypitch-config/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The platform's settings as the scheduler's configuration, with the names that its indices stand for.
+//! Converts the platform's settings to the scheduler's configuration and the names of its indices.
 
 use crate::platform::{Contract, PlatformSettings, TenantSettings, WorkloadSettings};
 use ivypitch_scheduler::{
@@ -8,50 +8,50 @@
 use ivypitch_types::Nanos;
 use thiserror::Error;
 
-/// The platform's settings cannot be used.
+/// Why the platform's settings are rejected.
 #[derive(Debug, Error)]
 pub enum DeploymentError {
-    /// They are no JSON, or a key is missing or of another type.
+    /// The text is not JSON, or a key is missing or has the wrong type.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A workload's `effect` is not known.
+    /// A workload has an unknown `effect`.
     #[error("unknown effect {0:?}")]
     UnknownEffect(String),
-    /// A workload's `key-scope` is not known.
+    /// A workload has an unknown `key-scope`.
     #[error("unknown key-scope {0:?}")]
     UnknownKeyScope(String),
 }
 
-/// What the settings call things. The position of a name is the scheduler's index of it.
+/// Names from the settings. The position of a name in its list is the scheduler's index.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
-    /// Workloads.
+    /// Names of workloads.
     pub workloads: Vec<String>,
-    /// Tenants.
+    /// Names of tenants.
     pub tenants: Vec<String>,
-    /// Zones.
+    /// Names of zones.
     pub zones: Vec<String>,
-    /// Engine kinds.
+    /// Names of engine kinds.
     pub engine_kinds: Vec<String>,
-    /// Values of a load report.
+    /// Names of the values of a load report, in the order of the report.
     pub report_fields: Vec<String>,
 }
 
-/// Limits that concern connections and no decision; 0: not stated.
+/// Limits on connections to engines, which the scheduler does not use; 0 means not stated.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ConnectionLimits {
-    /// Time within which a connection to an engine must open.
+    /// Timeout for opening a connection.
     pub connect_timeout: Nanos,
     /// Time after which engines close an idle connection.
     pub idle_timeout: Nanos,
 }
 
-/// A deployment's configuration.
+/// The configuration of a deployment.
 #[derive(Clone, Debug, Default)]
 pub struct DeploymentConfig {
-    /// What the scheduler starts with.
+    /// Configuration of the scheduler.
     pub scheduler: Deployment,
-    /// The names that its indices stand for.
+    /// Names of the scheduler's indices.
     pub names: Names,
     /// Limits on connections to engines.
     pub connection_limits: ConnectionLimits,
@@ -61,35 +61,43 @@
 ///
 /// # Errors
 ///
-/// The text is no JSON of the expected shape, or names an effect or a key scope that is not known.
+/// The text is not JSON of the expected shape, or has an unknown effect or key scope.
 pub fn read_deployment(text: &[u8]) -> Result<DeploymentConfig, DeploymentError> {
     let settings: PlatformSettings = serde_json::from_slice(text)?;
     Ok(DeploymentConfig {
-        names: names(&settings),
+        names: collect_names(&settings),
         connection_limits: ConnectionLimits {
             connect_timeout: settings.permissions.connect_timeout_ns,
             idle_timeout: settings.permissions.idle_timeout_ns,
         },
-        scheduler: deployment(&settings)?,
+        scheduler: convert_deployment(&settings)?,
     })
 }
 
-fn names(settings: &PlatformSettings) -> Names {
+fn collect_names(settings: &PlatformSettings) -> Names {
     Names {
-        workloads: settings.workloads.iter().map(|w| w.name.clone()).collect(),
-        tenants: settings.tenants.iter().map(|t| t.name.clone()).collect(),
+        workloads: settings
+            .workloads
+            .iter()
+            .map(|workload| workload.name.clone())
+            .collect(),
+        tenants: settings
+            .tenants
+            .iter()
+            .map(|tenant| tenant.name.clone())
+            .collect(),
         zones: settings.zones.clone(),
         engine_kinds: settings.engine_kinds.clone(),
         report_fields: settings.load_reports.fields.clone(),
     }
 }
 
-fn deployment(settings: &PlatformSettings) -> Result<Deployment, DeploymentError> {
+fn convert_deployment(settings: &PlatformSettings) -> Result<Deployment, DeploymentError> {
     let mut workloads = Vec::new();
     for (index, workload) in settings.workloads.iter().enumerate() {
-        workloads.push(read_workload(settings, index, workload)?);
+        workloads.push(convert_workload(settings, index, workload)?);
     }
-    let tenant = |tenant: &TenantSettings| Tenant {
+    let convert_tenant = |tenant: &TenantSettings| Tenant {
         quota_per_second: tenant.quota_per_second,
     };
     let fields = &settings.load_reports.fields;
@@ -102,14 +110,14 @@
         zone: settings.zone,
         tick: settings.tick_ns,
         workloads,
-        engine_kinds: engine_kinds(settings),
-        tenants: settings.tenants.iter().map(tenant).collect(),
+        engine_kinds: convert_engine_kinds(settings),
+        tenants: settings.tenants.iter().map(convert_tenant).collect(),
         over_quota_priority_weight: settings.over_quota_priority_weight,
         max_open_statements: match permissions.max_open_statements {
             0 => usize::MAX,
-            stated => stated,
+            limit => limit,
         },
-        report_fields: fields.iter().map(|name| report_field(name)).collect(),
+        report_fields: fields.iter().map(|name| parse_report_field(name)).collect(),
         load_reporting: match settings.load_reports.mode.as_str() {
             "piggyback" => LoadReporting::WithResults,
             "pull" => LoadReporting::OnRequest,
@@ -130,7 +138,7 @@
         allows_hedged_requests: permissions.allows_hedged_requests,
         max_attempts: match permissions.max_attempts {
             0 => u32::MAX,
-            stated => stated,
+            limit => limit,
         },
         drain_grace: contract.drain_grace_ns,
         answer_grace: contract.answer_grace_ns,
@@ -138,37 +146,37 @@
         slow_start_duration: contract.slow_start_duration_ns,
         overload_factor: contract.overload_factor,
         overload_window: contract.overload_window_ns,
-        retry_budget: retry_budget(contract),
+        retry_budget: convert_retry_budget(contract),
         key_settle_time: contract.key_settle_time_ns,
         wasted_work_price_per_s: settings.prices.wasted_work,
     })
 }
 
-fn read_workload(
+fn convert_workload(
     settings: &PlatformSettings,
     index: usize,
     workload: &WorkloadSettings,
 ) -> Result<Workload, DeploymentError> {
     let extra = &settings.extra;
-    let flag = |list: &[bool]| list.get(index).copied().unwrap_or(false);
+    let flag_at_index = |list: &[bool]| list.get(index).copied().unwrap_or(false);
     Ok(Workload {
         latency_objective: workload.latency_objective_ns,
         latency_objective_stretch: workload.latency_objective_stretch,
         statement_timeout: workload.statement_timeout_ns,
         priority_weight: workload.priority_weight,
-        idempotency: idempotency(&workload.idempotency)?,
-        deduplication_scope: deduplication_scope(&workload.deduplication_scope)?,
+        idempotency: parse_idempotency(&workload.idempotency)?,
+        deduplication_scope: parse_deduplication_scope(&workload.deduplication_scope)?,
         deduplication_window: workload.deduplication_window_ns,
         is_ordered_by_key: workload.is_ordered_by_key,
         allowed_zones: workload.allowed_zones.clone(),
         allowed_engine_kinds: workload.allowed_engine_kinds.clone(),
         threads: extra.threads.get(index).copied().unwrap_or(1.0),
-        is_bulk_load: flag(&extra.are_bulk_loads),
-        waits_for_bulk_loads: flag(&extra.wait_for_bulk_loads),
+        is_bulk_load: flag_at_index(&extra.are_bulk_loads),
+        waits_for_bulk_loads: flag_at_index(&extra.wait_for_bulk_loads),
     })
 }
 
-fn idempotency(effect: &str) -> Result<Idempotency, DeploymentError> {
+fn parse_idempotency(effect: &str) -> Result<Idempotency, DeploymentError> {
     match effect {
         "safe" => Ok(Idempotency::Idempotent),
         "keyed" => Ok(Idempotency::IdempotentWithKey),
@@ -177,7 +185,7 @@
     }
 }
 
-fn deduplication_scope(key_scope: &str) -> Result<DeduplicationScope, DeploymentError> {
+fn parse_deduplication_scope(key_scope: &str) -> Result<DeduplicationScope, DeploymentError> {
     match key_scope {
         "all" => Ok(DeduplicationScope::All),
         "zone" => Ok(DeduplicationScope::Zone),
@@ -186,20 +194,20 @@
     }
 }
 
-/// As many as are named or have cores.
-fn engine_kinds(settings: &PlatformSettings) -> Vec<EngineKind> {
+/// The settings may list more core counts than names of kinds, or fewer: the longer list counts.
+fn convert_engine_kinds(settings: &PlatformSettings) -> Vec<EngineKind> {
     let extra = &settings.extra;
     let count = settings.engine_kinds.len().max(extra.cores_by_kind.len());
-    let value = |list: &[f64], kind: usize| list.get(kind).copied().unwrap_or(0.0);
+    let value_or_zero = |list: &[f64], kind: usize| list.get(kind).copied().unwrap_or(0.0);
     (0..count)
         .map(|kind| EngineKind {
-            cores: value(&extra.cores_by_kind, kind),
-            memory_mb: value(&extra.memory_mb_by_kind, kind),
+            cores: value_or_zero(&extra.cores_by_kind, kind),
+            memory_mb: value_or_zero(&extra.memory_mb_by_kind, kind),
         })
         .collect()
 }
 
-fn report_field(name: &str) -> ReportField {
+fn parse_report_field(name: &str) -> ReportField {
     match name {
         "active" => ReportField::InFlightAttempts,
         "waiting" => ReportField::WaitingAttempts,
@@ -213,7 +221,7 @@
     }
 }
 
-fn retry_budget(contract: &Contract) -> Option<RetryBudget> {
+fn convert_retry_budget(contract: &Contract) -> Option<RetryBudget> {
     let window = contract.retry_window_ns?;
     Some(RetryBudget {
         window,
@@ -222,12 +230,12 @@
     })
 }
 
-/// A table group's number on a wire as the scheduler's index of it.
+/// Returns the scheduler's index of a table group from its number on the wire.
 pub fn table_group_index(number: f32) -> u32 {
     number.to_bits()
 }
 
-/// An estimate of memory in MB; what is no number counts as not given.
+/// Returns an estimate of memory in MB, with 0 (not given) for negative and non-finite values.
 pub fn sanitize_memory_estimate_mb(mb: f32) -> f64 {
     if mb.is_finite() {
         f64::from(mb).max(0.0)
--- a/crates/ivypitch-config/src/operator/mod.rs
+++ b/crates/ivypitch-config/src/operator/mod.rs
@@ -1,7 +1,8 @@
-//! The operator's settings file: typed records of the project's own, apart from the platform's JSON.
+//! The operator's settings file, which is separate from the platform's JSON.
 //!
-//! Without the file, every feature that it configures is off. It is read here as plain JSON; `ivypitch-config-eval` makes
-//! that of a file in Nickel. Keys of the file keep their names; the structs use the code's terms.
+//! Without the file, every feature that it configures is off. This module reads plain JSON;
+//! `ivypitch-config-eval` evaluates a file in Nickel to it. The file's keys have stable names; the
+//! structs use the terms of this code.
 
 mod peers;
 mod teams;
@@ -15,35 +16,35 @@
 use crate::schema::{self, Field, Kind, SettingsError, SourceValue, settings_record};
 
 settings_record! {
-    /// All that the operator's settings file may hold.
+    /// The operator's settings file.
     pub struct OperatorConfig, OPERATOR_FIELDS {
-        /// Budgets and queues by team; left out: off.
+        /// Budgets and queues by team; off by default.
         "teams" => pub teams: Option<TeamsSettings>,
             Kind::Record(teams::TEAMS_FIELDS), default "";
-        /// The other gateways: members, links, taking over; left out: off.
+        /// The other gateways: membership, links and takeover; off by default.
         "peers" => pub peers: Option<PeersSettings>,
             Kind::Record(peers::PEERS_FIELDS), default "";
-        /// The log.
+        /// Logging.
         "log" => pub log: LogSettings,
             Kind::Record(LOG_FIELDS), default "{}";
     }
 }
 
 settings_record! {
-    /// How the program logs.
+    /// Settings of the log.
     pub struct LogSettings, LOG_FIELDS {
-        /// How log lines are written.
+        /// Format of log lines.
         "format" => pub format: String,
             Kind::OneOf(&["text", "logfmt", "json"]), default "\"text\"";
     }
 }
 
-/// The fields of the operator's settings file.
+/// Returns the schema of the operator's settings file.
 pub fn fields() -> &'static [Field] {
     OPERATOR_FIELDS
 }
 
-/// Checks the form of a file's value.
+/// Validates a file's value against the schema and returns it with all defaults.
 ///
 /// # Errors
 ///
@@ -52,7 +53,7 @@
     schema::check(OPERATOR_FIELDS, value)
 }
 
-/// Reads the settings from JSON, checked before or not.
+/// Validates and deserializes the settings from JSON.
 ///
 /// # Errors
 ///
--- a/crates/ivypitch-config/src/operator/peers.rs
+++ b/crates/ivypitch-config/src/operator/peers.rs
@@ -1,4 +1,4 @@
-//! Settings of gateways that exchange messages: the member list, ownership and coordination.
+//! Settings for communication among gateways: the member list, ownership and coordination.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -23,11 +23,11 @@
 settings_record! {
     /// One gateway of the member list.
     struct MemberSettings, MEMBER_FIELDS {
-        /// As the gateway's own name in the platform's configuration.
+        /// Name of the gateway in the platform's configuration.
         "name" => name: Option<String>, NAME, default "";
-        /// Where it stands; witnesses of a statement are chosen over zones.
+        /// Zone of the gateway; the voters of a statement are spread over zones.
         "zone" => zone: String, NAME, default "\"\"";
-        /// Address and port of its datagrams and links.
+        /// Address and port for the gateway's datagrams and links.
         "address" => address: Option<String>, NAME, default "";
     }
 }
@@ -35,23 +35,23 @@
 settings_record! {
     /// Ownership of statements in flight.
     pub struct OwnershipSettings, OWNERSHIP_FIELDS {
-        /// Statements in hand outlive their gateway.
+        /// Statements in flight survive the loss of their gateway.
         "enabled" => pub enabled: bool, Kind::Bool, default "true";
-        /// Members that bear witness of each statement; odd.
+        /// Number of voters of each statement; must be odd.
         "witnesses" => voters: usize, Kind::Integer { min: 1, max: 9 }, default "5";
-        /// Non-idempotent statements while no majority of witnesses answers: not sent, or sent as without peers.
+        /// Non-idempotent statements without a majority of voters: rejected, or run without peers.
         "without_majority" => without_quorum: String,
             Kind::OneOf(&["refuse", "single"]), default "\"refuse\"";
-        /// Results kept for clients that come back, for each customer.
+        /// Results cached for returning clients, in MB per customer.
         "kept_mb_a_customer" => result_cache_mb_per_tenant: f64,
             Kind::Number { min: 0.0, max: 1e6 }, default "4";
-        /// After its time is over a client may come back for so long.
+        /// Time after a statement's timeout in which its client may return.
         "remembered_ms" => retention_ms: f64,
             Kind::Number { min: 100.0, max: 3.6e6 }, default "5000";
-        /// Estimated work from which on witnesses are asked whether a new statement is known.
+        /// Minimum estimated work at which voters are asked whether a new statement is known.
         "asks_from_ms" => min_lookup_work_ms: f64,
             Kind::Number { min: 0.0, max: 1e9 }, default "200";
-        /// Statements of others that this gateway bears witness of.
+        /// Maximum statements of other gateways that this gateway votes on.
         "most_statements" => max_voted_statements: usize,
             Kind::Integer { min: 100, max: 10_000_000 }, default "200000";
     }
@@ -60,64 +60,64 @@
 settings_record! {
     /// Coordination of quotas and engine health.
     pub struct CoordinationSettings, COORDINATION_FIELDS {
-        /// Budgets are lent among gateways, judgements on engines and news of the roster are shared.
+        /// Lease quotas among gateways and share engine health and endpoint events.
         "enabled" => pub enabled: bool, Kind::Bool, default "false";
-        /// Part of its even part of a bound that a gateway never lends.
+        /// Fraction of its equal allocation of a quota that a gateway never leases out.
         "floor" => reserved_fraction: f64, Kind::Number { min: 0.0, max: 1.0 }, default "0.1";
-        /// Of a loan; a gateway that is cut off gets back what it lent after so long.
+        /// Duration of a lease; afterwards a partitioned gateway regains the units that it granted.
         "span_ms" => lease_ms: f64, Kind::Number { min: 200.0, max: 60_000.0 }, default "2000";
-        /// Clocks of gateways run apart by no more than this part.
+        /// Maximum relative drift between the clocks of gateways.
         "drift" => max_clock_drift: f64, Kind::Number { min: 0.0, max: 0.2 }, default "0.01";
-        /// Datagrams of a gateway with words on engines.
+        /// Maximum gossip about engines that a gateway sends, in KB per second.
         "kb_a_second" => gossip_kb_per_second: f64,
             Kind::Number { min: 1.0, max: 100_000.0 }, default "40";
     }
 }
 
 settings_record! {
-    /// The other gateways and what is shared with them.
+    /// The member list, failure detection, ownership and coordination.
     pub struct PeersSettings, PEERS_FIELDS {
-        /// Talk with the other gateways.
+        /// Exchange messages with the other gateways.
         "enabled" => pub enabled: bool, Kind::Bool, default "true";
-        /// Where this gateway binds; left out: its address in the list.
+        /// Address that this gateway binds; default: its address in the member list.
         "listen" => listen: String, NAME, default "\"\"";
-        /// All gateways, the same list in the same order at each.
+        /// All gateways; the list and its order must be the same at each gateway.
         "gateways" => members: Vec<MemberSettings>,
-            Kind::List { of: &Kind::Record(MEMBER_FIELDS), max_entries: MAX_MEMBERS },
+            Kind::List { entry_kind: &Kind::Record(MEMBER_FIELDS), max_entries: MAX_MEMBERS },
             default "[]";
-        /// Each gateway asks after one other in each of these.
+        /// Interval at which each gateway probes one other gateway.
         "period_ms" => probe_period_ms: f64,
             Kind::Number { min: 20.0, max: 60_000.0 }, default "100";
-        /// A suspected gateway has so long to say that it lives.
+        /// Time that a suspected gateway has to refute the suspicion.
         "suspicion_ms" => suspicion_ms: f64,
             Kind::Number { min: 50.0, max: 600_000.0 }, default "280";
-        /// What becomes of work in hand.
+        /// Ownership and takeover of statements in flight.
         "custody" => pub ownership: OwnershipSettings,
             Kind::Record(OWNERSHIP_FIELDS), default "{}";
-        /// What gateways share.
+        /// Coordination of quotas and engine health.
         "shares" => pub coordination: CoordinationSettings,
             Kind::Record(COORDINATION_FIELDS), default "{}";
     }
 }
 
-/// The checked member list, as one gateway sees it.
+/// The validated member list and the network settings of one gateway.
 pub struct PeerNetwork {
     /// All members.
     pub members: MemberList,
-    /// This gateway's position among them.
+    /// Member id of this gateway.
     pub own_member: MemberId,
-    /// Where this gateway binds its datagram socket and its listener for links.
+    /// Address that this gateway binds its datagram socket and its listener for links to.
     pub listen: SocketAddr,
-    /// Failure detection.
+    /// Settings of failure detection.
     pub membership: MembershipConfig,
 }
 
 impl PeersSettings {
-    /// The network as the gateway of this name sees it.
+    /// Returns the network settings of the gateway named `name`.
     ///
     /// # Errors
     ///
-    /// All errors of the list.
+    /// All errors of the member list, of the listen address and of the number of voters.
     pub fn network(&self, name: &str) -> Result<PeerNetwork, Vec<SettingsError>> {
         let mut errors = Vec::new();
         let members = self.member_list(&mut errors);
@@ -161,16 +161,16 @@
             } else if !names.insert(name.clone()) {
                 report("name", Problem::Duplicate(format!("{name:?}")));
             }
-            let text = member.address.clone().unwrap_or_default();
-            let address = text.parse::<SocketAddr>();
+            let address_text = member.address.clone().unwrap_or_default();
+            let address = address_text.parse::<SocketAddr>();
             match address {
                 Ok(address) if !addresses.insert(address) => {
-                    report("address", Problem::Duplicate(text));
+                    report("address", Problem::Duplicate(address_text));
                 }
                 Ok(_) => {}
-                Err(_) => report("address", Problem::NotAnAddress(text)),
+                Err(_) => report("address", Problem::NotAnAddress(address_text)),
             }
-            let zone = zone_position(&mut members.zones, &member.zone);
+            let zone = zone_index_or_insert(&mut members.zones, &member.zone);
             if let Ok(address) = address {
                 members.members.push(MemberAddress {
                     name,
@@ -200,8 +200,8 @@
     }
 }
 
-/// The position of a zone in the list of zones, which gets it where it is new.
-fn zone_position(zones: &mut Vec<String>, zone: &str) -> u16 {
+/// Returns the index of a zone and adds an unknown zone to the list.
+fn zone_index_or_insert(zones: &mut Vec<String>, zone: &str) -> u16 {
     let position = zones.iter().position(|known| known == zone);
     let position = position.unwrap_or_else(|| {
         zones.push(zone.to_owned());
@@ -211,7 +211,8 @@
 }
 
 impl OwnershipSettings {
-    /// The configuration of ownership, in a deployment whose longest statement timeout is this.
+    /// Returns the configuration of ownership. `max_statement_timeout` is the longest statement
+    /// timeout of the deployment's workloads.
     pub fn config(&self, max_statement_timeout: Nanos) -> OwnershipConfig {
         let no_quorum_policy = match self.without_quorum.as_str() {
             "single" => NoQuorumPolicy::ProceedAlone,
@@ -229,15 +230,15 @@
         }
     }
 
-    /// The estimated work from which on a new statement is looked up at its voters.
+    /// Returns the minimum estimated work at which a new statement is looked up at its voters.
     pub fn min_lookup_work(&self) -> Nanos {
         nanos_from_millis(self.min_lookup_work_ms)
     }
 }
 
 impl CoordinationSettings {
-    /// The configuration of coordination among `gateways`: one quota of the cores that queues of teams divide, then one
-    /// of each tenant's statements a second.
+    /// Returns the configuration of coordination among `gateways`. The first quota is that of the
+    /// cores that the team queues divide; one of each tenant's statements per second follows.
     pub fn config(&self, gateways: usize, tenants: &[String]) -> CoordinationConfig {
         let leases = QuotaLeaseConfig {
             total_units: UNITS_PER_MEMBER * gateways as u32,
--- a/crates/ivypitch-config/src/operator/teams.rs
+++ b/crates/ivypitch-config/src/operator/teams.rs
@@ -1,4 +1,4 @@
-//! Settings of teams: budgets, queues and waits.
+//! Settings of teams: budgets, queues and the times that statements may wait.
 
 use std::collections::BTreeMap;
 
@@ -36,47 +36,47 @@
 };
 
 settings_record! {
-    /// Bounds on one workload of a team.
+    /// Limits of one workload of a team.
     struct TeamWorkloadSettings, TEAM_WORKLOAD_FIELDS {
-        /// Threads of this team's statements of the workload that are released at once.
+        /// Maximum threads of this team's statements of the workload that are released at once.
         "most_released_threads" => max_released_threads: Option<f64>, THREADS, default "";
-        /// Statements of the workload that may wait.
+        /// Maximum queued statements of the workload.
         "most_queued" => max_queued: Option<usize>, STATEMENTS, default "";
-        /// In place of the workload's own.
+        /// Maximum time in the queue; default: longest_wait_ms of the workload.
         "longest_wait_ms" => max_wait_ms: Option<f64>, WAIT_MS, default "";
     }
 }
 
 settings_record! {
-    /// Budget and bounds of a team.
+    /// Budget and limits of a team.
     struct TeamSettings, TEAM_FIELDS {
-        /// Weight against the other teams; 0: only what nobody else wants.
+        /// Weight relative to the other teams; 0: only capacity that no other team uses.
         "share" => share: f64, Kind::Number { min: 0.0, max: 1e6 }, default "1";
-        /// Core-seconds a second that it may use, at this gateway, idle neighbours or not.
+        /// Maximum core-seconds per second at this gateway, even while other teams are idle.
         "work_cores" => work_cores: Option<f64>, THREADS, default "";
-        /// Core-seconds that it may run ahead of work_cores; left out: one second of it.
+        /// Core-seconds that it may use ahead of work_cores; default: one second of work_cores.
         "burst_core_s" => burst_core_seconds: Option<f64>,
             Kind::Number { min: 0.0, max: 1e9 }, default "";
-        /// Threads of its statements that are released at once.
+        /// Maximum threads of the team's statements that are released at once.
         "most_released_threads" => max_released_threads: Option<f64>, THREADS, default "";
-        /// Statements that may wait.
+        /// Maximum queued statements of the team.
         "most_queued" => max_queued: Option<usize>, STATEMENTS, default "";
-        /// Text of the statements that may wait, in KB.
+        /// Maximum text of the team's queued statements, in KB.
         "most_queued_kb" => max_queued_kb: Option<usize>, QUEUED_KB, default "";
-        /// Bounds on single workloads of the team.
+        /// Limits of single workloads of the team.
         "workloads" => workloads: BTreeMap<String, TeamWorkloadSettings>,
             Kind::Map(TEAM_WORKLOAD_FIELDS), default "{}";
     }
 }
 
 settings_record! {
-    /// Waits and estimates of a workload.
+    /// Waiting times and work estimate of a workload.
     struct WorkloadSettings, WORKLOAD_FIELDS {
-        /// What has waited so long is rejected; left out: wait_part of the SLO time.
+        /// Wait after which a statement is rejected; default: wait_part of the latency objective.
         "longest_wait_ms" => max_wait_ms: Option<f64>, WAIT_MS, default "";
-        /// Head start of others over this workload; left out: 0.4 of the SLO time over the importance.
+        /// Delay added for queue order; default: 0.4 * latency objective / relative importance.
         "slack_ms" => slack_ms: Option<f64>, WAIT_MS, default "";
-        /// Work of a statement, all threads, until the first are over; left out: a third of the SLO time.
+        /// Work of a statement until measured, all threads; default: 1/3 of the latency objective.
         "usual_work_ms" => usual_work_ms: Option<f64>,
             Kind::Number { min: 0.001, max: MAX_WAIT_MS }, default "";
     }
@@ -85,26 +85,26 @@
 settings_record! {
     /// Budgets and queues by team.
     pub struct TeamsSettings, TEAMS_FIELDS {
-        /// Queues before the module.
+        /// Queue statements by team before they reach the scheduler.
         "enabled" => pub enabled: bool, Kind::Bool, default "true";
-        /// Clients may ask SHOW QUEUE and SHOW WAIT 'id'.
+        /// Allow clients to use SHOW QUEUE and SHOW WAIT 'id'.
         "show" => pub show: bool, Kind::Bool, default "false";
-        /// How the number of threads released at once follows what executions show.
+        /// How the limit on threads released at once adapts to the latency of attempts.
         "window" => window: String,
             Kind::OneOf(&["gradient", "additive", "fixed"]), default "\"gradient\"";
-        /// Part of the SLO time that a statement may wait.
+        /// Fraction of the latency objective that a statement may wait in the queue.
         "wait_part" => wait_fraction: f64, Kind::Number { min: 0.0, max: 100.0 }, default "0.4";
-        /// From this importance on, statements push out waiting ones that matter less.
+        /// Minimum importance of a statement that evicts less important ones from a full queue.
         "preempts_from_importance" => preempts_from_priority_weight: f64,
             Kind::Number { min: 0.0, max: 1e9 }, default "8";
-        /// Statements of all teams that may wait; left out: as many as clients may have open.
+        /// Maximum queued statements of all teams; default: as many as clients may have open.
         "most_queued" => max_queued: Option<usize>, STATEMENTS, default "";
-        /// Text of all statements that may wait, in KB.
+        /// Maximum text of all queued statements, in KB.
         "most_queued_kb" => max_queued_kb: Option<usize>, QUEUED_KB, default "";
-        /// Terms by workload.
+        /// Waiting times and work estimates by workload.
         "workloads" => workloads: BTreeMap<String, WorkloadSettings>,
             Kind::Map(WORKLOAD_FIELDS), default "{}";
-        /// For customers that by_name does not name.
+        /// Budget of each customer that by_name does not list.
         "other" => other: TeamSettings, Kind::Record(TEAM_FIELDS), default "{}";
         /// Budgets by customer.
         "by_name" => by_name: BTreeMap<String, TeamSettings>, Kind::Map(TEAM_FIELDS), default "{}";
@@ -112,11 +112,12 @@
 }
 
 impl TeamsSettings {
-    /// The budgets for a deployment in which `max_open_statements` may be open at this gateway.
+    /// Returns the budgets for a deployment. `max_open_statements` is the limit on statements that
+    /// clients may have open at this gateway.
     ///
     /// # Errors
     ///
-    /// Every name of a workload or team that the deployment does not have.
+    /// An error for each workload or team that the deployment does not have.
     pub fn budgets(
         &self,
         config: &DeploymentConfig,
@@ -127,7 +128,7 @@
         let names = &config.names;
         let teams = names.tenants.iter().map(|tenant| {
             let settings = self.by_name.get(tenant).unwrap_or(&self.other);
-            settings.budget(&names.workloads)
+            settings.to_budget(&names.workloads)
         });
         let max_retry_after = if deployment.honors_retry_after {
             deployment.max_retry_after
@@ -140,9 +141,9 @@
             _ => WindowPolicy::Gradient,
         };
         Ok(Budgets {
-            workloads: self.workload_terms(config),
+            workloads: self.workload_queue_params(config),
             teams: teams.collect(),
-            other: self.other.budget(&names.workloads),
+            other: self.other.to_budget(&names.workloads),
             max_queued: self.max_queued.unwrap_or(max_open_statements),
             max_queued_bytes: max_bytes(self.max_queued_kb),
             preempts_from_priority_weight: self.preempts_from_priority_weight,
@@ -152,29 +153,29 @@
     }
 
     fn check_names(&self, config: &DeploymentConfig) -> Result<(), Vec<SettingsError>> {
-        let mut check = NameCheck {
+        let mut checker = NameChecker {
             names: &config.names,
             errors: Vec::new(),
         };
-        check.workloads("teams.workloads", self.workloads.keys());
+        checker.check_workloads("teams.workloads", self.workloads.keys());
         for (team, settings) in &self.by_name {
-            check.team(team);
+            checker.check_team(team);
             let path = format!("teams.by_name.{team}.workloads");
-            check.workloads(&path, settings.workloads.keys());
+            checker.check_workloads(&path, settings.workloads.keys());
         }
-        check.workloads("teams.other.workloads", self.other.workloads.keys());
+        checker.check_workloads("teams.other.workloads", self.other.workloads.keys());
         if config.scheduler.workloads.is_empty() {
             let error = SettingsError::new("teams", Problem::NoWorkloads);
-            check.errors.push(error);
+            checker.errors.push(error);
         }
-        if check.errors.is_empty() {
+        if checker.errors.is_empty() {
             Ok(())
         } else {
-            Err(check.errors)
+            Err(checker.errors)
         }
     }
 
-    fn workload_terms(&self, config: &DeploymentConfig) -> Vec<WorkloadQueueParams> {
+    fn workload_queue_params(&self, config: &DeploymentConfig) -> Vec<WorkloadQueueParams> {
         let workloads = &config.scheduler.workloads;
         let min_priority_weight = workloads
             .iter()
@@ -185,12 +186,12 @@
             .zip(&config.names.workloads)
             .map(|(workload, name)| {
                 let settings = self.workloads.get(name);
-                self.terms_of(workload, settings, min_priority_weight)
+                self.queue_params_of_workload(workload, settings, min_priority_weight)
             })
             .collect()
     }
 
-    fn terms_of(
+    fn queue_params_of_workload(
         &self,
         workload: &Workload,
         settings: Option<&WorkloadSettings>,
@@ -219,18 +220,18 @@
 }
 
 impl TeamSettings {
-    fn budget(&self, workload_names: &[String]) -> TeamBudget {
+    fn to_budget(&self, workload_names: &[String]) -> TeamBudget {
         let lanes = workload_names
             .iter()
             .map(|name| match self.workloads.get(name) {
-                Some(settings) => settings.budget(),
+                Some(settings) => settings.to_lane_limits(),
                 None => LaneLimits::default(),
             });
-        let work_per_second = self.work_cores.unwrap_or(f64::INFINITY);
+        let max_work_cores = self.work_cores.unwrap_or(f64::INFINITY);
         TeamBudget {
             share: self.share,
-            work_cores: work_per_second,
-            burst_core_seconds: self.burst_core_seconds.unwrap_or(work_per_second),
+            work_cores: max_work_cores,
+            burst_core_seconds: self.burst_core_seconds.unwrap_or(max_work_cores),
             max_released_threads: self.max_released_threads.unwrap_or(f64::INFINITY),
             max_queued: self.max_queued.unwrap_or(usize::MAX),
             max_queued_bytes: max_bytes(self.max_queued_kb),
@@ -240,7 +241,7 @@
 }
 
 impl TeamWorkloadSettings {
-    fn budget(&self) -> LaneLimits {
+    fn to_lane_limits(&self) -> LaneLimits {
         LaneLimits {
             max_released_threads: self.max_released_threads.unwrap_or(f64::INFINITY),
             max_queued: self.max_queued.unwrap_or(usize::MAX),
@@ -249,14 +250,14 @@
     }
 }
 
-/// Collects the names that the platform's settings do not have.
-struct NameCheck<'a> {
+/// Collects an error for each name that the platform's settings do not have.
+struct NameChecker<'a> {
     names: &'a Names,
     errors: Vec<SettingsError>,
 }
 
-impl NameCheck<'_> {
-    fn workloads<'a>(&mut self, path: &str, used: impl Iterator<Item = &'a String>) {
+impl NameChecker<'_> {
+    fn check_workloads<'a>(&mut self, path: &str, used: impl Iterator<Item = &'a String>) {
         for name in used {
             let known = &self.names.workloads;
             if !known.contains(name) {
@@ -265,15 +266,15 @@
         }
     }
 
-    fn team(&mut self, name: &String) {
+    fn check_team(&mut self, name: &String) {
         let known = &self.names.tenants;
         if !known.contains(name) {
             self.report("teams.by_name", name, "customer", known.clone());
         }
     }
 
-    fn report(&mut self, path: &str, name: &str, what: &'static str, known: Vec<String>) {
-        let problem = Problem::UnknownName { what, known };
+    fn report(&mut self, path: &str, name: &str, kind: &'static str, known: Vec<String>) {
+        let problem = Problem::UnknownName { kind, known };
         let error = SettingsError::new(format!("{path}.{name}"), problem);
         self.errors.push(error);
     }
--- a/crates/ivypitch-config/src/platform.rs
+++ b/crates/ivypitch-config/src/platform.rs
@@ -1,7 +1,7 @@
-//! The platform's settings of a deployment, as JSON has them.
+//! The JSON form of the platform's settings of a deployment.
 //!
-//! Keys are the platform's; the fields carry the code's terms. Unknown keys are ignored, and what is missing takes
-//! the value that stands for "not there".
+//! The keys are the platform's; the fields use the terms of this code. Unknown keys are ignored.
+//! A missing optional key takes the value that means "not stated".
 
 use serde::Deserialize;
 
@@ -75,7 +75,7 @@
     pub quota_per_second: f64,
 }
 
-/// Lists are by workload, or by engine kind.
+/// Properties of engines and workloads; each list is indexed by workload or by engine kind.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
 pub(crate) struct ExtraSettings {
@@ -108,7 +108,7 @@
     pub mode: String,
 }
 
-/// 0 for a limit: none.
+/// Actions that the platform allows; a limit of 0 means none.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
 pub(crate) struct Permissions {
--- a/crates/ivypitch-config/src/schema/check.rs
+++ b/crates/ivypitch-config/src/schema/check.rs
@@ -1,18 +1,17 @@
-//! Checks a file's value against a schema.
+//! Validates a file's value against a schema.
 
 use serde_json::{Map, Value};
 
 use super::{Field, Kind, Problem, SettingsError, SourceValue, SourceValueKind};
 
-/// A key is taken for a misspelling of another one up to this edit distance.
+/// Maximum edit distance at which an unknown key counts as a misspelling of a known one.
 const MAX_TYPO_DISTANCE: usize = 2;
 
-/// Checks a record against its fields.
+/// Validates a record against its fields and returns it with all defaults filled in.
 ///
 /// # Errors
 ///
-/// All errors of the record, nested records included. Without any, the result is the complete record with defaults
-/// filled in.
+/// All errors of the record, including those of nested records.
 pub fn check(fields: &'static [Field], record: &SourceValue) -> Result<Value, Vec<SettingsError>> {
     let mut checker = Checker { errors: Vec::new() };
     let value = checker.check_record(fields, record, "");
@@ -36,7 +35,7 @@
 }
 
 impl Checker {
-    /// Records an error. The value in its place is never used, since a check with errors gives none.
+    /// Records an error. The returned null is never used: a check with errors returns no value.
     fn report(&mut self, value: &SourceValue, path: &str, problem: Problem) -> Value {
         self.errors
             .push(SettingsError::new(path, problem).at_line(value.line));
@@ -56,8 +55,8 @@
                     complete.insert(key.clone(), checked);
                 }
                 None => {
-                    let nearest = nearest_key(key, fields);
-                    self.report(value, &path, Problem::UnknownField { nearest });
+                    let suggestion = suggest_key(key, fields);
+                    self.report(value, &path, Problem::UnknownField { suggestion });
                 }
             }
         }
@@ -85,7 +84,7 @@
             }
             (Kind::Integer { min, max }, SourceValueKind::Number(number)) => {
                 if number.fract() != 0.0 || !number.is_finite() {
-                    self.report(value, path, Problem::NotWhole(number.to_string()))
+                    self.report(value, path, Problem::NotAnInteger(number.to_string()))
                 } else if (*min as f64..=*max as f64).contains(number) {
                     Value::from(*number as u64)
                 } else {
@@ -110,14 +109,20 @@
                 }
                 Value::Object(records)
             }
-            (Kind::List { of, max_entries }, SourceValueKind::List(entries)) => {
+            (
+                Kind::List {
+                    entry_kind,
+                    max_entries,
+                },
+                SourceValueKind::List(entries),
+            ) => {
                 if entries.len() > *max_entries {
                     let max_entries = *max_entries;
                     return self.report(value, path, Problem::TooManyEntries { max_entries });
                 }
                 let mut list = Vec::with_capacity(entries.len());
                 for (position, entry) in entries.iter().enumerate() {
-                    list.push(self.check_value(of, entry, &format!("{path}[{position}]")));
+                    list.push(self.check_value(entry_kind, entry, &format!("{path}[{position}]")));
                 }
                 Value::Array(list)
             }
@@ -160,14 +165,14 @@
     match kind {
         Kind::Bool => "true or false",
         Kind::Number { .. } => "a number",
-        Kind::Integer { .. } => "a whole number",
-        Kind::Text { .. } => "a text",
+        Kind::Integer { .. } => "an integer",
+        Kind::Text { .. } => "a string",
         Kind::List { .. } => "a list",
         Kind::OneOf(_) | Kind::Record(_) | Kind::Map(_) => "a record",
     }
 }
 
-fn nearest_key(key: &str, fields: &'static [Field]) -> Option<&'static str> {
+fn suggest_key(key: &str, fields: &'static [Field]) -> Option<&'static str> {
     let distance = |field: &&Field| strsim::damerau_levenshtein(key, field.key);
     fields
         .iter()
--- a/crates/ivypitch-config/src/schema/error.rs
+++ b/crates/ivypitch-config/src/schema/error.rs
@@ -1,4 +1,4 @@
-//! Errors of a settings file, each with its place.
+//! Errors of a settings file, with the line and path of each.
 
 use std::fmt;
 
@@ -9,114 +9,114 @@
 /// Errors are ordered by line, then by path.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Error)]
 pub struct SettingsError {
-    /// Line in the file, where known.
+    /// Line in the file, if known.
     pub line: Option<usize>,
-    /// Path of the field, its keys separated by dots; empty for the file as a whole.
+    /// Path of the field, with its keys separated by dots; empty for an error of the whole file.
     pub path: String,
-    /// What is wrong there.
+    /// The problem with the value.
     pub problem: Problem,
 }
 
-/// What is wrong with a settings value.
+/// A problem with a settings value.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Error)]
 pub enum Problem {
     /// The file cannot be read, or is neither valid Nickel nor valid JSON.
     #[error("{0}")]
     Unreadable(String),
-    /// The file is larger than any settings file.
-    #[error("{bytes} bytes; a settings file has {max_bytes} at most")]
+    /// The file exceeds the maximum size.
+    #[error("file has {bytes} bytes; the maximum is {max_bytes}")]
     TooLarge {
-        /// Its size.
+        /// Size of the file.
         bytes: u64,
-        /// The largest size.
+        /// Maximum size.
         max_bytes: u64,
     },
-    /// Records or lists nest more deeply than in any valid file.
-    #[error("records nest too deeply")]
+    /// Records or lists exceed the maximum nesting depth.
+    #[error("records or lists are nested too deeply")]
     TooDeep,
-    /// The file's program gives something that is no plain value.
-    #[error("a function or type where a value is wanted")]
+    /// The file evaluates to a function, a type or another value that is not plain data.
+    #[error("expected a value, found a function or type")]
     NotAValue,
-    /// A number that has no finite value.
-    #[error("a number that can't be used")]
+    /// A number without a finite value.
+    #[error("number is not finite")]
     UnusableNumber,
-    /// The record has no such field.
-    #[error("no field of that name{}", .nearest.map_or(String::new(), |key| format!("; is {key} meant?")))]
+    /// The record has no field of this name.
+    #[error("unknown field{}", .suggestion.map_or(String::new(), |key| format!("; did you mean {key}?")))]
     UnknownField {
-        /// A field whose key differs in one or two letters.
-        nearest: Option<&'static str>,
+        /// The field with the most similar key, if it differs by at most two edits.
+        suggestion: Option<&'static str>,
     },
-    /// A value of another type.
-    #[error("{found} where {expected} is wanted")]
+    /// A value of the wrong type.
+    #[error("expected {expected}, found {found}")]
     WrongType {
-        /// What stands there.
+        /// Description of the value.
         found: String,
-        /// What is wanted.
+        /// The expected type.
         expected: &'static str,
     },
-    /// A number outside its bounds, as texts.
-    #[error("{value} is not within {min} to {max}")]
+    /// A number outside its bounds.
+    #[error("{value} is out of range; expected {min} to {max}")]
     OutOfRange {
-        /// The number.
+        /// The number, formatted.
         value: String,
-        /// The smallest one allowed.
+        /// Minimum, formatted.
         min: String,
-        /// The largest one allowed.
+        /// Maximum, formatted.
         max: String,
     },
-    /// A fraction where a whole number is wanted.
-    #[error("{0} is no whole number")]
-    NotWhole(String),
-    /// A value that is none of the allowed texts.
-    #[error("{found} is none of {}", .allowed.join(", "))]
+    /// A number with a fraction where an integer is expected.
+    #[error("{0} is not an integer")]
+    NotAnInteger(String),
+    /// A value that is not one of the allowed strings.
+    #[error("expected one of {}; found {found}", .allowed.join(", "))]
     NotOneOf {
-        /// What stands there.
+        /// Description of the value.
         found: String,
-        /// What is allowed.
+        /// The allowed strings.
         allowed: &'static [&'static str],
     },
-    /// A text longer than its bound.
-    #[error("longer than {max_bytes} bytes")]
+    /// A string that exceeds its maximum length.
+    #[error("string exceeds {max_bytes} bytes")]
     TooLong {
-        /// The bound.
+        /// Maximum length in bytes.
         max_bytes: usize,
     },
-    /// A list with more entries than its bound.
-    #[error("more than {max_entries} entries")]
+    /// A list that exceeds its maximum number of entries.
+    #[error("list exceeds {max_entries} entries")]
     TooManyEntries {
-        /// The bound.
+        /// Maximum number of entries.
         max_entries: usize,
     },
-    /// A name that the platform's settings do not have.
-    #[error("the deployment has no {what} of that name; it has {}", list_or_none(.known))]
+    /// A name that is not in the platform's settings.
+    #[error("the deployment has no {kind} of that name; it has {}", list_or_none(.known))]
     UnknownName {
-        /// What is named.
-        what: &'static str,
-        /// The names that there are.
+        /// The kind of object that the name stands for.
+        kind: &'static str,
+        /// The names in the platform's settings.
         known: Vec<String>,
     },
     /// Teams are configured for a deployment without workloads.
     #[error("the deployment has no workloads")]
     NoWorkloads,
     /// A required value is missing.
-    #[error("is missing")]
+    #[error("required field is missing")]
     Missing,
     /// A value that must be unique appears twice.
-    #[error("{0} stands twice")]
+    #[error("{0} is listed twice")]
     Duplicate(String),
-    /// A text that is no socket address.
-    #[error("{0:?} is no address and port")]
+    /// A string that is not a socket address.
+    #[error("{0:?} is not an IP address and port")]
     NotAnAddress(String),
-    /// The number of voters is even, so half of them are no majority.
-    #[error("is to be odd, or a half is no majority")]
+    /// The number of voters is even, so that half of them are not a majority.
+    #[error("must be odd, because half of an even number of voters is not a majority")]
     EvenVoterCount,
-    /// The member list does not name this gateway.
-    #[error("none of them is called {0:?}, as this gateway is")]
+    /// The member list does not contain this gateway.
+    #[error("this gateway's name, {0:?}, is not in the list")]
     GatewayNotListed(String),
 }
 
 impl SettingsError {
-    /// An error without a line.
+    /// Creates an error without a line.
     pub fn new(path: impl Into<String>, problem: Problem) -> SettingsError {
         SettingsError {
             line: None,
@@ -125,12 +125,12 @@
         }
     }
 
-    /// An error of the file as a whole that another library reported.
+    /// Creates an error of the whole file from an error of another library.
     pub fn unreadable(cause: impl ToString) -> SettingsError {
         SettingsError::new("", Problem::Unreadable(cause.to_string()))
     }
 
-    /// The same error with a line.
+    /// Returns the error with this line.
     pub fn at_line(self, line: Option<usize>) -> SettingsError {
         SettingsError { line, ..self }
     }
--- a/crates/ivypitch-config/src/schema/mod.rs
+++ b/crates/ivypitch-config/src/schema/mod.rs
@@ -1,8 +1,8 @@
-//! Schemas of settings records: which fields a record has, with type, unit, default and bounds.
+//! Schemas of settings records: the fields of a record with type, unit, default and bounds.
 //!
-//! A record is declared once with [`settings_record!`], which makes the struct that the program reads and the field
-//! table that files are checked against and `ivypitch check --fields` prints. A [`check()`] finds all errors of a file at
-//! once and fills in what the file leaves out.
+//! [`settings_record!`] declares a record once. It generates the struct that the program reads and
+//! the field table that files are validated against and that `ivypitch check --fields` prints.
+//! [`check()`] reports all errors of a file at once and fills in the defaults.
 
 mod check;
 mod describe;
@@ -14,41 +14,41 @@
 pub use error::{Problem, SettingsError};
 pub use value::{SourceValue, SourceValueKind};
 
-/// The type of a field with its bounds.
+/// The type of a field, with its bounds.
 #[derive(Debug)]
 pub enum Kind {
     /// `true` or `false`.
     Bool,
-    /// A number within bounds, both included.
+    /// A number within inclusive bounds.
     Number {
-        /// The smallest value.
+        /// Minimum value.
         min: f64,
-        /// The largest value.
+        /// Maximum value.
         max: f64,
     },
-    /// A whole number within bounds, both included.
+    /// An integer within inclusive bounds.
     Integer {
-        /// The smallest value.
+        /// Minimum value.
         min: u64,
-        /// The largest value.
+        /// Maximum value.
         max: u64,
     },
-    /// One of these texts.
+    /// One of these strings.
     OneOf(&'static [&'static str]),
-    /// A text.
+    /// A string.
     Text {
-        /// The largest length.
+        /// Maximum length in bytes.
         max_bytes: usize,
     },
     /// A record with these fields.
     Record(&'static [Field]),
-    /// Records of one type, under names that the file chooses.
+    /// Records of one type, by names that the file chooses.
     Map(&'static [Field]),
     /// A list of values of one type.
     List {
-        /// The type of each entry.
-        of: &'static Kind,
-        /// The largest number of entries.
+        /// Type of the entries.
+        entry_kind: &'static Kind,
+        /// Maximum number of entries.
         max_entries: usize,
     },
 }
@@ -56,25 +56,25 @@
 /// One field of a record.
 #[derive(Debug)]
 pub struct Field {
-    /// Its key in the file. Where a value has a unit, it is the key's last word.
+    /// Key in the file. If the value has a unit, the key ends with it.
     pub key: &'static str,
-    /// Its type and bounds.
+    /// Type and bounds.
     pub kind: Kind,
-    /// Its default as JSON; empty where the field is optional and has none.
+    /// Default as JSON; empty for an optional field without a default.
     pub default: &'static str,
-    /// What it means, for `ivypitch check --fields`.
-    pub about: &'static str,
+    /// Description for `ivypitch check --fields`.
+    pub description: &'static str,
 }
 
-/// Declares a settings record: a struct that deserializes from a checked file, and the table of its fields.
+/// Declares a settings record: a struct that deserializes from a validated file, and its fields.
 ///
-/// The doc comment of a field is also the text that `ivypitch check --fields` prints for it.
+/// `ivypitch check --fields` prints the doc comment of a field as its description.
 macro_rules! settings_record {
     (
         $(#[doc = $struct_doc:literal])*
         $visibility:vis struct $name:ident, $table:ident {
             $(
-                #[doc = $about:literal]
+                #[doc = $description:literal]
                 $key:literal => $field_visibility:vis $field:ident: $field_type:ty,
                 $kind:expr, default $default:literal;
             )*
@@ -84,7 +84,7 @@
         #[derive(Clone, Debug, serde::Deserialize)]
         $visibility struct $name {
             $(
-                #[doc = $about]
+                #[doc = $description]
                 #[serde(rename = $key)]
                 $field_visibility $field: $field_type,
             )*
@@ -96,7 +96,7 @@
                     key: $key,
                     kind: $kind,
                     default: $default,
-                    about: $about,
+                    description: $description,
                 },
             )*
         ];
--- a/crates/ivypitch-config/src/schema/value.rs
+++ b/crates/ivypitch-config/src/schema/value.rs
@@ -1,35 +1,35 @@
-//! A settings value together with the line it was read from.
+//! Settings values with the line of the file that they were read from.
 
 use serde_json::Value;
 
-/// A value with the line that it stands on, where that is known.
+/// A value with its line in the file, if known.
 #[derive(Clone, Debug)]
 pub struct SourceValue {
-    /// Line in the file, counted from 1.
+    /// Line number in the file, starting at 1.
     pub line: Option<usize>,
     /// The value.
     pub kind: SourceValueKind,
 }
 
-/// The value itself.
+/// A value without its line.
 #[derive(Clone, Debug)]
 pub enum SourceValueKind {
     /// No value.
     Null,
     /// `true` or `false`.
     Bool(bool),
-    /// Any number.
+    /// A number.
     Number(f64),
-    /// A text.
+    /// A string.
     Text(String),
     /// A list.
     List(Vec<SourceValue>),
-    /// A record, its fields in the order of the file.
+    /// A record with its fields in the order of the file.
     Record(Vec<(String, SourceValue)>),
 }
 
 impl SourceValue {
-    /// A value without lines, from JSON.
+    /// Converts JSON to a value without lines.
     pub fn from_json(value: &Value) -> SourceValue {
         let kind = match value {
             Value::Null => SourceValueKind::Null,
@@ -49,12 +49,12 @@
         SourceValue { line: None, kind }
     }
 
-    /// The line of the value that a path names, or of the nearest one around it that has a line.
+    /// Returns the line of the value at `path`, or of the nearest enclosing value that has a line.
     pub fn line_of(&self, path: &str) -> Option<usize> {
         let SourceValueKind::Record(fields) = &self.kind else {
             return self.line;
         };
-        let inner = fields.iter().find_map(|(key, value)| {
+        let line = fields.iter().find_map(|(key, value)| {
             let rest = path.strip_prefix(key.as_str())?;
             if rest.is_empty() {
                 Some(value.line)
@@ -62,10 +62,10 @@
                 Some(value.line_of(rest.strip_prefix('.')?))
             }
         });
-        inner.flatten().or(self.line)
+        line.flatten().or(self.line)
     }
 
-    /// The value as an error message names it.
+    /// Describes the value for an error message.
     pub(super) fn describe(&self) -> String {
         match &self.kind {
             SourceValueKind::Null => "null".to_owned(),
