--- a/crates/ivypitch-cli/src/main.rs
+++ b/crates/ivypitch-cli/src/main.rs
@@ -79,7 +79,7 @@
 
 /// Starts a gateway and runs it until SIGTERM.
 fn run_gateway(arguments: Serve, clock: Clock) -> Result<(), StartupError> {
-    let explicit_format = arguments.log_format.as_deref().and_then(Format::of);
+    let explicit_format = arguments.log_format.as_deref().and_then(Format::from_name);
     logger::set_format(explicit_format.unwrap_or_default());
     let signals = startup::catch_signals()?;
     let configuration = configuration::from_environment(&arguments.config)?;
@@ -100,7 +100,7 @@
 ) -> Result<LoadedOperatorConfig, OperatorConfigError> {
     let file = OperatorConfigFile { path };
     let config = file.load()?;
-    let format = explicit_format.or_else(|| Format::of(&config.log.format));
+    let format = explicit_format.or_else(|| Format::from_name(&config.log.format));
     logger::set_format(format.unwrap_or_default());
     Ok(LoadedOperatorConfig { file, config })
 }
--- a/crates/ivypitch-testbed/src/demo.rs
+++ b/crates/ivypitch-testbed/src/demo.rs
@@ -5,22 +5,22 @@
 use ivypitch_types::SECOND;
 
 use crate::experiments::team_flood::{TEAMS, teams};
-use crate::processes::sockets::{self, Plan};
-use crate::virtual_time::engine::Model;
+use crate::processes::loopback_run::{self, RunPlan};
+use crate::virtual_time::engine::EngineConfig;
 use crate::virtual_time::traffic::{self, Flood};
 
 const SECONDS: u64 = 16;
 
-pub fn play() -> ExitCode {
+pub fn run() -> ExitCode {
     let works = traffic::workloads(0.1);
-    let model = Model {
+    let model = EngineConfig {
         cores: 8.0,
-        ..Model::default()
+        ..EngineConfig::default()
     };
     let (engines, span) = (4, SECONDS * SECOND);
     let cores = engines as f64 * model.cores;
     let flood = Flood::Step {
-        times: 10.0,
+        rate_factor: 10.0,
         from: 5 * SECOND,
         until: 12 * SECOND,
     };
@@ -31,17 +31,17 @@
         all.len(),
         all[1].name
     );
-    let played = sockets::play(Plan {
+    let played = loopback_run::run(RunPlan {
         engines,
-        statements: traffic::statements(&works, &all, span, 1),
-        works,
+        statements: traffic::draw_statements(&works, &all, span, 1),
+        workloads: works,
         teams: all.iter().map(|t| t.name.clone()).collect(),
-        own: Some(sockets::own(&TEAMS)),
-        allowances: TEAMS.iter().map(|(_, share)| share * cores).collect(),
+        own_settings: Some(loopback_run::team_settings(&TEAMS)),
+        quota_cores: TEAMS.iter().map(|(_, share)| share * cores).collect(),
         model,
         new_connections: false,
         seed: 1,
-        live: true,
+        prints_progress: true,
     });
     match played {
         Ok(figures) => {
@@ -53,20 +53,20 @@
                 println!(
                     "{:<10} {:>7} {:>7} {:>8} {:>8.3} {:>7} {:>7}",
                     t.name,
-                    t.asked,
+                    t.statements,
                     t.served,
-                    t.in_time,
-                    t.service(),
-                    t.p(0.5),
-                    t.p(0.99)
+                    t.served_in_time,
+                    t.service_ratio(),
+                    t.latency_quantile_ms(0.5),
+                    t.latency_quantile_ms(0.99)
                 );
             }
             println!(
                 "loads run twice: {}; statements unanswered: {}; waits told: {}, {:.0}% of them good",
-                figures.doubled,
+                figures.repeated_bulk_loads,
                 figures.unanswered,
-                figures.told,
-                100.0 * figures.good as f64 / figures.told.max(1) as f64
+                figures.wait_estimates,
+                100.0 * figures.good_wait_estimates as f64 / figures.wait_estimates.max(1) as f64
             );
             ExitCode::SUCCESS
         }
--- a/crates/ivypitch-testbed/src/experiments/fleet_cut.rs
+++ b/crates/ivypitch-testbed/src/experiments/fleet_cut.rs
@@ -8,11 +8,11 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::processes::clients::{self, Ask, Manners};
-use crate::processes::story::{Verdict, judge};
-use crate::processes::{Engines, Fleet, Said, Setup};
+use crate::processes::clients::{self, ClientConfig, PlannedStatement};
+use crate::processes::verdict::{Verdict, judge};
+use crate::processes::{EngineEvent, Fleet, FleetConfig, FleetEngines};
 use crate::report::{Bound, Report};
-use crate::virtual_time::faults::{Field, Plan, What};
+use crate::virtual_time::faults::{FaultKind, FaultPlan, FaultPlanParams};
 
 const GATEWAYS: usize = 12;
 const ENGINES: usize = 6;
@@ -21,20 +21,20 @@
 /// Two gateways are asked ten times as often as the others.
 const HEAVY: usize = 2;
 
-fn traffic(span: u64, uneven: bool, seed: u64) -> Vec<Ask> {
+fn traffic(span: u64, uneven: bool, seed: u64) -> Vec<PlannedStatement> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0xc07);
     let weight = |g: usize| if uneven && g < HEAVY { 10.0 } else { 1.0 };
     let prefers = Arc::new((0..GATEWAYS).map(weight).collect::<Vec<f64>>());
     let (mut asks, mut at) = (Vec::new(), 0);
     while at < span {
-        asks.push(Ask {
-            at,
+        asks.push(PlannedStatement {
+            at_ms: at,
             req: rng.random::<u64>() & 0xff_ffff_ffff,
-            load: rng.random_bool(0.1),
+            is_bulk_load: rng.random_bool(0.1),
             work_ms: rng.random_range(20..220),
             timeout_ms: LONGEST_MS,
-            asked_twice: false,
-            prefers: prefers.clone(),
+            has_second_client: false,
+            gateway_weights: prefers.clone(),
             owner: "acme",
         });
         at += rng.random_range(4..=16);
@@ -48,38 +48,46 @@
     drained_ms: f64,
 }
 
-fn run(plan: &Plan, span: u64, uneven: bool, shares: bool, seed: u64) -> Result<Run, String> {
+fn run(plan: &FaultPlan, span: u64, uneven: bool, shares: bool, seed: u64) -> Result<Run, String> {
     let peers = format!(r#""custody":{{"enabled":false}},"shares":{{"enabled":{shares}}}"#);
-    let mut fleet = Fleet::start(Setup {
+    let mut fleet = Fleet::start(FleetConfig {
         gateways: GATEWAYS,
-        engines: Engines::Processes {
+        engines: FleetEngines::Processes {
             count: ENGINES,
             cores: CORES,
         },
-        longest_ms: LONGEST_MS,
-        peers: Some(peers),
-        own: r#""teams":{"enabled":true},"#.into(),
+        max_statement_timeout_ms: LONGEST_MS,
+        peer_settings: Some(peers),
+        own_settings: r#""teams":{"enabled":true},"#.into(),
         seed,
-        settings: |settings| settings.replace("\"cores-by-kind\":[64]", "\"cores-by-kind\":[4]"),
+        change_config: |settings| {
+            settings.replace("\"cores-by-kind\":[64]", "\"cores-by-kind\":[4]")
+        },
         direct_engines: true,
-        ..Setup::default()
+        ..FleetConfig::default()
     })?;
     let from = Instant::now() + Duration::from_millis(3500);
-    let addresses: Vec<_> = fleet.seats.iter().map(|seat| seat.address).collect();
-    let manners = Manners {
-        patience: Duration::from_millis(2500),
+    let addresses: Vec<_> = fleet.gateways.iter().map(|seat| seat.address).collect();
+    let manners = ClientConfig {
+        answer_timeout: Duration::from_millis(2500),
         seed,
     };
     let asks = traffic(span, uneven, seed);
     let theirs = asks.clone();
-    let playing = thread::spawn(move || clients::play(&theirs, &addresses, manners, from));
-    fleet.play(plan, from);
+    let playing = thread::spawn(move || clients::run_clients(&theirs, &addresses, manners, from));
+    fleet.inject_faults(plan, from);
     let stories = playing
         .join()
         .map_err(|_| "the clients' thread failed".to_owned())?;
-    fleet.finish();
-    let said = fleet.said.all();
-    let verdict = judge(&asks, &stories, &said, &fleet.done, &fleet.crashes);
+    fleet.shut_down();
+    let said = fleet.engine_events.all();
+    let verdict = judge(
+        &asks,
+        &stories,
+        &said,
+        &fleet.injected_faults,
+        &fleet.crashes,
+    );
     Ok(Run {
         verdict,
         drained_ms: drained(&fleet, &said),
@@ -87,19 +95,23 @@
 }
 
 /// The latest start at an engine after its drain was told, in milliseconds; 0: none.
-fn drained(fleet: &Fleet, said: &[Said]) -> f64 {
+fn drained(fleet: &Fleet, said: &[EngineEvent]) -> f64 {
     let mut latest = 0;
-    for done in &fleet.done {
-        let What::EngineDrains { engine, span } = done.fault.what else {
+    for done in &fleet.injected_faults {
+        let FaultKind::DrainEngine {
+            engine,
+            duration_ms,
+        } = done.fault.kind
+        else {
             continue;
         };
-        let until = done.at + span * 1000;
+        let until = done.at_us + duration_ms * 1000;
         let starts = said
             .iter()
-            .filter(|s| s.engine == engine && s.what == "start");
+            .filter(|s| s.engine == engine && s.kind == "start");
         let after = starts
-            .filter(|s| s.at > done.at && s.at < until)
-            .map(|s| s.at - done.at);
+            .filter(|s| s.at_us > done.at_us && s.at_us < until)
+            .map(|s| s.at_us - done.at_us);
         latest = latest.max(after.max().unwrap_or(0));
     }
     latest as f64 / 1000.0
@@ -112,19 +124,19 @@
         "{GATEWAYS} gateways, {ENGINES} engines as processes, {} s, {seeds} seeds",
         span / 1000
     );
-    let field = Field {
+    let field = FaultPlanParams {
         gateways: GATEWAYS,
         zones: 3,
         engines: ENGINES,
-        span,
-        gap: 1500,
-        losses_only: false,
+        duration_ms: span,
+        mean_gap_ms: 1500,
+        has_only_losses: false,
     };
     let (mut least, mut gains, mut drained_ms, mut broken, mut crashes) =
         (f64::MAX, 0.0, 0.0f64, 0, 0);
     let mut drains = 0;
     for seed in seed..seed + seeds {
-        let plan = Plan::draw(field, seed);
+        let plan = FaultPlan::draw(field, seed);
         let runs = thread::scope(|scope| {
             let with = scope.spawn(|| run(&plan, span, true, true, seed));
             let without = scope.spawn(|| run(&plan, span, true, false, seed));
@@ -155,7 +167,7 @@
         drains += plan
             .faults
             .iter()
-            .filter(|f| matches!(f.what, What::EngineDrains { .. }))
+            .filter(|f| matches!(f.kind, FaultKind::DrainEngine { .. }))
             .count();
         least = least.min(a - b);
         gains += a - b;
