--- a/crates/ivypitch-testbed/tests/ownership.rs
+++ b/crates/ivypitch-testbed/tests/ownership.rs
@@ -1,12 +1,13 @@
-//! Ownership of statements in virtual time over fault plans; a plan that breaks a promise is printed, cut down.
+//! Ownership of statements in virtual time under fault plans. A plan that violates a guarantee is
+//! reduced and printed.
 
 use ivypitch_testbed::virtual_time::faults::FaultPlan;
 use ivypitch_testbed::virtual_time::ownership_fleet::{Fleet, draw_faults, run};
 use test_case::test_case;
 
 #[test_case(false; "all faults")]
-#[test_case(true; "losses of gateways")]
-fn over_fault_plans_no_load_runs_twice_and_every_client_is_answered(losses_only: bool) {
+#[test_case(true; "gateway losses only")]
+fn under_fault_plans_no_load_runs_twice_and_every_client_is_answered(has_only_losses: bool) {
     let fleet = Fleet {
         duration_ms: 6000,
         ..Fleet::default()
@@ -14,11 +15,11 @@
     let mut in_flight = 0;
     let mut completed = 0;
     for seed in 0..12 {
-        let plan = draw_faults(&fleet, seed, losses_only);
+        let plan = draw_faults(&fleet, seed, has_only_losses);
         let verdict = run(&fleet, &plan, seed);
         if !verdict.holds() {
-            let least = plan.minimize(30, |plan| !run(&fleet, plan, seed).holds());
-            panic!("seed {seed}: {verdict:?}\nthe least plan that fails:\n{least}");
+            let minimal = plan.minimize(30, |plan| !run(&fleet, plan, seed).holds());
+            panic!("seed {seed}: {verdict:?}\nminimal plan that fails:\n{minimal}");
         }
         in_flight += verdict.in_flight_at_loss;
         completed += verdict.completed_after_loss;
@@ -56,7 +57,7 @@
             completed + verdict.completed_after_loss,
         )
     });
-    // Some clients come back in time by chance, to the gateway that had it.
+    // Some clients retry in time, by chance at the gateway that had the statement.
     assert!(
         twice > 20 && completed * 20 < twice,
         "{twice} dispatched twice, {completed} completed after a loss"
@@ -64,11 +65,11 @@
 }
 
 #[test]
-fn a_plan_is_read_back_as_it_was_printed_and_bad_lines_are_reported() {
+fn a_printed_plan_parses_back_and_bad_lines_are_reported() {
     let plan = draw_faults(&Fleet::default(), 5, false);
     assert_eq!(plan.to_string().parse::<FaultPlan>().unwrap(), plan);
-    let fault = "at=5 kill gateway=1".parse::<FaultPlan>().unwrap_err();
-    assert!(fault.contains("back=NUMBER is missing"), "{fault}");
+    let error = "at=5 kill gateway=1".parse::<FaultPlan>().unwrap_err();
+    assert!(error.contains("back=NUMBER is missing"), "{error}");
     assert!(
         "at=5 explode"
             .parse::<FaultPlan>()
