--- a/crates/ivypitch-testbed/src/test_servers.rs
+++ b/crates/ivypitch-testbed/src/test_servers.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for everything that a gateway talks to, and the gateway itself as a process. They wait on
+//! Fake engines, discovery servers and clients for tests, and the gateway itself as a process. Tests wait for
 //! conditions, never for a fixed time.
 
 use std::collections::{BTreeMap, VecDeque};
@@ -14,10 +14,10 @@
 
 use crate::log_lines;
 
-/// Far longer than anything takes on a busy machine; a test that waits so long has failed.
+/// Time after which a wait fails the test; far longer than any step takes on a busy machine.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Things that happened, in order, for others to wait for.
+/// Events in order of arrival; other threads can wait for an event.
 pub struct EventLog<T>(Arc<(Mutex<Vec<T>>, Condvar)>);
 
 impl<T> Clone for EventLog<T> {
@@ -36,52 +36,54 @@
     pub fn new() -> Self {
         EventLog::default()
     }
-    /// Also after a wait that failed: else the failed test's fleet could not be ended, and its processes would stay.
+    /// Ignores poisoning by a wait that failed: the failed test's fleet has to be shut down, or its processes would
+    /// remain.
     fn lock(&self) -> MutexGuard<'_, Vec<T>> {
         self.0
             .0
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
-    pub fn push(&self, what: T) {
-        self.lock().push(what);
+    pub fn push(&self, event: T) {
+        self.lock().push(event);
         self.0.1.notify_all();
     }
     pub fn all(&self) -> Vec<T> {
         self.lock().clone()
     }
-    /// The first that fits, waited for.
-    pub fn wait(&self, what: &str, fits: impl Fn(&T) -> bool) -> T {
-        self.wait_for_nth(what, 1, fits)
+    /// Waits for the first event that matches; `description` names it in the panic message.
+    pub fn wait(&self, description: &str, matches: impl Fn(&T) -> bool) -> T {
+        self.wait_for_nth(description, 1, matches)
     }
-    /// The last of so many that fit.
-    pub fn wait_for_nth(&self, what: &str, count: usize, fits: impl Fn(&T) -> bool) -> T {
-        let until = Instant::now() + WAIT_TIMEOUT;
-        let mut seen = self.lock();
+    /// Waits until `count` events match and returns the last of them.
+    pub fn wait_for_nth(&self, description: &str, count: usize, matches: impl Fn(&T) -> bool) -> T {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
+        let mut events = self.lock();
         loop {
-            if let Some(found) = seen.iter().filter(|t| fits(t)).nth(count - 1) {
+            if let Some(found) = events.iter().filter(|event| matches(event)).nth(count - 1) {
                 return found.clone();
             }
-            let left = until
+            let remaining = deadline
                 .checked_duration_since(Instant::now())
-                .unwrap_or_else(|| panic!("no {what}"));
-            seen = self
+                .unwrap_or_else(|| panic!("no {description}"));
+            events = self
                 .0
                 .1
-                .wait_timeout(seen, left)
+                .wait_timeout(events, remaining)
                 .unwrap_or_else(|poisoned| poisoned.into_inner())
                 .0;
         }
     }
 }
 
+/// A gateway's HTTP request to an engine.
 #[derive(Clone, Debug)]
 pub struct Call {
     pub method: String,
     pub path: String,
     pub head: String,
     pub body: String,
-    /// Which of the engine's connections it came on.
+    /// Number of the engine's connection that the request arrived on.
     pub connection: usize,
 }
 
@@ -100,15 +102,16 @@
     }
 }
 
+/// Reaction of a fake engine to a call.
 pub enum Reply {
     Response(String),
-    /// Nothing, the connection stays open.
+    /// Sends nothing and keeps the connection open.
     NoResponse,
-    /// The connection is closed with no answer.
+    /// Closes the connection without a response.
     Close,
 }
 
-/// An answer of an engine.
+/// HTTP response of an engine.
 pub fn response(status: u16, headers: &str, body: &str) -> Reply {
     Reply::Response(format!(
         "HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n{body}",
@@ -116,7 +119,7 @@
     ))
 }
 
-/// A good end with one page.
+/// Response of a query that has completed with one page.
 pub fn success_response(body: &str) -> Reply {
     response(
         200,
@@ -125,20 +128,21 @@
     )
 }
 
+/// HTTP server with the protocol of an engine; a closure chooses its responses.
 pub struct FakeEngine {
     pub address: SocketAddr,
     pub calls: EventLog<Call>,
-    /// Its connections, as they end.
+    /// Numbers of its connections, in the order in which they closed.
     pub closed_connections: EventLog<usize>,
 }
 
 impl FakeEngine {
-    /// Answers each call as `reply` says; it is also told how many calls came before.
+    /// Answers each call with the result of `reply`, whose second argument is the number of earlier calls.
     pub fn start(reply: impl Fn(&Call, usize) -> Reply + Send + Sync + 'static) -> FakeEngine {
         FakeEngine::on_listener(TcpListener::bind("127.0.0.1:0").unwrap(), reply)
     }
 
-    /// The same behind a listener that is there already.
+    /// As `start`, on an existing listener.
     pub fn on_listener(
         listener: TcpListener,
         reply: impl Fn(&Call, usize) -> Reply + Send + Sync + 'static,
@@ -181,6 +185,7 @@
         engine
     }
 
+    /// Completes each statement at once.
     pub fn completing() -> FakeEngine {
         FakeEngine::start(|call, _| {
             if call.has_method("DELETE") {
@@ -191,17 +196,19 @@
         })
     }
 
-    /// Takes the statement and never ends it.
+    /// Accepts each statement and never completes it.
     pub fn never_completing() -> FakeEngine {
         FakeEngine::start(|call, _| {
             response(if call.has_method("DELETE") { 204 } else { 202 }, "", "")
         })
     }
 
+    /// This engine's row of the endpoint list.
     pub fn row(&self, id: &str, state: &str) -> String {
         row_at(self.address, id, state, 0)
     }
 
+    /// Number of start calls so far.
     pub fn start_count(&self) -> usize {
         self.calls
             .all()
@@ -211,27 +218,28 @@
     }
 }
 
-const NO_NEWS: Duration = Duration::from_millis(20);
+/// Delay of a response that reports no progress.
+const NO_PROGRESS_DELAY: Duration = Duration::from_millis(20);
 
-/// An engine whose queries end when the test says so. It has an address for each gateway, so that it knows who calls.
-/// Ids from 1 << 32 on end at once.
+/// An engine whose queries complete when the test asks for it. It listens on one address per gateway, which identifies
+/// the caller. Queries with ids from 1 << 32 on complete at once.
 pub struct ControlledEngine {
     pub addresses: Vec<SocketAddr>,
-    /// Who called, and what.
+    /// The calling gateway and its call.
     pub calls: EventLog<(usize, Call)>,
     shared: Arc<Mutex<ControlledQueries>>,
 }
 
 #[derive(Default)]
 struct ControlledQueries {
-    /// By id: the pages of its end, where it has ended.
-    known: BTreeMap<u64, Option<Vec<String>>>,
-    mute_starts: bool,
-    /// Answers to starts wait for this.
+    /// By query id: the result pages, once the query has completed.
+    queries: BTreeMap<u64, Option<Vec<String>>>,
+    leaves_starts_unanswered: bool,
+    /// Responses to starts wait for the first event of this log.
     starts_released: Option<EventLog<()>>,
-    mute_pages: bool,
-    close_polls: bool,
-    fail_starts: bool,
+    leaves_later_pages_unanswered: bool,
+    closes_polls: bool,
+    fails_starts: bool,
 }
 
 impl ControlledQueries {
@@ -244,19 +252,19 @@
             .to_owned();
         let number = u64::from_str_radix(&id, 16).unwrap_or(0);
         if call.has_method("DELETE") {
-            self.known.remove(&number);
+            self.queries.remove(&number);
             return response(204, "", "");
         }
-        if call.has_method("POST") && self.fail_starts {
+        if call.has_method("POST") && self.fails_starts {
             return response(500, "", "");
         }
-        if call.has_method("GET") && self.close_polls {
+        if call.has_method("GET") && self.closes_polls {
             return Reply::Close;
         }
         if call.has_method("POST") {
-            let auto = (number >= 1 << 32).then(|| vec![format!("{id}\tb\tc\n")]);
-            self.known.entry(number).or_insert(auto);
-            if self.mute_starts {
+            let completed = (number >= 1 << 32).then(|| vec![format!("{id}\tb\tc\n")]);
+            self.queries.entry(number).or_insert(completed);
+            if self.leaves_starts_unanswered {
                 return Reply::NoResponse;
             }
         }
@@ -264,10 +272,10 @@
             .get(3)
             .and_then(|page| page.parse::<usize>().ok())
             .unwrap_or(0);
-        match self.known.get(&number) {
+        match self.queries.get(&number) {
             None => response(500, "", ""),
             Some(None) => response(202, "", ""),
-            Some(Some(_)) if page > 0 && self.mute_pages => Reply::NoResponse,
+            Some(Some(_)) if page > 0 && self.leaves_later_pages_unanswered => Reply::NoResponse,
             Some(Some(pages)) => {
                 let count = pages.len();
                 let head = format!(
@@ -285,7 +293,7 @@
     pub fn start(gateways: usize) -> ControlledEngine {
         let shared: Arc<Mutex<ControlledQueries>> = Arc::default();
         let calls = EventLog::new();
-        let one = |gateway: usize| {
+        let start_for = |gateway: usize| {
             let (shared, calls) = (shared.clone(), calls.clone());
             let engine = FakeEngine::start(move |call, _| {
                 let (reply, released) = {
@@ -297,51 +305,52 @@
                     released.wait("release of the answers to starts", |_| true);
                 }
                 if matches!(&reply, Reply::Response(text) if text.contains(" 202 ")) {
-                    // An engine holds back that there is no news.
-                    thread::sleep(NO_NEWS);
+                    // Long poll: an engine delays a response that reports no progress.
+                    thread::sleep(NO_PROGRESS_DELAY);
                 }
                 reply
             });
             engine.address
         };
         ControlledEngine {
-            addresses: (0..gateways).map(one).collect(),
+            addresses: (0..gateways).map(start_for).collect(),
             calls,
             shared,
         }
     }
 
+    /// Completes the query with one page.
     pub fn complete(&self, req: u64) {
         self.complete_with_pages(req, vec![format!("{req:016x}\tb\tc\n")]);
     }
 
     pub fn complete_with_pages(&self, req: u64, pages: Vec<String>) {
-        self.shared.lock().unwrap().known.insert(req, Some(pages));
+        self.shared.lock().unwrap().queries.insert(req, Some(pages));
     }
 
-    /// Starts are taken and not answered.
-    pub fn set_starts_unanswered(&self, is: bool) {
-        self.shared.lock().unwrap().mute_starts = is;
+    /// While enabled, starts take effect and get no response.
+    pub fn set_starts_unanswered(&self, is_enabled: bool) {
+        self.shared.lock().unwrap().leaves_starts_unanswered = is_enabled;
     }
 
-    /// Starts are taken, and answered once the returned is pushed to.
+    /// Starts take effect at once; their responses wait until an event is pushed to the returned log.
     pub fn delay_start_responses(&self) -> EventLog<()> {
         let released = EventLog::new();
         self.shared.lock().unwrap().starts_released = Some(released.clone());
         released
     }
 
-    /// Starts end in an error.
-    pub fn set_starts_failing(&self, is: bool) {
-        self.shared.lock().unwrap().fail_starts = is;
+    /// While enabled, starts get an error response.
+    pub fn set_starts_failing(&self, is_enabled: bool) {
+        self.shared.lock().unwrap().fails_starts = is_enabled;
     }
 
-    /// Connections close at every question.
-    pub fn set_polls_closing(&self, is: bool) {
-        self.shared.lock().unwrap().close_polls = is;
+    /// While enabled, each poll closes its connection.
+    pub fn set_polls_closing(&self, is_enabled: bool) {
+        self.shared.lock().unwrap().closes_polls = is_enabled;
     }
 
-    /// Starts that came through this gateway's address.
+    /// Number of starts at this gateway's address.
     pub fn start_count_by_gateway(&self, gateway: usize) -> usize {
         self.calls
             .all()
@@ -350,16 +359,17 @@
             .count()
     }
 
-    /// Pages but the first are not answered.
-    pub fn set_later_pages_unanswered(&self, is: bool) {
-        self.shared.lock().unwrap().mute_pages = is;
+    /// While enabled, requests for pages after the first get no response.
+    pub fn set_later_pages_unanswered(&self, is_enabled: bool) {
+        self.shared.lock().unwrap().leaves_later_pages_unanswered = is_enabled;
     }
 
-    /// Its process begins anew.
+    /// Forgets all queries, as a restart of the engine process does.
     pub fn forget_queries(&self) {
-        self.shared.lock().unwrap().known.clear();
+        self.shared.lock().unwrap().queries.clear();
     }
 
+    /// Number of starts of this statement.
     pub fn start_count(&self, req: u64) -> usize {
         let id = format!("{req:016x}");
         self.calls
@@ -369,6 +379,7 @@
             .count()
     }
 
+    /// Waits for the start of this statement and returns the gateway that sent it.
     pub fn wait_for_start(&self, req: u64) -> usize {
         let id = format!("{req:016x}");
         self.calls
@@ -378,12 +389,12 @@
             .0
     }
 
-    /// A question for this page by a gateway that is none of these.
-    pub fn wait_for_poll(&self, req: u64, page: usize, not: &[usize]) -> usize {
+    /// Waits for a poll of this page by a gateway that is not among `excluded`, and returns that gateway.
+    pub fn wait_for_poll(&self, req: u64, page: usize, excluded: &[usize]) -> usize {
         let path = format!("/c/{req:016x}/{page}");
         self.calls
-            .wait("question", |(by, c)| {
-                c.has_method("GET") && c.path == path && !not.contains(by)
+            .wait("poll", |(by, c)| {
+                c.has_method("GET") && c.path == path && !excluded.contains(by)
             })
             .0
     }
@@ -414,8 +425,8 @@
     Some(call)
 }
 
-/// An address that refuses connections for as long as the socket is held: bound and never listened on, so that no
-/// other listener can come by it.
+/// An address that refuses connections as long as the returned socket is open: the socket is bound and never listens,
+/// so that no other listener can get the port.
 pub fn refusing_address() -> (OwnedFd, SocketAddr) {
     use rustix::net::{AddressFamily, SocketType, bind, getsockname, socket};
     let held = socket(AddressFamily::INET, SocketType::STREAM, None).unwrap();
@@ -424,7 +435,7 @@
     (held, address)
 }
 
-/// A way to an engine whose dials do not come up until it is opened: its queue of connections is full.
+/// A listener with a full backlog: connections to it are not established until it is unblocked.
 pub struct BlockedListener {
     pub address: SocketAddr,
     listener: TcpListener,
@@ -446,22 +457,24 @@
         }
     }
 
-    /// Waits until somebody dials it.
+    /// Waits until a connection attempt is pending.
     pub fn wait_for_connection_attempt(&self) {
-        wait_until("a dial", || dials(self.address, "02"));
+        wait_until("connection attempt", || has_connection(self.address, "02"));
     }
 
-    /// Dials come up from now on, as they are tried again. Returns once the one has that waits.
+    /// Lets connections be established when their SYN is sent again. Returns once the pending attempt has succeeded.
     pub fn unblock(self) -> TcpListener {
         drop(self.filler);
         self.listener.accept().unwrap();
-        wait_until("the dial that waited", || !dials(self.address, "02"));
+        wait_until("connection of the pending attempt", || {
+            !has_connection(self.address, "02")
+        });
         self.listener
     }
 }
 
-/// A connection to this address is in this state, as the system counts them.
-fn dials(address: SocketAddr, state: &str) -> bool {
+/// Whether `/proc/net/tcp` has a connection to this address in this state.
+fn has_connection(address: SocketAddr, state: &str) -> bool {
     let to = format!(
         "{:08X}:{:04X}",
         u32::from_le_bytes([127, 0, 0, 1]),
@@ -474,7 +487,7 @@
     })
 }
 
-/// Waits until the other side has read all that was sent on this connection.
+/// Waits until the peer has read all bytes sent on this connection.
 pub fn wait_until_read(stream: &TcpStream) {
     let (from, to) = (stream.peer_addr().unwrap(), stream.local_addr().unwrap());
     let ends = format!(
@@ -491,78 +504,79 @@
     });
 }
 
-/// Waits for a condition that nobody tells of.
-pub fn wait_until(what: &str, holds: impl Fn() -> bool) {
-    let end = Instant::now() + WAIT_TIMEOUT;
+/// Polls until a condition holds; `description` names it in the panic message.
+pub fn wait_until(description: &str, holds: impl Fn() -> bool) {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < end, "no {what}");
+        assert!(Instant::now() < deadline, "no {description}");
         thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// The journal service: each connection's first line is kept, and gets the next of the scripts; then a line
-/// with the last number each tenth of a second, until it is told to close.
+/// A discovery server that records the first line of each connection and answers it with the next script, then with
+/// the events of the test.
 pub struct FakeDiscoveryServer {
     pub address: SocketAddr,
     pub watch_requests: EventLog<String>,
     scripts: Arc<Mutex<VecDeque<String>>>,
-    sent: Arc<Mutex<Told>>,
+    sent: Arc<Mutex<SentLines>>,
 }
 
-/// What each connection is told, and the one that is there.
+/// Lines sent to each connection, and the current connection.
 #[derive(Default)]
-struct Told {
+struct SentLines {
     lines: String,
     stream: Option<TcpStream>,
 }
 
 impl FakeDiscoveryServer {
-    /// `scripts`: what one connection after the other is told; a script that ends in `!` closes it.
+    /// `scripts`: lines for the first connection, the second and so on; a script that ends in `!` closes the connection.
     pub fn start(scripts: &[String]) -> FakeDiscoveryServer {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let journal = FakeDiscoveryServer {
+        let server = FakeDiscoveryServer {
             address,
             watch_requests: EventLog::new(),
             scripts: Arc::new(Mutex::new(scripts.iter().cloned().collect())),
             sent: Arc::default(),
         };
-        let (tails, scripts) = (journal.watch_requests.clone(), journal.scripts.clone());
-        let told = journal.sent.clone();
+        let (watch_requests, scripts) = (server.watch_requests.clone(), server.scripts.clone());
+        let sent = server.sent.clone();
         thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
                 let mut line = String::new();
                 let _ = BufReader::new(stream.try_clone().unwrap()).read_line(&mut line);
-                tails.push(line);
+                watch_requests.push(line);
                 let script = scripts.lock().unwrap().pop_front().unwrap_or_default();
                 let _ = stream.write_all(script.trim_end_matches('!').as_bytes());
                 if !script.ends_with('!') {
-                    // Held open, and silent but for what the test tells.
-                    let mut told = told.lock().unwrap();
-                    let _ = stream.write_all(told.lines.as_bytes());
-                    told.stream = stream.try_clone().ok();
+                    // Stays open; only the test sends further lines.
+                    let mut sent = sent.lock().unwrap();
+                    let _ = stream.write_all(sent.lines.as_bytes());
+                    sent.stream = stream.try_clone().ok();
                     thread::spawn(move || stream.read(&mut [0]));
                 }
             }
         });
-        journal
+        server
     }
 
-    /// Tells nothing but what the test does.
+    /// Sends only what the test passes to `send`.
     pub fn without_script() -> FakeDiscoveryServer {
         FakeDiscoveryServer::start(&[])
     }
 
-    /// On the connection that is there, and on each that follows.
+    /// Sends a line on the current connection and on each later one.
     pub fn send(&self, line: &str) {
-        let mut told = self.sent.lock().unwrap();
-        told.lines += line;
-        if let Some(stream) = &mut told.stream {
+        let mut sent = self.sent.lock().unwrap();
+        sent.lines += line;
+        if let Some(stream) = &mut sent.stream {
             let _ = stream.write_all(line.as_bytes());
         }
     }
 }
 
+/// One event of the discovery service as a line of JSON.
 pub fn endpoint_event(pos: u64, full: bool, rows: &[String]) -> String {
     format!(
         "{{\"pos\":{pos},\"hosts\":{{\"version\":{pos},\"full\":{full},\"servers\":[{}]}}}}\n",
@@ -570,6 +584,7 @@
     )
 }
 
+/// Platform settings of the gateways under test.
 pub const SETTINGS: &str = r#"{"balancers":1,"tick-ns":1000000,"zones":["z"],"host-types":["std"],
  "categories":[
   {"name":"lookup","goal-time-ns":300000000,"give-up-ns":20000000000,"effect":"safe","key-scope":"all","worth":1},
@@ -582,38 +597,40 @@
  "permissions":{"connect-timeout-ns":250000000,"idle-close-ns":30000000000,"max-attempts":4,"may-cancel":true,
   "most-held":20000,"retry-after":true,"max-retry-after-ns":2000000000}}"#;
 
-/// A row of the list for an engine at any address.
+/// Row of the endpoint list for an engine at this address.
 pub fn row_at(address: SocketAddr, id: &str, state: &str, started_ms: u64) -> String {
     format!(
         r#"{{"id":"{id}","addr":"{address}","zone":"z","kind":"std","cell":0,"state":"{state}","weight":1,"started_ms":{started_ms}}}"#
     )
 }
 
+/// A gateway process; killed when dropped.
 pub struct Gateway {
     child: Child,
-    path: PathBuf,
+    config_path: PathBuf,
     config: String,
     pub address: SocketAddr,
     pub log: EventLog<String>,
 }
 
 impl Gateway {
-    /// Starts the program with the list `rows` known to it, and waits until it serves.
+    /// Starts a gateway whose configuration has the endpoint list `rows`, and waits until it serves.
     pub fn start(rows: &[String]) -> Gateway {
         Gateway::start_with("127.0.0.1:0", rows, None, 1024)
     }
 
+    /// As `start`, with a listen address, a discovery server and a limit of open sockets.
     pub fn start_with(
         listen: &str,
         rows: &[String],
-        journal: Option<&FakeDiscoveryServer>,
+        discovery: Option<&FakeDiscoveryServer>,
         sockets: usize,
     ) -> Gateway {
-        Gateway::spawn(configuration(listen, rows, journal, sockets), None)
+        Gateway::spawn(configuration(listen, rows, discovery, sockets), None)
     }
 
     fn spawn(config: String, own: Option<(&str, &str)>) -> Gateway {
-        let (mut child, log, path) = spawn_own(&config, own);
+        let (mut child, log, config_path) = spawn_with_settings_file(&config, own);
         let line = log.wait("line of the start", |l| {
             l.contains("gateway started") || l.contains("ERROR")
         });
@@ -624,14 +641,14 @@
         });
         Gateway {
             child,
-            path,
+            config_path,
             config,
             address,
             log,
         }
     }
 
-    /// Before these engines, with a configuration changed by `change` and own settings as JSON.
+    /// Starts a gateway for these engines, with a configuration changed by `change` and operator settings as JSON.
     pub fn start_with_own_settings(
         rows: &[String],
         change: impl Fn(String) -> String,
@@ -641,12 +658,12 @@
         Gateway::spawn(config, own.map(|own| ("json", own)))
     }
 
-    /// The same as a fleet's member or with a journal: the whole configuration is the test's.
+    /// Starts a gateway with a complete configuration of the test.
     pub fn start_with_config(config: String) -> Gateway {
         Gateway::spawn(config, None)
     }
 
-    /// Stops the process as it stands: what happens meanwhile it meets all at once.
+    /// Runs `meanwhile` while the process is stopped; the process then finds all events of that time at once.
     pub fn while_stopped<T>(&self, meanwhile: impl FnOnce() -> T) -> T {
         self.signal("STOP");
         wait_until("the stop", || {
@@ -660,20 +677,20 @@
         result
     }
 
-    /// The same with a file of this ending.
+    /// As `start_with_own_settings`, with a settings file of this extension.
     pub fn start_with_own_settings_file(
         rows: &[String],
         change: impl Fn(String) -> String,
-        ending: &str,
+        extension: &str,
         own: &str,
     ) -> Gateway {
         let config = change(configuration("127.0.0.1:0", rows, None, 1024));
-        Gateway::spawn(config, Some((ending, own)))
+        Gateway::spawn(config, Some((extension, own)))
     }
 
-    /// Replaces the file of its own settings.
+    /// Replaces the operator's settings file.
     pub fn write_own_settings(&self, own: &str) {
-        std::fs::write(self.path.with_extension("own.json"), own).unwrap();
+        std::fs::write(self.config_path.with_extension("own.json"), own).unwrap();
     }
 
     pub fn terminate(&self) {
@@ -691,15 +708,19 @@
         );
     }
 
-    /// Replaces the file of its configuration.
+    /// Replaces the configuration file.
     pub fn write_config(&self, config: &str) {
-        std::fs::write(&self.path, config).unwrap();
+        std::fs::write(&self.config_path, config).unwrap();
     }
 
-    pub fn write_discovery_address(&self, journal: &FakeDiscoveryServer) {
+    /// Replaces the configuration file by one with the address of this discovery server.
+    pub fn write_discovery_address(&self, discovery: &FakeDiscoveryServer) {
         let (head, rest) = self.config.split_once("\"journal\":\"").unwrap();
         let tail = rest.split_once('"').unwrap().1;
-        self.write_config(&format!("{head}\"journal\":\"{}\"{tail}", journal.address));
+        self.write_config(&format!(
+            "{head}\"journal\":\"{}\"{tail}",
+            discovery.address
+        ));
     }
 
     pub fn kill(&mut self) {
@@ -718,46 +739,52 @@
     }
 }
 
-/// The configuration of a gateway before the engines of these rows.
+/// Configuration of a gateway for the engines of these rows.
 pub fn configuration(
     listen: &str,
     rows: &[String],
-    journal: Option<&FakeDiscoveryServer>,
+    discovery: Option<&FakeDiscoveryServer>,
     sockets: usize,
 ) -> String {
-    let journal = journal.map_or(String::new(), |j| j.address.to_string());
+    let discovery_address =
+        discovery.map_or(String::new(), |discovery| discovery.address.to_string());
     let entry = endpoint_event(1, true, rows);
     format!(
         r#"{{"name":"n0","listen":"{listen}","seed":"8c1f30d27a5be964","limits":{{"sockets":{sockets}}},
-         "journal":"{journal}","known":{{"pos":1,"entries":[{entry}]}},"settings":{SETTINGS}}}"#
+         "journal":"{discovery_address}","known":{{"pos":1,"entries":[{entry}]}},"settings":{SETTINGS}}}"#
     )
 }
 
-/// The command `ivypitch` that was built beside this test or is this program.
+/// Path of the `ivypitch` binary: next to this test's folder, or the current executable.
 pub fn ivypitch_program() -> PathBuf {
-    let this = std::env::current_exe().unwrap();
-    let beside = this
+    let current = std::env::current_exe().unwrap();
+    let sibling = current
         .parent()
         .and_then(Path::parent)
         .map(|folder| folder.join("ivypitch"));
-    beside.filter(|program| program.is_file()).unwrap_or(this)
+    sibling
+        .filter(|program| program.is_file())
+        .unwrap_or(current)
 }
 
-/// The program with this configuration, its log, and where the configuration is.
+/// Starts a gateway process; returns it with its log and the path of its configuration file.
 pub fn spawn_gateway(config: &str) -> (Child, EventLog<String>, PathBuf) {
     spawn_gateway_with_settings(config, None)
 }
 
-/// The same with own settings, as JSON.
+/// As `spawn_gateway`, with operator settings as JSON.
 pub fn spawn_gateway_with_settings(
     config: &str,
     own: Option<&str>,
 ) -> (Child, EventLog<String>, PathBuf) {
-    spawn_own(config, own.map(|own| ("json", own)))
+    spawn_with_settings_file(config, own.map(|own| ("json", own)))
 }
 
-/// Own settings by the ending of their file and its text.
-fn spawn_own(config: &str, own: Option<(&str, &str)>) -> (Child, EventLog<String>, PathBuf) {
+/// `own`: extension and text of the operator's settings file.
+fn spawn_with_settings_file(
+    config: &str,
+    own: Option<(&str, &str)>,
+) -> (Child, EventLog<String>, PathBuf) {
     static NUMBER: AtomicUsize = AtomicUsize::new(0);
     let name = format!(
         "gateway-{}-{}.json",
@@ -768,26 +795,32 @@
     std::fs::write(&path, config).unwrap();
     let mut command = Command::new(ivypitch_program());
     command.arg("serve").env("PROXY_CONFIG", &path);
-    let own_path = path.with_extension(format!("own.{}", own.map_or("json", |(ending, _)| ending)));
+    let own_path = path.with_extension(format!(
+        "own.{}",
+        own.map_or("json", |(extension, _)| extension)
+    ));
     if let Some((_, own)) = own {
         std::fs::write(&own_path, own).unwrap();
         command.env("IVYPITCH_OWN", &own_path);
     }
     let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
     let log = EventLog::new();
-    let (lines, seen, file) = (
+    let (lines, events, file) = (
         BufReader::new(child.stderr.take().unwrap()).lines(),
         log.clone(),
         path.clone(),
     );
     thread::spawn(move || {
-        lines.map_while(Result::ok).for_each(|line| seen.push(line));
+        lines
+            .map_while(Result::ok)
+            .for_each(|line| events.push(line));
         let _ = std::fs::remove_file(file);
         let _ = std::fs::remove_file(own_path);
     });
     (child, log, path)
 }
 
+/// Answer of a gateway to one command of a client.
 #[derive(Debug, PartialEq)]
 pub enum Answer {
     Rows(Vec<Vec<String>>),
@@ -796,6 +829,7 @@
 }
 
 impl Answer {
+    /// Code of the error; 0 otherwise.
     pub fn error_code(&self) -> u16 {
         if let Answer::Error(code, _) = self {
             *code
@@ -805,11 +839,13 @@
     }
 }
 
+/// MySQL packet with this sequence number.
 pub fn packet(sequence: u8, payload: &[u8]) -> Vec<u8> {
     let length = (payload.len() as u32).to_le_bytes();
     [&[length[0], length[1], length[2], sequence], payload].concat()
 }
 
+/// Login packet of the MySQL protocol.
 pub fn login(user: &str) -> Vec<u8> {
     let flags: u32 = 1 << 3 | 1 << 9 | 1 << 15 | 1 << 19;
     let mut payload = [
@@ -824,23 +860,26 @@
     packet(1, &payload)
 }
 
+/// Query packet of the MySQL protocol.
 pub fn query(text: &str) -> Vec<u8> {
     packet(0, &[&[3], text.as_bytes()].concat())
 }
 
-/// A statement with its fields.
+/// Text of a statement with its comment of fields.
 pub fn statement(kind: &str, req: u64, timeout_ms: u64) -> String {
     format!(
         "/* kind={kind},req={req:016x},timeout={timeout_ms},owner=acme,ms=20.0,space=32 */ SELECT a FROM sales_17.orders"
     )
 }
 
+/// A blocking client of the MySQL protocol.
 pub struct Client {
     pub stream: TcpStream,
     pub connection: u32,
 }
 
 impl Client {
+    /// Connects and logs in.
     pub fn connect(gateway: &Gateway) -> Client {
         Client::connect_to(gateway.address)
     }
@@ -852,7 +891,7 @@
         client
     }
 
-    /// Connected, nothing written or read.
+    /// Connects without writing or reading.
     pub fn connect_without_login(gateway: &Gateway) -> Client {
         Client::connect_without_login_to(gateway.address)
     }
@@ -860,7 +899,7 @@
     fn connect_without_login_to(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).unwrap();
         stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
-        // Else the system holds small writes back, behind what was not acknowledged yet.
+        // Nagle's algorithm would delay small writes until earlier ones are acknowledged.
         stream.set_nodelay(true).unwrap();
         Client {
             stream,
@@ -885,12 +924,13 @@
         self.stream.write_all(bytes).unwrap();
     }
 
+    /// Sends a statement and reads its answer.
     pub fn execute(&mut self, text: &str) -> Answer {
         self.send(&query(text));
         self.read_answer(1)
     }
 
-    /// Logged in, where a gateway is there and takes it in.
+    /// Connects and logs in; `None` if no gateway accepts the client.
     pub fn try_connect(address: SocketAddr) -> Option<Client> {
         let stream = TcpStream::connect(address).ok()?;
         stream.set_read_timeout(Some(WAIT_TIMEOUT)).ok()?;
@@ -906,7 +946,7 @@
         (client.read_answer(2).error_code() == 0).then_some(client)
     }
 
-    /// Login and statement in one write, as clients may send them, and the answer to the statement.
+    /// Sends login and statement in one write, as clients may do, and reads the answer to the statement.
     pub fn login_and_execute(address: SocketAddr, text: &str) -> Answer {
         let mut client = Client::connect_without_login_to(address);
         client.send(&[login("app"), query(text)].concat());
@@ -914,7 +954,7 @@
         client.read_answer(1)
     }
 
-    /// `None`: its gateway has gone.
+    /// `None`: the connection is closed.
     pub fn try_execute(&mut self, text: &str) -> Option<Answer> {
         self.stream.write_all(&query(text)).ok()?;
         Some(self.read_answer(1))
@@ -933,9 +973,9 @@
         Some((head[3], payload))
     }
 
-    /// The answer to one command; its packets are numbered from `sequence`. OK reads as no rows.
+    /// Reads the answer to one command, whose packets are numbered from `sequence`. An OK packet is read as no rows.
     pub fn read_answer(&mut self, mut sequence: u8) -> Answer {
-        let (mut rows, mut ends) = (Vec::new(), 0);
+        let (mut rows, mut eof_count) = (Vec::new(), 0);
         loop {
             let Some((number, payload)) = self.read_packet() else {
                 return Answer::Closed;
@@ -947,20 +987,21 @@
                     let text = String::from_utf8_lossy(&payload[9..]).into_owned();
                     return Answer::Error(u16::from_le_bytes([payload[1], payload[2]]), text);
                 }
-                0 if rows.is_empty() && ends == 0 => return Answer::Rows(rows),
+                0 if rows.is_empty() && eof_count == 0 => return Answer::Rows(rows),
                 0xfe if payload.len() < 9 => {
-                    ends += 1;
-                    if ends == 2 {
+                    eof_count += 1;
+                    if eof_count == 2 {
                         return Answer::Rows(rows);
                     }
                 }
-                _ if ends == 1 => rows.push(columns(&payload)),
+                _ if eof_count == 1 => rows.push(columns(&payload)),
                 _ => {}
             }
         }
     }
 }
 
+/// Decodes the columns of a row.
 fn columns(mut row: &[u8]) -> Vec<String> {
     let mut columns = Vec::new();
     while let Some((&first, rest)) = row.split_first() {
