--- a/crates/ivypitch-testbed/src/processes/mod.rs
+++ b/crates/ivypitch-testbed/src/processes/mod.rs
@@ -1,6 +1,6 @@
-//! Fleets of real processes: gateways and emulated engines as children of this one, a journal service, and a relay on
-//! every way between them. Faults of processes and links follow a plan; what engines and clients counted is kept with
-//! its time. Only processes that were started here are signalled, by their id.
+//! Fleets of real processes: gateways and emulated engines as child processes, discovery servers, and a relay on every
+//! link between them. Faults of processes and links follow a plan; events of engines and injected faults are recorded
+//! with their time. Only processes that were started here are signalled, by their id.
 
 pub mod clients;
 pub mod discovery_server;
@@ -41,54 +41,57 @@
 use testbed_process::TestbedProcess;
 use usage::{EngineTraffic, GatewayTraffic, Sample, Usage};
 
-/// What a process said, with its microseconds.
+/// A line that an engine process printed, with its time in microseconds since the Unix epoch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineEvent {
     pub at_us: u64,
     pub engine: usize,
     pub kind: String,
     pub id: String,
-    /// The gateway at whose address it was said.
+    /// The gateway at whose address of the engine it happened.
     pub gateway: usize,
 }
 
-/// What was done to a process or a link.
+/// A fault that was injected into a process or a link, with its time in microseconds since the Unix epoch.
 #[derive(Clone, Copy, Debug)]
 pub struct InjectedFault {
     pub at_us: u64,
     pub fault: Fault,
 }
 
+/// Size, settings and engines of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetConfig {
     pub gateways: usize,
     pub zones: usize,
     pub engines: FleetEngines,
-    /// Longest statement timeout.
+    /// Statement timeout of all workloads.
     pub max_statement_timeout_ms: u64,
-    /// Own settings as JSON: what stands in `peers` beside the list; `None`: gateways without peers.
+    /// JSON fields of the operator's record `peers` besides the member list; `None`: gateways without peers.
     pub peer_settings: Option<String>,
-    /// Further records of the own file, each with a comma behind it.
+    /// Further records of the operator's settings file, each followed by a comma.
     pub own_settings: String,
     pub seed: u64,
-    /// Changes the settings of the deployment.
+    /// Changes the configuration of each gateway.
     pub change_config: fn(String) -> String,
-    /// Gateways reach the engines with no relay between, all by the address for the first: then what the journal says is
-    /// the same for all.
+    /// Gateways connect to the engines without a relay, all at the address for the first gateway, so that the endpoint
+    /// events are the same for all gateways.
     pub direct_engines: bool,
-    /// So many hollow gateways beside, at the places behind the real ones.
+    /// Number of simulated gateways; they follow the real ones in the member list.
     pub simulated_gateways: usize,
-    /// Hollow gateways say each event that they take, hollow engines each start.
+    /// Simulated gateways print each event that they accept, simulated engines each start.
     pub prints_simulated_events: bool,
 }
 
+/// Engines of a fleet.
 #[derive(Clone, Debug)]
 pub enum FleetEngines {
-    /// Emulated ones of so many cores.
+    /// Emulated engines with this number of cores, each in a process.
     Processes { count: usize, cores: f64 },
-    /// Hollow ones, at the same address for all gateways; `spare` more are there and not listed.
+    /// Simulated engines, each with one address for all gateways; `unlisted` more are started without an entry in the
+    /// endpoint list.
     Simulated { count: usize, unlisted: usize },
-    /// A test's own: the address of each for each gateway.
+    /// Engines that the test runs: for each engine its address for each gateway.
     External(Vec<Vec<SocketAddr>>),
 }
 
@@ -113,22 +116,22 @@
     }
 }
 
-/// A gateway's seat; its process comes and goes.
+/// Addresses, files and log of one gateway of the fleet; they outlast its process.
 pub struct GatewaySlot {
     pub address: SocketAddr,
     pub peer_address: SocketAddr,
     config_path: PathBuf,
-    /// The configuration, where it was written anew.
+    /// The last complete configuration; empty until the file has been rewritten.
     complete_config: String,
     own_settings_path: Option<PathBuf>,
-    /// Each engine as this gateway reaches it.
+    /// Address at which this gateway reaches each engine.
     engine_addresses: Vec<SocketAddr>,
-    /// Each gateway has a journal service of its own, since it reaches the engines by its own ways.
+    /// Each gateway has a discovery server of its own, since it reaches the engines at addresses of its own.
     discovery: DiscoveryServer,
-    /// Where this gateway reaches its journal service.
+    /// Address at which this gateway reaches its discovery server.
     discovery_address: SocketAddr,
     child: Option<Child>,
-    /// The lines of all its processes.
+    /// Log lines of all its processes so far.
     pub log: EventLog<String>,
     pub is_stopped: bool,
 }
@@ -139,23 +142,26 @@
     commands: Option<ChildStdin>,
 }
 
+/// A running fleet; its processes are killed when it is dropped.
 pub struct Fleet {
     pub config: FleetConfig,
     pub network: RelayNetwork,
     pub gateways: Vec<GatewaySlot>,
     engines: Vec<EngineSlot>,
-    /// Hollow gateways and engines, where there are any.
+    /// Process of the simulated gateways, if the fleet has any.
     pub simulated_gateways: Option<TestbedProcess>,
+    /// Process of the simulated engines, if the fleet has any.
     pub simulated_engines: Option<TestbedProcess>,
     simulated_gateways_discovery: Option<DiscoveryServer>,
-    /// Hollow engines that are not listed; their numbers follow those of the listed ones.
+    /// Simulated engines without an entry in the endpoint list; their numbers follow those of the listed ones.
     pub unlisted_engines: Vec<SocketAddr>,
     pub engine_events: EventLog<EngineEvent>,
     pub injected_faults: Vec<InjectedFault>,
-    /// Processes that ended without the plan, and lines of the log that no program may write.
+    /// Processes that ended outside the fault plan, and log lines of panics.
     pub crashes: Vec<String>,
 }
 
+/// Row of the endpoint list.
 pub fn row(id: &str, address: SocketAddr, zone: usize, state: &str) -> String {
     format!(
         r#"{{"id":"{id}","addr":"{address}","zone":"z{zone}","kind":"std","cell":0,"state":"{state}","weight":1,"started_ms":0}}"#
@@ -163,11 +169,11 @@
 }
 
 impl Fleet {
-    /// All processes started, and each gateway hears all others.
-    pub fn start(setup: FleetConfig) -> Result<Fleet, String> {
-        let net = RelayNetwork::start(setup.seed);
-        let told = |e: std::io::Error| e.to_string();
-        let count = match &setup.engines {
+    /// Starts all processes and waits until each gateway reaches all others.
+    pub fn start(config: FleetConfig) -> Result<Fleet, String> {
+        let net = RelayNetwork::start(config.seed);
+        let to_text = |e: std::io::Error| e.to_string();
+        let count = match &config.engines {
             FleetEngines::Processes { count, .. } | FleetEngines::Simulated { count, .. } => *count,
             FleetEngines::External(all) => all.len(),
         };
@@ -187,7 +193,7 @@
             engine_events: EventLog::new(),
             injected_faults: Vec::new(),
             crashes: Vec::new(),
-            config: setup,
+            config,
         };
         let gateways = fleet.config.gateways;
         for e in 0..count {
@@ -198,11 +204,8 @@
             };
             fleet.start_engine(e)?;
         }
-        if let FleetEngines::Simulated {
-            unlisted: spare, ..
-        } = fleet.config.engines
-        {
-            fleet.unlisted_engines = (0..spare).map(|_| free_port()).collect();
+        if let FleetEngines::Simulated { unlisted, .. } = fleet.config.engines {
+            fleet.unlisted_engines = (0..unlisted).map(|_| free_port()).collect();
             let listed = fleet
                 .engines
                 .iter()
@@ -210,81 +213,85 @@
             let listen = listed
                 .chain(fleet.unlisted_engines.iter().copied())
                 .collect();
-            let park = SimulatedEngines {
+            let engines = SimulatedEngines {
                 listen,
                 tells_starts: fleet.config.prints_simulated_events,
             };
-            let first = serde_json::to_string(&park).map_err(|e| e.to_string())?;
-            fleet.simulated_engines = Some(TestbedProcess::start("hollow-engines", &first)?);
+            let first_line = serde_json::to_string(&engines).map_err(|e| e.to_string())?;
+            fleet.simulated_engines = Some(TestbedProcess::start("hollow-engines", &first_line)?);
         }
-        let peers_at: Vec<SocketAddr> = (0..gateways + fleet.config.simulated_gateways)
+        let peer_addresses: Vec<SocketAddr> = (0..gateways + fleet.config.simulated_gateways)
             .map(|_| free_port())
             .collect();
-        for g in 0..gateways {
-            let seat = fleet.gateway_slot(g, &peers_at).map_err(told)?;
-            fleet.gateways.push(seat);
+        for gateway in 0..gateways {
+            let slot = fleet
+                .gateway_slot(gateway, &peer_addresses)
+                .map_err(to_text)?;
+            fleet.gateways.push(slot);
         }
-        (0..gateways).try_for_each(|g| fleet.start_gateway(g))?;
-        fleet.start_simulated_gateways(&peers_at)?;
+        (0..gateways).try_for_each(|gateway| fleet.start_gateway(gateway))?;
+        fleet.start_simulated_gateways(&peer_addresses)?;
         if fleet.config.peer_settings.is_some() {
             fleet.wait_until_joined()?;
         }
         Ok(fleet)
     }
 
-    /// Each gateway has heard each other.
+    /// Waits until each gateway has logged each other member as up.
     fn wait_until_joined(&self) -> Result<(), String> {
-        let until = Instant::now() + WAIT_TIMEOUT;
-        for (g, seat) in self.gateways.iter().enumerate() {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
+        for (gateway, slot) in self.gateways.iter().enumerate() {
             for other in (0..self.config.gateways + self.config.simulated_gateways)
-                .filter(|&other| other != g)
+                .filter(|&other| other != gateway)
             {
                 let name = format!("n{other}");
                 let is_up = |line: &String| is_event(line, "member is up", &[("member", &name)]);
-                while !seat.log.all().iter().any(is_up) {
-                    if Instant::now() > until {
-                        let log = seat.log.all().join("\n");
-                        return Err(format!("n{g} has not heard n{other}; its log:\n{log}"));
+                while !slot.log.all().iter().any(is_up) {
+                    if Instant::now() > deadline {
+                        let log = slot.log.all().join("\n");
+                        return Err(format!(
+                            "n{gateway} has not reported n{other} as up; its log:\n{log}"
+                        ));
                     }
                     thread::sleep(Duration::from_millis(5));
                 }
             }
         }
-        if let Some(crowd) = &self.simulated_gateways {
-            crowd
-                .lines
-                .wait_for_nth("hollow gateways", self.config.simulated_gateways, |line| {
-                    line.contains(" joined ")
-                });
+        if let Some(process) = &self.simulated_gateways {
+            process.lines.wait_for_nth(
+                "joins of the simulated gateways",
+                self.config.simulated_gateways,
+                |line| line.contains(" joined "),
+            );
         }
         Ok(())
     }
 
-    /// The list of the own file; `at`: where each of the places is reached.
+    /// The operator's settings of a gateway that reaches each member at the address `at`.
     fn own_settings_json(
         &self,
         at: impl Fn(usize) -> std::io::Result<SocketAddr>,
     ) -> std::io::Result<String> {
-        let mut list = Vec::new();
+        let mut members = Vec::new();
         for other in 0..self.config.gateways + self.config.simulated_gateways {
             let (at, zone) = (at(other)?, other % self.config.zones);
-            list.push(format!(
+            members.push(format!(
                 r#"{{"name":"n{other}","zone":"z{zone}","address":"{at}"}}"#
             ));
         }
-        let (own, list, peers) = (
+        let (own, members, peers) = (
             &self.config.own_settings,
-            list.join(","),
+            members.join(","),
             self.config.peer_settings.as_deref().unwrap_or(""),
         );
         Ok(format!(
-            r#"{{{own}"peers":{{"gateways":[{list}],{peers}}}}}"#
+            r#"{{{own}"peers":{{"gateways":[{members}],{peers}}}}}"#
         ))
     }
 
-    /// The hollow gateways follow one journal, and reach the real ones by a relay each.
-    fn start_simulated_gateways(&mut self, peers_at: &[SocketAddr]) -> Result<(), String> {
-        let told = |e: std::io::Error| e.to_string();
+    /// The simulated gateways share one discovery server; each reaches each real gateway through a relay of its own.
+    fn start_simulated_gateways(&mut self, peer_addresses: &[SocketAddr]) -> Result<(), String> {
+        let to_text = |e: std::io::Error| e.to_string();
         let (first, zones) = (self.config.gateways, self.config.zones);
         if self.config.simulated_gateways == 0 {
             return Ok(());
@@ -299,64 +306,65 @@
                 )
             })
             .collect();
-        let journal = DiscoveryServer::start(&rows).map_err(told)?;
-        let mut ways = Vec::new();
-        for hollow in first..first + self.config.simulated_gateways {
-            let way = |g: usize| {
+        let discovery = DiscoveryServer::start(&rows).map_err(to_text)?;
+        let mut routes = Vec::new();
+        for simulated in first..first + self.config.simulated_gateways {
+            let open_route = |gateway: usize| {
                 self.network.open(
-                    LinkEnd::Gateway(hollow),
-                    LinkEnd::Gateway(g),
-                    peers_at[g],
+                    LinkEnd::Gateway(simulated),
+                    LinkEnd::Gateway(gateway),
+                    peer_addresses[gateway],
                     true,
                 )
             };
-            ways.push(
+            routes.push(
                 (0..first)
-                    .map(way)
+                    .map(open_route)
                     .collect::<std::io::Result<Vec<_>>>()
-                    .map_err(told)?,
+                    .map_err(to_text)?,
             );
         }
-        let crowd = SimulatedGateways {
+        let simulated = SimulatedGateways {
             operator_settings: self
-                .own_settings_json(|place| Ok(peers_at[place]))
-                .map_err(told)?,
+                .own_settings_json(|member| Ok(peer_addresses[member]))
+                .map_err(to_text)?,
             first,
-            routes: ways,
-            discovery: journal.address,
+            routes,
+            discovery: discovery.address,
             tenants: vec!["acme".into()],
             max_statement_timeout_ms: self.config.max_statement_timeout_ms,
             seed: self.config.seed,
             prints_events: self.config.prints_simulated_events,
         };
-        let line = serde_json::to_string(&crowd).map_err(|e| e.to_string())?;
+        let line = serde_json::to_string(&simulated).map_err(|e| e.to_string())?;
         self.simulated_gateways = Some(TestbedProcess::start("hollow-gateways", &line)?);
-        self.simulated_gateways_discovery = Some(journal);
+        self.simulated_gateways_discovery = Some(discovery);
         Ok(())
     }
 
-    /// What is known of a real gateway now; `None`: it is not there, or shares nothing and so shows nothing.
-    pub fn sample(&mut self, g: usize) -> Option<Sample> {
-        let seat = &self.gateways[g];
-        let Answer::Rows(rows) = Client::try_connect(seat.address)?.try_execute("SHOW FLEET")?
+    /// Resource use and traffic of a real gateway now; `None` if it does not run, or answers `SHOW FLEET` without a view
+    /// because it has no coordination.
+    pub fn sample(&mut self, gateway: usize) -> Option<Sample> {
+        let slot = &self.gateways[gateway];
+        let Answer::Rows(rows) = Client::try_connect(slot.address)?.try_execute("SHOW FLEET")?
         else {
             return None;
         };
-        let own = GatewayTraffic::read(&serde_json::from_str(rows.first()?.first()?).ok()?)?;
-        let usage = Usage::of(seat.child.as_ref()?.id())?;
-        let relay = self.network.totals(LinkEnd::Gateway(g));
+        let traffic = GatewayTraffic::read(&serde_json::from_str(rows.first()?.first()?).ok()?)?;
+        let usage = Usage::of(slot.child.as_ref()?.id())?;
+        let relay = self.network.totals(LinkEnd::Gateway(gateway));
         let mut engines = EngineTraffic::default();
-        if let Some(park) = &mut self.simulated_engines {
+        if let Some(process) = &mut self.simulated_engines {
             let counts: Vec<simulated_engines::Counts> =
-                serde_json::from_str(&park.request("count", "counts ")).ok()?;
-            for counts in counts.iter().filter(|counts| counts.gateway == g) {
+                serde_json::from_str(&process.request("count", "counts ")).ok()?;
+            for counts in counts.iter().filter(|counts| counts.gateway == gateway) {
                 engines.starts += counts.starts;
                 engines.bytes_in += counts.bytes_in;
                 engines.bytes_out += counts.bytes_out;
                 engines.open += counts.open;
             }
         }
-        let lost = self.gateways[g]
+        let lost_members = self.gateways[gateway]
             .log
             .all()
             .iter()
@@ -364,44 +372,54 @@
             .count() as u64;
         Some(Sample {
             usage,
-            traffic: own,
+            traffic,
             relay,
             engines,
-            lost_members: lost,
+            lost_members,
         })
     }
 
-    fn gateway_slot(&self, g: usize, peers_at: &[SocketAddr]) -> std::io::Result<GatewaySlot> {
-        static NUMBER: AtomicUsize = AtomicUsize::new(0);
-        let (zones, me) = (self.config.zones, LinkEnd::Gateway(g));
-        let mut engines_at = Vec::new();
+    /// Opens a gateway's relays and writes its files.
+    fn gateway_slot(
+        &self,
+        gateway: usize,
+        peer_addresses: &[SocketAddr],
+    ) -> std::io::Result<GatewaySlot> {
+        static NEXT_FILE_NUMBER: AtomicUsize = AtomicUsize::new(0);
+        let (zones, own_end) = (self.config.zones, LinkEnd::Gateway(gateway));
+        let mut engine_addresses = Vec::new();
         for (e, engine) in self.engines.iter().enumerate() {
-            engines_at.push(match self.config.direct_engines {
+            engine_addresses.push(match self.config.direct_engines {
                 true => engine.listen_addresses[0],
-                false => {
-                    self.network
-                        .open(me, LinkEnd::Engine(e), engine.listen_addresses[g], false)?
-                }
+                false => self.network.open(
+                    own_end,
+                    LinkEnd::Engine(e),
+                    engine.listen_addresses[gateway],
+                    false,
+                )?,
             });
         }
-        let rows: Vec<String> = engines_at
+        let rows: Vec<String> = engine_addresses
             .iter()
             .enumerate()
             .map(|(e, &at)| row(&format!("s-{e}"), at, e % zones, "in_service"))
             .collect();
-        let journal = DiscoveryServer::start(&rows)?;
-        let journal_at = self
-            .network
-            .open(me, LinkEnd::Journal, journal.address, false)?;
+        let discovery = DiscoveryServer::start(&rows)?;
+        let discovery_address =
+            self.network
+                .open(own_end, LinkEnd::Journal, discovery.address, false)?;
         let address = free_port();
         let names: Vec<String> = (0..zones).map(|z| format!("\"z{z}\"")).collect();
         let config = configuration(&address.to_string(), &rows, None, 1024)
-            .replace("\"name\":\"n0\"", &format!("\"name\":\"n{g}\""))
+            .replace("\"name\":\"n0\"", &format!("\"name\":\"n{gateway}\""))
             .replace(
                 "\"zones\":[\"z\"]",
                 &format!("\"zones\":[{}]", names.join(",")),
             )
-            .replace("\"journal\":\"\"", &format!("\"journal\":\"{journal_at}\""))
+            .replace(
+                "\"journal\":\"\"",
+                &format!("\"journal\":\"{discovery_address}\""),
+            )
             .replace(
                 "\"balancers\":1",
                 &format!(
@@ -411,7 +429,7 @@
             )
             .replace(
                 "8c1f30d27a5be964",
-                &format!("{:016x}", self.config.seed ^ (g as u64) << 32),
+                &format!("{:016x}", self.config.seed ^ (gateway as u64) << 32),
             )
             .replace(
                 "\"give-up-ns\":20000000000",
@@ -420,16 +438,19 @@
                     self.config.max_statement_timeout_ms
                 ),
             );
-        let number = NUMBER.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_FILE_NUMBER.fetch_add(1, Ordering::Relaxed);
         let path = std::env::temp_dir().join(format!("fleet-{}-{number}.json", std::process::id()));
         std::fs::write(&path, (self.config.change_config)(config))?;
         let mut own = None;
         if self.config.peer_settings.is_some() {
-            let text = self.own_settings_json(|other| match other == g {
-                true => Ok(peers_at[g]),
-                false => self
-                    .network
-                    .open(me, LinkEnd::Gateway(other), peers_at[other], true),
+            let text = self.own_settings_json(|other| match other == gateway {
+                true => Ok(peer_addresses[gateway]),
+                false => self.network.open(
+                    own_end,
+                    LinkEnd::Gateway(other),
+                    peer_addresses[other],
+                    true,
+                ),
             })?;
             let own_path = path.with_extension("own.json");
             std::fs::write(&own_path, text)?;
@@ -438,45 +459,45 @@
         let log = EventLog::new();
         Ok(GatewaySlot {
             address,
-            peer_address: peers_at[g],
+            peer_address: peer_addresses[gateway],
             config_path: path,
             complete_config: String::new(),
             own_settings_path: own,
-            engine_addresses: engines_at,
-            discovery: journal,
-            discovery_address: journal_at,
+            engine_addresses,
+            discovery,
+            discovery_address,
             child: None,
             log,
             is_stopped: false,
         })
     }
 
-    /// Starts its process and waits until that serves.
-    pub fn start_gateway(&mut self, g: usize) -> Result<(), String> {
+    /// Starts the gateway's process and waits until it serves or cannot listen.
+    pub fn start_gateway(&mut self, gateway: usize) -> Result<(), String> {
         let is_started =
             |line: &String| line.contains("gateway started") || line.contains("ERROR listen");
-        let begun = self.gateways[g]
+        let started_before = self.gateways[gateway]
             .log
             .all()
             .iter()
             .filter(|l| is_started(l))
             .count();
-        self.spawn_gateway(g)?;
-        self.gateways[g]
+        self.spawn_gateway(gateway)?;
+        self.gateways[gateway]
             .log
-            .wait_for_nth("start", begun + 1, is_started);
+            .wait_for_nth("start", started_before + 1, is_started);
         Ok(())
     }
 
-    /// Starts its process.
-    pub fn spawn_gateway(&mut self, g: usize) -> Result<(), String> {
-        let seat = &mut self.gateways[g];
+    /// Starts the gateway's process.
+    pub fn spawn_gateway(&mut self, gateway: usize) -> Result<(), String> {
+        let slot = &mut self.gateways[gateway];
         let mut command = Command::new(ivypitch_program());
         command
             .arg("serve")
-            .env("PROXY_CONFIG", &seat.config_path)
+            .env("PROXY_CONFIG", &slot.config_path)
             .stdin(Stdio::null());
-        match &seat.own_settings_path {
+        match &slot.own_settings_path {
             Some(own) => command.env("IVYPITCH_OWN", own),
             None => command.env_remove("IVYPITCH_OWN"),
         };
@@ -488,7 +509,7 @@
             .stderr
             .take()
             .map(|stderr| BufReader::new(stderr).lines());
-        let log = seat.log.clone();
+        let log = slot.log.clone();
         thread::spawn(move || {
             lines
                 .into_iter()
@@ -496,16 +517,17 @@
                 .map_while(Result::ok)
                 .for_each(|line| log.push(line));
         });
-        seat.child = Some(child);
+        slot.child = Some(child);
         Ok(())
     }
 
+    /// Starts an emulated engine's process and waits until it is ready; does nothing for other kinds of engines.
     pub fn start_engine(&mut self, e: usize) -> Result<(), String> {
         let FleetEngines::Processes { cores, .. } = self.config.engines else {
             return Ok(());
         };
-        let seat = &mut self.engines[e];
-        let listen: Vec<String> = seat
+        let slot = &mut self.engines[e];
+        let listen: Vec<String> = slot
             .listen_addresses
             .iter()
             .map(SocketAddr::to_string)
@@ -527,10 +549,10 @@
             .stdout
             .take()
             .map(|stdout| BufReader::new(stdout).lines());
-        seat.commands = child.stdin.take();
-        seat.child = Some(child);
-        let said = self.engine_events.clone();
-        let begun = said
+        slot.commands = child.stdin.take();
+        slot.child = Some(child);
+        let events = self.engine_events.clone();
+        let started_before = events
             .all()
             .iter()
             .filter(|s| s.engine == e && s.kind == "ready")
@@ -541,7 +563,7 @@
                 let mut word = || words.next().unwrap_or_default().to_owned();
                 let (at, what, id, by) = (word(), word(), word(), word());
                 let (at, by) = (at.parse().unwrap_or(0), by.parse().unwrap_or(0));
-                said.push(EngineEvent {
+                events.push(EngineEvent {
                     at_us: at,
                     engine: e,
                     kind: what,
@@ -551,19 +573,22 @@
             }
         });
         self.engine_events
-            .wait_for_nth("engine", begun + 1, |s| s.engine == e && s.kind == "ready");
+            .wait_for_nth("engine", started_before + 1, |s| {
+                s.engine == e && s.kind == "ready"
+            });
         Ok(())
     }
 
-    /// `fails 0.5`, `mute 1`: to an engine that is a process.
+    /// Sends a command such as `fails 0.5` or `mute 1` to an engine that is a process.
     pub fn send_command(&mut self, e: usize, line: &str) {
         if let Some(orders) = &mut self.engines[e].commands {
             let _ = writeln!(orders, "{line}");
         }
     }
 
-    pub fn signal(&self, g: usize, signal: Signal) {
-        let Some(child) = &self.gateways[g].child else {
+    /// Sends a signal to the gateway's process.
+    pub fn signal(&self, gateway: usize, signal: Signal) {
+        let Some(child) = &self.gateways[gateway].child else {
             return;
         };
         if let Some(pid) = Pid::from_raw(child.id() as i32) {
@@ -571,17 +596,17 @@
         }
     }
 
-    pub fn is_up(&self, g: usize) -> bool {
-        self.gateways[g].child.is_some()
+    pub fn is_up(&self, gateway: usize) -> bool {
+        self.gateways[gateway].child.is_some()
     }
 
-    pub fn kill(&mut self, g: usize) {
-        self.record_unexpected_exit(g);
-        if let Some(mut child) = self.gateways[g].child.take() {
+    pub fn kill(&mut self, gateway: usize) {
+        self.record_unexpected_exit(gateway);
+        if let Some(mut child) = self.gateways[gateway].child.take() {
             let _ = child.kill();
             let _ = child.wait();
         }
-        self.gateways[g].is_stopped = false;
+        self.gateways[gateway].is_stopped = false;
     }
 
     pub fn kill_engine(&mut self, e: usize) {
@@ -591,44 +616,47 @@
         }
     }
 
-    /// SIGTERM, and its exit code.
-    pub fn terminate(&mut self, g: usize) -> Option<i32> {
-        self.signal(g, Signal::TERM);
-        let code = self.gateways[g].child.take()?.wait().ok()?.code();
+    /// Ends the gateway by SIGTERM and returns its exit code.
+    pub fn terminate(&mut self, gateway: usize) -> Option<i32> {
+        self.signal(gateway, Signal::TERM);
+        let code = self.gateways[gateway].child.take()?.wait().ok()?.code();
         if code != Some(0) {
             self.crashes
-                .push(format!("n{g} ended with {code:?} at SIGTERM"));
+                .push(format!("n{gateway} ended with {code:?} at SIGTERM"));
         }
         code
     }
 
-    pub fn stop(&mut self, g: usize) {
-        self.signal(g, Signal::STOP);
-        self.gateways[g].is_stopped = true;
+    /// Stops the gateway by SIGSTOP.
+    pub fn stop(&mut self, gateway: usize) {
+        self.signal(gateway, Signal::STOP);
+        self.gateways[gateway].is_stopped = true;
     }
 
-    pub fn resume(&mut self, g: usize) {
-        self.signal(g, Signal::CONT);
-        self.gateways[g].is_stopped = false;
+    /// Resumes a stopped gateway by SIGCONT.
+    pub fn resume(&mut self, gateway: usize) {
+        self.signal(gateway, Signal::CONT);
+        self.gateways[gateway].is_stopped = false;
     }
 
-    /// A process that has ended by itself is a crash.
-    fn record_unexpected_exit(&mut self, g: usize) {
-        let ended = self.gateways[g]
+    /// Records a crash if the gateway's process has ended by itself.
+    fn record_unexpected_exit(&mut self, gateway: usize) {
+        let ended = self.gateways[gateway]
             .child
             .as_mut()
             .and_then(|child| child.try_wait().ok().flatten());
         if let Some(code) = ended {
-            self.gateways[g].child = None;
-            self.crashes.push(format!("n{g} ended by itself: {code}"));
+            self.gateways[gateway].child = None;
+            self.crashes
+                .push(format!("n{gateway} ended by itself: {code}"));
         }
     }
 
-    /// Nothing passes between those of which `apart` holds, both ways or one.
-    pub fn set_partition(&self, apart: impl Fn(usize, usize) -> bool, begins: bool) {
-        let places = self.config.gateways + self.config.simulated_gateways;
-        for a in 0..places {
-            for b in (0..places).filter(|&b| b != a && apart(a, b)) {
+    /// Blocks or unblocks the path from each gateway to each other one for which `is_separated` holds.
+    pub fn set_partition(&self, is_separated: impl Fn(usize, usize) -> bool, begins: bool) {
+        let members = self.config.gateways + self.config.simulated_gateways;
+        for a in 0..members {
+            for b in (0..members).filter(|&b| b != a && is_separated(a, b)) {
                 let (a, b) = (LinkEnd::Gateway(a), LinkEnd::Gateway(b));
                 if begins {
                     self.network.block(a, b)
@@ -639,6 +667,7 @@
         }
     }
 
+    /// Begins or ends a fault.
     pub fn apply_fault(&mut self, fault: Fault, begins: bool) {
         let zones = self.config.zones;
         if begins {
@@ -705,12 +734,13 @@
         }
     }
 
-    /// The journal's word on an engine, to all gateways.
+    /// Publishes an engine's state to all gateways.
     pub fn publish_engine_state(&self, engine: usize, state: &str) {
-        (0..self.config.gateways).for_each(|g| self.publish_engine_state_to(g, engine, state));
-        if let Some(journal) = &self.simulated_gateways_discovery {
+        (0..self.config.gateways)
+            .for_each(|gateway| self.publish_engine_state_to(gateway, engine, state));
+        if let Some(discovery) = &self.simulated_gateways_discovery {
             let at = self.engines[engine].listen_addresses[0];
-            journal.publish(&[row(
+            discovery.publish(&[row(
                 &format!("s-{engine}"),
                 at,
                 engine % self.config.zones,
@@ -719,25 +749,26 @@
         }
     }
 
-    /// Another event to all, the same to each: only where all reach the engines by the same address.
+    /// Publishes the same row to all gateways; for fleets whose gateways reach the engines at the same addresses.
     pub fn publish_endpoint(&self, row: &str) {
-        let journals = self
+        let servers = self
             .gateways
             .iter()
-            .map(|seat| &seat.discovery)
+            .map(|slot| &slot.discovery)
             .chain(&self.simulated_gateways_discovery);
-        journals.for_each(|journal| journal.publish(&[row.to_owned()]));
+        servers.for_each(|server| server.publish(&[row.to_owned()]));
     }
 
-    pub fn publish_engine_state_to(&self, g: usize, engine: usize, state: &str) {
-        let seat = &self.gateways[g];
+    /// Publishes an engine's state to one gateway.
+    pub fn publish_engine_state_to(&self, gateway: usize, engine: usize, state: &str) {
+        let slot = &self.gateways[gateway];
         let (id, zone) = (format!("s-{engine}"), engine % self.config.zones);
-        seat.discovery
-            .publish(&[row(&id, seat.engine_addresses[engine], zone, state)]);
+        slot.discovery
+            .publish(&[row(&id, slot.engine_addresses[engine], zone, state)]);
     }
 
-    /// Plays the plan's faults at their times, counted from `from`, until the last is over.
-    pub fn inject_faults(&mut self, plan: &Plan, from: Instant) {
+    /// Injects the plan's faults at their times after `start`; returns when the last is over.
+    pub fn inject_faults(&mut self, plan: &Plan, start: Instant) {
         let mut steps: Vec<(u64, bool, Fault)> = Vec::new();
         for &fault in &plan.faults {
             steps.push((fault.at, true, fault));
@@ -747,72 +778,72 @@
         }
         steps.sort_by_key(|&(at, begins, _)| (at, begins));
         for (at, begins, fault) in steps {
-            let due = from + Duration::from_millis(at);
+            let due = start + Duration::from_millis(at);
             thread::sleep(due.saturating_duration_since(Instant::now()));
             self.apply_fault(fault, begins);
         }
     }
 
-    /// Ends all gateways as planned stops would, and tells what the fleet came to.
+    /// Ends all gateways by SIGTERM and records crashes and panics.
     pub fn shut_down(&mut self) {
-        for g in 0..self.config.gateways {
-            self.record_unexpected_exit(g);
-            if self.gateways[g].is_stopped {
-                self.resume(g);
+        for gateway in 0..self.config.gateways {
+            self.record_unexpected_exit(gateway);
+            if self.gateways[gateway].is_stopped {
+                self.resume(gateway);
             }
-            self.signal(g, Signal::TERM);
+            self.signal(gateway, Signal::TERM);
         }
-        for g in 0..self.config.gateways {
-            if self.is_up(g) {
-                self.terminate(g);
+        for gateway in 0..self.config.gateways {
+            if self.is_up(gateway) {
+                self.terminate(gateway);
             }
-            let panics = self.gateways[g]
+            let panics = self.gateways[gateway]
                 .log
                 .all()
                 .into_iter()
                 .filter(|line| line.contains("panicked"));
             self.crashes
-                .extend(panics.map(|line| format!("n{g}: {line}")));
+                .extend(panics.map(|line| format!("n{gateway}: {line}")));
         }
-        for (name, hollow) in [
+        for (name, process) in [
             ("gateways", &mut self.simulated_gateways),
             ("engines", &mut self.simulated_engines),
         ] {
-            if hollow.as_mut().is_some_and(TestbedProcess::has_ended) {
+            if process.as_mut().is_some_and(TestbedProcess::has_ended) {
                 self.crashes
-                    .push(format!("the hollow {name} ended by themselves"));
+                    .push(format!("the simulated {name} ended by themselves"));
             }
         }
     }
 
-    /// Microseconds of processor time that gateways which run now have used.
+    /// CPU time of the gateways that are running, in microseconds.
     pub fn cpu_time_us(&self) -> u64 {
         let used = |child: &Child| usage::cpu_ticks_ns(child.id()).map(|ns| ns / 1000);
         self.gateways
             .iter()
-            .filter_map(|seat| used(seat.child.as_ref()?))
+            .filter_map(|slot| used(slot.child.as_ref()?))
             .sum()
     }
 }
 
-/// Lines of each process that a failed test prints.
-const LAST_LINES: usize = 25;
+/// Number of last log lines of each gateway that a failed test prints.
+const PRINTED_LOG_LINES: usize = 25;
 
 impl Drop for Fleet {
     fn drop(&mut self) {
         if thread::panicking() {
-            for (g, seat) in self.gateways.iter().enumerate() {
-                let lines = seat.log.all();
-                let last = lines.len().saturating_sub(LAST_LINES);
+            for (gateway, slot) in self.gateways.iter().enumerate() {
+                let lines = slot.log.all();
+                let last = lines.len().saturating_sub(PRINTED_LOG_LINES);
                 lines[last..]
                     .iter()
-                    .for_each(|line| eprintln!("n{g} {line}"));
+                    .for_each(|line| eprintln!("n{gateway} {line}"));
             }
         }
-        for g in 0..self.gateways.len() {
-            self.kill(g);
-            let _ = std::fs::remove_file(&self.gateways[g].config_path);
-            if let Some(own) = &self.gateways[g].own_settings_path {
+        for gateway in 0..self.gateways.len() {
+            self.kill(gateway);
+            let _ = std::fs::remove_file(&self.gateways[gateway].config_path);
+            if let Some(own) = &self.gateways[gateway].own_settings_path {
                 let _ = std::fs::remove_file(own);
             }
         }
--- a/crates/ivypitch-testbed/src/processes/relay.rs
+++ b/crates/ivypitch-testbed/src/processes/relay.rs
@@ -1,6 +1,6 @@
-//! Links between processes. Each way from one end to another has a relay of its own on loopback, which passes on what
-//! comes, or does to it what the fault plan says: nothing arrives, late, slowly, some datagrams not at all, or the
-//! link breaks, in the middle of a message where that is asked for.
+//! Links between processes. Each path from one end to another has a relay of its own on loopback, which forwards data or
+//! applies the faults of a plan: it blocks or delays data, limits the throughput, loses datagrams, or breaks a
+//! connection, on request in the middle of a message.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -20,7 +20,7 @@
 
 use crate::test_servers::EventLog;
 
-/// Where a link begins or ends.
+/// One end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LinkEnd {
     Gateway(usize),
@@ -29,94 +29,104 @@
     Client(usize),
 }
 
-/// What is wrong with one way.
+/// Faults and counters of the path in one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PathState {
-    /// So many faults at once say that nothing arrives.
+    /// Number of active faults that block the path.
     pub block_count: u32,
     pub delay: Duration,
-    /// Up to so much later still, drawn for each piece.
+    /// Maximum of the random delay that is added for each chunk.
     pub jitter: Duration,
-    /// Part of the datagrams that are lost.
+    /// Fraction of the datagrams that are lost.
     pub datagram_loss: f64,
-    /// Bytes a second; 0: as fast as they come.
+    /// Maximum throughput of a connection; 0: unlimited.
     pub bytes_per_s: u64,
-    /// How often its links were broken.
+    /// Number of times its connections were reset.
     resets: u64,
-    /// The next piece goes half, then the link breaks.
+    /// Forwards half of the next chunk, then breaks the connection.
     breaks_mid_message: bool,
     pub bytes: u64,
     pub datagrams: u64,
-    /// Connections of this way that are up.
+    /// Established connections that were opened in this direction.
     pub open: u64,
 }
 
-/// Of all ways from and to one end.
+/// Totals over all paths from and to one end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkTotals {
     pub bytes_from: u64,
     pub bytes_to: u64,
-    /// Connections that are up, whoever opened them.
+    /// Established connections, opened by either end.
     pub open: u64,
 }
 
-const PIECE: usize = 16 << 10;
-const SLOW_PIECE: usize = 512;
-const STUCK_HEAD: usize = 64;
-/// Pieces that wait for their time on one way of one connection.
-const MOST_LATE: usize = 64;
-const CONNECT: Duration = Duration::from_secs(1);
+/// Maximum bytes of a chunk.
+const MAX_CHUNK_BYTES: usize = 16 << 10;
+/// Maximum bytes of one write on a path with limited throughput.
+const MAX_THROTTLED_WRITE_BYTES: usize = 512;
+/// Recorded bytes of a chunk on a blocked path.
+const BLOCKED_HEAD_BYTES: usize = 64;
+/// Maximum number of delayed chunks in one direction of a connection.
+const MAX_DELAYED_CHUNKS: usize = 64;
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 type PathStates = BTreeMap<(LinkEnd, LinkEnd), PathState>;
 
 struct Shared {
-    ways: Mutex<PathStates>,
+    paths: Mutex<PathStates>,
     changed: Event,
-    /// Where dials come in, for what waits there as a link is reset. As many as were opened.
-    doors: Mutex<BTreeMap<(LinkEnd, LinkEnd), Vec<TcpListener>>>,
-    /// Pieces that came while their way was silent, the head of each.
-    stuck: EventLog<((LinkEnd, LinkEnd), Vec<u8>)>,
+    /// Listeners of the relays; a reset also breaks the connections that wait in their backlogs.
+    listeners: Mutex<BTreeMap<(LinkEnd, LinkEnd), Vec<TcpListener>>>,
+    /// First bytes of each chunk that arrived on a blocked path.
+    blocked_chunks: EventLog<((LinkEnd, LinkEnd), Vec<u8>)>,
 }
 
 impl Shared {
-    fn ways(&self) -> MutexGuard<'_, PathStates> {
-        self.ways
+    fn paths(&self) -> MutexGuard<'_, PathStates> {
+        self.paths
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    fn doors(&self) -> MutexGuard<'_, BTreeMap<(LinkEnd, LinkEnd), Vec<TcpListener>>> {
-        self.doors
+    fn listeners(&self) -> MutexGuard<'_, BTreeMap<(LinkEnd, LinkEnd), Vec<TcpListener>>> {
+        self.listeners
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    fn way(&self, from: LinkEnd, to: LinkEnd) -> PathState {
-        self.ways().get(&(from, to)).copied().unwrap_or_default()
+    fn path(&self, from: LinkEnd, to: LinkEnd) -> PathState {
+        self.paths().get(&(from, to)).copied().unwrap_or_default()
     }
 
-    async fn until(
+    async fn wait_until(
         &self,
         from: LinkEnd,
         to: LinkEnd,
-        is: impl Fn(&PathState) -> bool,
+        holds: impl Fn(&PathState) -> bool,
     ) -> PathState {
         loop {
             let changed = self.changed.listen();
-            let way = self.way(from, to);
-            if is(&way) {
-                return way;
+            let path = self.path(from, to);
+            if holds(&path) {
+                return path;
             }
             changed.await;
         }
     }
 
-    /// Returns once the way is heard. An error: its links were broken before that, however soon after it was heard.
-    async fn open(&self, (from, to): (LinkEnd, LinkEnd), resets: u64) -> io::Result<()> {
-        let way = self
-            .until(from, to, |way| way.block_count == 0 || way.resets != resets)
+    /// Returns once the path is not blocked. An error: its connections were reset before this returned, even right after
+    /// the path was unblocked.
+    async fn wait_until_unblocked(
+        &self,
+        (from, to): (LinkEnd, LinkEnd),
+        resets: u64,
+    ) -> io::Result<()> {
+        let path = self
+            .wait_until(from, to, |path| {
+                path.block_count == 0 || path.resets != resets
+            })
             .await;
-        if way.resets == resets {
+        if path.resets == resets {
             Ok(())
         } else {
             Err(io::ErrorKind::ConnectionReset.into())
@@ -124,6 +134,7 @@
     }
 }
 
+/// A relay to be served.
 struct Opened {
     from: LinkEnd,
     to: LinkEnd,
@@ -132,7 +143,7 @@
     datagrams: Option<UdpSocket>,
 }
 
-/// All relays of a run. Their thread ends with it.
+/// All relays of a run; their thread ends when this is dropped.
 pub struct RelayNetwork {
     shared: Arc<Shared>,
     opened: Sender<Opened>,
@@ -141,10 +152,10 @@
 impl RelayNetwork {
     pub fn start(seed: u64) -> RelayNetwork {
         let shared = Arc::new(Shared {
-            ways: Mutex::default(),
+            paths: Mutex::default(),
             changed: Event::new(),
-            doors: Mutex::default(),
-            stuck: EventLog::new(),
+            listeners: Mutex::default(),
+            blocked_chunks: EventLog::new(),
         });
         let (opened, to_open) = channel::unbounded();
         let on = shared.clone();
@@ -155,7 +166,7 @@
         RelayNetwork { shared, opened }
     }
 
-    /// The address under which `from` reaches `to`, which listens at `target`.
+    /// Opens a relay; returns the address at which `from` reaches `to`, which listens at `target`.
     pub fn open(
         &self,
         from: LinkEnd,
@@ -167,7 +178,7 @@
             let listener = TcpListener::bind("127.0.0.1:0")?;
             let address = listener.local_addr()?;
             let socket = match datagrams {
-                // The other kind of that port may be taken: another one then.
+                // The UDP port of this number may be in use: try another one.
                 true => match UdpSocket::bind(address) {
                     Ok(socket) => Some(socket),
                     Err(_) => continue,
@@ -175,12 +186,12 @@
                 false => None,
             };
             listener.set_nonblocking(true)?;
-            let door = listener.try_clone()?;
+            let backlog = listener.try_clone()?;
             self.shared
-                .doors()
+                .listeners()
                 .entry((from, to))
                 .or_default()
-                .push(door);
+                .push(backlog);
             let opened = Opened {
                 from,
                 to,
@@ -194,65 +205,70 @@
     }
 
     pub fn path_state(&self, from: LinkEnd, to: LinkEnd) -> PathState {
-        self.shared.way(from, to)
+        self.shared.path(from, to)
     }
 
+    /// Changes the state of a path.
     pub fn change(&self, from: LinkEnd, to: LinkEnd, change: impl FnOnce(&mut PathState)) {
-        change(self.shared.ways().entry((from, to)).or_default());
+        change(self.shared.paths().entry((from, to)).or_default());
         self.shared.changed.notify(usize::MAX);
     }
 
-    /// Nothing arrives from one at the other; what is written waits as in a network's buffers.
+    /// Blocks a path; written data waits as in a network's buffers.
     pub fn block(&self, from: LinkEnd, to: LinkEnd) {
-        self.change(from, to, |way| way.block_count += 1);
+        self.change(from, to, |path| path.block_count += 1);
     }
 
+    /// Ends one `block`.
     pub fn unblock(&self, from: LinkEnd, to: LinkEnd) {
-        self.change(from, to, |way| {
-            way.block_count = way.block_count.saturating_sub(1)
+        self.change(from, to, |path| {
+            path.block_count = path.block_count.saturating_sub(1)
         });
     }
 
-    /// All links between the two break, and dials that were not taken up yet; what waits on them is lost, whatever is
-    /// done to their way next.
+    /// Breaks all connections between the two ends, also those not accepted yet. Data that waits on them is lost, whatever
+    /// happens to the paths next.
     pub fn reset(&self, a: LinkEnd, b: LinkEnd) {
-        let mut ways = self.shared.ways();
+        let mut paths = self.shared.paths();
         for ends in [(a, b), (b, a)] {
-            ways.entry(ends).or_default().resets += 1;
-            for door in self.shared.doors().get(&ends).into_iter().flatten() {
-                std::iter::from_fn(|| door.accept().ok()).for_each(|(dial, _)| break_off(&dial));
+            paths.entry(ends).or_default().resets += 1;
+            for listener in self.shared.listeners().get(&ends).into_iter().flatten() {
+                std::iter::from_fn(|| listener.accept().ok())
+                    .for_each(|(stream, _)| set_reset_on_close(&stream));
             }
         }
-        drop(ways);
+        drop(paths);
         self.shared.changed.notify(usize::MAX);
     }
 
-    /// The next piece from one to the other is cut in two, and the link breaks behind its first half.
+    /// Breaks the connection after the first half of the next chunk.
     pub fn break_mid_message(&self, from: LinkEnd, to: LinkEnd) {
-        self.change(from, to, |way| way.breaks_mid_message = true);
+        self.change(from, to, |path| path.breaks_mid_message = true);
     }
 
-    /// Returns once a piece has come for a way that is silent, with these bytes in its head.
+    /// Waits until a chunk with these bytes near its start has arrived on a blocked path.
     pub fn wait_for_blocked_data(&self, from: LinkEnd, to: LinkEnd, bytes: &str) {
-        let is = |piece: &[u8]| {
-            piece
+        let contains = |chunk: &[u8]| {
+            chunk
                 .windows(bytes.len())
                 .any(|part| part == bytes.as_bytes())
         };
-        let what = format!("piece with {bytes:?} on a silent way");
+        let description = format!("chunk with {bytes:?} on a blocked path");
         self.shared
-            .stuck
-            .wait(&what, |(ends, piece)| *ends == (from, to) && is(piece));
+            .blocked_chunks
+            .wait(&description, |(ends, chunk)| {
+                *ends == (from, to) && contains(chunk)
+            });
     }
 
-    /// All that passed from one end and to it.
+    /// Totals over all paths from and to this end.
     pub fn totals(&self, end: LinkEnd) -> LinkTotals {
         let mut sums = LinkTotals::default();
-        for (&(from, to), way) in self.shared.ways().iter() {
-            sums.bytes_from += if from == end { way.bytes } else { 0 };
-            sums.bytes_to += if to == end { way.bytes } else { 0 };
+        for (&(from, to), path) in self.shared.paths().iter() {
+            sums.bytes_from += if from == end { path.bytes } else { 0 };
+            sums.bytes_to += if to == end { path.bytes } else { 0 };
             sums.open += if from == end || to == end {
-                way.open
+                path.open
             } else {
                 0
             };
@@ -260,14 +276,14 @@
         sums
     }
 
-    /// Bytes and datagrams passed on between gateways.
+    /// Bytes and datagrams forwarded between gateways.
     pub fn gateway_traffic(&self) -> (u64, u64) {
-        let ways = self.shared.ways();
-        let among = ways.iter().filter(|((a, b), _)| {
+        let paths = self.shared.paths();
+        let between = paths.iter().filter(|((a, b), _)| {
             matches!(a, LinkEnd::Gateway(_)) && matches!(b, LinkEnd::Gateway(_))
         });
-        among.fold((0, 0), |(bytes, datagrams), (_, way)| {
-            (bytes + way.bytes, datagrams + way.datagrams)
+        between.fold((0, 0), |(bytes, datagrams), (_, path)| {
+            (bytes + path.bytes, datagrams + path.datagrams)
         })
     }
 }
@@ -289,7 +305,7 @@
     {
         serial = serial.wrapping_add(1);
         if let Some(socket) = datagrams.and_then(|socket| Async::new(socket).ok()) {
-            let task = pass_datagrams(
+            let task = forward_datagrams(
                 shared.clone(),
                 from,
                 to,
@@ -307,20 +323,22 @@
         let task = async move {
             let mut serial = serial << 20;
             while listener.readable().await.is_ok() {
-                // In one step: a reset meets it waiting, or among the links that there are.
-                let (taken, resets) = {
-                    let ways = shared.ways();
+                // Under one lock, so that a reset finds the connection either in the backlog or among the established.
+                let (accepted, resets) = {
+                    let paths = shared.paths();
                     (
                         listener.get_ref().accept(),
-                        ways.get(&(from, to)).map_or(0, |way| way.resets),
+                        paths.get(&(from, to)).map_or(0, |path| path.resets),
                     )
                 };
-                let Some(stream) = taken.ok().and_then(|(stream, _)| Async::new(stream).ok())
+                let Some(stream) = accepted
+                    .ok()
+                    .and_then(|(stream, _)| Async::new(stream).ok())
                 else {
                     continue;
                 };
                 serial += 1;
-                on.spawn(pass(
+                on.spawn(forward_connection(
                     shared.clone(),
                     from,
                     to,
@@ -336,7 +354,7 @@
     }
 }
 
-async fn pass_datagrams(
+async fn forward_datagrams(
     shared: Arc<Shared>,
     from: LinkEnd,
     to: LinkEnd,
@@ -352,17 +370,17 @@
         let Ok((n, _)) = socket.recv_from(&mut datagram).await else {
             continue;
         };
-        let way = shared.way(from, to);
-        if way.block_count > 0 || rng.random_bool(way.datagram_loss) {
+        let path = shared.path(from, to);
+        if path.block_count > 0 || rng.random_bool(path.datagram_loss) {
             continue;
         }
         {
-            let mut ways = shared.ways();
-            let way = ways.entry((from, to)).or_default();
-            way.bytes += n as u64;
-            way.datagrams += 1;
+            let mut paths = shared.paths();
+            let path = paths.entry((from, to)).or_default();
+            path.bytes += n as u64;
+            path.datagrams += 1;
         }
-        let after = way.delay + way.jitter.mul_f64(rng.random());
+        let after = path.delay + path.jitter.mul_f64(rng.random());
         if after.is_zero() {
             let _ = socket.send_to(&datagram[..n], target).await;
             continue;
@@ -376,8 +394,8 @@
     }
 }
 
-/// One connection, until either end or the plan ends it.
-async fn pass(
+/// Relays one connection until either end closes it or a fault breaks it.
+async fn forward_connection(
     shared: Arc<Shared>,
     from: LinkEnd,
     to: LinkEnd,
@@ -386,44 +404,46 @@
     seed: u64,
     resets: u64,
 ) {
-    shared.ways().entry((from, to)).or_default();
-    shared.ways().entry((to, from)).or_default();
+    shared.paths().entry((from, to)).or_default();
+    shared.paths().entry((to, from)).or_default();
     let _ = stream.get_ref().set_nodelay(true);
     let connect = async { Async::<TcpStream>::connect(target).await.ok() };
-    let late = async {
-        Timer::after(CONNECT).await;
+    let timeout = async {
+        Timer::after(CONNECT_TIMEOUT).await;
         None
     };
-    let Some(other) = connect.or(late).await else {
-        return break_off(stream.get_ref());
+    let Some(upstream) = connect.or(timeout).await else {
+        return set_reset_on_close(stream.get_ref());
     };
-    let _ = other.get_ref().set_nodelay(true);
-    shared.ways().entry((from, to)).or_default().open += 1;
-    let there = carry(&shared, (from, to), &stream, &other, seed, resets);
-    let back = carry(&shared, (to, from), &other, &stream, seed ^ 1, resets);
-    let whole = async {
-        let (there, back) = smol::future::zip(there, back).await;
-        there.is_ok() && back.is_ok()
+    let _ = upstream.get_ref().set_nodelay(true);
+    shared.paths().entry((from, to)).or_default().open += 1;
+    let outward = forward_direction(&shared, (from, to), &stream, &upstream, seed, resets);
+    let inward = forward_direction(&shared, (to, from), &upstream, &stream, seed ^ 1, resets);
+    let forwarding = async {
+        let (outward, inward) = smol::future::zip(outward, inward).await;
+        outward.is_ok() && inward.is_ok()
     };
-    let broken = async {
-        shared.until(from, to, |way| way.resets != resets).await;
+    let reset = async {
+        shared
+            .wait_until(from, to, |path| path.resets != resets)
+            .await;
         false
     };
-    let is_whole = broken.or(whole).await;
-    shared.ways().entry((from, to)).or_default().open -= 1;
-    if !is_whole {
-        break_off(stream.get_ref());
-        break_off(other.get_ref());
+    let is_orderly = reset.or(forwarding).await;
+    shared.paths().entry((from, to)).or_default().open -= 1;
+    if !is_orderly {
+        set_reset_on_close(stream.get_ref());
+        set_reset_on_close(upstream.get_ref());
     }
 }
 
-/// Closed so that the other end sees it broken, not ended.
-fn break_off(stream: &TcpStream) {
+/// Makes the close of a connection a TCP reset instead of an orderly end.
+fn set_reset_on_close(stream: &TcpStream) {
     let _ = rustix::net::sockopt::set_socket_linger(stream, Some(Duration::ZERO));
 }
 
-/// One way of one connection. An error breaks both.
-async fn carry(
+/// Forwards one direction of a connection. An error breaks both directions.
+async fn forward_direction(
     shared: &Shared,
     (from, to): (LinkEnd, LinkEnd),
     source: &Async<TcpStream>,
@@ -432,53 +452,63 @@
     resets: u64,
 ) -> io::Result<()> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let (pieces, due) = channel::bounded::<(Instant, Vec<u8>)>(MOST_LATE);
+    let (sender, chunks) = channel::bounded::<(Instant, Vec<u8>)>(MAX_DELAYED_CHUNKS);
     let reading = async move {
         let mut last = Instant::now();
-        let mut piece = vec![0; PIECE];
+        let mut chunk = vec![0; MAX_CHUNK_BYTES];
         loop {
-            let n = (&*source).read(&mut piece).await?;
+            let n = (&*source).read(&mut chunk).await?;
             if n == 0 {
                 return Ok(());
             }
-            let way = shared.way(from, to);
-            if way.block_count > 0 {
+            let path = shared.path(from, to);
+            if path.block_count > 0 {
                 shared
-                    .stuck
-                    .push(((from, to), piece[..n.min(STUCK_HEAD)].to_vec()));
+                    .blocked_chunks
+                    .push(((from, to), chunk[..n.min(BLOCKED_HEAD_BYTES)].to_vec()));
             }
-            // Nothing overtakes on one connection.
-            last = last.max(Instant::now() + way.delay + way.jitter.mul_f64(rng.random()));
-            if pieces.send((last, piece[..n].to_vec())).await.is_err() {
+            // Chunks of a connection keep their order.
+            last = last.max(Instant::now() + path.delay + path.jitter.mul_f64(rng.random()));
+            if sender.send((last, chunk[..n].to_vec())).await.is_err() {
                 return Ok(());
             }
         }
     };
     let writing = async {
-        while let Ok((at, piece)) = due.recv().await {
-            if at > Instant::now() {
-                Timer::at(at).await;
+        while let Ok((send_at, chunk)) = chunks.recv().await {
+            if send_at > Instant::now() {
+                Timer::at(send_at).await;
             }
-            shared.open((from, to), resets).await?;
-            let (torn, slow) = {
-                let mut ways = shared.ways();
-                let way = ways.entry((from, to)).or_default();
-                way.bytes += piece.len() as u64;
-                (std::mem::take(&mut way.breaks_mid_message), way.bytes_per_s)
+            shared.wait_until_unblocked((from, to), resets).await?;
+            let (breaks_mid_message, bytes_per_s) = {
+                let mut paths = shared.paths();
+                let path = paths.entry((from, to)).or_default();
+                path.bytes += chunk.len() as u64;
+                (
+                    std::mem::take(&mut path.breaks_mid_message),
+                    path.bytes_per_s,
+                )
             };
-            if torn {
-                (&*sink).write_all(&piece[..piece.len() / 2]).await?;
+            if breaks_mid_message {
+                (&*sink).write_all(&chunk[..chunk.len() / 2]).await?;
                 return Err(io::ErrorKind::ConnectionReset.into());
             }
-            for part in piece.chunks(if slow > 0 { SLOW_PIECE } else { PIECE }) {
+            for part in chunk.chunks(if bytes_per_s > 0 {
+                MAX_THROTTLED_WRITE_BYTES
+            } else {
+                MAX_CHUNK_BYTES
+            }) {
                 (&*sink).write_all(part).await?;
-                if slow > 0 {
-                    Timer::after(Duration::from_secs_f64(part.len() as f64 / slow as f64)).await;
+                if bytes_per_s > 0 {
+                    Timer::after(Duration::from_secs_f64(
+                        part.len() as f64 / bytes_per_s as f64,
+                    ))
+                    .await;
                 }
             }
         }
-        shared.open((from, to), resets).await?;
-        // `close` of the library ends nothing.
+        shared.wait_until_unblocked((from, to), resets).await?;
+        // `close` of the async stream does not shut the socket down.
         sink.get_ref().shutdown(Shutdown::Write)
     };
     let (read, written) = smol::future::zip(reading, writing).await;
