--- a/crates/ivypitch-testbed/src/processes/mod.rs
+++ b/crates/ivypitch-testbed/src/processes/mod.rs
@@ -522,11 +522,11 @@
     }
 
     /// Starts an emulated engine's process and waits until it is ready; does nothing for other kinds of engines.
-    pub fn start_engine(&mut self, e: usize) -> Result<(), String> {
+    pub fn start_engine(&mut self, engine: usize) -> Result<(), String> {
         let FleetEngines::Processes { cores, .. } = self.config.engines else {
             return Ok(());
         };
-        let slot = &mut self.engines[e];
+        let slot = &mut self.engines[engine];
         let listen: Vec<String> = slot
             .listen_addresses
             .iter()
@@ -555,33 +555,33 @@
         let started_before = events
             .all()
             .iter()
-            .filter(|s| s.engine == e && s.kind == "ready")
+            .filter(|event| event.engine == engine && event.kind == "ready")
             .count();
         thread::spawn(move || {
             for line in lines.into_iter().flatten().map_while(Result::ok) {
                 let mut words = line.split(' ');
                 let mut word = || words.next().unwrap_or_default().to_owned();
-                let (at, what, id, by) = (word(), word(), word(), word());
-                let (at, by) = (at.parse().unwrap_or(0), by.parse().unwrap_or(0));
+                let (at_us, kind, id, gateway) = (word(), word(), word(), word());
+                let (at_us, gateway) = (at_us.parse().unwrap_or(0), gateway.parse().unwrap_or(0));
                 events.push(EngineEvent {
-                    at_us: at,
-                    engine: e,
-                    kind: what,
+                    at_us,
+                    engine,
+                    kind,
                     id,
-                    gateway: by,
+                    gateway,
                 });
             }
         });
         self.engine_events
-            .wait_for_nth("engine", started_before + 1, |s| {
-                s.engine == e && s.kind == "ready"
+            .wait_for_nth("engine", started_before + 1, |event| {
+                event.engine == engine && event.kind == "ready"
             });
         Ok(())
     }
 
     /// Sends a command such as `fails 0.5` or `mute 1` to an engine that is a process.
-    pub fn send_command(&mut self, e: usize, line: &str) {
-        if let Some(orders) = &mut self.engines[e].commands {
+    pub fn send_command(&mut self, engine: usize, line: &str) {
+        if let Some(orders) = &mut self.engines[engine].commands {
             let _ = writeln!(orders, "{line}");
         }
     }
@@ -609,8 +609,8 @@
         self.gateways[gateway].is_stopped = false;
     }
 
-    pub fn kill_engine(&mut self, e: usize) {
-        if let Some(mut child) = self.engines[e].child.take() {
+    pub fn kill_engine(&mut self, engine: usize) {
+        if let Some(mut child) = self.engines[engine].child.take() {
             let _ = child.kill();
             let _ = child.wait();
         }
