--- a/crates/ivypitch-testbed/src/processes/clients.rs
+++ b/crates/ivypitch-testbed/src/processes/clients.rs
@@ -1,5 +1,5 @@
-//! Clients that come back: each has a statement at its time, takes it to a gateway, and where it hears nothing or
-//! nothing certain takes it to another with the same `req` as long as it has time. What each heard, and where, is kept.
+//! Clients that retry: each sends its statement to a gateway at a planned time. After no answer or an uncertain one it
+//! tries another gateway with the same `req` until its timeout. All attempts and their outcomes are recorded.
 
 use std::cell::RefCell;
 use std::io;
@@ -19,131 +19,138 @@
 /// One statement of the traffic.
 #[derive(Clone, Debug)]
 pub struct PlannedStatement {
-    /// Milliseconds from the start of the traffic.
+    /// Planned time in milliseconds from the start of the traffic.
     pub at_ms: u64,
     pub req: u64,
     pub is_bulk_load: bool,
     pub work_ms: u64,
     pub timeout_ms: u64,
-    /// A second client asks under the same id once the first has its end.
+    /// A second client sends the same id after the first has its result.
     pub has_second_client: bool,
-    /// Weight of each gateway in the client's choice; empty: all alike.
+    /// Weight of each gateway in the client's random choice; empty: equal weights.
     pub gateway_weights: Arc<Vec<f64>>,
     pub owner: &'static str,
 }
 
+/// Outcome of an attempt; reports contain the names of the variants.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The first column of the first row.
     Rows(String),
-    /// It completed; its rows are kept no more.
+    /// The statement completed; its rows are no longer available.
     Completed,
-    /// Nothing ran, nothing will.
+    /// Rejected: the statement did excluded run and will excluded.
     Refused,
-    /// It failed and may have run.
+    /// The statement failed and may have run.
     Unknown,
     /// Any other error.
     Other(u16),
-    /// The gateway refused the connection, or it broke.
+    /// The gateway refused the connection, or the connection broke.
     Gone,
-    /// No word in time.
+    /// No answer before the timeout.
     Silence,
 }
 
-/// One visit of a client to a gateway.
+/// One attempt of a client at a gateway; times in microseconds since the Unix epoch.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     pub gateway: usize,
-    /// The id under which it asked: a refused one asks anew under another.
+    /// Id of the statement; after a rejection the client uses a new one.
     pub req: u64,
     pub started_us: u64,
     pub ended_us: u64,
     pub outcome: Outcome,
 }
 
-/// What became of one statement.
+/// All attempts of one statement and its result.
 #[derive(Clone, Debug, Default)]
 pub struct StatementHistory {
     pub attempts: Vec<Attempt>,
-    /// Microseconds from its time to its rows.
+    /// Microseconds from the planned time to the result.
     pub served_after_us: Option<u64>,
-    /// What its second client heard.
+    /// The attempt of the second client.
     pub second_client: Option<Attempt>,
 }
 
+/// Settings of the clients of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientConfig {
-    /// A client takes a gateway that says nothing for so long for lost.
+    /// Time without an answer after which a client gives up on a gateway.
     pub answer_timeout: Duration,
     pub seed: u64,
 }
 
-/// All stories, once the last client is done. `from`: when the traffic's time begins.
+/// Runs all clients and returns their histories. `start`: the zero of the planned times.
 pub fn run_clients(
-    asks: &[PlannedStatement],
+    statements: &[PlannedStatement],
     gateways: &[SocketAddr],
-    manners: ClientConfig,
-    from: Instant,
+    config: ClientConfig,
+    start: Instant,
 ) -> Vec<StatementHistory> {
     let executor = Rc::new(LocalExecutor::new());
-    let stories = Rc::new(RefCell::new(vec![StatementHistory::default(); asks.len()]));
+    let histories = Rc::new(RefCell::new(vec![
+        StatementHistory::default();
+        statements.len()
+    ]));
     smol::block_on(executor.clone().run(async {
         let mut tasks = Vec::new();
-        for (i, ask) in asks.iter().enumerate() {
-            let (ask, gateways, stories) = (ask.clone(), gateways.to_vec(), stories.clone());
+        for (i, statement) in statements.iter().enumerate() {
+            let (statement, gateways, histories) =
+                (statement.clone(), gateways.to_vec(), histories.clone());
             tasks.push(executor.spawn(async move {
-                let due = from + Duration::from_millis(ask.at_ms);
-                Timer::at(due).await;
+                let planned_at = start + Duration::from_millis(statement.at_ms);
+                Timer::at(planned_at).await;
                 let client = Client {
-                    ask,
+                    statement,
                     gateways,
-                    manners,
-                    due,
+                    config,
+                    planned_at,
                 };
-                let story = client.live(i as u64).await;
-                stories.borrow_mut()[i] = story;
+                let history = client.run(i as u64).await;
+                histories.borrow_mut()[i] = history;
             }));
         }
         for task in tasks {
             task.await;
         }
     }));
-    stories.take()
+    histories.take()
 }
 
 struct Client {
-    ask: PlannedStatement,
+    statement: PlannedStatement,
     gateways: Vec<SocketAddr>,
-    manners: ClientConfig,
-    due: Instant,
+    config: ClientConfig,
+    planned_at: Instant,
 }
 
 impl Client {
-    async fn live(&self, serial: u64) -> StatementHistory {
-        let mut rng = ChaCha8Rng::seed_from_u64(self.manners.seed ^ serial << 8);
-        let mut story = StatementHistory::default();
-        let deadline = self.due + Duration::from_millis(self.ask.timeout_ms);
-        let (mut req, mut last) = (self.ask.req, usize::MAX);
+    /// Tries gateways until the statement has a result or its timeout expires.
+    async fn run(&self, serial: u64) -> StatementHistory {
+        let mut rng = ChaCha8Rng::seed_from_u64(self.config.seed ^ serial << 8);
+        let mut history = StatementHistory::default();
+        let deadline = self.planned_at + Duration::from_millis(self.statement.timeout_ms);
+        let (mut req, mut last_gateway) = (self.statement.req, usize::MAX);
         loop {
-            let left = deadline.saturating_duration_since(Instant::now());
-            if left < Duration::from_millis(30) {
-                return story;
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining < Duration::from_millis(30) {
+                return history;
             }
-            let gateway = self.choose(&mut rng, last);
-            last = gateway;
-            let visit = self.visit(gateway, req, left).await;
-            let heard = visit.outcome.clone();
-            story.attempts.push(visit);
-            match heard {
+            let gateway = self.choose(&mut rng, last_gateway);
+            last_gateway = gateway;
+            let attempt = self.attempt(gateway, req, remaining).await;
+            let outcome = attempt.outcome.clone();
+            history.attempts.push(attempt);
+            match outcome {
                 Outcome::Rows(_) | Outcome::Completed => {
-                    story.served_after_us = Some(self.due.elapsed().as_micros() as u64);
-                    if self.ask.has_second_client {
+                    history.served_after_us = Some(self.planned_at.elapsed().as_micros() as u64);
+                    if self.statement.has_second_client {
                         Timer::after(Duration::from_millis(rng.random_range(0..150))).await;
-                        let other = self.choose(&mut rng, last);
-                        story.second_client =
-                            Some(self.visit(other, req, Duration::from_secs(2)).await);
+                        let other = self.choose(&mut rng, last_gateway);
+                        history.second_client =
+                            Some(self.attempt(other, req, Duration::from_secs(2)).await);
                     }
-                    return story;
+                    return history;
                 }
                 Outcome::Refused => {
                     Timer::after(Duration::from_millis(rng.random_range(30..120))).await;
@@ -155,68 +162,76 @@
                 Outcome::Gone => {
                     Timer::after(Duration::from_millis(rng.random_range(5..200))).await;
                 }
-                Outcome::Other(_) => return story,
+                Outcome::Other(_) => return history,
             }
         }
     }
 
-    fn choose(&self, rng: &mut ChaCha8Rng, not: usize) -> usize {
-        let weight = |g: usize| match self.ask.gateway_weights.get(g) {
-            _ if g == not && self.gateways.len() > 1 => 0.0,
-            None if self.ask.gateway_weights.is_empty() => 1.0,
+    /// Draws a gateway by weight, if possible excluded `excluded`.
+    fn choose(&self, rng: &mut ChaCha8Rng, excluded: usize) -> usize {
+        let weight = |gateway: usize| match self.statement.gateway_weights.get(gateway) {
+            _ if gateway == excluded && self.gateways.len() > 1 => 0.0,
+            None if self.statement.gateway_weights.is_empty() => 1.0,
             weight => weight.copied().unwrap_or(0.0),
         };
-        let all: f64 = (0..self.gateways.len()).map(weight).sum();
-        let mut drawn = rng.random::<f64>() * all;
-        for g in 0..self.gateways.len() {
-            drawn -= weight(g);
-            if drawn < 0.0 {
-                return g;
+        let total: f64 = (0..self.gateways.len()).map(weight).sum();
+        let mut remaining_weight = rng.random::<f64>() * total;
+        for gateway in 0..self.gateways.len() {
+            remaining_weight -= weight(gateway);
+            if remaining_weight < 0.0 {
+                return gateway;
             }
         }
-        (not.wrapping_add(1)) % self.gateways.len()
+        (excluded.wrapping_add(1)) % self.gateways.len()
     }
 
-    async fn visit(&self, gateway: usize, req: u64, left: Duration) -> Attempt {
-        let begun = timestamp_us();
-        let asked = async {
-            self.asked(gateway, req, left)
+    /// Makes one attempt, limited by the answer timeout.
+    async fn attempt(&self, gateway: usize, req: u64, remaining: Duration) -> Attempt {
+        let started_us = timestamp_us();
+        let outcome = async {
+            self.send_statement(gateway, req, remaining)
                 .await
                 .unwrap_or_else(|e| match e.kind() {
                     io::ErrorKind::InvalidData => Outcome::Other(0),
                     _ => Outcome::Gone,
                 })
         };
-        let late = async {
+        let timeout = async {
             Timer::after(
-                self.manners
+                self.config
                     .answer_timeout
-                    .min(left + Duration::from_millis(500)),
+                    .min(remaining + Duration::from_millis(500)),
             )
             .await;
             Outcome::Silence
         };
-        let heard = asked.or(late).await;
+        let outcome = outcome.or(timeout).await;
         Attempt {
             gateway,
             req,
-            started_us: begun,
+            started_us,
             ended_us: timestamp_us(),
-            outcome: heard,
+            outcome,
         }
     }
 
-    async fn asked(&self, gateway: usize, req: u64, left: Duration) -> io::Result<Outcome> {
+    /// Connects, sends the statement and reads the outcome.
+    async fn send_statement(
+        &self,
+        gateway: usize,
+        req: u64,
+        remaining: Duration,
+    ) -> io::Result<Outcome> {
         let mut session = Session::connect(self.gateways[gateway]).await?;
-        let PlannedStatement { work_ms, owner, .. } = self.ask;
-        let kind = if self.ask.is_bulk_load {
+        let PlannedStatement { work_ms, owner, .. } = self.statement;
+        let kind = if self.statement.is_bulk_load {
             "load"
         } else {
             "lookup"
         };
         let text = format!(
             "/* kind={kind},req={req:016x},timeout={},owner={owner},ms={work_ms}.0,space=32 */ SELECT a FROM sales_{}.orders WHERE work = {work_ms} ",
-            left.as_millis().max(1),
+            remaining.as_millis().max(1),
             req % 7
         );
         Ok(match session.execute(&text).await? {
@@ -224,7 +239,7 @@
                 Outcome::Rows(rows.first().map_or(String::new(), |row| first_column(row)))
             }
             Reply::Error(1040 | 1203 | 1226, text) => {
-                // As told, within reason: the client's own time goes on.
+                // Waits for the retry-after, at most 300 ms: the client's timeout goes on.
                 Timer::after(Duration::from_millis(retry_after_ms(&text).min(300))).await;
                 Outcome::Refused
             }
--- a/crates/ivypitch-testbed/src/processes/session.rs
+++ b/crates/ivypitch-testbed/src/processes/session.rs
@@ -1,4 +1,4 @@
-//! A client's session with a gateway over a socket: login, statements, and what a client may do besides.
+//! A client's session with a gateway over a socket: login, statements, partial writes and close.
 
 use std::io;
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -15,7 +15,8 @@
 const MAX_PACKET_BYTES: usize = 1 << 20;
 /// Pause between the pieces of a message that is written slowly.
 const PIECE_PAUSE: Duration = Duration::from_millis(3);
-const END_OF_ROWS_BYTES: usize = 9;
+/// An EOF packet is shorter than this.
+const EOF_PACKET_LIMIT_BYTES: usize = 9;
 
 /// One logged-in connection.
 pub(crate) struct Session {
@@ -23,16 +24,16 @@
     input: BytesMut,
     /// The connection id of the greeting.
     pub connection: u32,
-    /// When it was opened or its last statement ended.
+    /// Time when the session was opened or its last statement ended.
     pub used_at: Instant,
 }
 
-/// The answer to a statement as a client reads it.
+/// Answer to a statement.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Reply {
-    /// The payloads of its rows.
+    /// Payloads of the row packets.
     Rows(Vec<Bytes>),
-    /// An error's code and its text.
+    /// Code and text of an error.
     Error(u16, String),
 }
 
@@ -52,6 +53,7 @@
         Ok(session)
     }
 
+    /// Connects and reads the greeting.
     async fn connect_without_login(address: SocketAddr) -> io::Result<Session> {
         let stream = Async::<TcpStream>::connect(address).await?;
         stream.get_ref().set_nodelay(true)?;
@@ -75,7 +77,7 @@
         }
     }
 
-    /// The gateway has closed it, as far as can be seen now.
+    /// Whether the gateway has closed the connection, without waiting.
     pub fn is_closed(&mut self) -> bool {
         matches!(
             read_now(&self.stream, &mut self.input),
@@ -83,9 +85,9 @@
         )
     }
 
-    /// Ends it as a client that leaves.
+    /// Closes the connection as a client that disconnects.
     pub fn close(&self) {
-        // It may be closed already.
+        // The connection may be closed already.
         let _ = self.stream.get_ref().shutdown(Shutdown::Both);
     }
 
@@ -93,7 +95,7 @@
         (&self.stream).write_all(bytes).await
     }
 
-    /// Writes a message in so many pieces, with a pause between them.
+    /// Writes a message in several pieces with a pause between them.
     pub async fn write_in_pieces(&self, bytes: &[u8], pieces: usize) -> io::Result<()> {
         for piece in bytes.chunks(bytes.len().div_ceil(pieces.max(1)).max(1)) {
             self.write(piece).await?;
@@ -104,9 +106,9 @@
 
     async fn read_packet(&mut self) -> io::Result<Bytes> {
         loop {
-            let bad = |_| io::Error::from(io::ErrorKind::InvalidData);
+            let to_io_error = |_| io::Error::from(io::ErrorKind::InvalidData);
             if let Some(packet) =
-                mysql::next_packet(&mut self.input, MAX_PACKET_BYTES).map_err(bad)?
+                mysql::next_packet(&mut self.input, MAX_PACKET_BYTES).map_err(to_io_error)?
             {
                 return Ok(packet.payload);
             }
@@ -122,10 +124,10 @@
         self.read_answer().await
     }
 
-    /// Reads the answer to the statement that was sent last; OK reads as no rows.
+    /// Reads the answer to the last statement; an OK packet is read as no rows.
     pub async fn read_answer(&mut self) -> io::Result<Reply> {
         let mut rows = Vec::new();
-        let mut ends = 0;
+        let mut eof_count = 0;
         loop {
             let payload = self.read_packet().await?;
             match payload.first() {
@@ -134,21 +136,21 @@
                     let text = String::from_utf8_lossy(&payload[3..]).into_owned();
                     return Ok(Reply::Error(code, text));
                 }
-                Some(0) if ends == 0 => return Ok(Reply::Rows(rows)),
-                Some(0xfe) if payload.len() < END_OF_ROWS_BYTES => {
-                    ends += 1;
-                    if ends == 2 {
+                Some(0) if eof_count == 0 => return Ok(Reply::Rows(rows)),
+                Some(0xfe) if payload.len() < EOF_PACKET_LIMIT_BYTES => {
+                    eof_count += 1;
+                    if eof_count == 2 {
                         return Ok(Reply::Rows(rows));
                     }
                 }
-                _ if ends == 1 => rows.push(payload),
+                _ if eof_count == 1 => rows.push(payload),
                 _ => {}
             }
         }
     }
 }
 
-/// Behind the protocol version and the server's, which ends with a zero.
+/// The connection id follows the protocol version and the zero-terminated server version.
 fn connection_id(greeting: &[u8]) -> Option<u32> {
     let is_greeting = greeting.first() == Some(&10);
     let version_end = greeting.iter().position(|&byte| byte == 0)?;
@@ -163,7 +165,7 @@
     String::from_utf8_lossy(row.get(1..1 + length).unwrap_or_default()).into_owned()
 }
 
-/// When a refused client is to come back, in milliseconds; 0 where it is not told.
+/// Retry-after of a rejection in milliseconds; 0 if the text has none.
 pub(crate) fn retry_after_ms(text: &str) -> u64 {
     text.split("holdoff=")
         .nth(1)
--- a/crates/ivypitch-testbed/src/processes/testbed_process.rs
+++ b/crates/ivypitch-testbed/src/processes/testbed_process.rs
@@ -1,5 +1,5 @@
-//! A process of the laboratory that answers to orders: it is written a line and writes lines. It ends as its orders
-//! end, and is killed by its id as the handle goes, also by a panic.
+//! A child process of the testbed that reads commands as lines and prints lines. It ends at the end of its input, and is
+//! killed by its id when the handle is dropped, also by a panic.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::process::{Child, ChildStdin, Command, Stdio};
@@ -7,16 +7,17 @@
 
 use crate::test_servers::{EventLog, ivypitch_program};
 
+/// Handle of a child process.
 pub struct TestbedProcess {
     child: Child,
     commands: Option<ChildStdin>,
-    /// All it said; `ready` before anything else.
+    /// Lines that it has printed; the first is `ready`.
     pub lines: EventLog<String>,
 }
 
 impl TestbedProcess {
-    /// `ivypitch lab NAME`, and the first line that it is told; returns once it is ready.
-    pub fn start(name: &str, first: &str) -> Result<TestbedProcess, String> {
+    /// Starts `ivypitch lab NAME`, sends the first line and waits until the process is ready.
+    pub fn start(name: &str, first_line: &str) -> Result<TestbedProcess, String> {
         let mut child = Command::new(ivypitch_program())
             .args(["lab", name])
             .stdin(Stdio::piped())
@@ -27,23 +28,23 @@
             .stdout
             .take()
             .map(|stdout| BufReader::new(stdout).lines());
-        let orders = child.stdin.take();
+        let commands = child.stdin.take();
         let mut process = TestbedProcess {
             child,
-            commands: orders,
+            commands,
             lines: EventLog::new(),
         };
-        let said = process.lines.clone();
+        let received = process.lines.clone();
         thread::spawn(move || {
             lines
                 .into_iter()
                 .flatten()
                 .map_while(Result::ok)
-                .for_each(|line| said.push(line));
-            // Whoever waits for a word of it is not left waiting.
-            said.push("ended".into());
+                .for_each(|line| received.push(line));
+            // Releases threads that wait for a line of this process.
+            received.push("ended".into());
         });
-        process.send_command(first);
+        process.send_command(first_line);
         let line = process
             .lines
             .wait(name, |line| line == "ready" || line == "ended");
@@ -54,19 +55,25 @@
         }
     }
 
+    /// Writes a line to the process; does nothing if it has ended.
     pub fn send_command(&mut self, line: &str) {
-        if let Some(orders) = &mut self.commands {
-            let _ = writeln!(orders, "{line}");
+        if let Some(commands) = &mut self.commands {
+            let _ = writeln!(commands, "{line}");
         }
     }
 
-    /// The order's answer: the next line that begins so, without that.
-    pub fn request(&mut self, order: &str, begins: &str) -> String {
-        let is = |line: &String| line.starts_with(begins);
-        let before = self.lines.all().iter().filter(|line| is(line)).count();
-        self.send_command(order);
-        let line = self.lines.wait_for_nth(begins, before + 1, is);
-        line[begins.len()..].trim().to_owned()
+    /// Sends a command and returns the rest of the next line with this prefix.
+    pub fn request(&mut self, command: &str, prefix: &str) -> String {
+        let is_answer = |line: &String| line.starts_with(prefix);
+        let before = self
+            .lines
+            .all()
+            .iter()
+            .filter(|line| is_answer(line))
+            .count();
+        self.send_command(command);
+        let line = self.lines.wait_for_nth(prefix, before + 1, is_answer);
+        line[prefix.len()..].trim().to_owned()
     }
 
     pub fn id(&self) -> u32 {
@@ -85,15 +92,15 @@
     }
 }
 
-/// In such a process: each order, until they end.
-pub async fn handle_commands(mut obey: impl FnMut(&str)) {
-    let (told, orders) = smol::channel::unbounded();
+/// In the child process: passes each line of the input to `handle` until the input ends.
+pub async fn handle_commands(mut handle: impl FnMut(&str)) {
+    let (sender, commands) = smol::channel::unbounded();
     thread::spawn(move || {
         for line in io::stdin().lock().lines().map_while(Result::ok) {
-            let _ = told.try_send(line);
+            let _ = sender.try_send(line);
         }
     });
-    while let Ok(line) = orders.recv().await {
-        obey(&line);
+    while let Ok(line) = commands.recv().await {
+        handle(&line);
     }
 }
