--- a/crates/ivypitch-testbed/src/command.rs
+++ b/crates/ivypitch-testbed/src/command.rs
@@ -1,4 +1,4 @@
-//! `ivypitch testbed`; `ivypitch lab` is an alias.
+//! The command `ivypitch testbed`; `ivypitch lab` is an alias.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -8,79 +8,80 @@
 use crate::report::Report;
 use crate::{demo, experiments};
 
-/// Exit code of a run that shows nothing.
-const SHOWS_NOTHING: u8 = 2;
+/// Exit code of a run that meets its bounds without evidence.
+const NO_EVIDENCE_EXIT_CODE: u8 = 2;
 
 #[derive(Args)]
 pub struct Testbed {
     #[command(subcommand)]
-    what: What,
+    command: TestbedCommand,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// Name the experiments.
+enum TestbedCommand {
+    /// List the experiments.
     List,
-    /// Play an experiment; exits 0 where all its bounds hold, 2 where they do and the run shows nothing.
+    /// Run an experiment; exits 0 if all its bounds hold, 2 if they hold but the run shows nothing.
     #[command(
         after_help = "Example: ivypitch testbed run team-flood --quick --seed 7 --report /tmp/flood"
     )]
     Run(Run),
-    /// Emulated engines, a gateway and traffic on loopback for 20 s, with a line a second.
+    /// Run emulated engines, a gateway and traffic on loopback for 20 s; prints a line per second.
     Demo,
-    /// One emulated engine as a process; the laboratory starts it.
+    /// One emulated engine as a process; started by the testbed.
     #[command(hide = true)]
     Engine(crate::processes::engine::EngineProcess),
-    /// Many gateways without clients in one process; the laboratory starts it.
-    #[command(hide = true)]
-    HollowGateways,
-    /// Many engines without work in one process; the laboratory starts it.
-    #[command(hide = true)]
-    HollowEngines,
+    /// Many simulated gateways in one process; started by the testbed.
+    #[command(hide = true, name = "hollow-gateways")]
+    SimulatedGateways,
+    /// Many simulated engines in one process; started by the testbed.
+    #[command(hide = true, name = "hollow-engines")]
+    SimulatedEngines,
 }
 
 #[derive(Args)]
 struct Run {
-    /// Its name; `ivypitch testbed list` names them.
+    /// Name of the experiment; see `ivypitch testbed list`.
     name: String,
-    /// Smaller and shorter, within 40 s.
+    /// Run a smaller version that takes at most 40 s.
     #[arg(long)]
     quick: bool,
-    /// Replays a run; without it one is drawn and printed.
+    /// Seed of the run; by default a random one, which is printed.
     #[arg(long)]
     seed: Option<u64>,
-    /// Plays so many seeds in turn, from --seed on; exits 0 where all hold.
+    /// Number of consecutive seeds to run, starting at --seed; exits 0 if the bounds hold for all.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// The figures as JSON into this file.
+    /// Write the figures as JSON to this file.
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
-    /// The report as text, JSON and plot into this folder.
+    /// Write the report as text, JSON and plots to this folder.
     #[arg(long, value_name = "DIR")]
     report: Option<PathBuf>,
 }
 
 impl Testbed {
+    /// Runs the command and returns the exit code of the process.
     pub fn run(self) -> ExitCode {
-        match self.what {
-            What::List => {
+        match self.command {
+            TestbedCommand::List => {
                 experiments::ALL
                     .iter()
                     .for_each(|e| println!("{}: {}", e.name, e.about));
                 ExitCode::SUCCESS
             }
-            What::Run(run) => run.play(),
-            What::Demo => demo::run(),
-            What::Engine(engine) => engine.run(),
-            What::HollowGateways => crate::processes::simulated_gateways::serve(),
-            What::HollowEngines => crate::processes::simulated_engines::serve(),
+            TestbedCommand::Run(run) => run.run_experiment(),
+            TestbedCommand::Demo => demo::run(),
+            TestbedCommand::Engine(engine) => engine.run(),
+            TestbedCommand::SimulatedGateways => crate::processes::simulated_gateways::serve(),
+            TestbedCommand::SimulatedEngines => crate::processes::simulated_engines::serve(),
         }
     }
 }
 
 impl Run {
-    /// A line a seed, and the whole report of each that fails.
-    fn play_seeds(&self, experiment: &experiments::Experiment, first: u64) -> ExitCode {
+    /// Prints a line per seed, and the whole report of each seed that fails.
+    fn run_seeds(&self, experiment: &experiments::Experiment, first: u64) -> ExitCode {
         let mut failed = 0;
         for seed in first..first + self.seeds {
             let report = (experiment.run)(self.quick, seed);
@@ -101,11 +102,11 @@
         }
     }
 
-    fn play(self) -> ExitCode {
+    fn run_experiment(self) -> ExitCode {
         let Some(experiment) = experiments::ALL.iter().find(|e| e.name == self.name) else {
             let names: Vec<&str> = experiments::ALL.iter().map(|e| e.name).collect();
             eprintln!(
-                "no experiment {:?}; there is {}",
+                "unknown experiment {:?}; available: {}",
                 self.name,
                 names.join(", ")
             );
@@ -115,7 +116,7 @@
             .seed
             .unwrap_or_else(|| rand::random::<u64>() % 1_000_000);
         if self.seeds > 1 {
-            return self.play_seeds(experiment, seed);
+            return self.run_seeds(experiment, seed);
         }
         let report = (experiment.run)(self.quick, seed);
         print!("{}", report.text());
@@ -129,18 +130,18 @@
             written = written.and_then(|()| report.write(folder));
         }
         if let Err(e) = written {
-            eprintln!("report not written: {e}");
+            eprintln!("cannot write the report: {e}");
             return ExitCode::FAILURE;
         }
         exit_code(&report)
     }
 }
 
-/// A run that broke no bound and shows nothing is told apart from a pass.
+/// A run that meets its bounds and shows nothing gets an exit code of its own.
 fn exit_code(report: &Report) -> ExitCode {
     match (report.holds(), &report.shows_nothing) {
         (false, _) => ExitCode::FAILURE,
-        (true, Some(_)) => ExitCode::from(SHOWS_NOTHING),
+        (true, Some(_)) => ExitCode::from(NO_EVIDENCE_EXIT_CODE),
         (true, None) => ExitCode::SUCCESS,
     }
 }
--- a/crates/ivypitch-testbed/src/demo.rs
+++ b/crates/ivypitch-testbed/src/demo.rs
@@ -1,4 +1,4 @@
-//! `ivypitch lab demo`: a newcomer's start. Engines, a gateway and three teams on loopback, of which one floods.
+//! `ivypitch testbed demo`: emulated engines, a gateway and three teams on loopback, one of which floods the gateway.
 
 use std::process::ExitCode;
 
@@ -9,33 +9,35 @@
 use crate::virtual_time::engine::Model;
 use crate::virtual_time::traffic::{self, Flood};
 
-const SECONDS: u64 = 16;
+/// Duration of the traffic.
+const TRAFFIC_SECONDS: u64 = 16;
 
+/// Runs the demo and prints a table by team.
 pub fn run() -> ExitCode {
-    let works = traffic::workloads(0.1);
+    let workloads = traffic::workloads(0.1);
     let model = Model {
         cores: 8.0,
         ..Model::default()
     };
-    let (engines, span) = (4, SECONDS * SECOND);
+    let (engines, span) = (4, TRAFFIC_SECONDS * SECOND);
     let cores = engines as f64 * model.cores;
     let flood = Flood::Step {
         times: 10.0,
         from: 5 * SECOND,
         until: 12 * SECOND,
     };
-    let all = teams(cores, flood);
+    let teams = teams(cores, flood);
     println!(
         "{engines} emulated engines of {} cores, one gateway, {} teams; from second 5 to 12 {} asks 10 times as much",
         model.cores,
-        all.len(),
-        all[1].name
+        teams.len(),
+        teams[1].name
     );
-    let played = loopback_run::run(RunPlan {
+    let result = loopback_run::run(RunPlan {
         engines,
-        statements: traffic::statements(&works, &all, span, 1),
-        workloads: works,
-        teams: all.iter().map(|t| t.name.clone()).collect(),
+        statements: traffic::statements(&workloads, &teams, span, 1),
+        workloads,
+        teams: teams.iter().map(|team| team.name.clone()).collect(),
         own_settings: Some(loopback_run::team_settings(&TEAMS)),
         quota_cores: TEAMS.iter().map(|(_, share)| share * cores).collect(),
         model,
@@ -43,22 +45,22 @@
         seed: 1,
         prints_progress: true,
     });
-    match played {
+    match result {
         Ok(figures) => {
             println!(
                 "\n{:<10} {:>7} {:>7} {:>8} {:>8} {:>7} {:>7}",
                 "team", "asked", "served", "in time", "service", "p50 ms", "p99 ms"
             );
-            for t in &figures.teams {
+            for team in &figures.teams {
                 println!(
                     "{:<10} {:>7} {:>7} {:>8} {:>8.3} {:>7} {:>7}",
-                    t.name,
-                    t.asked,
-                    t.served,
-                    t.in_time,
-                    t.service(),
-                    t.p(0.5),
-                    t.p(0.99)
+                    team.name,
+                    team.asked,
+                    team.served,
+                    team.in_time,
+                    team.service(),
+                    team.p(0.5),
+                    team.p(0.99)
                 );
             }
             println!(
@@ -70,8 +72,8 @@
             );
             ExitCode::SUCCESS
         }
-        Err(why) => {
-            eprintln!("the demo did not run: {why}");
+        Err(error) => {
+            eprintln!("the demo failed: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/ivypitch-testbed/src/lib.rs
+++ b/crates/ivypitch-testbed/src/lib.rs
@@ -1,8 +1,8 @@
-//! The laboratory: engines as values in virtual time, and over sockets in real time; whole fleets of gateways in
-//! virtual time; open-loop traffic by seed; experiments with bounds; reports. Its constants are its own.
+//! The testbed: emulated engines in virtual time and as real-time servers; fleets of gateways in virtual time and as
+//! processes; seeded open-loop traffic; experiments with bounds; reports. It shares no constants with the gateway.
 //!
-//! Arrows: `command` and `demo` -> `experiments` -> `processes` -> `virtual_time` and `test_servers`; `report`,
-//! `plot` and `figures` know none of them.
+//! Dependencies: `command` and `demo` -> `experiments` -> `processes` -> `virtual_time` and `test_servers`; `report`,
+//! `plot` and `figures` depend on none of them.
 
 pub mod command;
 pub mod demo;
--- a/crates/ivypitch-testbed/src/processes/clients.rs
+++ b/crates/ivypitch-testbed/src/processes/clients.rs
@@ -39,7 +39,7 @@
     Rows(String),
     /// The statement completed; its rows are no longer available.
     Completed,
-    /// Rejected: the statement did excluded run and will excluded.
+    /// Rejected: the statement did not run and will not run.
     Refused,
     /// The statement failed and may have run.
     Unknown,
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Draws a gateway by weight, if possible excluded `excluded`.
+    /// Draws a gateway by weight, other than `excluded` if possible.
     fn choose(&self, rng: &mut ChaCha8Rng, excluded: usize) -> usize {
         let weight = |gateway: usize| match self.statement.gateway_weights.get(gateway) {
             _ if gateway == excluded && self.gateways.len() > 1 => 0.0,
--- a/crates/ivypitch-testbed/src/processes/engine.rs
+++ b/crates/ivypitch-testbed/src/processes/engine.rs
@@ -1,6 +1,6 @@
-//! An emulated engine as a process of its own: the model of [`crate::virtual_time::engine`] behind the platform's HTTP. It listens at
-//! one address for each gateway, so that it knows who asks, and says each start, first question of another gateway and
-//! end on its standard output before it acts on it: what a killed engine had begun is known all the same.
+//! An emulated engine as a process: the model of [`crate::virtual_time::engine`] behind the platform's HTTP protocol. It
+//! listens at one address per gateway, which identifies the caller. It prints each start, each first poll by another
+//! gateway and each end before it acts on it, so that the starts of a killed engine are known.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -20,57 +20,66 @@
 use smol::io::AsyncWriteExt;
 use smol::{Async, LocalExecutor, Timer};
 
-use crate::processes::loopback_run::{Call, answer, next_call};
+use crate::processes::loopback_run::{Call, next_call, response};
 use crate::virtual_time::engine::{Ended, Engine, Model, Query};
 
-const NEWS: Duration = Duration::from_millis(250);
-const UNASKED: Duration = Duration::from_secs(2);
+/// Maximum delay of a response that reports no progress.
+const LONG_POLL_TIMEOUT: Duration = Duration::from_millis(250);
+/// A query that is not polled for this time is dropped.
+const POLL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// One emulated engine; the laboratory starts it.
+/// One emulated engine; the testbed starts it.
 #[derive(Args)]
 pub struct EngineProcess {
-    /// Where it listens for each gateway.
+    /// Listen address for each gateway.
     #[arg(long, value_delimiter = ',', required = true)]
     listen: Vec<SocketAddr>,
     #[arg(long, default_value_t = 16.0)]
     cores: f64,
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// It begins cold and takes so many milliseconds to be warm.
+    /// Milliseconds from a cold start until it is warm.
     #[arg(long, default_value_t = 0)]
     warm_up: u64,
 }
 
-struct Held {
+/// A query of the engine.
+struct KnownQuery {
     id: String,
-    asked_at: Instant,
-    by: usize,
+    last_poll: Instant,
+    /// The gateway that polled last.
+    gateway: usize,
     ended: Option<Ended>,
 }
 
 struct Emulated {
     engine: RefCell<Engine>,
-    /// By the number that the model knows it by. Emptied by a give-up and by 2 s without a question.
-    held: RefCell<BTreeMap<u64, Held>>,
-    last: Cell<u64>,
-    began: Instant,
+    /// By their number in the model; removed when cancelled, or after 2 s without a poll.
+    queries: RefCell<BTreeMap<u64, KnownQuery>>,
+    last_number: Cell<u64>,
+    started: Instant,
     changed: Event,
     ended: Event,
-    /// What the laboratory has told it to do: part of the starts that fail, and answers that are held back.
-    fails: Cell<f64>,
-    mute: Cell<bool>,
+    /// Fraction of the starts that fail, by command.
+    failing_fraction: Cell<f64>,
+    /// Whether results are withheld, by command.
+    withholds_results: Cell<bool>,
 }
 
-/// Microseconds of the system's clock: the laboratory lays events of several processes beside each other.
+/// System time in microseconds since the Unix epoch, comparable between processes.
 pub fn timestamp_us() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |span| span.as_micros() as u64)
 }
 
-fn say(what: &str, id: &str, by: usize) {
-    // Who reads it may have gone.
-    let _ = writeln!(io::stdout().lock(), "{} {what} {id} {by}", timestamp_us());
+fn print_event(kind: &str, id: &str, gateway: usize) {
+    // The reader may have ended.
+    let _ = writeln!(
+        io::stdout().lock(),
+        "{} {kind} {id} {gateway}",
+        timestamp_us()
+    );
 }
 
 impl EngineProcess {
@@ -91,89 +100,91 @@
             places: 10_000,
             ..Model::default()
         };
-        let started = u64::from(self.warm_up > 0);
+        let started_at = u64::from(self.warm_up > 0);
         let emulated = Rc::new(Emulated {
             engine: RefCell::new(Engine::new(
                 model,
                 ChaCha8Rng::seed_from_u64(self.seed),
-                started,
+                started_at,
             )),
-            held: RefCell::default(),
-            last: Cell::new(0),
-            began: Instant::now(),
+            queries: RefCell::default(),
+            last_number: Cell::new(0),
+            started: Instant::now(),
             changed: Event::new(),
             ended: Event::new(),
-            fails: Cell::new(0.0),
-            mute: Cell::new(false),
+            failing_fraction: Cell::new(0.0),
+            withholds_results: Cell::new(false),
         });
         let executor = Rc::new(LocalExecutor::new());
-        for (by, address) in self.listen.iter().enumerate() {
+        for (gateway, address) in self.listen.iter().enumerate() {
             let listener = Async::new(bind(*address)?)?;
-            let (on, emulated) = (executor.clone(), emulated.clone());
+            let (spawner, emulated) = (executor.clone(), emulated.clone());
             let task = async move {
                 while let Ok((stream, _)) = listener.accept().await {
                     let emulated = emulated.clone();
-                    on.spawn(async move {
-                        // A gateway that has gone is no fault here.
-                        let _ = emulated.converse(stream, by).await;
-                    })
-                    .detach();
+                    spawner
+                        .spawn(async move {
+                            // A closed connection is not an error.
+                            let _ = emulated.serve_connection(stream, gateway).await;
+                        })
+                        .detach();
                 }
             };
             executor.spawn(task).detach();
         }
-        // Ends with the laboratory: its end of the pipe closes.
-        let (told, orders) = smol::channel::unbounded();
+        // Ends with the parent process, which closes the pipe.
+        let (sender, commands) = smol::channel::unbounded();
         std::thread::spawn(move || {
             for line in io::stdin().lock().lines().map_while(Result::ok) {
-                let _ = told.try_send(line);
+                let _ = sender.try_send(line);
             }
         });
         println!("{} ready - 0", timestamp_us());
         smol::block_on(executor.run(async {
             let model = emulated.clone().run();
-            let heeding = async {
-                while let Ok(line) = orders.recv().await {
-                    emulated.heed(&line);
+            let handling = async {
+                while let Ok(line) = commands.recv().await {
+                    emulated.handle_command(&line);
                 }
             };
-            model.or(heeding).await;
+            model.or(handling).await;
         }));
         Ok(())
     }
 }
 
-/// The port of a process that died a moment ago may be taken still.
+/// Retries for 5 s: the port of a process that has just ended may still be in use.
 fn bind(address: SocketAddr) -> io::Result<TcpListener> {
-    let until = Instant::now() + Duration::from_secs(5);
+    let deadline = Instant::now() + Duration::from_secs(5);
     loop {
         match TcpListener::bind(address) {
-            Err(e) if e.kind() == io::ErrorKind::AddrInUse && Instant::now() < until => {
+            Err(e) if e.kind() == io::ErrorKind::AddrInUse && Instant::now() < deadline => {
                 std::thread::sleep(Duration::from_millis(20));
             }
-            bound => return bound,
+            result => return result,
         }
     }
 }
 
 impl Emulated {
     fn now(&self) -> Nanos {
-        self.began.elapsed().as_nanos() as Nanos + 1
+        self.started.elapsed().as_nanos() as Nanos + 1
     }
 
-    fn heed(&self, line: &str) {
+    fn handle_command(&self, line: &str) {
         let mut words = line.split_whitespace();
         match (
             words.next(),
             words.next().and_then(|n| n.parse::<f64>().ok()),
         ) {
-            (Some("fails"), Some(part)) => self.fails.set(part.clamp(0.0, 1.0)),
-            (Some("mute"), Some(is)) => self.mute.set(is > 0.0),
-            _ => eprintln!("engine: {line:?} not understood"),
+            (Some("fails"), Some(fraction)) => self.failing_fraction.set(fraction.clamp(0.0, 1.0)),
+            (Some("mute"), Some(value)) => self.withholds_results.set(value > 0.0),
+            _ => eprintln!("engine: unknown command {line:?}"),
         }
         self.ended.notify(usize::MAX);
     }
 
+    /// Advances the model and drops queries that are no longer polled.
     async fn run(self: Rc<Self>) {
         loop {
             let changed = self.changed.listen();
@@ -184,61 +195,68 @@
                 .next_end()
                 .map(|at| at.saturating_sub(self.now()));
             let span = next
-                .map_or(UNASKED / 4, Duration::from_nanos)
-                .min(UNASKED / 4);
+                .map_or(POLL_TIMEOUT / 4, Duration::from_nanos)
+                .min(POLL_TIMEOUT / 4);
             let timer = async {
                 Timer::after(span.max(Duration::from_micros(200))).await;
             };
             changed.or(timer).await;
-            let old: Vec<u64> = self
-                .held
+            let unpolled: Vec<u64> = self
+                .queries
                 .borrow()
                 .iter()
-                .filter(|(_, held)| held.asked_at.elapsed() > UNASKED)
+                .filter(|(_, query)| query.last_poll.elapsed() > POLL_TIMEOUT)
                 .map(|(&number, _)| number)
                 .collect();
-            old.into_iter()
-                .for_each(|number| self.give_up(number, "drop"));
+            unpolled
+                .into_iter()
+                .for_each(|number| self.remove(number, "drop"));
         }
     }
 
+    /// Advances the model to the current time and prints the queries that have ended.
     fn advance(&self) {
         let ended = self.engine.borrow_mut().advance(self.now());
         for (number, end) in ended {
-            if let Some(held) = self.held.borrow_mut().get_mut(&number) {
-                let well = matches!(end, Ended::Good(_));
-                say(if well { "end" } else { "fail" }, &held.id, held.by);
-                held.ended = Some(end);
+            if let Some(query) = self.queries.borrow_mut().get_mut(&number) {
+                let is_completed = matches!(end, Ended::Good(_));
+                print_event(
+                    if is_completed { "end" } else { "fail" },
+                    &query.id,
+                    query.gateway,
+                );
+                query.ended = Some(end);
             }
             self.ended.notify(usize::MAX);
         }
     }
 
-    fn give_up(&self, number: u64, why: &str) {
-        let Some(held) = self.held.borrow_mut().remove(&number) else {
+    /// Cancels a query; `kind`: the event to print.
+    fn remove(&self, number: u64, kind: &str) {
+        let Some(query) = self.queries.borrow_mut().remove(&number) else {
             return;
         };
-        if held.ended.is_none() {
-            say(why, &held.id, held.by);
+        if query.ended.is_none() {
+            print_event(kind, &query.id, query.gateway);
         }
         self.engine.borrow_mut().withdraw(self.now(), number);
         self.changed.notify(usize::MAX);
     }
 
     fn number_of(&self, id: &str) -> Option<u64> {
-        self.held
+        self.queries
             .borrow()
             .iter()
-            .find(|(_, held)| held.id == id)
+            .find(|(_, query)| query.id == id)
             .map(|(&number, _)| number)
     }
 
-    /// `None`: it runs from now on.
-    fn start(&self, call: &Call, id: &str, by: usize) -> Option<String> {
+    /// Starts a query unless it is known; `Some`: the response of a failed start.
+    fn start(&self, call: &Call, id: &str, gateway: usize) -> Option<String> {
         if self.number_of(id).is_some() {
             return None;
         }
-        let figure = |name: &str| {
+        let number_after = |name: &str| {
             let at = call.body.find(name)? + name.len();
             call.body[at..]
                 .split_whitespace()
@@ -246,11 +264,11 @@
                 .parse::<f64>()
                 .ok()
         };
-        let Some(work) = figure("work = ") else {
-            return Some(answer(500, "", ""));
+        let Some(work) = number_after("work = ") else {
+            return Some(response(500, "", ""));
         };
-        let number = self.last.get() + 1;
-        self.last.set(number);
+        let number = self.last_number.get() + 1;
+        self.last_number.set(number);
         let query = Query {
             id: number,
             work: work / 1000.0,
@@ -259,81 +277,82 @@
             group: 0,
         };
         self.advance();
-        say("start", id, by);
+        print_event("start", id, gateway);
         if !self.engine.borrow_mut().start(self.now(), query) {
-            return Some(answer(503, "Srv-Untouched: 1\r\n", ""));
+            return Some(response(503, "Srv-Untouched: 1\r\n", ""));
         }
-        // By its id, so that it fails wherever the seed is the same.
+        // Depends only on the id, so that it fails in each run with the same seed.
         let draw = (id
             .bytes()
             .fold(7u64, |h, b| h.wrapping_mul(31) + u64::from(b))
             % 1000) as f64
             / 1000.0;
-        let ended = (draw < self.fails.get()).then_some(Ended::Error);
-        let held = Held {
+        let ended = (draw < self.failing_fraction.get()).then_some(Ended::Error);
+        let known = KnownQuery {
             id: id.to_owned(),
-            asked_at: Instant::now(),
-            by,
+            last_poll: Instant::now(),
+            gateway,
             ended,
         };
-        self.held.borrow_mut().insert(number, held);
+        self.queries.borrow_mut().insert(number, known);
         self.changed.notify(usize::MAX);
         None
     }
 
-    async fn news(&self, id: &str, by: usize) -> String {
-        let until = Instant::now() + NEWS;
+    /// Response to a poll: the result, or 202 after the long-poll timeout.
+    async fn poll(&self, id: &str, gateway: usize) -> String {
+        let deadline = Instant::now() + LONG_POLL_TIMEOUT;
         loop {
             let ended = self.ended.listen();
             let end = {
                 let Some(number) = self.number_of(id) else {
-                    return answer(500, "", "");
+                    return response(500, "", "");
                 };
-                let mut all = self.held.borrow_mut();
-                let Some(held) = all.get_mut(&number) else {
-                    return answer(500, "", "");
+                let mut queries = self.queries.borrow_mut();
+                let Some(query) = queries.get_mut(&number) else {
+                    return response(500, "", "");
                 };
-                held.asked_at = Instant::now();
-                if held.by != by {
-                    held.by = by;
-                    say("ask", id, by);
+                query.last_poll = Instant::now();
+                if query.gateway != gateway {
+                    query.gateway = gateway;
+                    print_event("ask", id, gateway);
                 }
-                held.ended
+                query.ended
             };
             match end {
-                _ if self.mute.get() => {}
+                _ if self.withholds_results.get() => {}
                 Some(Ended::Good(work)) => {
                     let head = format!(
                         "Page-Count: 1\r\nWork-Ms: {:.3}\r\nPeak-Mb: 16\r\nSrv-Load: waiting:0;active:{};x0:0.1\r\n",
                         work * 1000.0,
                         self.engine.borrow().running()
                     );
-                    return answer(200, &head, &format!("{id}\tb\tc\n"));
+                    return response(200, &head, &format!("{id}\tb\tc\n"));
                 }
-                Some(Ended::Error) => return answer(500, "", ""),
-                None if Instant::now() >= until => return answer(202, "", ""),
+                Some(Ended::Error) => return response(500, "", ""),
+                None if Instant::now() >= deadline => return response(202, "", ""),
                 None => {}
             }
-            let late = async {
-                Timer::at(until.max(Instant::now() + Duration::from_millis(20))).await;
+            let timeout = async {
+                Timer::at(deadline.max(Instant::now() + Duration::from_millis(20))).await;
             };
-            ended.or(late).await;
+            ended.or(timeout).await;
         }
     }
 
-    async fn converse(&self, stream: Async<TcpStream>, by: usize) -> io::Result<()> {
+    async fn serve_connection(&self, stream: Async<TcpStream>, gateway: usize) -> io::Result<()> {
         let mut input = BytesMut::new();
         while let Some(call) = next_call(&stream, &mut input).await? {
             let id = match call.method.as_str() {
                 "POST" => call.header("Via-Id"),
                 _ => call.path.split('/').nth(2).unwrap_or_default().to_owned(),
             };
-            let said = match call.method.as_str() {
-                "POST" => match self.start(&call, &id, by) {
-                    Some(said) => said,
-                    None => self.news(&id, by).await,
+            let response = match call.method.as_str() {
+                "POST" => match self.start(&call, &id, gateway) {
+                    Some(response) => response,
+                    None => self.poll(&id, gateway).await,
                 },
-                "GET" => self.news(&id, by).await,
+                "GET" => self.poll(&id, gateway).await,
                 "PUT" => {
                     if let (Some(number), Ok(priority)) =
                         (self.number_of(&id), call.body.trim().parse())
@@ -343,16 +362,16 @@
                             .set_priority(self.now(), number, priority);
                         self.changed.notify(usize::MAX);
                     }
-                    answer(204, "", "")
+                    response(204, "", "")
                 }
                 _ => {
                     if let Some(number) = self.number_of(&id) {
-                        self.give_up(number, "stop");
+                        self.remove(number, "stop");
                     }
-                    answer(204, "", "")
+                    response(204, "", "")
                 }
             };
-            (&stream).write_all(said.as_bytes()).await?;
+            (&stream).write_all(response.as_bytes()).await?;
         }
         Ok(())
     }
--- a/crates/ivypitch-testbed/src/processes/loopback_run.rs
+++ b/crates/ivypitch-testbed/src/processes/loopback_run.rs
@@ -1,5 +1,5 @@
-//! The same over sockets: emulated engines that speak the platform's HTTP, real gateways as processes, open-loop
-//! clients of the MySQL protocol, all on loopback. One thread a run holds its engines and clients.
+//! Runs in real time over loopback sockets: emulated engines with the platform's HTTP protocol, a gateway process, and
+//! open-loop clients of the MySQL protocol. One thread per run serves its engines and clients.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -27,60 +27,66 @@
 use crate::virtual_time::traffic::{Statement, Work};
 
 const MS: Nanos = 1_000_000;
-/// An engine holds its news back for so long.
-const NEWS: Duration = Duration::from_millis(250);
-/// What has not been asked for in so long is dropped.
-const UNASKED: Duration = Duration::from_secs(2);
-/// A refused client tries so often in all.
-const TRIES: u32 = 3;
-const LARGEST: usize = 1 << 20;
-/// Sessions that a team's clients keep idle.
-const KEPT: usize = 64;
-/// And for how long.
-const IDLE: Duration = Duration::from_secs(4);
-
+/// Maximum delay of a response that reports no progress.
+const LONG_POLL_TIMEOUT: Duration = Duration::from_millis(250);
+/// A query that is not polled for this time is dropped.
+const POLL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum attempts of a client whose statement is rejected.
+const MAX_ATTEMPTS: u32 = 3;
+/// Maximum bytes of a request's head, and of its body.
+const MAX_REQUEST_BYTES: usize = 1 << 20;
+/// Maximum number of idle sessions of a team's clients.
+const MAX_IDLE_SESSIONS: usize = 64;
+/// Time after which an idle session is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+
+/// Traffic, engines and settings of a run.
 pub struct RunPlan {
     pub engines: usize,
     pub model: Model,
     pub workloads: Vec<Work>,
     pub teams: Vec<String>,
     pub statements: Vec<Statement>,
-    /// The own settings of the gateway, as JSON.
+    /// The operator's settings of the gateway as JSON.
     pub own_settings: Option<String>,
+    /// Quota of each team in cores.
     pub quota_cores: Vec<f64>,
-    /// Every statement comes on a connection of its own.
+    /// Each statement uses a connection of its own.
     pub new_connections: bool,
     pub seed: u64,
-    /// A line a second.
+    /// Prints a line per second.
     pub prints_progress: bool,
 }
 
 // ---- engines ----
 
-struct Asked {
+/// A query of an engine.
+struct KnownQuery {
+    /// Its number in the model.
     number: u64,
-    asked_at: Instant,
+    last_poll: Instant,
     ended: Option<Ended>,
 }
 
 struct Emulated {
     engine: RefCell<Engine>,
-    queries: RefCell<HashMap<String, Asked>>,
+    queries: RefCell<HashMap<String, KnownQuery>>,
     ids: RefCell<HashMap<u64, String>>,
-    last: Cell<u64>,
+    last_number: Cell<u64>,
     changed: Event,
     ended: Event,
     shared: Rc<Shared>,
 }
 
-/// What the run's engines and clients have in common.
+/// State shared by the run's engines and clients.
 struct Shared {
     started: Instant,
     statements: Vec<Statement>,
     works: Vec<Work>,
-    /// Starts of each statement at engines, and core-seconds done by team.
+    /// Number of starts of each statement at engines.
     starts: RefCell<Vec<u32>>,
-    used: RefCell<Vec<f64>>,
+    /// Core-seconds of completed work by team.
+    used_core_s: RefCell<Vec<f64>>,
 }
 
 impl Shared {
@@ -90,7 +96,7 @@
 }
 
 impl Emulated {
-    /// Moves the engine on; tells those who wait what has ended.
+    /// Advances the model and notifies the waiting polls of queries that have ended.
     fn advance(&self) {
         let ended = self.engine.borrow_mut().advance(self.shared.now());
         if ended.is_empty() {
@@ -100,13 +106,14 @@
             let Some(id) = self.ids.borrow_mut().remove(&number) else {
                 continue;
             };
-            if let Some(asked) = self.queries.borrow_mut().get_mut(&id) {
-                asked.ended = Some(end);
+            if let Some(query) = self.queries.borrow_mut().get_mut(&id) {
+                query.ended = Some(end);
             }
         }
         self.ended.notify(usize::MAX);
     }
 
+    /// Advances the model and drops queries that are no longer polled.
     async fn run(self: Rc<Self>) {
         loop {
             let changed = self.changed.listen();
@@ -118,43 +125,45 @@
                 .next_end()
                 .map(|at| at.saturating_sub(now));
             let span = next
-                .map_or(UNASKED / 4, Duration::from_nanos)
-                .min(UNASKED / 4);
+                .map_or(POLL_TIMEOUT / 4, Duration::from_nanos)
+                .min(POLL_TIMEOUT / 4);
             let timer = async {
                 Timer::after(span.max(Duration::from_micros(100))).await;
             };
             changed.or(timer).await;
-            self.drop_unasked();
+            self.drop_unpolled();
         }
     }
 
-    fn drop_unasked(&self) {
-        let old = |asked: &Asked| asked.asked_at.elapsed() > UNASKED;
-        let gone: Vec<(String, u64)> = self
+    fn drop_unpolled(&self) {
+        let is_unpolled = |query: &KnownQuery| query.last_poll.elapsed() > POLL_TIMEOUT;
+        let unpolled: Vec<(String, u64)> = self
             .queries
             .borrow()
             .iter()
-            .filter(|(_, asked)| old(asked))
-            .map(|(id, asked)| (id.clone(), asked.number))
+            .filter(|(_, query)| is_unpolled(query))
+            .map(|(id, query)| (id.clone(), query.number))
             .collect();
-        for (id, number) in gone {
-            self.give_up(&id, number);
+        for (id, number) in unpolled {
+            self.cancel(&id, number);
         }
     }
 
-    fn give_up(&self, id: &str, number: u64) {
+    /// Cancels a query.
+    fn cancel(&self, id: &str, number: u64) {
         self.queries.borrow_mut().remove(id);
         self.ids.borrow_mut().remove(&number);
         self.engine.borrow_mut().withdraw(self.shared.now(), number);
         self.changed.notify(usize::MAX);
     }
 
+    /// Starts a query; returns the response, or an empty text if the query now runs.
     fn start(&self, call: &Call) -> String {
         let id = call.header("Via-Id");
         if self.queries.borrow().contains_key(&id) {
-            return answer(202, "", "");
+            return response(202, "", "");
         }
-        let figure = |name: &str| {
+        let number_after = |name: &str| {
             let at = call.body.find(name)? + name.len();
             call.body[at..]
                 .split_whitespace()
@@ -162,33 +171,33 @@
                 .parse::<f64>()
                 .ok()
         };
-        let Some(stmt) = figure("stmt = ")
+        let Some(statement) = number_after("stmt = ")
             .map(|n| n as usize)
             .filter(|&n| n < self.shared.statements.len())
         else {
-            return answer(500, "", "");
+            return response(500, "", "");
         };
-        let asked = &self.shared.statements[stmt];
-        let number = self.last.get() + 1;
-        self.last.set(number);
+        let planned = &self.shared.statements[statement];
+        let number = self.last_number.get() + 1;
+        self.last_number.set(number);
         let query = Query {
             id: number,
-            work: asked.work,
-            threads: self.shared.works[asked.workload].threads,
+            work: planned.work,
+            threads: self.shared.works[planned.workload].threads,
             priority: call.header("Rank").parse().unwrap_or(1),
-            group: asked.group,
+            group: planned.group,
         };
         self.advance();
         if !self.engine.borrow_mut().start(self.shared.now(), query) {
-            return answer(503, "Srv-Untouched: 1\r\n", "");
+            return response(503, "Srv-Untouched: 1\r\n", "");
         }
-        self.shared.starts.borrow_mut()[stmt] += 1;
+        self.shared.starts.borrow_mut()[statement] += 1;
         self.ids.borrow_mut().insert(number, id.clone());
         self.queries.borrow_mut().insert(
             id,
-            Asked {
+            KnownQuery {
                 number,
-                asked_at: Instant::now(),
+                last_poll: Instant::now(),
                 ended: None,
             },
         );
@@ -196,54 +205,56 @@
         String::new()
     }
 
-    /// The end, or 202 once the news have been held back for their time.
-    async fn news(&self, id: &str, stmt_team: Option<usize>) -> String {
-        let until = Instant::now() + NEWS;
+    /// Response to a poll: the result, or 202 after the long-poll timeout.
+    async fn poll(&self, id: &str, team: Option<usize>) -> String {
+        let deadline = Instant::now() + LONG_POLL_TIMEOUT;
         loop {
             let ended = self.ended.listen();
             let end = {
                 let mut queries = self.queries.borrow_mut();
-                let Some(asked) = queries.get_mut(id) else {
-                    return answer(500, "", "");
+                let Some(query) = queries.get_mut(id) else {
+                    return response(500, "", "");
                 };
-                asked.asked_at = Instant::now();
-                asked.ended
+                query.last_poll = Instant::now();
+                query.ended
             };
             match end {
                 Some(Ended::Good(work)) => {
-                    if let Some(team) = stmt_team {
-                        self.shared.used.borrow_mut()[team] += work;
+                    if let Some(team) = team {
+                        self.shared.used_core_s.borrow_mut()[team] += work;
                     }
                     let head = format!(
                         "Page-Count: 1\r\nWork-Ms: {:.3}\r\nPeak-Mb: 16\r\nSrv-Load: active:{}\r\n",
                         work * 1000.0,
                         self.engine.borrow().running()
                     );
-                    return answer(200, &head, "a\tb\tc\n");
+                    return response(200, &head, "a\tb\tc\n");
                 }
-                Some(Ended::Error) => return answer(500, "", ""),
-                None if Instant::now() >= until => return answer(202, "", ""),
+                Some(Ended::Error) => return response(500, "", ""),
+                None if Instant::now() >= deadline => return response(202, "", ""),
                 None => {
-                    let late = async {
-                        Timer::at(until).await;
+                    let timeout = async {
+                        Timer::at(deadline).await;
                     };
-                    ended.or(late).await;
+                    ended.or(timeout).await;
                 }
             }
         }
     }
 }
 
+/// An HTTP request to an engine.
 pub(crate) struct Call {
     pub method: String,
     pub path: String,
     headers: Vec<(String, String)>,
     pub body: String,
-    /// Of head and body as they came.
+    /// Size of head and body as received.
     pub bytes: usize,
 }
 
 impl Call {
+    /// Value of a header; empty if it is missing.
     pub fn header(&self, name: &str) -> String {
         let found = self
             .headers
@@ -253,13 +264,15 @@
     }
 }
 
-pub(crate) fn answer(status: u16, headers: &str, body: &str) -> String {
+/// HTTP response of an engine.
+pub(crate) fn response(status: u16, headers: &str, body: &str) -> String {
     format!(
         "HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n{body}",
         body.len()
     )
 }
 
+/// Reads the next request; `None`: the connection is closed, or the request is too large.
 pub(crate) async fn next_call(
     stream: &Async<TcpStream>,
     input: &mut BytesMut,
@@ -267,8 +280,8 @@
     loop {
         let mut headers = [httparse::EMPTY_HEADER; 32];
         let mut request = httparse::Request::new(&mut headers);
-        let bad = |_| io::Error::from(io::ErrorKind::InvalidData);
-        if let httparse::Status::Complete(head) = request.parse(input).map_err(bad)? {
+        let to_io_error = |_| io::Error::from(io::ErrorKind::InvalidData);
+        if let httparse::Status::Complete(head) = request.parse(input).map_err(to_io_error)? {
             let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
             let headers = request
                 .headers
@@ -286,7 +299,7 @@
                 .header("Content-Length")
                 .parse()
                 .unwrap_or(0usize)
-                .min(LARGEST);
+                .min(MAX_REQUEST_BYTES);
             while input.len() < head + length {
                 if read_some(stream, input).await? == 0 {
                     return Ok(None);
@@ -297,7 +310,7 @@
             call.bytes += length;
             return Ok(Some(call));
         }
-        if input.len() > LARGEST || read_some(stream, input).await? == 0 {
+        if input.len() > MAX_REQUEST_BYTES || read_some(stream, input).await? == 0 {
             return Ok(None);
         }
     }
@@ -311,26 +324,28 @@
             "POST" => call.header("Via-Id"),
             _ => call.path.split('/').nth(2).unwrap_or_default().to_owned(),
         };
-        let said = match call.method.as_str() {
+        let response_text = match call.method.as_str() {
             "POST" => {
-                let stmt = call
+                let statement = call
                     .body
                     .split("stmt = ")
                     .nth(1)
                     .and_then(|n| n.split_whitespace().next()?.parse().ok());
-                if let Some(asked) = stmt.and_then(|n: usize| emulated.shared.statements.get(n)) {
-                    teams.insert(id.clone(), asked.team);
+                if let Some(planned) =
+                    statement.and_then(|n: usize| emulated.shared.statements.get(n))
+                {
+                    teams.insert(id.clone(), planned.team);
                 }
-                let said = emulated.start(&call);
-                if said.is_empty() {
-                    emulated.news(&id, teams.get(&id).copied()).await
+                let start_response = emulated.start(&call);
+                if start_response.is_empty() {
+                    emulated.poll(&id, teams.get(&id).copied()).await
                 } else {
-                    said
+                    start_response
                 }
             }
-            "GET" => emulated.news(&id, teams.get(&id).copied()).await,
+            "GET" => emulated.poll(&id, teams.get(&id).copied()).await,
             "PUT" => {
-                let number = emulated.queries.borrow().get(&id).map(|asked| asked.number);
+                let number = emulated.queries.borrow().get(&id).map(|query| query.number);
                 if let Some(number) = number {
                     let priority = call.body.trim().parse().unwrap_or(1);
                     let now = emulated.shared.now();
@@ -340,136 +355,153 @@
                         .set_priority(now, number, priority);
                     emulated.changed.notify(usize::MAX);
                 }
-                answer(204, "", "")
+                response(204, "", "")
             }
             _ => {
-                let number = emulated.queries.borrow().get(&id).map(|asked| asked.number);
+                let number = emulated.queries.borrow().get(&id).map(|query| query.number);
                 if let Some(number) = number {
-                    emulated.give_up(&id, number);
+                    emulated.cancel(&id, number);
                 }
-                answer(204, "", "")
+                response(204, "", "")
             }
         };
-        (&stream).write_all(said.as_bytes()).await?;
+        (&stream).write_all(response_text.as_bytes()).await?;
     }
     Ok(())
 }
 
 // ---- clients ----
 
-enum Answered {
+/// Outcome of one attempt.
+enum AttemptOutcome {
     Rows,
-    /// Refused; when to come back.
-    Refused(Nanos),
+    /// Rejected, with the retry-after.
+    Rejected(Nanos),
     Failed,
 }
 
-async fn ask(session: &mut Session, text: &str) -> io::Result<Answered> {
+async fn execute(session: &mut Session, text: &str) -> io::Result<AttemptOutcome> {
     Ok(match session.execute(text).await? {
-        Reply::Rows(_) => Answered::Rows,
-        Reply::Error(1040 | 1203 | 1226, text) => Answered::Refused(retry_after_ms(&text) * MS),
-        Reply::Error(..) => Answered::Failed,
+        Reply::Rows(_) => AttemptOutcome::Rows,
+        Reply::Error(1040 | 1203 | 1226, text) => {
+            AttemptOutcome::Rejected(retry_after_ms(&text) * MS)
+        }
+        Reply::Error(..) => AttemptOutcome::Failed,
     })
 }
 
+/// Attempts and answers of one statement.
 #[derive(Clone, Copy, Default)]
-struct Told {
-    tries: u32,
+struct StatementCounts {
+    attempts: u32,
     answers: u32,
-    served: Option<Nanos>,
-    refused: u32,
+    served_at: Option<Nanos>,
+    rejected: u32,
     failed: u32,
 }
 
 struct Clients {
     shared: Rc<Shared>,
     address: SocketAddr,
-    names: Vec<String>,
+    team_names: Vec<String>,
     idle: RefCell<Vec<Vec<Session>>>,
-    told: RefCell<Vec<Told>>,
+    counts: RefCell<Vec<StatementCounts>>,
     new_connections: bool,
-    open: Cell<usize>,
+    /// Number of statements in flight.
+    in_flight: Cell<usize>,
 }
 
 impl Clients {
-    async fn ask(self: Rc<Self>, stmt: usize) {
-        self.open.set(self.open.get() + 1);
-        let asked = &self.shared.statements[stmt];
-        let work = &self.shared.works[asked.workload];
-        let by = asked.at + work.timeout;
-        for attempt in 0..TRIES {
-            self.told.borrow_mut()[stmt].tries += 1;
-            let left = by.saturating_sub(self.shared.now()) / MS;
-            let late = async {
-                Timer::after(Duration::from_millis(left + 1000)).await;
+    /// Sends a statement and retries rejections within half of its timeout.
+    async fn send_statement(self: Rc<Self>, statement: usize) {
+        self.in_flight.set(self.in_flight.get() + 1);
+        let planned = &self.shared.statements[statement];
+        let work = &self.shared.works[planned.workload];
+        let deadline = planned.at + work.timeout;
+        for attempt in 0..MAX_ATTEMPTS {
+            self.counts.borrow_mut()[statement].attempts += 1;
+            let remaining_ms = deadline.saturating_sub(self.shared.now()) / MS;
+            let timeout = async {
+                Timer::after(Duration::from_millis(remaining_ms + 1000)).await;
                 Err(io::ErrorKind::TimedOut.into())
             };
-            let answered = self.once(stmt, attempt, left.max(1)).or(late).await;
-            if answered.is_ok() {
-                self.told.borrow_mut()[stmt].answers += 1;
+            let outcome = self
+                .attempt(statement, attempt, remaining_ms.max(1))
+                .or(timeout)
+                .await;
+            if outcome.is_ok() {
+                self.counts.borrow_mut()[statement].answers += 1;
             }
-            match &answered {
-                Ok(Answered::Refused(_)) => self.told.borrow_mut()[stmt].refused += 1,
-                Ok(Answered::Failed) => self.told.borrow_mut()[stmt].failed += 1,
+            match &outcome {
+                Ok(AttemptOutcome::Rejected(_)) => {
+                    self.counts.borrow_mut()[statement].rejected += 1
+                }
+                Ok(AttemptOutcome::Failed) => self.counts.borrow_mut()[statement].failed += 1,
                 _ => {}
             }
-            match answered {
-                Ok(Answered::Rows) => {
-                    self.told.borrow_mut()[stmt].served = Some(self.shared.now());
+            match outcome {
+                Ok(AttemptOutcome::Rows) => {
+                    self.counts.borrow_mut()[statement].served_at = Some(self.shared.now());
                     break;
                 }
-                Ok(Answered::Refused(after))
-                    if self.shared.now() + after < asked.at + work.timeout / 2 =>
+                Ok(AttemptOutcome::Rejected(after))
+                    if self.shared.now() + after < planned.at + work.timeout / 2 =>
                 {
                     Timer::after(Duration::from_nanos(after.max(MS))).await;
                 }
                 _ => break,
             }
         }
-        self.open.set(self.open.get() - 1);
+        self.in_flight.set(self.in_flight.get() - 1);
     }
 
-    async fn once(&self, stmt: usize, attempt: u32, left: u64) -> io::Result<Answered> {
-        let asked = &self.shared.statements[stmt];
-        let work = &self.shared.works[asked.workload];
-        let kept = {
+    /// Makes one attempt.
+    async fn attempt(
+        &self,
+        statement: usize,
+        attempt: u32,
+        remaining_ms: u64,
+    ) -> io::Result<AttemptOutcome> {
+        let planned = &self.shared.statements[statement];
+        let work = &self.shared.works[planned.workload];
+        let idle_session = {
             let mut idle = self.idle.borrow_mut();
-            idle[asked.team].retain(|session| session.used_at.elapsed() < IDLE);
-            idle[asked.team].pop()
+            idle[planned.team].retain(|session| session.used_at.elapsed() < IDLE_TIMEOUT);
+            idle[planned.team].pop()
         };
-        let was_kept = kept.is_some();
-        let mut session = match kept {
+        let was_idle = idle_session.is_some();
+        let mut session = match idle_session {
             Some(session) => session,
             None => Session::connect(self.address).await?,
         };
-        let id = (stmt as u64) << 8 | u64::from(attempt);
+        let id = (statement as u64) << 8 | u64::from(attempt);
         let text = format!(
-            "/* kind={},req={id:016x},timeout={left},owner={},ms={:.3} */ SELECT a FROM sales_{}.orders WHERE stmt = {stmt} ",
+            "/* kind={},req={id:016x},timeout={remaining_ms},owner={},ms={:.3} */ SELECT a FROM sales_{}.orders WHERE stmt = {statement} ",
             work.name,
-            self.names[asked.team],
-            asked.told_work * 1000.0,
-            asked.group
+            self.team_names[planned.team],
+            planned.told_work * 1000.0,
+            planned.group
         );
-        let answered = match ask(&mut session, &text).await {
-            // It crossed the close of a connection that had been idle: once more, on a new one.
-            Err(_) if was_kept => {
+        let outcome = match execute(&mut session, &text).await {
+            // The gateway closed the idle connection meanwhile: retries on a new connection.
+            Err(_) if was_idle => {
                 session = Session::connect(self.address).await?;
-                ask(&mut session, &text).await?
+                execute(&mut session, &text).await?
             }
-            answered => answered?,
+            outcome => outcome?,
         };
         session.used_at = Instant::now();
         let mut idle = self.idle.borrow_mut();
-        if !self.new_connections && idle[asked.team].len() < KEPT {
-            idle[asked.team].push(session);
+        if !self.new_connections && idle[planned.team].len() < MAX_IDLE_SESSIONS {
+            idle[planned.team].push(session);
         }
-        Ok(answered)
+        Ok(outcome)
     }
 }
 
 // ---- a run ----
 
-/// The platform's configuration of a gateway before these engines.
+/// Configuration of a gateway for these engines.
 pub fn configuration(plan: &RunPlan, engines: &[SocketAddr]) -> String {
     let ns = |span: Nanos| span.to_string();
     let parts: f64 = plan.workloads.iter().map(|w| w.part).sum();
@@ -540,14 +572,14 @@
     )
 }
 
-/// Plays the plan against a gateway of its own; `None` where that did not start.
+/// Starts a gateway and runs the plan against it; an error if the gateway does not start or ends with a failure.
 pub fn run(plan: RunPlan) -> Result<Figures, String> {
     let executor = Rc::new(LocalExecutor::new());
     smol::block_on(executor.clone().run(async move {
         let shared = Rc::new(Shared {
             started: Instant::now(),
             starts: RefCell::new(vec![0; plan.statements.len()]),
-            used: RefCell::new(vec![0.0; plan.teams.len()]),
+            used_core_s: RefCell::new(vec![0.0; plan.teams.len()]),
             statements: plan.statements.clone(),
             works: plan.workloads.clone(),
         });
@@ -562,23 +594,24 @@
                 engine: RefCell::new(Engine::new(plan.model.clone(), rng, 0)),
                 queries: RefCell::default(),
                 ids: RefCell::default(),
-                last: Cell::new(0),
+                last_number: Cell::new(0),
                 changed: Event::new(),
                 ended: Event::new(),
                 shared: shared.clone(),
             });
             engines.push(emulated.clone());
             executor.spawn(emulated.clone().run()).detach();
-            let on = executor.clone();
+            let spawner = executor.clone();
             executor
                 .spawn(async move {
                     while let Ok((stream, _)) = listener.accept().await {
                         let emulated = emulated.clone();
-                        on.spawn(async move {
-                            // A gateway that has gone is no fault here.
-                            let _ = serve_engine(emulated, stream).await;
-                        })
-                        .detach();
+                        spawner
+                            .spawn(async move {
+                                // A closed connection is not an error.
+                                let _ = serve_engine(emulated, stream).await;
+                            })
+                            .detach();
                     }
                 })
                 .detach();
@@ -603,32 +636,35 @@
         let clients = Rc::new(Clients {
             shared: shared.clone(),
             address,
-            names: plan.teams.clone(),
+            team_names: plan.teams.clone(),
             idle: RefCell::new(plan.teams.iter().map(|_| Vec::new()).collect()),
-            told: RefCell::new(vec![Told::default(); plan.statements.len()]),
+            counts: RefCell::new(vec![StatementCounts::default(); plan.statements.len()]),
             new_connections: plan.new_connections,
-            open: Cell::new(0),
+            in_flight: Cell::new(0),
         });
-        // Statements count from here.
-        let begun = shared.now();
+        // The statements' times count from here.
+        let traffic_start = shared.now();
         let mut second = 1;
         let mut shown = vec![(0u64, 0u64); plan.teams.len()];
-        for stmt in 0..plan.statements.len() {
-            let at = shared.started + Duration::from_nanos(begun + plan.statements[stmt].at);
+        for statement in 0..plan.statements.len() {
+            let at = shared.started
+                + Duration::from_nanos(traffic_start + plan.statements[statement].at);
             if at > Instant::now() {
                 Timer::at(at).await;
             }
-            executor.spawn(clients.clone().ask(stmt)).detach();
-            if plan.prints_progress && plan.statements[stmt].at >= second * SECOND {
-                live(second, &clients, &shared, begun, &mut shown);
+            executor
+                .spawn(clients.clone().send_statement(statement))
+                .detach();
+            if plan.prints_progress && plan.statements[statement].at >= second * SECOND {
+                print_progress(second, &clients, &shared, traffic_start, &mut shown);
                 second += 1;
             }
         }
-        let patience = Instant::now() + Duration::from_secs(60);
-        while clients.open.get() > 0 && Instant::now() < patience {
+        let deadline = Instant::now() + Duration::from_secs(60);
+        while clients.in_flight.get() > 0 && Instant::now() < deadline {
             Timer::after(Duration::from_millis(20)).await;
         }
-        let figures = count(&plan, &clients, &shared, &engines, begun);
+        let figures = collect_figures(&plan, &clients, &shared, &engines, traffic_start);
         let mut figures = figures;
         figures.cpu_s = cpu_s(child.id());
         let pid = child.id().to_string();
@@ -648,7 +684,7 @@
     }))
 }
 
-/// CPU seconds of a process so far, as the system counts them in hundredths; 0 where it doesn't tell.
+/// CPU seconds of a process so far, in steps of 0.01 s; 0 if they cannot be read.
 fn cpu_s(pid: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     let fields = stat.rsplit(')').next().unwrap_or("").split_whitespace();
@@ -660,17 +696,24 @@
         / 100.0
 }
 
-fn live(second: u64, clients: &Clients, shared: &Shared, begun: Nanos, shown: &mut [(u64, u64)]) {
+/// Prints the counts of the last second by team.
+fn print_progress(
+    second: u64,
+    clients: &Clients,
+    shared: &Shared,
+    traffic_start: Nanos,
+    shown: &mut [(u64, u64)],
+) {
     let mut now = vec![(0u64, 0u64); shown.len()];
-    for (told, asked) in clients.told.borrow().iter().zip(&shared.statements) {
-        let served = told
-            .served
-            .is_some_and(|at| at <= begun + asked.at + asked.slo);
-        now[asked.team].0 += u64::from(told.tries > 0);
-        now[asked.team].1 += u64::from(served);
+    for (counts, planned) in clients.counts.borrow().iter().zip(&shared.statements) {
+        let served = counts
+            .served_at
+            .is_some_and(|at| at <= traffic_start + planned.at + planned.slo);
+        now[planned.team].0 += u64::from(counts.attempts > 0);
+        now[planned.team].1 += u64::from(served);
     }
     let parts: Vec<String> = clients
-        .names
+        .team_names
         .iter()
         .zip(now.iter().zip(shown.iter()))
         .map(|(name, (now, was))| {
@@ -680,17 +723,18 @@
     println!(
         "{second:>3} s  {}  ({} open)",
         parts.join(", "),
-        clients.open.get()
+        clients.in_flight.get()
     );
     shown.copy_from_slice(&now);
 }
 
-fn count(
+/// Sums up the run.
+fn collect_figures(
     plan: &RunPlan,
     clients: &Clients,
     shared: &Shared,
     engines: &[Rc<Emulated>],
-    begun: Nanos,
+    traffic_start: Nanos,
 ) -> Figures {
     let mut teams: Vec<TeamFigures> = plan
         .teams
@@ -699,17 +743,20 @@
         .collect();
     let mut figures = Figures::default();
     let starts = shared.starts.borrow();
-    for (stmt, told) in clients.told.borrow().iter().enumerate() {
-        let asked = &plan.statements[stmt];
-        let work = &plan.workloads[asked.workload];
-        let took = told.served.map(|at| at.saturating_sub(begun + asked.at));
-        teams[asked.team].count(work.priority_weight, asked.slo, took, told.tries);
-        teams[asked.team].refused_waiting += u64::from(told.refused);
-        teams[asked.team].refused_later += u64::from(told.failed);
-        figures.doubled += u64::from(work.effect == Idempotency::NonIdempotent && starts[stmt] > 1);
-        figures.unanswered += u64::from(told.answers < told.tries);
+    for (statement, counts) in clients.counts.borrow().iter().enumerate() {
+        let planned = &plan.statements[statement];
+        let work = &plan.workloads[planned.workload];
+        let latency = counts
+            .served_at
+            .map(|at| at.saturating_sub(traffic_start + planned.at));
+        teams[planned.team].count(work.priority_weight, planned.slo, latency, counts.attempts);
+        teams[planned.team].refused_waiting += u64::from(counts.rejected);
+        teams[planned.team].refused_later += u64::from(counts.failed);
+        figures.doubled +=
+            u64::from(work.effect == Idempotency::NonIdempotent && starts[statement] > 1);
+        figures.unanswered += u64::from(counts.answers < counts.attempts);
     }
-    for (team, used) in teams.iter_mut().zip(shared.used.borrow().iter()) {
+    for (team, used) in teams.iter_mut().zip(shared.used_core_s.borrow().iter()) {
         team.used = *used;
     }
     figures.wasted = engines.iter().map(|e| e.engine.borrow().wasted).sum();
@@ -717,7 +764,7 @@
     figures
 }
 
-/// What the gateway says of its estimates as it ends.
+/// Adds the estimate totals that the gateway logs when it ends.
 fn with_estimates(mut figures: Figures, log: &[String]) -> Figures {
     let Some(line) = log
         .iter()
@@ -727,18 +774,19 @@
     };
     let number =
         |key: &str| log_lines::field(line, key).and_then(|value| value.parse::<u64>().ok());
-    if let (Some(told), Some(good), Some(median)) = (
+    if let (Some(estimates), Some(good), Some(median)) = (
         number("estimates"),
         number("good"),
         number("median_error_percent"),
     ) {
-        figures.told = told;
+        figures.told = estimates;
         figures.good = good;
         figures.median_error = median as f64 / 100.0;
     }
     figures
 }
 
+/// The operator's settings with the shares of the teams, as JSON.
 pub fn team_settings(shares: &[(&str, f64)]) -> String {
     let teams: Vec<String> = shares
         .iter()
--- a/crates/ivypitch-testbed/src/processes/mod.rs
+++ b/crates/ivypitch-testbed/src/processes/mod.rs
@@ -581,8 +581,8 @@
 
     /// Sends a command such as `fails 0.5` or `mute 1` to an engine that is a process.
     pub fn send_command(&mut self, engine: usize, line: &str) {
-        if let Some(orders) = &mut self.engines[engine].commands {
-            let _ = writeln!(orders, "{line}");
+        if let Some(commands) = &mut self.engines[engine].commands {
+            let _ = writeln!(commands, "{line}");
         }
     }
 
--- a/crates/ivypitch-testbed/src/processes/simulated_gateways/gateway.rs
+++ b/crates/ivypitch-testbed/src/processes/simulated_gateways/gateway.rs
@@ -1,4 +1,4 @@
-//! One simulated gateway, in place of the scheduler's actor.
+//! One simulated gateway; it takes the place of the scheduler's actor.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 use crate::processes::engine::timestamp_us;
 use ivypitch_gateway::wire::peer_frames::Frame;
 
-/// States of an endpoint in the discovery service's words.
+/// Endpoint states of the discovery service.
 const TERMINATED: &str = "terminated";
 const IN_SERVICE: &str = "in_service";
 
@@ -28,16 +28,16 @@
     clock: Clock,
     ownership: Option<OwnershipDriver>,
     coordination: Option<CoordinationDriver>,
-    /// The processes of the others that are reachable.
+    /// Reachable processes of other members.
     reachable: BTreeMap<MemberId, Incarnation>,
-    /// The others that were reachable at any time.
-    met: BTreeSet<MemberId>,
+    /// Other members that have been reachable at any time.
+    ever_reachable: BTreeSet<MemberId>,
     /// Engines of the endpoint list and whether they are ready.
     engines: BTreeMap<u64, bool>,
     shared: Arc<SharedState>,
 }
 
-enum Wakeup {
+enum Input {
     Event(SchedulerMessage),
     Message(LinkMessage),
     Timer,
@@ -57,19 +57,19 @@
             ownership,
             coordination,
             reachable: BTreeMap::new(),
-            met: BTreeSet::new(),
+            ever_reachable: BTreeSet::new(),
             engines: BTreeMap::new(),
             shared,
         }
     }
 
     pub(super) async fn run(mut self, events: Receiver<SchedulerMessage>, inbox: Inbox) {
-        while let Some(wakeup) = self.next_wakeup(&events, &inbox).await {
+        while let Some(input) = self.next_input(&events, &inbox).await {
             let now = self.clock.now();
-            match wakeup {
-                Wakeup::Event(event) => self.on_event(now, event),
-                Wakeup::Message(message) => self.on_link_message(now, message),
-                Wakeup::Timer => {}
+            match input {
+                Input::Event(event) => self.on_event(now, event),
+                Input::Message(message) => self.on_link_message(now, message),
+                Input::Timer => {}
             }
             if let Some(ownership) = &mut self.ownership {
                 ownership.on_timer(now);
@@ -81,22 +81,22 @@
         }
     }
 
-    /// `None`: the process ends.
-    async fn next_wakeup(
+    /// Waits for the next input; `None`: the process ends.
+    async fn next_input(
         &self,
         events: &Receiver<SchedulerMessage>,
         inbox: &Inbox,
-    ) -> Option<Wakeup> {
-        let due = self.next_timer();
+    ) -> Option<Input> {
+        let fires_at = self.next_timer();
         let timer = async {
-            if due == Nanos::MAX {
+            if fires_at == Nanos::MAX {
                 return std::future::pending().await;
             }
-            Timer::at(self.clock.instant(due)).await;
-            Some(Wakeup::Timer)
+            Timer::at(self.clock.instant(fires_at)).await;
+            Some(Input::Timer)
         };
-        let event = async { events.recv().await.ok().map(Wakeup::Event) };
-        let message = async { inbox.recv().await.ok().map(Wakeup::Message) };
+        let event = async { events.recv().await.ok().map(Input::Event) };
+        let message = async { inbox.recv().await.ok().map(Input::Message) };
         event.or(message).or(timer).await
     }
 
@@ -134,7 +134,7 @@
             SchedulerMessage::PeerEvent(event) => self.on_peer_event(now, event),
             SchedulerMessage::WatchLineRead { event } => self.on_watch_line_read(now, event),
             SchedulerMessage::EndpointsUpdated { update } => self.on_endpoints_updated(update),
-            // About clients and attempts: there are none.
+            // The other messages concern clients and attempts, which do not exist here.
             _ => {}
         }
     }
@@ -188,8 +188,8 @@
 
     fn on_member_up(&mut self, process: ProcessId) {
         self.reachable.insert(process.member, process.incarnation);
-        let is_new = self.met.insert(process.member);
-        if is_new && self.met.len() + 1 == self.shared.members {
+        let is_new = self.ever_reachable.insert(process.member);
+        if is_new && self.ever_reachable.len() + 1 == self.shared.members {
             println!("{} joined {}", timestamp_us(), self.member.0);
         }
     }
@@ -227,7 +227,7 @@
         }
     }
 
-    /// Quotas and ejections change nothing where no statement runs; what is taken over is answered as aborted.
+    /// Quotas and ejections have no effect without statements; statements taken over are answered as aborted.
     fn apply_actions(&mut self, now: Nanos) {
         if let Some(coordination) = &mut self.coordination {
             while coordination.next_action().is_some() {}
--- a/crates/ivypitch-testbed/src/processes/simulated_gateways/links.rs
+++ b/crates/ivypitch-testbed/src/processes/simulated_gateways/links.rs
@@ -1,4 +1,4 @@
-//! Links between simulated gateways, and what they have in common.
+//! Links and shared state of the simulated gateways.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 
@@ -10,7 +10,7 @@
 
 use super::{Counts, SimulatedGateways};
 
-/// Messages that a simulated gateway has not taken yet; more are dropped, as by a link whose peer does not read.
+/// Maximum number of unread messages of a simulated gateway; more are dropped, as on a link whose peer does not read.
 const MAX_WAITING_MESSAGES: usize = 4096;
 
 /// A message from another simulated gateway.
@@ -19,22 +19,22 @@
     pub(super) frame: Frame,
 }
 
-/// Takes the messages of the others.
+/// Receives the messages of the other simulated gateways.
 pub(super) type Inbox = Receiver<LinkMessage>;
 
-/// What all simulated gateways of the process have in common.
+/// State shared by all simulated gateways of the process.
 pub(super) struct SharedState {
     first: MemberId,
-    /// By position behind the first.
+    /// By position after `first`.
     inboxes: Vec<Sender<LinkMessage>>,
     counts: Mutex<Vec<Counts>>,
-    /// Real and simulated.
+    /// Number of members, real and simulated.
     pub(super) members: usize,
     pub(super) prints_events: bool,
 }
 
 impl SharedState {
-    /// With an inbox for each simulated gateway.
+    /// Returns the state and an inbox for each simulated gateway.
     pub(super) fn new(config: &SimulatedGateways) -> (SharedState, Vec<Inbox>) {
         let simulated = config.routes.len();
         let (senders, inboxes) = (0..simulated).map(|_| channel::unbounded()).unzip();
@@ -76,26 +76,26 @@
         member >= self.first
     }
 
-    /// Hands a frame over as a link would.
+    /// Encodes and decodes a frame as a link does, and delivers it.
     fn hand_over(&self, from: MemberId, to: MemberId, frame: &Frame) {
         let mut bytes = BytesMut::from(&encode_frame(frame)[..]);
         let length = bytes.len() as u64;
         let Ok(Some(frame)) = decode_frame(&mut bytes) else {
             return;
         };
-        let is_taken = self.inboxes.get(self.position(to)).is_some_and(|inbox| {
+        let is_delivered = self.inboxes.get(self.position(to)).is_some_and(|inbox| {
             let message = LinkMessage { from, frame };
             inbox.len() < MAX_WAITING_MESSAGES && inbox.try_send(message).is_ok()
         });
         self.count(from, |counts| {
             counts.handed_over += 1;
             counts.handed_over_bytes += length;
-            counts.dropped += u64::from(!is_taken);
+            counts.dropped += u64::from(!is_delivered);
         });
     }
 }
 
-/// Passes on what a simulated gateway sends: to another one within the process, else to its real peer links.
+/// Forwards the messages of a simulated gateway: to others within the process, or to its real peer links.
 pub(super) async fn route(
     outgoing: Receiver<PeerLinksMessage>,
     peer_links: Sender<PeerLinksMessage>,
--- a/crates/ivypitch-testbed/src/processes/simulated_gateways/mod.rs
+++ b/crates/ivypitch-testbed/src/processes/simulated_gateways/mod.rs
@@ -1,6 +1,6 @@
 //! Simulated gateways: many in one process, each with the real actors for other gateways (`actors/peer_links`) and for the
 //! discovery service (`actors/discovery.rs`), ownership and coordination behind their real codecs and sockets, and nothing
-//! else: no clients, no scheduler, no engines. To a real gateway each is a peer like any other.
+//! else: no clients, no scheduler, no engines. For a real gateway each is an ordinary peer.
 //!
 //! What simulated gateways send each other on links is encoded and decoded as usual and handed over within the process: a
 //! link for each pair would grow with the square of their number. Their datagrams all go through sockets.
@@ -26,12 +26,12 @@
 use links::{Inbox, LinkMessage, SharedState};
 use startup::{GatewayStart, StartError};
 
-/// With more on one core, their answers come too late to count as alive.
+/// With more gateways on one core, their answers are so late that peers suspect them.
 pub const GATEWAYS_PER_THREAD: usize = 100;
-/// Gateways of a fleet do not all start at the same moment: what is measured here is their rest.
+/// Interval between starts; the experiments measure the steady state, not a simultaneous start.
 const START_INTERVAL: Duration = Duration::from_millis(20);
-/// Beyond one thread they start slower still: late answers at a cold start are suspicions, which all pass on to all, and
-/// on a busy machine that sustains itself.
+/// Interval between starts with more than one thread: late answers at a cold start cause suspicions, which all gateways
+/// forward to all others, and on a busy machine this load causes further late answers.
 const START_INTERVAL_OF_MANY: Duration = Duration::from_millis(100);
 
 /// What to simulate. One line of JSON, the first that the process reads.
@@ -55,7 +55,7 @@
     pub prints_events: bool,
 }
 
-/// What a simulated gateway has counted; printed on the order `count`.
+/// Counters of a simulated gateway; printed on the command `count`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Counts {
     /// Its position in the member list.
@@ -66,33 +66,33 @@
     pub last_event: u64,
     /// Statements that it was to take over; it cannot run them and aborts them.
     pub takeovers: u64,
-    /// Messages to other simulated gateways,
+    /// Messages to other simulated gateways.
     pub handed_over: u64,
-    /// their bytes as frames,
+    /// Bytes of these messages as frames.
     pub handed_over_bytes: u64,
-    /// and those that were dropped.
+    /// Dropped messages to other simulated gateways.
     pub dropped: u64,
 }
 
-/// The process cannot go on.
+/// Error that ends the process.
 #[derive(Debug, thiserror::Error)]
 enum ServeError {
-    #[error("the first line: {0}")]
+    #[error("cannot read the first line: {0}")]
     Read(#[from] io::Error),
-    #[error("the first line: {0}")]
+    #[error("invalid first line: {0}")]
     Parse(#[from] serde_json::Error),
     #[error(transparent)]
     Start(#[from] StartError),
-    #[error("a thread failed")]
+    #[error("a gateway thread ended")]
     Thread,
 }
 
-/// `ivypitch lab hollow-gateways`: reads a [`SimulatedGateways`], then orders; ends with its input.
+/// `ivypitch lab hollow-gateways`: reads a [`SimulatedGateways`], then commands; ends with its input.
 pub fn serve() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("hollow gateways: {error}");
+            eprintln!("simulated gateways: {error}");
             ExitCode::FAILURE
         }
     }
@@ -111,15 +111,15 @@
     }
     println!("ready");
     smol::block_on(super::testbed_process::handle_commands(
-        |order| match order {
+        |command| match command {
             "count" => println!("counts {}", shared.counts_as_json()),
-            other => eprintln!("hollow gateways: {other:?} not understood"),
+            other => eprintln!("simulated gateways: unknown command {other:?}"),
         },
     ));
     Ok(())
 }
 
-/// Returns where each thread tells whether its gateways have started.
+/// Returns a receiver per thread for the result of starting its gateways.
 fn start_threads(
     config: SimulatedGateways,
     members: &[usize],
--- a/crates/ivypitch-testbed/src/processes/simulated_gateways/startup.rs
+++ b/crates/ivypitch-testbed/src/processes/simulated_gateways/startup.rs
@@ -24,7 +24,7 @@
 use super::gateway::SimulatedGateway;
 use super::links::{Inbox, SharedState, route};
 
-/// As a gateway has it whose memory is 1 GB.
+/// The limit of a gateway with 1 GB of memory.
 const MAX_LINE_BYTES: usize = 32 << 20;
 
 /// A simulated gateway cannot start.
@@ -32,15 +32,15 @@
 pub(super) enum StartError {
     #[error("{0}")]
     Settings(String),
-    #[error("hollow gateway {member}: no peers in the operator's settings")]
+    #[error("simulated gateway {member}: no peers in the operator's settings")]
     NoPeers { member: usize },
-    #[error("hollow gateway {member}: {errors}")]
+    #[error("simulated gateway {member}: {errors}")]
     Network { member: usize, errors: String },
     #[error(transparent)]
     Bind(#[from] BindError),
 }
 
-/// What a simulated gateway starts with.
+/// Inputs of the start of a simulated gateway.
 pub(super) struct GatewayStart<'a> {
     pub(super) config: &'a SimulatedGateways,
     pub(super) operator: &'a OperatorConfig,
@@ -52,8 +52,8 @@
     pub(super) executor: &'a Rc<LocalExecutor<'static>>,
 }
 
-/// What its parts have in common.
-struct Parts {
+/// Values shared by its components.
+struct Shared {
     process: ProcessId,
     now: Nanos,
     zones: Vec<u16>,
@@ -93,18 +93,18 @@
         self.executor.spawn(routing).detach();
         let (discovery, relayed_events) = channel::unbounded();
         self.follow_discovery(seed, scheduler, traffic, relayed_events);
-        let parts = Parts {
+        let shared_values = Shared {
             process,
             now,
             zones,
             seed,
             outgoing,
         };
-        self.run(peers, &parts, discovery, events);
+        self.run(peers, &shared_values, discovery, events);
         Ok(())
     }
 
-    /// With the real gateways at the addresses of the relays.
+    /// The member list, with the real gateways at the addresses of their relays.
     fn network(&self, peers: &PeersSettings) -> Result<PeerNetwork, StartError> {
         let mut network = peers
             .network(&format!("n{}", self.member))
@@ -141,20 +141,20 @@
     fn run(
         self,
         peers: &PeersSettings,
-        parts: &Parts,
+        shared_values: &Shared,
         discovery: Sender<DiscoveryMessage>,
         events: Receiver<SchedulerMessage>,
     ) {
         let coordination = peers
             .coordination
             .enabled
-            .then(|| self.coordination(peers, parts, discovery.clone()));
+            .then(|| self.coordination(peers, shared_values, discovery.clone()));
         let ownership = peers
             .ownership
             .enabled
-            .then(|| self.ownership(peers, parts));
+            .then(|| self.ownership(peers, shared_values));
         let gateway = SimulatedGateway::new(
-            parts.process.member,
+            shared_values.process.member,
             self.clock,
             ownership,
             coordination,
@@ -172,26 +172,31 @@
     fn coordination(
         &self,
         peers: &PeersSettings,
-        parts: &Parts,
+        shared_values: &Shared,
         discovery: Sender<DiscoveryMessage>,
     ) -> CoordinationDriver {
-        let members = parts.zones.len();
+        let members = shared_values.zones.len();
         let coordinator = Coordinator::new(CoordinatorParams {
-            process: parts.process,
-            zones: parts.zones.clone(),
+            process: shared_values.process,
+            zones: shared_values.zones.clone(),
             config: peers.coordination.config(members, &self.config.tenants),
             last_event: 0,
-            seed: parts.seed,
-            now: parts.now,
+            seed: shared_values.seed,
+            now: shared_values.now,
         });
-        CoordinationDriver::new(coordinator, parts.outgoing.clone(), discovery)
+        CoordinationDriver::new(coordinator, shared_values.outgoing.clone(), discovery)
     }
 
-    fn ownership(&self, peers: &PeersSettings, parts: &Parts) -> OwnershipDriver {
+    fn ownership(&self, peers: &PeersSettings, shared_values: &Shared) -> OwnershipDriver {
         let max_statement_timeout = self.config.max_statement_timeout_ms * MILLISECOND;
         let config = peers.ownership.config(max_statement_timeout);
-        let ownership = Ownership::new(parts.process, parts.zones.clone(), config, parts.now);
+        let ownership = Ownership::new(
+            shared_values.process,
+            shared_values.zones.clone(),
+            config,
+            shared_values.now,
+        );
         let min_lookup_work = peers.ownership.min_lookup_work();
-        OwnershipDriver::new(ownership, parts.outgoing.clone(), min_lookup_work)
+        OwnershipDriver::new(ownership, shared_values.outgoing.clone(), min_lookup_work)
     }
 }
