--- a/crates/ivypitch-ownership/src/ownership.rs
+++ b/crates/ivypitch-ownership/src/ownership.rs
@@ -1,16 +1,17 @@
-//! The facade: statements that this gateway acts for, waits for, or may have to take over.
+//! The entry point of the crate: the statements that this gateway owns, waits for, or may have to
+//! take over.
 //!
-//! The other modules add their part to [`Ownership`], one concern each.
+//! The other modules each add one concern to [`Ownership`].
 
 use ivypitch_types::{MILLISECOND, MemberId, Nanos, ProcessId, SECOND};
 
 use crate::attempt_grant::GrantVote;
 use crate::config::OwnershipConfig;
-use crate::lookup_answer::LookupRequest;
+use crate::lookup_reply::LookupRequest;
 use crate::members::Members;
 use crate::message::{Epoch, Message, StatementEnd, StatementId, StatementRecord, StatementSpec};
 use crate::output::{Output, OwnershipCounters, OwnershipSizes};
-use crate::recent_ends::RecentEnds;
+use crate::recent_completions::RecentCompletions;
 use crate::result_cache::ResultCache;
 use crate::state_transfer::StateTransfers;
 use crate::statement::{Statement, StatementState};
@@ -20,20 +21,20 @@
 use crate::vote_log::{VoteLog, VoteLogConfig};
 use crate::voters::VoterAssignment;
 
-/// A process that starts is connected to the other members within this time, or they are not there.
+/// Time within which a starting process connects to all reachable members.
 const JOIN_TIMEOUT: Nanos = SECOND;
 
-/// Decides who acts for a statement, as one gateway of a fleet.
+/// Decides which gateway owns a statement, as one member of the fleet.
 ///
-/// Every method that takes `now` must be called with times that never go backwards. Whatever follows from a call comes
-/// out through the [`Output`] before the call returns.
+/// The values of `now` must never decrease from one call to the next. All results of a call are
+/// passed to the [`Output`] before it returns.
 pub struct Ownership {
     pub(crate) config: OwnershipConfig,
     pub(crate) voters: VoterAssignment,
     pub(crate) vote_log: VoteLog,
     pub(crate) statements: StatementTable,
     pub(crate) members: Members,
-    pub(crate) recent_ends: RecentEnds,
+    pub(crate) recent_completions: RecentCompletions,
     pub(crate) updates: PendingUpdates,
     pub(crate) transfers: StateTransfers,
     pub(crate) counters: OwnershipCounters,
@@ -42,16 +43,22 @@
 }
 
 impl Ownership {
-    /// For the process `this`, which starts now. `zones` of all members, by member id.
-    pub fn new(this: ProcessId, zones: Vec<u16>, config: OwnershipConfig, now: Nanos) -> Ownership {
+    /// Creates the state of process `own_process`, which starts now. `zones` lists the zones of all
+    /// members, by member id.
+    pub fn new(
+        own_process: ProcessId,
+        zones: Vec<u16>,
+        config: OwnershipConfig,
+        now: Nanos,
+    ) -> Ownership {
         let member_count = zones.len();
         let results = ResultCache::new(config.result_cache_bytes_per_tenant);
         Ownership {
             voters: VoterAssignment::new(zones, config.voters_per_statement),
-            vote_log: VoteLog::new(this.member, now, VoteLogConfig::from(&config)),
+            vote_log: VoteLog::new(own_process.member, now, VoteLogConfig::from(&config)),
             statements: StatementTable::new(results),
-            members: Members::new(this, member_count),
-            recent_ends: RecentEnds::default(),
+            members: Members::new(own_process, member_count),
+            recent_completions: RecentCompletions::default(),
             updates: PendingUpdates::new(),
             transfers: StateTransfers::new(member_count),
             counters: OwnershipCounters::default(),
@@ -61,12 +68,12 @@
         }
     }
 
-    /// Counts since the process started.
+    /// Events counted since the process started.
     pub fn counters(&self) -> OwnershipCounters {
         self.counters
     }
 
-    /// Sizes of the tables now.
+    /// Current sizes of the tables.
     pub fn sizes(&self) -> OwnershipSizes {
         let open_statements = self
             .statements
@@ -85,14 +92,15 @@
         self.statements.get(id).map(Statement::state)
     }
 
-    /// Whether the statement's attempt goes on after its client has gone: the client may come back to another gateway.
+    /// Whether the statement's attempt continues after its client has disconnected: the client may
+    /// return to another gateway.
     pub fn continues_without_client(&self, id: StatementId) -> bool {
         self.statements.get(id).is_some_and(|statement| {
             statement.is_owner() && (statement.is_known_to_voters || !statement.spec.is_idempotent)
         })
     }
 
-    /// A message from another member has arrived.
+    /// Handles a message from another member.
     pub fn on_message(
         &mut self,
         now: Nanos,
@@ -123,13 +131,13 @@
             Message::TakeoverReply {
                 id,
                 epoch,
-                promised,
+                is_promised,
                 record,
             } => {
                 let vote = TakeoverVote {
                     voter: from,
                     epoch,
-                    promised,
+                    is_promised,
                     record,
                 };
                 self.on_takeover_vote(now, id, vote, out);
@@ -166,25 +174,25 @@
         }
     }
 
-    /// When [`Ownership::on_timer`] is to be called next; [`Nanos::MAX`] if there is nothing to wait for.
+    /// When [`Ownership::on_timer`] must be called next; [`Nanos::MAX`] if no timer is set.
     pub fn next_timer(&self) -> Nanos {
         self.statements
             .next_timer()
-            .min(self.updates.due())
+            .min(self.updates.next_send_at())
             .min(self.vote_log.next_expiry())
-            .min(self.transfers.next_due())
+            .min(self.transfers.next_send_at())
     }
 
-    /// Does all that is due.
+    /// Handles all timers that have expired.
     pub fn on_timer(&mut self, now: Nanos, out: &mut dyn Output) {
         self.fire_statement_timers(now, out);
-        self.send_due_updates(now, out);
-        self.send_due_transfers(now, out);
+        self.on_update_timer(now, out);
+        self.on_transfer_timer(now, out);
         self.evict_expired(now);
     }
 
     pub(crate) fn fire_statement_timers(&mut self, now: Nanos, out: &mut dyn Output) {
-        while let Some(id) = self.statements.pop_due(now) {
+        while let Some(id) = self.statements.pop_expired(now) {
             self.on_statement_timer(now, id, out);
         }
     }
@@ -205,7 +213,7 @@
             StatementState::OwnedElsewhere => self.on_follow_timer(now, id, out),
             StatementState::Owned | StatementState::Replicated | StatementState::TakenOver => {
                 if now >= expires_at {
-                    // Whatever became of it here, nobody can ask for it any more.
+                    // Whatever its outcome here, no client can ask for it any more.
                     self.statements.transition(id, StatementState::Closed);
                 } else {
                     self.statements.set_timer(id, expires_at);
@@ -216,20 +224,20 @@
             | StatementState::Closed
             | StatementState::Unknown => {
                 if now >= expires_at {
-                    self.statements.forget(id);
+                    self.statements.remove(id);
                 }
             }
         }
     }
 
-    /// Forgets what nobody can ask for any more, and what exceeds the tables' bounds.
+    /// Removes the entries that no client can ask for any more or that exceed the tables' bounds.
     pub(crate) fn evict_expired(&mut self, now: Nanos) {
         let max_entries = self.config.max_entries;
         self.vote_log.evict_expired(now);
-        while let Some(id) = self.recent_ends.pop_expired(now, max_entries) {
+        while let Some(id) = self.recent_completions.pop_expired(now, max_entries) {
             self.vote_log.drop_request(id);
         }
-        self.statements.evict_closed(max_entries);
+        self.statements.evict_ended(max_entries);
     }
 
     pub(crate) fn apply_records(&mut self, now: Nanos, records: &[StatementRecord]) {
@@ -241,23 +249,23 @@
     pub(crate) fn apply_record(&mut self, now: Nanos, record: &StatementRecord) {
         self.vote_log.apply(now, record);
         if matches!(record.end, Some(StatementEnd::Completed { .. })) {
-            self.recent_ends.insert(now, record.id);
+            self.recent_completions.insert(now, record.id);
         }
     }
 
-    pub(crate) fn this_member(&self) -> MemberId {
-        self.members.this().member
+    pub(crate) fn own_member(&self) -> MemberId {
+        self.members.own_process().member
     }
 
-    /// An epoch under which this process acts.
+    /// An epoch in which this process is the owner.
     pub(crate) fn own_epoch(&self, number: u32) -> Epoch {
         Epoch {
             number,
-            process: self.members.this(),
+            process: self.members.own_process(),
         }
     }
 
-    /// A statement that is not in the table yet.
+    /// Creates a statement without adding it to the table.
     pub(crate) fn new_statement(
         &self,
         now: Nanos,
@@ -278,11 +286,11 @@
     /// The statement's voters other than this member.
     pub(crate) fn other_voters(&self, id: StatementId) -> Vec<MemberId> {
         let mut voters = self.voters.voters_of(id);
-        voters.retain(|&voter| voter != self.this_member());
+        voters.retain(|&voter| voter != self.own_member());
         voters
     }
 
-    /// The statement's voters that are connected, with this member if it is one.
+    /// The statement's connected voters, including this member if it is a voter.
     pub(crate) fn connected_voters(&self, id: StatementId) -> Vec<MemberId> {
         let mut voters = self.voters.voters_of(id);
         voters.retain(|&voter| self.members.is_connected(voter));
@@ -293,8 +301,8 @@
         self.connected_voters(id).len() >= self.voters.quorum()
     }
 
-    /// This process started a moment ago and is not connected to a quorum of the statement's voters yet. What arrives
-    /// now is looked up once it is.
+    /// Whether this process started recently and is not connected to a quorum of the statement's
+    /// voters yet. Statements that arrive now are looked up once it is.
     pub(crate) fn is_joining(&self, now: Nanos, id: StatementId) -> bool {
         now < self.started_at + JOIN_TIMEOUT && !self.has_quorum_connected(id)
     }
--- a/crates/ivypitch-testbed/src/command.rs
+++ b/crates/ivypitch-testbed/src/command.rs
@@ -67,7 +67,7 @@
             TestbedCommand::List => {
                 experiments::ALL
                     .iter()
-                    .for_each(|e| println!("{}: {}", e.name, e.about));
+                    .for_each(|e| println!("{}: {}", e.name, e.description));
                 ExitCode::SUCCESS
             }
             TestbedCommand::Run(run) => run.run_experiment(),
@@ -85,7 +85,11 @@
         let mut failed = 0;
         for seed in first..first + self.seeds {
             let report = (experiment.run)(self.quick, seed);
-            if let Some(why) = report.shows_nothing.as_ref().filter(|_| report.holds()) {
+            if let Some(why) = report
+                .inconclusive_reason
+                .as_ref()
+                .filter(|_| report.holds())
+            {
                 println!("seed {seed} shows nothing: {why}");
             } else if report.holds() {
                 println!("seed {seed} holds: {}", report.notes.join("; "));
@@ -139,7 +143,7 @@
 
 /// A run that meets its bounds and shows nothing gets an exit code of its own.
 fn exit_code(report: &Report) -> ExitCode {
-    match (report.holds(), &report.shows_nothing) {
+    match (report.holds(), &report.inconclusive_reason) {
         (false, _) => ExitCode::FAILURE,
         (true, Some(_)) => ExitCode::from(NO_EVIDENCE_EXIT_CODE),
         (true, None) => ExitCode::SUCCESS,
--- a/crates/ivypitch-testbed/src/demo.rs
+++ b/crates/ivypitch-testbed/src/demo.rs
@@ -6,7 +6,7 @@
 
 use crate::experiments::team_flood::{TEAMS, teams};
 use crate::processes::loopback_run::{self, RunPlan};
-use crate::virtual_time::engine::Model;
+use crate::virtual_time::engine::EngineConfig;
 use crate::virtual_time::traffic::{self, Flood};
 
 /// Duration of the traffic.
@@ -15,14 +15,14 @@
 /// Runs the demo and prints a table by team.
 pub fn run() -> ExitCode {
     let workloads = traffic::workloads(0.1);
-    let model = Model {
+    let model = EngineConfig {
         cores: 8.0,
-        ..Model::default()
+        ..EngineConfig::default()
     };
     let (engines, span) = (4, TRAFFIC_SECONDS * SECOND);
     let cores = engines as f64 * model.cores;
     let flood = Flood::Step {
-        times: 10.0,
+        rate_factor: 10.0,
         from: 5 * SECOND,
         until: 12 * SECOND,
     };
@@ -35,7 +35,7 @@
     );
     let result = loopback_run::run(RunPlan {
         engines,
-        statements: traffic::statements(&workloads, &teams, span, 1),
+        statements: traffic::draw_statements(&workloads, &teams, span, 1),
         workloads,
         teams: teams.iter().map(|team| team.name.clone()).collect(),
         own_settings: Some(loopback_run::team_settings(&TEAMS)),
@@ -55,20 +55,20 @@
                 println!(
                     "{:<10} {:>7} {:>7} {:>8} {:>8.3} {:>7} {:>7}",
                     team.name,
-                    team.asked,
+                    team.statements,
                     team.served,
-                    team.in_time,
-                    team.service(),
-                    team.p(0.5),
-                    team.p(0.99)
+                    team.served_in_time,
+                    team.service_ratio(),
+                    team.latency_quantile_ms(0.5),
+                    team.latency_quantile_ms(0.99)
                 );
             }
             println!(
                 "loads run twice: {}; statements unanswered: {}; waits told: {}, {:.0}% of them good",
-                figures.doubled,
+                figures.repeated_bulk_loads,
                 figures.unanswered,
-                figures.told,
-                100.0 * figures.good as f64 / figures.told.max(1) as f64
+                figures.wait_estimates,
+                100.0 * figures.good_wait_estimates as f64 / figures.wait_estimates.max(1) as f64
             );
             ExitCode::SUCCESS
         }
--- a/crates/ivypitch-testbed/src/processes/engine.rs
+++ b/crates/ivypitch-testbed/src/processes/engine.rs
@@ -21,7 +21,7 @@
 use smol::{Async, LocalExecutor, Timer};
 
 use crate::processes::loopback_run::{Call, next_call, response};
-use crate::virtual_time::engine::{Ended, Engine, Model, Query};
+use crate::virtual_time::engine::{Engine, EngineConfig, Query, QueryEnd};
 
 /// Maximum delay of a response that reports no progress.
 const LONG_POLL_TIMEOUT: Duration = Duration::from_millis(250);
@@ -49,7 +49,7 @@
     last_poll: Instant,
     /// The gateway that polled last.
     gateway: usize,
-    ended: Option<Ended>,
+    ended: Option<QueryEnd>,
 }
 
 struct Emulated {
@@ -94,11 +94,11 @@
     }
 
     fn serve(self) -> io::Result<()> {
-        let model = Model {
+        let model = EngineConfig {
             cores: self.cores,
-            warm_up: self.warm_up * 1_000_000,
-            places: 10_000,
-            ..Model::default()
+            warm_up_duration: self.warm_up * 1_000_000,
+            max_queries: 10_000,
+            ..EngineConfig::default()
         };
         let started_at = u64::from(self.warm_up > 0);
         let emulated = Rc::new(Emulated {
@@ -216,10 +216,10 @@
 
     /// Advances the model to the current time and prints the queries that have ended.
     fn advance(&self) {
-        let ended = self.engine.borrow_mut().advance(self.now());
+        let ended = self.engine.borrow_mut().take_ended(self.now());
         for (number, end) in ended {
             if let Some(query) = self.queries.borrow_mut().get_mut(&number) {
-                let is_completed = matches!(end, Ended::Good(_));
+                let is_completed = matches!(end, QueryEnd::Completed(_));
                 print_event(
                     if is_completed { "end" } else { "fail" },
                     &query.id,
@@ -239,7 +239,7 @@
         if query.ended.is_none() {
             print_event(kind, &query.id, query.gateway);
         }
-        self.engine.borrow_mut().withdraw(self.now(), number);
+        self.engine.borrow_mut().cancel(self.now(), number);
         self.changed.notify(usize::MAX);
     }
 
@@ -271,10 +271,10 @@
         self.last_number.set(number);
         let query = Query {
             id: number,
-            work: work / 1000.0,
+            work_core_s: work / 1000.0,
             threads: 1.0,
             priority: call.header("Rank").parse().unwrap_or(1),
-            group: 0,
+            table_group: 0,
         };
         self.advance();
         print_event("start", id, gateway);
@@ -287,7 +287,7 @@
             .fold(7u64, |h, b| h.wrapping_mul(31) + u64::from(b))
             % 1000) as f64
             / 1000.0;
-        let ended = (draw < self.failing_fraction.get()).then_some(Ended::Error);
+        let ended = (draw < self.failing_fraction.get()).then_some(QueryEnd::Error);
         let known = KnownQuery {
             id: id.to_owned(),
             last_poll: Instant::now(),
@@ -321,7 +321,7 @@
             };
             match end {
                 _ if self.withholds_results.get() => {}
-                Some(Ended::Good(work)) => {
+                Some(QueryEnd::Completed(work)) => {
                     let head = format!(
                         "Page-Count: 1\r\nWork-Ms: {:.3}\r\nPeak-Mb: 16\r\nSrv-Load: waiting:0;active:{};x0:0.1\r\n",
                         work * 1000.0,
@@ -329,7 +329,7 @@
                     );
                     return response(200, &head, &format!("{id}\tb\tc\n"));
                 }
-                Some(Ended::Error) => return response(500, "", ""),
+                Some(QueryEnd::Error) => return response(500, "", ""),
                 None if Instant::now() >= deadline => return response(202, "", ""),
                 None => {}
             }
--- a/crates/ivypitch-testbed/src/processes/loopback_run.rs
+++ b/crates/ivypitch-testbed/src/processes/loopback_run.rs
@@ -23,8 +23,8 @@
 use crate::log_lines;
 use crate::processes::session::{Reply, Session, retry_after_ms};
 use crate::test_servers::spawn_gateway_with_settings;
-use crate::virtual_time::engine::{Ended, Engine, Model, Query};
-use crate::virtual_time::traffic::{Statement, Work};
+use crate::virtual_time::engine::{Engine, EngineConfig, Query, QueryEnd};
+use crate::virtual_time::traffic::{Statement, WorkloadParams};
 
 const MS: Nanos = 1_000_000;
 /// Maximum delay of a response that reports no progress.
@@ -43,8 +43,8 @@
 /// Traffic, engines and settings of a run.
 pub struct RunPlan {
     pub engines: usize,
-    pub model: Model,
-    pub workloads: Vec<Work>,
+    pub model: EngineConfig,
+    pub workloads: Vec<WorkloadParams>,
     pub teams: Vec<String>,
     pub statements: Vec<Statement>,
     /// The operator's settings of the gateway as JSON.
@@ -65,7 +65,7 @@
     /// Its number in the model.
     number: u64,
     last_poll: Instant,
-    ended: Option<Ended>,
+    ended: Option<QueryEnd>,
 }
 
 struct Emulated {
@@ -82,7 +82,7 @@
 struct Shared {
     started: Instant,
     statements: Vec<Statement>,
-    works: Vec<Work>,
+    works: Vec<WorkloadParams>,
     /// Number of starts of each statement at engines.
     starts: RefCell<Vec<u32>>,
     /// Core-seconds of completed work by team.
@@ -98,7 +98,7 @@
 impl Emulated {
     /// Advances the model and notifies the waiting polls of queries that have ended.
     fn advance(&self) {
-        let ended = self.engine.borrow_mut().advance(self.shared.now());
+        let ended = self.engine.borrow_mut().take_ended(self.shared.now());
         if ended.is_empty() {
             return;
         }
@@ -153,7 +153,7 @@
     fn cancel(&self, id: &str, number: u64) {
         self.queries.borrow_mut().remove(id);
         self.ids.borrow_mut().remove(&number);
-        self.engine.borrow_mut().withdraw(self.shared.now(), number);
+        self.engine.borrow_mut().cancel(self.shared.now(), number);
         self.changed.notify(usize::MAX);
     }
 
@@ -182,10 +182,10 @@
         self.last_number.set(number);
         let query = Query {
             id: number,
-            work: planned.work,
+            work_core_s: planned.work_core_s,
             threads: self.shared.works[planned.workload].threads,
             priority: call.header("Rank").parse().unwrap_or(1),
-            group: planned.group,
+            table_group: planned.table_group,
         };
         self.advance();
         if !self.engine.borrow_mut().start(self.shared.now(), query) {
@@ -219,7 +219,7 @@
                 query.ended
             };
             match end {
-                Some(Ended::Good(work)) => {
+                Some(QueryEnd::Completed(work)) => {
                     if let Some(team) = team {
                         self.shared.used_core_s.borrow_mut()[team] += work;
                     }
@@ -230,7 +230,7 @@
                     );
                     return response(200, &head, "a\tb\tc\n");
                 }
-                Some(Ended::Error) => return response(500, "", ""),
+                Some(QueryEnd::Error) => return response(500, "", ""),
                 None if Instant::now() >= deadline => return response(202, "", ""),
                 None => {
                     let timeout = async {
@@ -417,7 +417,7 @@
         self.in_flight.set(self.in_flight.get() + 1);
         let planned = &self.shared.statements[statement];
         let work = &self.shared.works[planned.workload];
-        let deadline = planned.at + work.timeout;
+        let deadline = planned.arrives_at + work.timeout;
         for attempt in 0..MAX_ATTEMPTS {
             self.counts.borrow_mut()[statement].attempts += 1;
             let remaining_ms = deadline.saturating_sub(self.shared.now()) / MS;
@@ -445,7 +445,7 @@
                     break;
                 }
                 Ok(AttemptOutcome::Rejected(after))
-                    if self.shared.now() + after < planned.at + work.timeout / 2 =>
+                    if self.shared.now() + after < planned.arrives_at + work.timeout / 2 =>
                 {
                     Timer::after(Duration::from_nanos(after.max(MS))).await;
                 }
@@ -479,8 +479,8 @@
             "/* kind={},req={id:016x},timeout={remaining_ms},owner={},ms={:.3} */ SELECT a FROM sales_{}.orders WHERE stmt = {statement} ",
             work.name,
             self.team_names[planned.team],
-            planned.told_work * 1000.0,
-            planned.group
+            planned.estimated_work_core_s * 1000.0,
+            planned.table_group
         );
         let outcome = match execute(&mut session, &text).await {
             // The gateway closed the idle connection meanwhile: retries on a new connection.
@@ -504,18 +504,22 @@
 /// Configuration of a gateway for these engines.
 pub fn configuration(plan: &RunPlan, engines: &[SocketAddr]) -> String {
     let ns = |span: Nanos| span.to_string();
-    let parts: f64 = plan.workloads.iter().map(|w| w.part).sum();
-    let mean: f64 = plan.workloads.iter().map(|w| w.work * w.part / parts).sum();
+    let parts: f64 = plan.workloads.iter().map(|w| w.statement_weight).sum();
+    let mean: f64 = plan
+        .workloads
+        .iter()
+        .map(|w| w.mean_work_core_s * w.statement_weight / parts)
+        .sum();
     let categories: Vec<String> = plan
         .workloads
         .iter()
         .map(|w| {
-            let effect = if w.effect == Idempotency::NonIdempotent { "unsafe" } else { "safe" };
+            let effect = if w.idempotency == Idempotency::NonIdempotent { "unsafe" } else { "safe" };
             format!(
                 r#"{{"name":"{}","goal-time-ns":{},"aim-stretch":{},"give-up-ns":{},"effect":"{effect}","key-scope":"all","worth":{}}}"#,
                 w.name,
-                ns(w.slo),
-                w.stretch,
+                ns(w.latency_objective),
+                w.latency_objective_stretch,
                 ns(w.timeout),
                 w.priority_weight
             )
@@ -549,7 +553,7 @@
     let loads: Vec<String> = plan
         .workloads
         .iter()
-        .map(|w| (w.effect == Idempotency::NonIdempotent).to_string())
+        .map(|w| (w.idempotency == Idempotency::NonIdempotent).to_string())
         .collect();
     format!(
         r#"{{"name":"lab","listen":"127.0.0.1:0","seed":"{:x}","limits":{{"sockets":2048,"memory_mb":192}},
@@ -648,14 +652,14 @@
         let mut shown = vec![(0u64, 0u64); plan.teams.len()];
         for statement in 0..plan.statements.len() {
             let at = shared.started
-                + Duration::from_nanos(traffic_start + plan.statements[statement].at);
+                + Duration::from_nanos(traffic_start + plan.statements[statement].arrives_at);
             if at > Instant::now() {
                 Timer::at(at).await;
             }
             executor
                 .spawn(clients.clone().send_statement(statement))
                 .detach();
-            if plan.prints_progress && plan.statements[statement].at >= second * SECOND {
+            if plan.prints_progress && plan.statements[statement].arrives_at >= second * SECOND {
                 print_progress(second, &clients, &shared, traffic_start, &mut shown);
                 second += 1;
             }
@@ -666,7 +670,7 @@
         }
         let figures = collect_figures(&plan, &clients, &shared, &engines, traffic_start);
         let mut figures = figures;
-        figures.cpu_s = cpu_s(child.id());
+        figures.gateway_cpu_s = cpu_s(child.id());
         let pid = child.id().to_string();
         let _ = smol::unblock(move || {
             std::process::Command::new("kill")
@@ -708,7 +712,7 @@
     for (counts, planned) in clients.counts.borrow().iter().zip(&shared.statements) {
         let served = counts
             .served_at
-            .is_some_and(|at| at <= traffic_start + planned.at + planned.slo);
+            .is_some_and(|at| at <= traffic_start + planned.arrives_at + planned.latency_objective);
         now[planned.team].0 += u64::from(counts.attempts > 0);
         now[planned.team].1 += u64::from(served);
     }
@@ -748,18 +752,26 @@
         let work = &plan.workloads[planned.workload];
         let latency = counts
             .served_at
-            .map(|at| at.saturating_sub(traffic_start + planned.at));
-        teams[planned.team].count(work.priority_weight, planned.slo, latency, counts.attempts);
-        teams[planned.team].refused_waiting += u64::from(counts.rejected);
-        teams[planned.team].refused_later += u64::from(counts.failed);
-        figures.doubled +=
-            u64::from(work.effect == Idempotency::NonIdempotent && starts[statement] > 1);
+            .map(|at| at.saturating_sub(traffic_start + planned.arrives_at));
+        teams[planned.team].record_statement(
+            work.priority_weight,
+            planned.latency_objective,
+            latency,
+            counts.attempts,
+        );
+        teams[planned.team].rejected_by_queues += u64::from(counts.rejected);
+        teams[planned.team].rejected_by_scheduler += u64::from(counts.failed);
+        figures.repeated_bulk_loads +=
+            u64::from(work.idempotency == Idempotency::NonIdempotent && starts[statement] > 1);
         figures.unanswered += u64::from(counts.answers < counts.attempts);
     }
     for (team, used) in teams.iter_mut().zip(shared.used_core_s.borrow().iter()) {
-        team.used = *used;
+        team.completed_core_s = *used;
     }
-    figures.wasted = engines.iter().map(|e| e.engine.borrow().wasted).sum();
+    figures.wasted_core_s = engines
+        .iter()
+        .map(|e| e.engine.borrow().wasted_core_s)
+        .sum();
     figures.teams = teams;
     figures
 }
@@ -779,9 +791,9 @@
         number("good"),
         number("median_error_percent"),
     ) {
-        figures.told = estimates;
-        figures.good = good;
-        figures.median_error = median as f64 / 100.0;
+        figures.wait_estimates = estimates;
+        figures.good_wait_estimates = good;
+        figures.median_wait_estimate_error = median as f64 / 100.0;
     }
     figures
 }
--- a/crates/ivypitch-testbed/src/processes/mod.rs
+++ b/crates/ivypitch-testbed/src/processes/mod.rs
@@ -30,7 +30,7 @@
 use crate::test_servers::{
     Answer, Client, EventLog, WAIT_TIMEOUT, configuration, ivypitch_program,
 };
-use crate::virtual_time::faults::{Fault, Plan, What};
+use crate::virtual_time::faults::{Fault, FaultKind, FaultPlan};
 use discovery_server::DiscoveryServer;
 use engine::timestamp_us;
 use ivypitch_gateway::log_events::MEMBER_LOST;
@@ -676,16 +676,16 @@
                 fault,
             });
         }
-        match fault.what {
-            What::Kill { gateway, .. } if begins => self.kill(gateway),
-            What::Stop { gateway, .. } if begins => self.stop(gateway),
-            What::Stop { gateway, .. } => self.resume(gateway),
-            What::End { gateway, .. } if begins => {
+        match fault.kind {
+            FaultKind::Kill { gateway, .. } if begins => self.kill(gateway),
+            FaultKind::Suspend { gateway, .. } if begins => self.stop(gateway),
+            FaultKind::Suspend { gateway, .. } => self.resume(gateway),
+            FaultKind::ShutDown { gateway, .. } if begins => {
                 self.record_unexpected_exit(gateway);
                 self.signal(gateway, Signal::TERM);
             }
-            What::Kill { gateway, .. } | What::End { gateway, .. } => {
-                if let What::End { .. } = fault.what
+            FaultKind::Kill { gateway, .. } | FaultKind::ShutDown { gateway, .. } => {
+                if let FaultKind::ShutDown { .. } = fault.kind
                     && let Some(code) = self.gateways[gateway]
                         .child
                         .take()
@@ -702,35 +702,39 @@
                         .push(format!("n{gateway} did not start again: {e}"));
                 }
             }
-            What::CutZone { zone, .. } => {
+            FaultKind::PartitionZone { zone, .. } => {
                 self.set_partition(|a, b| (a % zones == zone) != (b % zones == zone), begins);
             }
-            What::CutOff { gateway, .. } => {
+            FaultKind::PartitionGateway { gateway, .. } => {
                 self.set_partition(|a, b| (a == gateway) != (b == gateway), begins)
             }
-            What::Mute { from, to, .. } => self.set_partition(|a, b| (a, b) == (from, to), begins),
-            What::Late { from, to, by, .. } => {
-                let late = Duration::from_millis(if begins { by } else { 0 });
+            FaultKind::DropMessages { from, to, .. } => {
+                self.set_partition(|a, b| (a, b) == (from, to), begins)
+            }
+            FaultKind::DelayMessages {
+                from, to, delay_ms, ..
+            } => {
+                let late = Duration::from_millis(if begins { delay_ms } else { 0 });
                 self.network
                     .change(LinkEnd::Gateway(from), LinkEnd::Gateway(to), |way| {
                         way.delay = late
                     });
             }
-            What::Reset { from, to } if begins => self
+            FaultKind::ResetLinks { from, to } if begins => self
                 .network
                 .reset(LinkEnd::Gateway(from), LinkEnd::Gateway(to)),
-            What::EngineDies { engine } if begins => {
+            FaultKind::CrashEngine { engine } if begins => {
                 self.kill_engine(engine);
                 if let Err(e) = self.start_engine(engine) {
                     self.crashes
                         .push(format!("engine {engine} did not start again: {e}"));
                 }
             }
-            What::EngineDrains { engine, .. } => {
+            FaultKind::DrainEngine { engine, .. } => {
                 let state = if begins { "terminating" } else { "in_service" };
                 self.publish_engine_state(engine, state);
             }
-            What::Reset { .. } | What::EngineDies { .. } => {}
+            FaultKind::ResetLinks { .. } | FaultKind::CrashEngine { .. } => {}
         }
     }
 
@@ -768,12 +772,12 @@
     }
 
     /// Injects the plan's faults at their times after `start`; returns when the last is over.
-    pub fn inject_faults(&mut self, plan: &Plan, start: Instant) {
+    pub fn inject_faults(&mut self, plan: &FaultPlan, start: Instant) {
         let mut steps: Vec<(u64, bool, Fault)> = Vec::new();
         for &fault in &plan.faults {
-            steps.push((fault.at, true, fault));
-            if let Some(span) = fault.span() {
-                steps.push((fault.at + span, false, fault));
+            steps.push((fault.at_ms, true, fault));
+            if let Some(span) = fault.duration_ms() {
+                steps.push((fault.at_ms + span, false, fault));
             }
         }
         steps.sort_by_key(|&(at, begins, _)| (at, begins));
--- a/crates/ivypitch-testbed/src/processes/verdict.rs
+++ b/crates/ivypitch-testbed/src/processes/verdict.rs
@@ -5,7 +5,7 @@
 
 use super::clients::{Outcome, PlannedStatement, StatementHistory};
 use super::{EngineEvent, InjectedFault};
-use crate::virtual_time::faults::What;
+use crate::virtual_time::faults::FaultKind;
 
 /// Result of a run.
 #[derive(Clone, Debug, Default, serde::Serialize)]
@@ -231,9 +231,12 @@
 
 /// Gateways that were killed, or stopped long enough to be declared lost, with the time of the fault.
 fn losses(injected_faults: &[InjectedFault]) -> Vec<(usize, u64)> {
-    let loss_of = |injected: &InjectedFault| match injected.fault.what {
-        What::Kill { gateway, .. } => Some((gateway, injected.at_us)),
-        What::Stop { gateway, span } if span >= 2000 => Some((gateway, injected.at_us)),
+    let loss_of = |injected: &InjectedFault| match injected.fault.kind {
+        FaultKind::Kill { gateway, .. } => Some((gateway, injected.at_us)),
+        FaultKind::Suspend {
+            gateway,
+            duration_ms,
+        } if duration_ms >= 2000 => Some((gateway, injected.at_us)),
         _ => None,
     };
     injected_faults.iter().filter_map(loss_of).collect()
@@ -243,9 +246,11 @@
 fn down_intervals(injected_faults: &[InjectedFault]) -> Vec<(usize, u64, u64)> {
     let mut down_intervals = Vec::new();
     for injected in injected_faults {
-        let until = injected.at_us + (injected.fault.span().unwrap_or(0) + 1500) * 1000;
-        let gateways: Vec<usize> = match injected.fault.what {
-            What::Kill { gateway, .. } | What::Stop { gateway, .. } | What::End { gateway, .. } => {
+        let until = injected.at_us + (injected.fault.duration_ms().unwrap_or(0) + 1500) * 1000;
+        let gateways: Vec<usize> = match injected.fault.kind {
+            FaultKind::Kill { gateway, .. }
+            | FaultKind::Suspend { gateway, .. }
+            | FaultKind::ShutDown { gateway, .. } => {
                 vec![gateway]
             }
             _ => Vec::new(),
