--- a/crates/ivypitch-testbed/src/processes/clients.rs
+++ b/crates/ivypitch-testbed/src/processes/clients.rs
@@ -19,7 +19,7 @@
 /// One statement of the traffic.
 #[derive(Clone, Debug)]
 pub struct PlannedStatement {
-    /// Planned time in milliseconds from the start of the traffic.
+    /// Time in milliseconds from the start of the traffic.
     pub at_ms: u64,
     pub req: u64,
     pub is_bulk_load: bool,
--- a/crates/ivypitch-testbed/src/processes/mod.rs
+++ b/crates/ivypitch-testbed/src/processes/mod.rs
@@ -596,10 +596,12 @@
         }
     }
 
+    /// Whether the gateway has a process.
     pub fn is_up(&self, gateway: usize) -> bool {
         self.gateways[gateway].child.is_some()
     }
 
+    /// Kills the gateway's process by SIGKILL.
     pub fn kill(&mut self, gateway: usize) {
         self.record_unexpected_exit(gateway);
         if let Some(mut child) = self.gateways[gateway].child.take() {
@@ -609,6 +611,7 @@
         self.gateways[gateway].is_stopped = false;
     }
 
+    /// Kills the engine's process by SIGKILL.
     pub fn kill_engine(&mut self, engine: usize) {
         if let Some(mut child) = self.engines[engine].child.take() {
             let _ = child.kill();
