--- a/crates/ivypitch-queueing/src/budgets.rs
+++ b/crates/ivypitch-queueing/src/budgets.rs
@@ -16,8 +16,8 @@
     pub is_bulk_load: bool,
     /// Work of a statement over all its threads, until statements have ended to learn from.
     pub usual_work: Nanos,
-    /// Head start of other workloads, which makes statements age: a statement goes before one of
-    /// another workload that arrived later by more than the difference of their slacks.
+    /// A statement is due at its arrival plus this slack, so that statements age: a statement goes
+    /// before one of another workload that arrived later by more than the difference of the slacks.
     pub slack: Nanos,
     /// A statement that has waited this long is rejected. It is rejected on arrival if its
     /// estimated wait is too close to this limit.
--- a/crates/ivypitch-queueing/src/team_queues.rs
+++ b/crates/ivypitch-queueing/src/team_queues.rs
@@ -6,9 +6,9 @@
 //! waits can be estimated.
 //!
 //! In a team over its share, each workload has a fraction of the share, by the priority weight of
-//! its demand, and virtual starts of its own: a report does not hold back a lookup. In a team
-//! within its share, the workload goes first whose first statement is due first; a statement is
-//! due at its arrival plus the slack of its workload.
+//! its demand, and virtual starts of its own: a long report does not delay a short lookup. In a
+//! team within its share, the workload goes first whose first statement is due first; a statement
+//! is due at its arrival plus the slack of its workload.
 
 use ivypitch_types::hash_to_unit_interval;
 use ivypitch_types::{Nanos, StatementIndex};
@@ -21,7 +21,7 @@
 use crate::window::Window;
 
 /// Under contention, the first statement in the order is released at once and uncharged up to
-/// this fraction of the window: engines must not idle for the sake of the order.
+/// this fraction of the window: engines must not idle only to keep to the order.
 const UNCHARGED_WINDOW_FRACTION: f64 = 0.6;
 /// Virtual time releases statements up to this multiple of the window.
 const MAX_PACED_WINDOW_FACTOR: f64 = 1.4;
@@ -35,7 +35,8 @@
 /// Time constant of the demand that decides whether a team is within its share, as a share is an
 /// average.
 const DEMAND_TIME_CONSTANT_S: f64 = 10.0;
-/// Allowance above the share, in the team's costliest usual statements: one report is no flood.
+/// Allowance above the share, in the team's costliest usual statements: a single report must not
+/// put the team over its share.
 const DEMAND_ALLOWANCE_STATEMENTS: f64 = 6.0;
 /// A team is within its share again when its demand falls below this fraction of the limit.
 const RETURN_DEMAND_FRACTION: f64 = 0.9;
@@ -68,14 +69,15 @@
 /// A statement is admitted if its estimated wait is within this fraction of its maximum wait, so
 /// that few admitted statements have to be rejected later.
 const ADMISSION_WAIT_FRACTION: f64 = 0.8;
-/// A statement is rejected when less than its time to deadline over this divisor is left:
-/// once released, it could not meet the deadline.
+/// A waiting statement is rejected when less than this part (1 / divisor) of the time from its
+/// arrival to its deadline is left: once released, it could not meet the deadline.
 const RUN_TIME_RESERVE_DIVISOR: u64 = 8;
 /// The measured service rate of a team is kept for this time after it last had waiting statements.
 const SERVICE_RATE_RETENTION: Nanos = 2_000_000_000;
 /// Time constant of the rates of ended work and of freed threads.
 const COMPLETION_TIME_CONSTANT_S: f64 = 5.0;
-/// A mode in the log ends after this time without a sign of it.
+/// The queueing mode and a team's rejecting mode, which are logged, end this time after the last
+/// statement was queued or rejected.
 const MODE_END_DELAY: Nanos = 5_000_000_000;
 /// Class of ranks of teams within their share.
 const IN_SHARE: u8 = 0;
@@ -142,7 +144,7 @@
     timer: Option<TimerHandle>,
     /// Wait that was estimated when it was queued; 0 if it was not queued.
     estimated_wait: Nanos,
-    /// The same before the correction by the accuracy of earlier estimates.
+    /// `estimated_wait` before the correction by the accuracy of earlier estimates.
     uncorrected_wait: Nanos,
 }
 
@@ -752,7 +754,7 @@
         self.uncorrected_virtual_time_rate(now) * (1.0 + WINDOW_DEVIATION_GAIN * deviation)
     }
 
-    /// The same without the correction by the window; waits are estimated with it.
+    /// Virtual time (ns) per second without the correction by the window, for estimates of waits.
     fn uncorrected_virtual_time_rate(&self, now: Nanos) -> f64 {
         self.service_rate.per_s(self.expected_paced_work_rate(now))
             / self.paced_share.max(MIN_SHARE)
@@ -896,13 +898,14 @@
     }
 
     /// A workload's fraction of its team's share: by the priority weight of its demand, among
-    /// itself and the workloads that wait or still pay. An urgent workload has at least half of
-    /// the share; the others divide the rest.
+    /// itself and the workloads that have waiting statements or a virtual start in the future. An
+    /// urgent workload has at least half of the share; the others divide the rest.
     fn lane_share(&self, now: Nanos, team: usize, workload: usize) -> f64 {
         let (team_state, share) = (&self.teams[team], self.budgets.team(team).share);
         let weight_demand =
             |other: usize| team_state.weight_demand[other].per_s(now).max(MIN_SHARE);
-        // An empty lane still pays for its last release until its virtual start is reached.
+        // Until virtual time reaches the virtual start of an empty lane, its last release still
+        // uses a part of the share.
         let is_active = |other: usize| {
             !team_state.lanes[other].is_empty()
                 || team_state.virtual_starts[other] > self.virtual_time
@@ -983,7 +986,8 @@
         let old_class = self.ranked_teams.rank(team).map(|(class, _)| class);
         let team_state = &mut self.teams[team];
         if old_class != Some(PACED) && class == PACED {
-            // The window is full: the first paced team waits for as long as its statement costs.
+            // The window is full: the first paced team waits for the virtual time that its first
+            // statement costs.
             let front = team_state
                 .lanes
                 .iter()
@@ -1100,7 +1104,7 @@
         match to {
             EntryState::Queued => {
                 if team_state.lanes[workload].is_empty() {
-                    // A workload saves up no share while none of its statements waits.
+                    // A workload accumulates no unused share while none of its statements waits.
                     team_state.virtual_starts[workload] =
                         team_state.virtual_starts[workload].max(self.virtual_time);
                 }
@@ -1196,9 +1200,10 @@
             .sum();
     }
 
-    /// Work that a statement is charged: its estimate, corrected by how the team's estimates for
-    /// that workload have proved, or without an estimate the usual work. So a team whose estimates
-    /// are too low gains only until its first few statements have ended.
+    /// Work that a statement is charged: its estimate times the ratio of measured to estimated
+    /// work of the team's earlier statements of that workload, or without an estimate the usual
+    /// work. A team whose estimates are too low gains only until its first few statements have
+    /// ended.
     fn charged_work(&self, team: usize, workload: usize, estimated_work: Nanos) -> u64 {
         let evidence = &self.teams[team].work_evidence[workload];
         let work = if estimated_work == 0 {
@@ -1290,8 +1295,8 @@
     }
 
     /// Preempts waiting statements for one that exceeds a limit: less important ones of its own
-    /// team if that exceeds its own limits, else those of the team with the most waiting work for
-    /// its share. Released statements are never preempted.
+    /// team if the team exceeds its own limits, else those of the team with the most waiting work
+    /// for its share. Released statements are never preempted.
     fn preempt_for(
         &mut self,
         now: Nanos,
@@ -1334,8 +1339,8 @@
         self.is_within_limits(statement)
     }
 
-    /// The newest waiting statement of the team's least important workload, if that is less
-    /// important than this one. Bulk loads are exempt.
+    /// The newest waiting statement of the team's least important workload, if that workload is
+    /// less important than `workload`. Bulk loads are exempt.
     fn least_important_queued(&self, team: usize, workload: usize) -> Option<StatementIndex> {
         let params = &self.budgets.workloads;
         let candidates = (0..params.len()).filter(|&other| {
@@ -1353,8 +1358,8 @@
             .map(|(statement, _)| statement)
     }
 
-    /// The newest waiting statement of the least important workload of the fullest team, if that
-    /// has more waiting work for its share than this team. Bulk loads are exempt.
+    /// The newest waiting statement of the least important workload of `fullest`, if that team has
+    /// more waiting work for its share than `team`. Bulk loads are exempt.
     fn newest_of_fullest_team(&self, fullest: usize, team: usize) -> Option<StatementIndex> {
         let fullness =
             |team: usize| virtual_span(self.teams[team].queued_work, self.budgets.team(team).share);
@@ -1408,8 +1413,8 @@
         output.reject(statement, retry_after);
     }
 
-    /// Time until there is capacity for as much work: after the waiting statements and after the
-    /// statements rejected earlier, with jitter so that the clients do not return together.
+    /// Time until there is capacity for the rejected statement: after the waiting statements and
+    /// those rejected earlier, with jitter so that the clients do not return together.
     fn assign_retry_after(
         &mut self,
         now: Nanos,
@@ -1499,7 +1504,8 @@
         if excess_threads <= 0.0 {
             return 0.0;
         }
-        // Before the first statements end: the released ones will end in the longest usual time.
+        // Until statements have ended, the released ones are expected to end within the longest
+        // usual run time.
         let usual_run_times_s = self
             .budgets
             .workloads
--- a/crates/ivypitch-queueing/src/window.rs
+++ b/crates/ivypitch-queueing/src/window.rs
@@ -168,8 +168,8 @@
         {
             return;
         }
-        // The best of the smoothed values: single fast attempts (warm tables) would set a mark
-        // that cannot be sustained.
+        // The best of the smoothed values: single fast attempts (warm tables) would set a baseline
+        // that the average of attempts cannot reach.
         self.best_slowness = if self.best_slowness.is_finite() {
             (self.best_slowness + BEST_SLOWNESS_DECAY * (self.slowness - self.best_slowness))
                 .min(self.slowness)
