--- a/crates/ivypitch-ownership/src/attempt_grant.rs
+++ b/crates/ivypitch-ownership/src/attempt_grant.rs
@@ -170,7 +170,8 @@
         self.on_votes_changed(now, id, out);
     }
 
-    /// Counts a voter's abstention. Only a vote on an attempt is denied because of it.
+    /// Counts a voter's abstention as a denial of the pending grant. For a takeover, an abstention
+    /// has no effect.
     pub(crate) fn on_abstention(
         &mut self,
         now: Nanos,
--- a/crates/ivypitch-ownership/src/state_transfer.rs
+++ b/crates/ivypitch-ownership/src/state_transfer.rs
@@ -10,8 +10,8 @@
 use crate::ownership::Ownership;
 use crate::updates::MAX_RECORDS_PER_MESSAGE;
 
-/// Delay of a new member's first transfer beyond the grant validity. An earlier transfer would not
-/// count.
+/// Delay of the first transfer to a new process beyond the grant validity, before whose end the
+/// receiver ignores transfers.
 const FIRST_TRANSFER_MARGIN: Nanos = 50 * MILLISECOND;
 /// Interval after which a member with an incomplete vote log transfers again if it has learned
 /// more.
--- a/crates/ivypitch-ownership/src/statement.rs
+++ b/crates/ivypitch-ownership/src/statement.rs
@@ -101,8 +101,8 @@
     pub(crate) asked_member: MemberId,
     /// Id of the last request, if there was one.
     pub(crate) request_id: Option<u64>,
-    /// This gateway does not know how its own attempt ended: its clients get that answer if no
-    /// voter knows more.
+    /// The lookup precedes an abort: this gateway does not know how its own attempt ended, and its
+    /// clients are told that the outcome is unknown if no voter knows it.
     pub(crate) is_before_abort: bool,
 }
 
--- a/crates/ivypitch-ownership/src/statement_table.rs
+++ b/crates/ivypitch-ownership/src/statement_table.rs
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Removes the oldest ended statements beyond `max_closed`. Their voters still know how they
+    /// Removes the oldest ended statements beyond `max_ended`. Their voters still know how they
     /// ended.
     pub(crate) fn evict_ended(&mut self, max_ended: usize) {
         while self.ended.len() > max_ended {
--- a/crates/ivypitch-ownership/src/takeover.rs
+++ b/crates/ivypitch-ownership/src/takeover.rs
@@ -194,9 +194,9 @@
         out.send(from, reply);
     }
 
-    /// Another gateway may own the statement. An attempt of this gateway continues at its engine and
-    /// its clients get the answer, but no further attempt is granted. A takeover by this gateway
-    /// ends.
+    /// Another gateway may own the statement. An attempt of this gateway continues at its engine
+    /// and its clients get the answer, but no further attempt is granted. A takeover by this
+    /// gateway ends.
     fn on_superseded(&mut self, now: Nanos, id: StatementId, epoch: Epoch, out: &mut dyn Output) {
         let Some(statement) = self.statements.get(id) else {
             return;
@@ -267,7 +267,8 @@
             Location::At(member) if member != self.own_member() => {
                 self.follow_or_close(now, id, member, out);
             }
-            // Promised to a process that is lost as well: the next round uses a higher epoch.
+            // The voter has promised the statement to a process that is lost as well: the next
+            // round uses a higher epoch.
             _ => {
                 if let Some(statement) = self.statements.get_mut(id) {
                     statement.epoch.number = statement.epoch.number.max(record.epoch.number);
@@ -298,8 +299,8 @@
         let is_idempotent = statement.spec.is_idempotent;
         let epoch_number = statement.epoch.number + 1;
         if is_rejection_pending || (!is_late && !has_quorum) {
-            // No gateway can own it now, or none can exclude that it ran. Waiting clients get this
-            // answer immediately and may return with the same id.
+            // No gateway can own the statement now, or no gateway can exclude that it ran. Waiting
+            // clients get this answer immediately and may return with the same id.
             self.answer_waiters(id, &FinalAnswer::Aborted, out);
         }
         if is_rejection_pending {
--- a/crates/ivypitch-ownership/src/takeover_outcome.rs
+++ b/crates/ivypitch-ownership/src/takeover_outcome.rs
@@ -85,8 +85,8 @@
         out.take_over(id, &findings.spec, remaining, engine_hash);
     }
 
-    /// Handles a statement without an attempt to poll: none that may have run was granted and none
-    /// can be any more, or the statement is idempotent.
+    /// Handles a statement without an attempt to poll: no attempt that may have run was granted and
+    /// no lower epoch can get a grant any more, or the statement is idempotent.
     fn take_over_undispatched(
         &mut self,
         now: Nanos,
@@ -178,7 +178,8 @@
     grants.into_values().collect()
 }
 
-/// Completion is a fact and overrides other ends; of those, the later one counts.
+/// Merges two ends. Completion is a fact and overrides all other ends; of two other ends,
+/// `reported` counts.
 fn merge_ends(known: Option<StatementEnd>, reported: Option<StatementEnd>) -> Option<StatementEnd> {
     match (known, reported) {
         (Some(StatementEnd::Completed { .. }), _) | (_, None) => known,
--- a/crates/ivypitch-ownership/src/vote_log.rs
+++ b/crates/ivypitch-ownership/src/vote_log.rs
@@ -64,7 +64,7 @@
     /// From this time on it votes on everything.
     complete_from: Nanos,
     /// Members that transferred all their records since this voter started, and the completeness of
-    /// those.
+    /// their vote logs.
     transferred_by: BTreeMap<MemberId, VoteLogCompleteness>,
     /// Counts changes of `transferred_by`.
     revision: u64,
@@ -178,7 +178,8 @@
         Some(self.entries.get(&id)?.record(now, id))
     }
 
-    /// Applies a record that needs no vote. From a superseded epoch only facts are kept.
+    /// Applies a record that needs no vote. The end in a record of a superseded epoch is kept only
+    /// if it is a completion, which is a fact.
     pub fn apply(&mut self, now: Nanos, record: &StatementRecord) {
         if record.end == Some(StatementEnd::Rejected) {
             // The statement had no effect: it starts again on its next arrival.
--- a/crates/ivypitch-ownership/src/vote_log_entry.rs
+++ b/crates/ivypitch-ownership/src/vote_log_entry.rs
@@ -59,10 +59,10 @@
         self.grants.sort_unstable();
         self.merge_end(record);
         // A completed statement's request is needed as long as its engine may still have the rows.
-        let is_over_without_rows = self
+        let has_ended_without_rows = self
             .end
             .is_some_and(|end| !matches!(end, StatementEnd::Completed { .. }));
-        if is_over_without_rows {
+        if has_ended_without_rows {
             self.drop_request();
         }
     }
@@ -99,7 +99,7 @@
     /// statement.
     pub(crate) fn forbids_grant(&self, record: &StatementRecord, grant: &AttemptGrant) -> bool {
         let is_other_statement = match (&self.spec, &record.spec) {
-            (Some(known), Some(asked)) => known.digest != asked.digest,
+            (Some(known), Some(requested)) => known.digest != requested.digest,
             _ => false,
         };
         // The same attempt was granted before, to a process that the requester no longer knows of.
--- a/crates/ivypitch-ownership/src/voters.rs
+++ b/crates/ivypitch-ownership/src/voters.rs
@@ -11,8 +11,8 @@
 
 use crate::message::StatementId;
 
-/// Size of the assignment cache. The voters of an id are needed some ten times, and choosing them
-/// ranks the whole member list.
+/// Size of the assignment cache. The voters of a statement are looked up about ten times, and
+/// choosing them ranks the whole member list.
 const CACHE_ENTRIES: usize = 1024;
 
 /// Assigns voters to statements.
@@ -58,7 +58,7 @@
         self.voters_per_statement
     }
 
-    /// Number of votes that decide.
+    /// Number of votes that make a quorum.
     pub fn quorum(&self) -> usize {
         self.voters_per_statement / 2 + 1
     }
