--- a/crates/ivypitch-coordination/src/engine_health.rs
+++ b/crates/ivypitch-coordination/src/engine_health.rs
@@ -24,7 +24,7 @@
 const MAX_AGREEING_REPORTERS: usize = 8;
 /// The members readmit a recovered engine at different times, all within this time.
 const READMISSION_SPREAD: Nanos = 2 * SECOND;
-/// Makes the readmission times independent of the selection of probers.
+/// Hash salt that makes the readmission times independent of the selection of probers.
 const READMISSION_HASH_SALT: u64 = 0x7e7;
 
 #[derive(Clone, Copy)]
--- a/crates/ivypitch-coordination/src/gossip.rs
+++ b/crates/ivypitch-coordination/src/gossip.rs
@@ -179,8 +179,8 @@
         self.next_round = self.next_round.min(now + UPDATE_BATCHING_DELAY);
     }
 
-    /// The datagram's time in transit beyond that of the fastest of its sender. `None`: it must be
-    /// ignored.
+    /// The datagram's time in transit beyond that of its sender's fastest datagram. `None`: the
+    /// datagram must be ignored.
     pub(crate) fn transit_delay(
         &mut self,
         now: Nanos,
@@ -338,8 +338,8 @@
         updates
     }
 
-    /// Number of times that each member sends an update: enough that all members but one in some
-    /// thousands receive it when one datagram in twenty is lost.
+    /// Number of times that each member sends an update: enough that only about one in several
+    /// thousand members misses it when one datagram in twenty is lost.
     fn transmissions(&self) -> u32 {
         let log2_member_count = (self.member_count.max(2) as f64).log2();
         (0.75 * log2_member_count).ceil() as u32 + 1
--- a/crates/ivypitch-coordination/src/gossip/transit_delay.rs
+++ b/crates/ivypitch-coordination/src/gossip/transit_delay.rs
@@ -31,8 +31,8 @@
         self.late_datagrams
     }
 
-    /// Returns the datagram's delay beyond that of the fastest of its sender. `None`: it is too
-    /// late, or from an earlier process.
+    /// Returns the datagram's delay beyond that of its sender's fastest datagram. `None`: the
+    /// datagram is too late, or from an earlier process of the member.
     pub(super) fn on_datagram(
         &mut self,
         now: Nanos,
--- a/crates/ivypitch-coordination/src/quota_lease/holder.rs
+++ b/crates/ivypitch-coordination/src/quota_lease/holder.rs
@@ -62,8 +62,8 @@
         }
         let is_new = grant.lease == grant.request;
         if is_new {
-            // No unit of it counts as spent here: the grantor leases out no unit that is spent
-            // within the window.
+            // No unit of a new lease counts as spent here: the grantor leases out no unit that was
+            // spent within the spend window.
             let units = grant.units;
             self.held
                 .insert(lease, HeldLeaseState { units, expires_at });
--- a/crates/ivypitch-coordination/src/quota_rebalancing.rs
+++ b/crates/ivypitch-coordination/src/quota_rebalancing.rs
@@ -258,8 +258,8 @@
             .collect()
     }
 
-    /// Revokes leases on units of the base allocation that this member needs itself: its own units
-    /// need no lease.
+    /// Revokes leases on units of the base allocation that this member needs itself: unlike leased
+    /// units, its own units need no lease that can expire.
     fn revoke_own_units(&self, demand_units: u32, outgoing: &mut Vec<OutgoingQuotaMessage>) {
         let base_units = self.leases.base_units();
         let available_base_units = base_units - self.leases.leased_units().granted;
