--- a/crates/ivypitch-scheduler/src/admission.rs
+++ b/crates/ivypitch-scheduler/src/admission.rs
@@ -7,8 +7,8 @@
 use crate::statement::Statement;
 use ivypitch_types::{Nanos, StatementIndex, nanos_from_secs, secs_from_nanos};
 
-/// Longest wait for capacity as a fraction of the statement's latency objective, including the
-/// objective's part for the statement's work.
+/// Longest wait for capacity as a fraction of the statement's latency objective, which includes the
+/// stretch for the statement's work.
 const MAX_WAIT_OBJECTIVE_FRACTION: f64 = 0.4;
 /// Least work that a statement counts as, in seconds.
 const MIN_WORK_SECS: f64 = 1e-4;
--- a/crates/ivypitch-scheduler/src/capacity.rs
+++ b/crates/ivypitch-scheduler/src/capacity.rs
@@ -117,7 +117,7 @@
     /// there.
     ///
     /// Guards against statements that may run anywhere occupying the only engines of other
-    /// workloads. Drawback: the result is off for a while when the mix of workloads changes.
+    /// workloads. Drawback: the result lags behind changes of the mix of workloads.
     pub(crate) fn remaining_cores(&self, workload: usize, engine: &Engine) -> f64 {
         let total_demand = self
             .workloads
--- a/crates/ivypitch-scheduler/src/cost_model.rs
+++ b/crates/ivypitch-scheduler/src/cost_model.rs
@@ -8,8 +8,8 @@
 use crate::statement::Attempt;
 use ivypitch_types::{Nanos, StatementIndex, secs_from_nanos};
 
-/// Smoothing factor of a workload's cost figures, per statement, and of the fraction of load reports
-/// that show pressure, per report.
+/// Smoothing factor of a workload's cost figures, per statement, and of the fraction of load
+/// reports that show pressure, per report.
 pub(crate) const SMOOTHING_FACTOR: f64 = 0.05;
 /// Smoothing factor, per statement, of the work that arrives.
 const DEMAND_SMOOTHING_FACTOR: f64 = 0.01;
--- a/crates/ivypitch-scheduler/src/outlier_detection.rs
+++ b/crates/ivypitch-scheduler/src/outlier_detection.rs
@@ -25,9 +25,9 @@
 /// Number of one statement's errors on healthy engines that count against the engines: if two
 /// engines return errors, the statement may be at fault.
 pub(crate) const MAX_COUNTED_ERRORS_PER_STATEMENT: u32 = 1;
-/// Multiple of its expected time after which an attempt without a report counts as lost.
+/// Multiple of its expected time after which an attempt without a progress report counts as lost.
 const LOST_ATTEMPT_TIME_RATIO: f64 = 3.0;
-/// Least time without a report after which an attempt counts as lost.
+/// Least time without a progress report after which an attempt counts as lost by its expected time.
 const MIN_LOST_ATTEMPT_TIMEOUT: Nanos = SECOND * 6 / 10;
 
 struct RecentOutcome {
@@ -137,7 +137,8 @@
         is_cheap && self.sends_since_probe >= MIN_SENDS_PER_PROBE
     }
 
-    /// Detects lost attempts: those without a report for far longer than such statements take.
+    /// Detects lost attempts: those without a progress report or result for far longer than such
+    /// statements take.
     ///
     /// Guards against unresponsive engines, lost results, partitions and crashes that the endpoint
     /// list has not reported. Each lost attempt counts as a failure of its engine. An idempotent
@@ -171,8 +172,8 @@
         }
     }
 
-    /// Returns how long the statement's attempt may stay without a report, or `None` if no attempt
-    /// runs.
+    /// Returns how long the statement's attempt may stay without a progress report or result, or
+    /// `None` if no attempt runs.
     fn lost_attempt_timeout(&self, index: StatementIndex) -> Option<Nanos> {
         let statement = self.statement(index)?;
         let attempt = statement.attempt.as_ref()?;
@@ -188,7 +189,7 @@
         };
         let progress_interval = self.deployment.progress_interval;
         if progress_interval > 0 {
-            // One and a half report intervals, plus half a second for transmission.
+            // One and a half progress intervals, plus half a second for transmission.
             Some(lost_timeout.min(progress_interval * 3 / 2 + SECOND / 2))
         } else {
             Some(lost_timeout)
--- a/crates/ivypitch-scheduler/src/statement.rs
+++ b/crates/ivypitch-scheduler/src/statement.rs
@@ -69,7 +69,8 @@
     pub deadline: Nanos,
     /// Expected work of all threads.
     pub work_secs: f64,
-    /// Usual work of the workload, charged to slow-start limits.
+    /// Usual work of the workload, estimated or measured, whichever is larger; charged to
+    /// slow-start limits.
     pub charged_work_secs: f64,
     pub estimated_memory_mb: f64,
     pub has_spilled: bool,
--- a/crates/ivypitch-scheduler/src/subset.rs
+++ b/crates/ivypitch-scheduler/src/subset.rs
@@ -16,8 +16,8 @@
 };
 use std::collections::BTreeSet;
 
-/// Number of load reports that this gateway's own statements return from each engine of the subset
-/// within the lifetime of a report.
+/// Target number of load reports that this gateway's own statements return from each engine of the
+/// subset within the lifetime of a report.
 const REPORTS_PER_LIFETIME: f64 = 2.0;
 /// Upper limit of the subset size derived from traffic; it bounds the scheduling cost per
 /// statement.
@@ -32,7 +32,7 @@
 const MAX_SUBSET_FRACTION: f64 = 0.25;
 /// Multiple of its size to which a subset widens when its engines have no capacity.
 const MAX_WIDENING_FACTOR: usize = 2;
-/// Number of ranks examined for permitted engines, as a multiple of the subset's size.
+/// Maximum number of ranks examined for permitted engines, as a multiple of the subset's size.
 const MAX_LOOKUPS_PER_SUBSET_ENGINE: usize = 4;
 
 /// Returns the rank of gateway `member_index` at an engine.
