--- a/crates/ivypitch-coordination/src/quota_lease.rs
+++ b/crates/ivypitch-coordination/src/quota_lease.rs
@@ -105,8 +105,8 @@
     holder_duration: Nanos,
     /// The latest time that was passed in.
     latest_time: Nanos,
-    /// Time since the start. A clock step counts as at most [`MAX_CLOCK_STEP`], so that no lease
-    /// ends early at its grantor because the clock was set forward.
+    /// Time since the start. One step of the clock counts as at most [`MAX_CLOCK_STEP`], because
+    /// the clock may have been set.
     elapsed: Nanos,
     /// Until this elapsed time, leases granted by this member's previous process may be in use.
     recovery_ends_at: Nanos,
