--- a/crates/ivypitch-cli/tests/takeover/main.rs
+++ b/crates/ivypitch-cli/tests/takeover/main.rs
@@ -1,5 +1,6 @@
-//! Statements in flight outlive their gateway: fleets of real gateways on loopback that talk, with a relay on every link, of
-//! which some are lost, stopped or cut off. Engines count the starts, clients tell what they heard.
+//! Takeover of statements in flight: fleets of real gateways on loopback with a relay on every
+//! link, of which some are killed, suspended or partitioned. The tests check the starts at the
+//! engines and the answers to clients.
 
 mod answers;
 mod engines;
--- a/crates/ivypitch-cli/tests/takeover/member_lists.rs
+++ b/crates/ivypitch-cli/tests/takeover/member_lists.rs
@@ -1,4 +1,4 @@
-//! Gateways of other versions, and lists that do not name a gateway.
+//! Members with another protocol version, and member lists that do not name a gateway.
 
 use std::io::Read;
 use std::io::Write;
@@ -19,15 +19,15 @@
 use crate::scene::*;
 
 #[test]
-fn a_gateway_of_the_version_before_is_refused_with_one_line() {
-    let s = scene(3);
-    // A link whose first frame names another version.
+fn a_member_of_the_previous_version_is_rejected_with_one_log_line() {
+    let setup = set_up(3);
+    // A link whose first frame has the previous protocol version.
     let hello = |version: u16| {
         let zones = ["z0", "z1", "z2"].map(String::from).to_vec();
         let member = |g: usize| MemberAddress {
             name: format!("n{g}"),
             zone: g as u16,
-            address: s.fleet.gateways[g].peer_address,
+            address: setup.fleet.gateways[g].peer_address,
         };
         let members = MemberList {
             members: (0..3).map(member).collect(),
@@ -46,24 +46,24 @@
     };
     let (member_list, old) = hello(VERSION - 1);
     for _ in 0..3 {
-        let mut link = TcpStream::connect(s.fleet.gateways[0].peer_address).unwrap();
+        let mut link = TcpStream::connect(setup.fleet.gateways[0].peer_address).unwrap();
         link.write_all(&old).unwrap();
-        let mut nothing = Vec::new();
-        // Closed with no word.
-        let _ = link.read_to_end(&mut nothing);
-        assert!(nothing.is_empty());
+        let mut received = Vec::new();
+        // The link is closed without data.
+        let _ = link.read_to_end(&mut received);
+        assert!(received.is_empty());
     }
-    let refused = |l: &String| {
+    let is_rejected_link = |line: &String| {
         is_event(
-            l,
+            line,
             "link from incompatible member is rejected",
             &[("member", "n1")],
         )
     };
-    let log = &s.fleet.gateways[0].log;
-    log.wait("refusal", refused);
-    // A datagram of such a member.
-    let mut stranger = Membership::new(MembershipParams {
+    let log = &setup.fleet.gateways[0].log;
+    log.wait("rejected link", is_rejected_link);
+    // Datagrams of such a member.
+    let mut old_member = Membership::new(MembershipParams {
         member_list,
         process: ProcessId {
             member: MemberId(1),
@@ -76,28 +76,29 @@
     });
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     for round in 0..20u64 {
-        stranger.on_timer(round * 250_000_000);
-        while let Some(OutgoingDatagram { to, data }) = stranger.pop_datagram() {
+        old_member.on_timer(round * 250_000_000);
+        while let Some(OutgoingDatagram { to, data }) = old_member.pop_datagram() {
             if to == MemberId(0) {
                 socket
-                    .send_to(&data, s.fleet.gateways[0].peer_address)
+                    .send_to(&data, setup.fleet.gateways[0].peer_address)
                     .unwrap();
             }
         }
     }
-    let unspoken = |l: &String| is_event(l, "incompatible member is ignored", &[("member", "n1")]);
-    log.wait("stranger", unspoken);
+    let is_ignored_member =
+        |line: &String| is_event(line, "incompatible member is ignored", &[("member", "n1")]);
+    log.wait("ignored member", is_ignored_member);
     let all = log.all();
     assert_eq!(
         (
-            all.iter().filter(|l| refused(l)).count(),
-            all.iter().filter(|l| unspoken(l)).count()
+            all.iter().filter(|line| is_rejected_link(line)).count(),
+            all.iter().filter(|line| is_ignored_member(line)).count()
         ),
         (1, 1)
     );
     assert!(
-        !all.iter().any(|l| is_event(l, MEMBER_LOST, &[])),
-        "the real n1 stays"
+        !all.iter().any(|line| is_event(line, MEMBER_LOST, &[])),
+        "the running member n1 stays up"
     );
 }
 
@@ -108,12 +109,12 @@
     let (mut child, log, _) = spawn_gateway_with_settings(&config, Some(own));
     assert_eq!(child.wait().unwrap().code(), Some(1));
     let line = log.wait("line", |_| true);
-    for word in [
+    for fault in [
         "peers.gateways[1].name",
         "stands twice",
         "peers.gateways[1].address",
         "custody.witnesses",
     ] {
-        assert!(line.contains(word), "{line}");
+        assert!(line.contains(fault), "{line}");
     }
 }
--- a/crates/ivypitch-cli/tests/takeover/scene.rs
+++ b/crates/ivypitch-cli/tests/takeover/scene.rs
@@ -1,4 +1,4 @@
-//! Fleets of gateways before one engine whose queries end when the test says so.
+//! Fleets of gateways with one engine that completes queries on request of the test.
 
 use ivypitch_gateway::log_events::MEMBER_LOST;
 use ivypitch_ownership::VoterAssignment;
@@ -15,48 +15,54 @@
     LinkEnd::Gateway(g)
 }
 
-/// Of each statement's time, in milliseconds.
-pub const LONGEST: u64 = 20_000;
-/// Patient enough that nobody is taken for lost because the machine is busy.
-pub const PEERS: &str =
+/// Upper limit of a statement timeout.
+pub const MAX_STATEMENT_TIMEOUT_MS: u64 = 20_000;
+/// Long enough that a busy machine does not cause false member losses.
+pub const PEER_SETTINGS: &str =
     r#""period_ms":200,"suspicion_ms":700,"custody":{"remembered_ms":400,"asks_from_ms":0}"#;
-pub const SLOW_PEERS: &str =
+/// Longer periods, for thirty gateways on one machine.
+pub const SLOW_PEER_SETTINGS: &str =
     r#""period_ms":500,"suspicion_ms":1500,"custody":{"remembered_ms":400,"asks_from_ms":0}"#;
 
-pub fn fleet(gateways: usize, held: &[&ControlledEngine], peers: &str) -> Fleet {
-    let engines = FleetEngines::External(held.iter().map(|held| held.addresses.clone()).collect());
-    let peers = Some(peers.to_owned());
+pub fn fleet(gateways: usize, controlled_engines: &[&ControlledEngine], peers: &str) -> Fleet {
+    let engines = FleetEngines::External(
+        controlled_engines
+            .iter()
+            .map(|engine| engine.addresses.clone())
+            .collect(),
+    );
+    let peer_settings = Some(peers.to_owned());
     Fleet::start(FleetConfig {
         gateways,
         engines,
-        peer_settings: peers,
-        max_statement_timeout_ms: LONGEST,
+        peer_settings,
+        max_statement_timeout_ms: MAX_STATEMENT_TIMEOUT_MS,
         ..FleetConfig::default()
     })
     .unwrap()
 }
 
-pub struct Scene {
+pub struct TestSetup {
     pub fleet: Fleet,
-    pub held: ControlledEngine,
+    pub engine: ControlledEngine,
 }
 
-/// Gateways before one engine whose queries end when the test says so.
-pub fn scene(gateways: usize) -> Scene {
-    scene_of(gateways, PEERS)
+/// Starts gateways with one engine that completes queries on request of the test.
+pub fn set_up(gateways: usize) -> TestSetup {
+    set_up_with(gateways, PEER_SETTINGS)
 }
 
-pub fn scene_of(gateways: usize, peers: &str) -> Scene {
-    let held = ControlledEngine::start(gateways);
-    let fleet = fleet(gateways, &[&held], peers);
-    Scene { fleet, held }
+pub fn set_up_with(gateways: usize, peer_settings: &str) -> TestSetup {
+    let engine = ControlledEngine::start(gateways);
+    let fleet = fleet(gateways, &[&engine], peer_settings);
+    TestSetup { fleet, engine }
 }
 
-impl Scene {
-    /// The same once witnesses vote: those that began lately do not.
-    pub fn voting(self) -> Scene {
+impl TestSetup {
+    /// Waits until all voters vote: a voter that has just started denies its vote.
+    pub fn wait_until_voting(self) -> TestSetup {
         for g in 0..self.fleet.config.gateways {
-            ask_until_votes(&self.fleet, g);
+            execute_until_served(&self.fleet, g);
         }
         self
     }
@@ -65,31 +71,34 @@
         Client::connect_to(self.fleet.gateways[g].address)
     }
 
-    /// A client that has sent its statement and waits.
-    pub fn sent(&self, g: usize, kind: &str, req: u64) -> Client {
+    /// Returns a client that has sent its statement and waits.
+    pub fn send_statement(&self, g: usize, kind: &str, req: u64) -> Client {
         let mut client = self.client(g);
-        client.send(&query(&statement(kind, req, LONGEST)));
+        client.send(&query(&statement(kind, req, MAX_STATEMENT_TIMEOUT_MS)));
         client
     }
 
-    /// A load whose execution runs, sent by this gateway.
-    pub fn running(&self, g: usize, req: u64) -> Client {
-        let client = self.sent(g, "load", req);
-        assert_eq!(self.held.wait_for_start(req), g);
+    /// Sends a load through a gateway and waits until it runs at the engine.
+    pub fn start_load(&self, g: usize, req: u64) -> Client {
+        let client = self.send_statement(g, "load", req);
+        assert_eq!(self.engine.wait_for_start(req), g);
         client
     }
 
-    pub fn wait_lost(&self, at: usize, lost: usize) {
-        self.fleet.gateways[at].log.wait("loss", |l| {
-            is_event(l, MEMBER_LOST, &[("member", &format!("n{lost}"))])
+    pub fn wait_for_loss(&self, at: usize, lost: usize) {
+        self.fleet.gateways[at].log.wait("member loss", |line| {
+            is_event(line, MEMBER_LOST, &[("member", &format!("n{lost}"))])
         });
     }
 }
 
-pub fn ask_until_votes(fleet: &Fleet, g: usize) {
+pub fn execute_until_served(fleet: &Fleet, g: usize) {
     for req in (1 << 32) + (g as u64) * 1000.. {
-        let answer =
-            Client::connect_to(fleet.gateways[g].address).execute(&statement("load", req, LONGEST));
+        let answer = Client::connect_to(fleet.gateways[g].address).execute(&statement(
+            "load",
+            req,
+            MAX_STATEMENT_TIMEOUT_MS,
+        ));
         if matches!(answer, Answer::Rows(_)) {
             return;
         }
@@ -107,20 +116,22 @@
     voters.into_iter().map(|voter| voter.0).collect()
 }
 
-/// An id whose witnesses, the first in rank first, are as wanted.
-pub fn id_where(gateways: usize, is: impl Fn(&[u16]) -> bool) -> (u64, Vec<u16>) {
-    let witnesses = VoterAssignment::new((0..gateways as u16).map(|g| g % 3).collect(), 5);
+/// Finds a statement id whose voters, in order of rank, satisfy the predicate.
+pub fn find_statement(gateways: usize, matches_voters: impl Fn(&[u16]) -> bool) -> (u64, Vec<u16>) {
+    let assignment = VoterAssignment::new((0..gateways as u16).map(|g| g % 3).collect(), 5);
     let found = (1..10_000)
-        .map(|id| (id, voters_of(&witnesses, id)))
-        .find(|(_, all)| is(all));
+        .map(|id| (id, voters_of(&assignment, id)))
+        .find(|(_, voters)| matches_voters(voters));
     found.unwrap()
 }
 
-/// Others take a member for lost only long after a test has failed, unless it says that it leaves.
-pub const VERY_PATIENT_PEERS: &str =
+/// Members are reported lost only if they announce that they leave: the suspicion timeout exceeds
+/// the test.
+pub const PEER_SETTINGS_WITHOUT_FAILURE_DETECTION: &str =
     r#""period_ms":200,"suspicion_ms":600000,"custody":{"remembered_ms":400,"asks_from_ms":0}"#;
 
-/// What is on its way to the engine as its gateway is killed: the question that proves a kept connection, and, once that
-/// has brought no answer, the start on a new one.
-pub const PROOF: &str = "GET /c/0000000000000001/0";
-pub const START: &str = "POST /c ";
+/// The poll that checks a reused connection; if it stays unanswered, the start is sent on a new
+/// connection.
+pub const CONNECTION_CHECK_REQUEST: &str = "GET /c/0000000000000001/0";
+/// The start of a statement.
+pub const START_REQUEST: &str = "POST /c ";
