--- a/crates/ivypitch-cli/tests/fleet.rs
+++ b/crates/ivypitch-cli/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Twenty and more gateways as processes of their own that share nothing but their engines. Verdicts come from what
-//! the engines and the clients counted.
+//! Twenty and more gateways as processes of their own that share nothing but their engines.
+//! Verdicts come from what the engines and the clients counted.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -10,12 +10,13 @@
 use ivypitch_testbed::test_servers::*;
 
 const GATEWAYS: usize = 24;
-/// Of the fleets of which a few send most, every so many gateways have one with so many clients; the others' rest.
+/// Of the fleets of which a few send most, every so many gateways have one with so many clients;
+/// the others' rest.
 const FEW: usize = 8;
 const MOST_CLIENTS: usize = 16;
 const REST: Duration = Duration::from_millis(250);
-/// As the settings below have it: an engine of 8 cores begins at 0.3 of its pace, and falls over when it is sent 2.5
-/// times what it can do for a second.
+/// As the settings below have it: an engine of 8 cores begins at 0.3 of its pace, and falls over
+/// when it is sent 2.5 times what it can do for a second.
 const COLD: &str = r#""cold-from":0.3,"overload-factor":2.5,"tip-after-ns":1000000000,"#;
 const WINDOW: Duration = Duration::from_secs(1);
 const ALLOWED_WORK: f64 = 2.5 * 8.0 * 0.3;
@@ -56,8 +57,8 @@
     })
 }
 
-/// Clients of one gateway that ask without end, each this long after an answer, and come again at once where it has
-/// gone.
+/// Clients of one gateway that ask without end, each this long after an answer, and come again at
+/// once where it has gone.
 fn clients(
     at: SocketAddr,
     (count, rest): (usize, Duration),
@@ -119,7 +120,8 @@
     cold_engine(30, few);
 }
 
-/// So many gateways with so many clients each; every second one is killed in between and begins anew.
+/// So many gateways with so many clients each; every second one is killed in between and begins
+/// anew.
 fn cold_engine(count: usize, load: impl Fn(usize) -> (usize, Duration)) {
     let arrived = Arc::new(Mutex::new(Vec::new()));
     let (warm, cold) = (engine(None), engine(Some(arrived.clone())));
@@ -213,7 +215,8 @@
         .iter()
         .flat_map(|g| clients(g.address, (4, Duration::ZERO), &number, &over))
         .collect();
-    // Half are told to end, half are killed; the next process is there at once, at the same address.
+    // Half are told to end, half are killed; the next process is there at once, at the same
+    // address.
     let ready: Vec<Duration> = thread::scope(|scope| {
         let mut all = Vec::new();
         for (me, gateway) in gateways.iter_mut().enumerate() {
--- a/crates/ivypitch-cli/tests/pool.rs
+++ b/crates/ivypitch-cli/tests/pool.rs
@@ -17,8 +17,8 @@
         .to_owned()
 }
 
-/// An engine that knows the queries that were started there, and no others. `spoil` changes an answer; it is told how
-/// many starts came before on that connection.
+/// An engine that knows the queries that were started there, and no others. `spoil` changes an
+/// answer; it is told how many starts came before on that connection.
 fn knowing(
     spoil: impl Fn(&Call, String, usize) -> Option<Reply> + Send + Sync + 'static,
 ) -> FakeEngine {
@@ -57,7 +57,8 @@
             Answer::Rows(vec![vec![id, "b".into(), "c".into()]]),
             "statement {req}"
         );
-        // Kept connections are used once they have been quiet: so long as the next statement takes to come here.
+        // Kept connections are used once they have been quiet: so long as the next statement takes
+        // to come here.
         std::thread::sleep(std::time::Duration::from_millis(25));
     }
 }
@@ -99,8 +100,8 @@
 
 #[test]
 fn a_late_copy_of_an_answer_is_never_another_statements() {
-    // What the engine sends to a start on a used connection is the answer of the one before; its own answer comes to
-    // the next call there, and so on.
+    // What the engine sends to a start on a used connection is the answer of the one before; its
+    // own answer comes to the next call there, and so on.
     let last = Mutex::new(String::new());
     let engine = knowing(move |call, id, before| {
         if !call.has_method("POST") {
--- a/crates/ivypitch-cli/tests/recorded_shapes.rs
+++ b/crates/ivypitch-cli/tests/recorded_shapes.rs
@@ -1,6 +1,7 @@
-//! Text, names and keys recorded at d1ac1c5; a rename must not change them. What people and tools read: the fields of the
-//! own file, the columns of `SHOW QUEUE`, the keys of `SHOW FLEET` and of `ivypitch fleet`. The values of a view, key by
-//! key, stand in the recorded messages of `ivypitch-coordination`.
+//! Text, names and keys recorded at d1ac1c5; a rename must not change them. What people and tools
+//! read: the fields of the own file, the columns of `SHOW QUEUE`, the keys of `SHOW FLEET` and of
+//! `ivypitch fleet`. The values of a view, key by key, stand in the recorded messages of
+//! `ivypitch-coordination`.
 
 use std::process::Command;
 
--- a/crates/ivypitch-cli/tests/scale.rs
+++ b/crates/ivypitch-cli/tests/scale.rs
@@ -1,5 +1,6 @@
-//! Real gateways beside hollow ones while a burst of changes goes through the journal, links drop and come late, and a
-//! gateway is killed and starts again. Who acts by what is read from the engines' starts alone.
+//! Real gateways beside hollow ones while a burst of changes goes through the journal, links drop
+//! and come late, and a gateway is killed and starts again. Who acts by what is read from the
+//! engines' starts alone.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -269,7 +270,8 @@
     assert!(fleet.crashes.is_empty(), "{:?}", fleet.crashes);
 }
 
-/// Engines come and go by the seed; at last all that were listed drain, and one that nobody knew is listed.
+/// Engines come and go by the seed; at last all that were listed drain, and one that nobody knew is
+/// listed.
 fn burst(fleet: &mut Fleet, plan: &FaultPlan, broken: usize, seed: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0xb0);
     let mut steps: Vec<(u64, bool, Fault)> = Vec::new();
--- a/crates/ivypitch-cli/tests/serving.rs
+++ b/crates/ivypitch-cli/tests/serving.rs
@@ -1,4 +1,4 @@
-//! Starts the program and speaks to it over loopback sockets, as clients, engines and the journal service.
+//! Runs a gateway process with clients, engines and a discovery service on loopback sockets.
 
 use std::net::Shutdown;
 
@@ -15,7 +15,7 @@
     )
 }
 
-fn ready(engine: &FakeEngine) -> Vec<String> {
+fn endpoints_of(engine: &FakeEngine) -> Vec<String> {
     vec![engine.row("s-00c41f7a", "in_service")]
 }
 
@@ -40,7 +40,7 @@
                 _ => response(204, "", ""),
             },
         );
-    let gateway = Gateway::start(&ready(&engine));
+    let gateway = Gateway::start(&endpoints_of(&engine));
     let mut client = Client::connect(&gateway);
     let answer = client.execute(&statement("lookup", 0x9b1f, 5000));
     let expected = [
@@ -65,7 +65,7 @@
 #[test]
 fn login_and_query_may_come_ahead_of_the_greeting_and_in_any_pieces() {
     let engine = FakeEngine::completing();
-    let gateway = Gateway::start(&ready(&engine));
+    let gateway = Gateway::start(&endpoints_of(&engine));
     let bytes = [login("app"), query(&statement("lookup", 1, 5000))].concat();
     let mut whole = Client::connect_without_login(&gateway);
     whole.send(&bytes);
@@ -92,7 +92,7 @@
         Some(n) if call.has_method("GET") => response(200, &format!("Page-No: {n}\r\n"), &page(n)),
         _ => response(200, "Page-Count: 8\r\n", &page("0")),
     });
-    let gateway = Gateway::start(&ready(&engine));
+    let gateway = Gateway::start(&endpoints_of(&engine));
     let Answer::Rows(rows) = Client::connect(&gateway).execute(&statement("lookup", 1, 20000))
     else {
         panic!("no rows")
@@ -103,7 +103,8 @@
     );
 }
 
-/// What an engine says to the start, and the error that a load gets, which must never run twice.
+/// The response of an engine to the start, and the error code of the load, which must never run
+/// twice.
 #[test_case(500, "", "", 1105; "an error may have run")]
 #[test_case(503, "Srv-Untouched: 1\r\n", "", 1203; "full never ran")]
 #[test_case(503, "", "", 1105; "full without its proof")]
@@ -114,7 +115,7 @@
 #[test_case(200, "Page-Count: x\r\n", "a\tb\tc\n", 1105; "a page count that is no number")]
 #[test_case(200, "Content-Length: 1\r\n", "a\tb\tc\n", 1105; "two lengths")]
 #[test_case(200, "Transfer-Encoding: chunked\r\n", "a\tb\tc\n", 1105; "an encoding not understood")]
-fn each_end_of_a_load_is_told_as_what_it_proves(
+fn a_load_is_reported_as_rejected_only_if_the_response_proves_it_did_not_run(
     status: u16,
     headers: &'static str,
     body: &'static str,
@@ -125,7 +126,7 @@
         "DELETE" => response(204, "", ""),
         _ => response(500, "", ""),
     });
-    let gateway = Gateway::start(&ready(&engine));
+    let gateway = Gateway::start(&endpoints_of(&engine));
     let mut client = Client::connect(&gateway);
     assert_eq!(
         client.execute(&statement("load", 1, 2500)).error_code(),
@@ -135,7 +136,7 @@
         assert_eq!(
             engine.start_count(),
             1,
-            "it may have run, so it is not started again"
+            "it may have run, so it is not retried"
         );
     }
     assert_eq!(client.ping(), OK);
@@ -147,7 +148,7 @@
         "POST" => Reply::Close,
         _ => success_response("a\tb\tc\n"),
     });
-    let gateway = Gateway::start(&ready(&engine));
+    let gateway = Gateway::start(&endpoints_of(&engine));
     assert_eq!(
         Client::connect(&gateway).execute(&statement("load", 1, 5000)),
         rows(&[["a", "b", "c"]])
@@ -156,14 +157,14 @@
 }
 
 #[test]
-fn a_refused_connection_is_a_refusal_with_a_time_to_stay_away() {
+fn a_refused_connection_rejects_the_statement_with_a_retry_after_time() {
     let (_held, address) = refusing_address();
     let engine = FakeEngine {
         address,
         calls: EventLog::new(),
         closed_connections: EventLog::new(),
     };
-    let gateway = Gateway::start(&ready(&engine));
+    let gateway = Gateway::start(&endpoints_of(&engine));
     let answer = Client::connect(&gateway).execute(&statement("load", 1, 2000));
     let Answer::Error(1203, text) = answer else {
         panic!("{answer:?}")
@@ -175,14 +176,14 @@
 #[test_case("load", 1105; "a load fails")]
 fn an_engine_that_never_ends_is_given_up_in_time_and_started_once(kind: &str, code: u16) {
     let engine = FakeEngine::never_completing();
-    let gateway = Gateway::start(&ready(&engine));
+    let gateway = Gateway::start(&endpoints_of(&engine));
     assert_eq!(
         Client::connect(&gateway)
             .execute(&statement(kind, 1, 400))
             .error_code(),
         code
     );
-    engine.calls.wait("give-up", |c| {
+    engine.calls.wait("cancel", |c| {
         c.has_method("DELETE") && c.path == "/c/0000000000000001"
     });
     assert_eq!(engine.start_count(), 1);
@@ -191,7 +192,7 @@
 #[test]
 fn a_statement_on_a_silent_engine_is_answered_in_time() {
     let engine = FakeEngine::start(|_, _| Reply::NoResponse);
-    let gateway = Gateway::start(&ready(&engine));
+    let gateway = Gateway::start(&endpoints_of(&engine));
     assert_eq!(
         Client::connect(&gateway)
             .execute(&statement("load", 1, 400))
@@ -223,14 +224,14 @@
         .count();
     assert!(
         given_up >= silent.start_count(),
-        "each that was started is given up"
+        "each started statement is cancelled"
     );
 }
 
 #[test]
 fn kill_query_ends_the_statement_and_gives_it_up() {
     let engine = FakeEngine::never_completing();
-    let gateway = Gateway::start(&ready(&engine));
+    let gateway = Gateway::start(&endpoints_of(&engine));
     let (mut client, mut killer) = (Client::connect(&gateway), Client::connect(&gateway));
     client.send(&query(&statement("load", 1, 20_000)));
     engine.calls.wait("start", |c| c.has_method("POST"));
@@ -239,7 +240,7 @@
         OK
     );
     assert_eq!(client.read_answer(1).error_code(), 1317);
-    engine.calls.wait("give-up", |c| c.has_method("DELETE"));
+    engine.calls.wait("cancel", |c| c.has_method("DELETE"));
     assert_eq!(client.ping(), OK);
 }
 
@@ -253,7 +254,7 @@
         }
         response(if call.has_method("DELETE") { 204 } else { 202 }, "", "")
     });
-    let gateway = Gateway::start(&ready(&engine));
+    let gateway = Gateway::start(&endpoints_of(&engine));
     let (mut client, mut killer) = (Client::connect(&gateway), Client::connect(&gateway));
     client.send(&query(&statement("load", 1, 20_000)));
     engine.calls.wait("start", |c| c.has_method("POST"));
@@ -263,32 +264,32 @@
     );
     assert_eq!(client.read_answer(1).error_code(), 1317);
     killed.push(());
-    engine.calls.wait("give-up", |c| c.has_method("DELETE"));
+    engine.calls.wait("cancel", |c| c.has_method("DELETE"));
 }
 
 #[test_case(|c| drop(c.stream.shutdown(Shutdown::Write)); "its half is closed")]
 #[test_case(|c| c.send(&packet(0, &[1])); "it quits")]
 fn a_client_that_leaves_has_its_execution_given_up(leave: fn(&mut Client)) {
     let engine = FakeEngine::never_completing();
-    let gateway = Gateway::start(&ready(&engine));
+    let gateway = Gateway::start(&endpoints_of(&engine));
     let mut client = Client::connect(&gateway);
     client.send(&query(&statement("lookup", 1, 20_000)));
     engine.calls.wait("start", |c| c.has_method("POST"));
     leave(&mut client);
-    engine.calls.wait("give-up", |c| c.has_method("DELETE"));
+    engine.calls.wait("cancel", |c| c.has_method("DELETE"));
 }
 
 #[test]
 fn sigterm_serves_the_overlap_answers_all_and_exits_with_0() {
     let engine = FakeEngine::never_completing();
-    let mut gateway = Gateway::start(&ready(&engine));
+    let mut gateway = Gateway::start(&endpoints_of(&engine));
     let mut client = Client::connect(&gateway);
     client.send(&query(&statement("lookup", 1, 20_000)));
     engine.calls.wait("start", |c| c.has_method("POST"));
     gateway.terminate();
-    gateway.log.wait("overlap", |l| {
+    gateway.log.wait("drain period", |line| {
         is_event(
-            l,
+            line,
             "lifecycle phase changed",
             &[("from", "serving"), ("to", "draining")],
         )
@@ -300,9 +301,9 @@
     );
     assert_eq!(client.read_answer(1).error_code(), 1203);
     assert_eq!(gateway.exit_code(), Some(0));
-    gateway.log.wait("stop", |l| {
+    gateway.log.wait("stop", |line| {
         is_event(
-            l,
+            line,
             "lifecycle phase changed",
             &[
                 ("from", "finishing"),
@@ -317,13 +318,18 @@
 #[test]
 fn a_gateway_that_was_killed_starts_again_at_its_address() {
     let engine = FakeEngine::completing();
-    let mut gateway = Gateway::start(&ready(&engine));
+    let mut gateway = Gateway::start(&endpoints_of(&engine));
     assert_eq!(
         Client::connect(&gateway).execute(&statement("lookup", 1, 5000)),
         rows(&[["a", "b", "c"]])
     );
     gateway.kill();
-    let again = Gateway::start_with(&gateway.address.to_string(), &ready(&engine), None, 1024);
+    let again = Gateway::start_with(
+        &gateway.address.to_string(),
+        &endpoints_of(&engine),
+        None,
+        1024,
+    );
     assert_eq!(
         Client::connect(&again).execute(&statement("lookup", 2, 5000)),
         rows(&[["a", "b", "c"]])
@@ -352,11 +358,11 @@
         Some(&journal),
         1024,
     );
-    gateway.log.wait("loss", |l| {
-        is_event(l, "endpoint watch lost", &[("position", "2")])
+    gateway.log.wait("loss", |line| {
+        is_event(line, "endpoint watch lost", &[("position", "2")])
     });
-    gateway.log.wait("recovery", |l| {
-        is_event(l, "endpoint watch resumed", &[("position", "3")])
+    gateway.log.wait("recovery", |line| {
+        is_event(line, "endpoint watch resumed", &[("position", "3")])
     });
     assert_eq!(
         journal.watch_requests.all()[..4],
@@ -370,7 +376,7 @@
     assert_eq!(
         old.start_count(),
         before,
-        "a draining engine gets nothing new"
+        "a draining engine gets no new statements"
     );
 }
 
@@ -391,9 +397,9 @@
 #[test_case("/* kind=lookup,req=0000000000000001,timeout=100 */ SELECT 'sales_17.orders' FROM x"; "group in a string")]
 #[test_case("/* kind=lookup,req=0000000000000001,timeout=100 */ SELECT a FROM staging.orders"; "staging alone")]
 #[test_case(""; "empty")]
-fn what_cannot_be_used_gets_an_error_goes_to_no_engine_and_leaves_the_session_usable(text: &str) {
+fn an_invalid_statement_gets_an_error_reaches_no_engine_and_keeps_the_session(text: &str) {
     let engine = FakeEngine::completing();
-    let gateway = Gateway::start(&ready(&engine));
+    let gateway = Gateway::start(&endpoints_of(&engine));
     let mut client = Client::connect(&gateway);
     assert_eq!(client.execute(text).error_code(), 1064);
     client.send(&packet(0, &[0x16, 1, 2, 3]));
@@ -413,9 +419,9 @@
 #[test_case(&[0, 0, 0, 0], 1835; "an empty command")]
 #[test_case(&query(&statement("lookup", 1, 5000)).repeat(300), 1156; "hundreds of statements at once")]
 #[test_case(&[2, 0, 0, 0, 3], 0; "a message that never ends")]
-fn what_is_broken_ends_that_session_alone(bytes: &[u8], code: u16) {
+fn a_protocol_violation_closes_only_its_own_session(bytes: &[u8], code: u16) {
     let engine = FakeEngine::completing();
-    let gateway = Gateway::start(&ready(&engine));
+    let gateway = Gateway::start(&endpoints_of(&engine));
     let mut broken = Client::connect(&gateway);
     broken.send(bytes);
     if code > 0 {
@@ -434,8 +440,8 @@
 #[test]
 fn a_session_that_came_as_there_were_too_many_is_served_all_the_same() {
     let engine = FakeEngine::completing();
-    // 16 clients and 3 more that may be told.
-    let gateway = Gateway::start_with("127.0.0.1:0", &ready(&engine), None, 48);
+    // Sockets for 16 clients and 3 more that can be rejected.
+    let gateway = Gateway::start_with("127.0.0.1:0", &endpoints_of(&engine), None, 48);
     let mut clients: Vec<Client> = (0..19).map(|_| Client::connect(&gateway)).collect();
     let last = clients.last_mut().unwrap();
     assert_eq!(
@@ -445,7 +451,7 @@
 }
 
 #[test]
-fn silent_crowds_are_closed_and_usual_clients_served_beside_them() {
+fn silent_sessions_are_closed_and_active_clients_served() {
     let crowd_is_there = EventLog::<()>::new();
     let wait = crowd_is_there.clone();
     let engine = FakeEngine::start(move |call, _| {
@@ -454,8 +460,8 @@
         }
         success_response("a\tb\tc\n")
     });
-    // 16 clients and 3 more.
-    let gateway = Gateway::start_with("127.0.0.1:0", &ready(&engine), None, 48);
+    // Sockets for 16 clients and 3 more that can be rejected.
+    let gateway = Gateway::start_with("127.0.0.1:0", &endpoints_of(&engine), None, 48);
     let mut usual = Client::connect(&gateway);
     usual.send(&query(&statement("lookup", 1, 20_000)));
     engine.calls.wait("start", |c| c.has_method("POST"));
@@ -466,7 +472,7 @@
         let answer = Client::connect(&gateway).execute(&statement("lookup", req, 5000));
         assert_eq!(answer, rows(&[["a", "b", "c"]]));
     }
-    // Its statement is open, so it stays.
+    // A session with an open statement is not closed.
     crowd_is_there.push(());
     assert_eq!(usual.read_answer(1), rows(&[["a", "b", "c"]]));
     for silent in &mut crowd {
@@ -477,7 +483,7 @@
 #[test]
 fn the_id_of_an_open_statement_is_not_taken_twice() {
     let engine = FakeEngine::never_completing();
-    let gateway = Gateway::start(&ready(&engine));
+    let gateway = Gateway::start(&endpoints_of(&engine));
     let (mut client, mut other) = (Client::connect(&gateway), Client::connect(&gateway));
     client.send(&query(&statement("load", 1, 20_000)));
     engine.calls.wait("start", |c| c.has_method("POST"));
@@ -493,7 +499,7 @@
     assert_eq!(client.read_answer(1).error_code(), 1317);
 }
 
-/// How an engine spoils the first answer to each call; the result is had whole all the same, and runs once.
+/// The first answer to each call is invalid; the result is still complete, and the load runs once.
 #[test_case("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n{}"; "1xx answers in front")]
 #[test_case("{}{}"; "a second copy")]
 #[test_case("{}\u{1}noise"; "noise behind")]
@@ -505,8 +511,8 @@
 #[test_case("HTTP/1.1 204 No Content\r\n\r\n"; "no answer to this")]
 #[test_case("!"; "a reset")]
 #[test_case(""; "silence")]
-fn a_spoilt_answer_is_asked_for_again_and_never_served(spoilt: &'static str) {
-    let spoil = std::sync::Mutex::new(std::collections::HashSet::new());
+fn a_spoilt_answer_is_asked_for_again_and_never_served(invalid_response: &'static str) {
+    let answered = std::sync::Mutex::new(std::collections::HashSet::new());
     let engine = FakeEngine::start(move |call, _| {
         let (status, headers, body) = match call.path.rsplit('/').next() {
             Some("1") => (200, "Page-No: 1\r\n", "d\te\tf\n"),
@@ -515,8 +521,8 @@
         let Reply::Response(good) = response(status, headers, body) else {
             panic!()
         };
-        match spoilt {
-            _ if !spoil
+        match invalid_response {
+            _ if !answered
                 .lock()
                 .unwrap()
                 .insert((call.method.clone(), call.path.clone())) =>
@@ -525,10 +531,10 @@
             }
             "!" => Reply::Close,
             "" => Reply::NoResponse,
-            _ => Reply::Response(spoilt.replace("{}", &good)),
+            _ => Reply::Response(invalid_response.replace("{}", &good)),
         }
     });
-    let gateway = Gateway::start(&ready(&engine));
+    let gateway = Gateway::start(&endpoints_of(&engine));
     let answer = Client::connect(&gateway).execute(&statement("load", 1, 20_000));
     assert_eq!(answer, rows(&[["a", "b", "c"], ["d", "e", "f"]]));
     assert_eq!(engine.start_count(), 1);
@@ -537,7 +543,7 @@
 #[test]
 fn an_engine_that_answers_for_what_it_cannot_know_has_no_connection_kept() {
     let engine = FakeEngine::completing();
-    let gateway = Gateway::start(&ready(&engine));
+    let gateway = Gateway::start(&endpoints_of(&engine));
     let mut client = Client::connect(&gateway);
     for req in 1..=5 {
         assert_eq!(
@@ -580,8 +586,8 @@
     let mut client = Client::connect(&gateway);
     client.send(&query(&statement("lookup", 1, 20_000)));
     assert_eq!(client.read_answer(1), rows(&[["a", "b", "c"]]));
-    gateway.log.wait("the new engine", |l| {
-        is_event(l, "engine added", &[("id", "s-2")])
+    gateway.log.wait("the new engine", |line| {
+        is_event(line, "engine added", &[("id", "s-2")])
     });
 }
 
@@ -606,8 +612,8 @@
         Some(&journal),
         1024,
     );
-    let last = gateway.log.wait("the last engine", |l| {
-        is_event(l, "engine added", &[("id", "s-1999")])
+    let last = gateway.log.wait("the last engine", |line| {
+        is_event(line, "engine added", &[("id", "s-1999")])
     });
     assert!(
         ["0", "1"]
@@ -635,18 +641,19 @@
         Some(&journal),
         1024,
     );
-    gateway.log.wait("the last engine", |l| {
-        is_event(l, "engine added", &[("id", "s-3")])
+    gateway.log.wait("the last engine", |line| {
+        is_event(line, "engine added", &[("id", "s-3")])
     });
-    // The stand-in falls silent after its script, and is then asked again; nothing else loses it.
+    // The test server is silent after its script, and the watch is opened again; it is lost for no
+    // other reason.
     let lost = gateway
         .log
-        .wait("loss", |l| l.contains("endpoint watch lost"));
+        .wait("loss", |line| line.contains("endpoint watch lost"));
     let fields = [("position", "3"), ("reason", "silent")];
     assert!(is_event(&lost, "endpoint watch lost", &fields), "{lost}");
     journal
         .watch_requests
-        .wait("the next question", |t| t == "tail 3\n");
+        .wait("the next watch request", |t| t == "tail 3\n");
 }
 
 #[test]
@@ -655,7 +662,7 @@
         "DELETE" => Reply::Response("noise\r\n\r\n".into()),
         _ => response(202, "", ""),
     });
-    let gateway = Gateway::start(&ready(&engine));
+    let gateway = Gateway::start(&endpoints_of(&engine));
     assert_eq!(
         Client::connect(&gateway)
             .execute(&statement("load", 1, 400))
@@ -664,7 +671,7 @@
     );
     engine
         .calls
-        .wait_for_nth("give-ups", 2, |c| c.has_method("DELETE"));
+        .wait_for_nth("cancels", 2, |c| c.has_method("DELETE"));
 }
 
 #[test]
@@ -687,16 +694,16 @@
     first.watch_requests.wait("tail", |t| t == "tail 1\n");
     gateway.write_config("{ half");
     gateway.signal("HUP");
-    gateway.log.wait("a reload that changes nothing", |l| {
-        l.contains("configuration not reloaded")
+    gateway.log.wait("a reload that changes nothing", |line| {
+        line.contains("configuration not reloaded")
     });
     gateway.write_discovery_address(&second);
     gateway.signal("HUP");
     second
         .watch_requests
         .wait("tail", |t| t == "tail 2\n" || t == "tail 1\n");
-    gateway.log.wait("the new engine", |l| {
-        is_event(l, "engine added", &[("id", "s-2")])
+    gateway.log.wait("the new engine", |line| {
+        is_event(line, "engine added", &[("id", "s-2")])
     });
     assert_eq!(
         Client::connect(&gateway).execute(&statement("lookup", 1, 5000)),
@@ -705,9 +712,9 @@
     assert_eq!((old.start_count(), new.start_count()), (0, 1));
     gateway.signal("HUP");
     gateway.terminate();
-    gateway.log.wait("overlap", |l| {
+    gateway.log.wait("drain period", |line| {
         is_event(
-            l,
+            line,
             "lifecycle phase changed",
             &[("from", "serving"), ("to", "draining")],
         )
--- a/crates/ivypitch-cli/tests/sharing.rs
+++ b/crates/ivypitch-cli/tests/sharing.rs
@@ -1,4 +1,5 @@
-//! What gateways share, on fleets of real gateways with a relay on every link between them. Engines count what they get.
+//! What gateways share, on fleets of real gateways with a relay on every link between them. Engines
+//! count what they get.
 
 use ivypitch_testbed::processes::relay::LinkEnd;
 use ivypitch_testbed::processes::{Fleet, FleetConfig, FleetEngines};
--- a/crates/ivypitch-cli/tests/teams.rs
+++ b/crates/ivypitch-cli/tests/teams.rs
@@ -1,4 +1,5 @@
-//! The queues of teams in the program, over loopback sockets, and the own settings file that sets them up.
+//! The queues of teams in the program, over loopback sockets, and the own settings file that sets
+//! them up.
 
 use std::process::{Command, Output};
 
