--- a/crates/ivypitch-cli/tests/fleet.rs
+++ b/crates/ivypitch-cli/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Twenty and more gateways as processes of their own that share nothing but their engines.
-//! Verdicts come from what the engines and the clients counted.
+//! Fleets of 24 and 30 gateway processes that share only their engines. The tests check the counts
+//! of engines and clients.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -10,32 +10,34 @@
 use ivypitch_testbed::test_servers::*;
 
 const GATEWAYS: usize = 24;
-/// Of the fleets of which a few send most, every so many gateways have one with so many clients;
-/// the others' rest.
-const FEW: usize = 8;
-const MOST_CLIENTS: usize = 16;
-const REST: Duration = Duration::from_millis(250);
-/// As the settings below have it: an engine of 8 cores begins at 0.3 of its pace, and falls over
-/// when it is sent 2.5 times what it can do for a second.
-const COLD: &str = r#""cold-from":0.3,"overload-factor":2.5,"tip-after-ns":1000000000,"#;
+/// In the skewed fleets every eighth gateway is busy.
+const BUSY_GATEWAY_INTERVAL: usize = 8;
+/// Clients of each busy gateway; the others have one client.
+const CLIENTS_OF_BUSY_GATEWAY: usize = 16;
+/// Pause of the client of a gateway that is not busy.
+const IDLE_PAUSE: Duration = Duration::from_millis(250);
+/// An engine of 8 cores starts at 0.3 of its speed, and is overloaded by 2.5 times its capacity
+/// over one second.
+const SLOW_START_SETTINGS: &str =
+    r#""cold-from":0.3,"overload-factor":2.5,"tip-after-ns":1000000000,"#;
 const WINDOW: Duration = Duration::from_secs(1);
-const ALLOWED_WORK: f64 = 2.5 * 8.0 * 0.3;
-/// Nine lookups of 20 ms and a load of 3 s: calls of 0.318 s in the mean.
+const ALLOWED_WORK_CORE_S: f64 = 2.5 * 8.0 * 0.3;
+/// Nine lookups of 20 ms and one load of 3 s have a mean of 0.318 s.
 const LOOKUP_MS: f64 = 20.0;
 const LOAD_MS: f64 = 3000.0;
-const MEAN: f64 = (9.0 * LOOKUP_MS + LOAD_MS) / 10.0 / 1000.0;
+const MEAN_WORK_S: f64 = (9.0 * LOOKUP_MS + LOAD_MS) / 10.0 / 1000.0;
 
-fn member(config: String, gateways: usize, me: usize) -> String {
+fn fleet_config(config: String, gateways: usize, me: usize) -> String {
     let config = config.replace(
         "\"balancers\":1",
         &format!("\"balancers\":{gateways},\"me\":{me}"),
     );
     config
-        .replace("\"cold-from\":0.3,", COLD)
+        .replace("\"cold-from\":0.3,", SLOW_START_SETTINGS)
         .replace("\"cores-by-kind\":[64]", "\"cores-by-kind\":[8]")
 }
 
-/// Ends all it is sent at once, and tells what it cost.
+/// An engine that completes each statement at once and reports its cost.
 fn engine(arrived: Option<Arc<Mutex<Vec<Instant>>>>) -> FakeEngine {
     FakeEngine::start(move |call, _| {
         if call.has_method("DELETE") {
@@ -57,24 +59,24 @@
     })
 }
 
-/// Clients of one gateway that ask without end, each this long after an answer, and come again at
-/// once where it has gone.
+/// Clients of one gateway that send statements with a pause after each answer, and reconnect at
+/// once if the gateway is gone.
 fn clients(
     at: SocketAddr,
-    (count, rest): (usize, Duration),
+    (count, pause): (usize, Duration),
     number: &Arc<AtomicU64>,
-    over: &Arc<AtomicBool>,
+    is_over: &Arc<AtomicBool>,
 ) -> Vec<thread::JoinHandle<usize>> {
     let one = || {
-        let (number, over) = (number.clone(), over.clone());
+        let (number, is_over) = (number.clone(), is_over.clone());
         thread::spawn(move || {
             let mut answered = 0;
-            while !over.load(Ordering::Relaxed) {
+            while !is_over.load(Ordering::Relaxed) {
                 let Some(mut client) = Client::try_connect(at) else {
                     thread::sleep(Duration::from_millis(5));
                     continue;
                 };
-                while !over.load(Ordering::Relaxed) {
+                while !is_over.load(Ordering::Relaxed) {
                     let req = number.fetch_add(1, Ordering::Relaxed);
                     let (kind, ms) = if req % 10 == 0 {
                         ("load", LOAD_MS)
@@ -88,7 +90,7 @@
                         Some(Answer::Error(..)) => {}
                         Some(Answer::Closed) | None => break,
                     }
-                    thread::sleep(rest);
+                    thread::sleep(pause);
                 }
             }
             answered
@@ -108,25 +110,24 @@
 }
 
 #[test]
-fn nor_where_a_few_send_most() {
+fn a_cold_engine_stays_within_its_budget_if_a_few_gateways_send_most_calls() {
     let few = |me| {
-        if me % FEW == 1 {
-            (MOST_CLIENTS, Duration::ZERO)
+        if me % BUSY_GATEWAY_INTERVAL == 1 {
+            (CLIENTS_OF_BUSY_GATEWAY, Duration::ZERO)
         } else {
-            (1, REST)
+            (1, IDLE_PAUSE)
         }
     };
     cold_engine(GATEWAYS, few);
     cold_engine(30, few);
 }
 
-/// So many gateways with so many clients each; every second one is killed in between and begins
-/// anew.
+/// Runs `count` gateways with the given clients; every second gateway is killed and restarted.
 fn cold_engine(count: usize, load: impl Fn(usize) -> (usize, Duration)) {
     let arrived = Arc::new(Mutex::new(Vec::new()));
     let (warm, cold) = (engine(None), engine(Some(arrived.clone())));
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
-    // It starts once all gateways are there.
+    // The cold engine starts once all gateways run.
     let started = unix + Duration::from_secs(4);
     let list = [
         warm.row("s-1", "in_service"),
@@ -138,19 +139,19 @@
         ),
     ];
     let config =
-        |listen: &str, me: usize| member(configuration(listen, &list, None, 1024), count, me);
+        |listen: &str, me: usize| fleet_config(configuration(listen, &list, None, 1024), count, me);
     let mut gateways: Vec<Gateway> = (0..count)
         .map(|me| Gateway::start_with_config(config("127.0.0.1:0", me)))
         .collect();
     let until_started =
         started.saturating_sub(SystemTime::now().duration_since(UNIX_EPOCH).unwrap());
     let began = Instant::now() + until_started;
-    let (number, over) = (
+    let (number, is_over) = (
         Arc::new(AtomicU64::new(1)),
         Arc::new(AtomicBool::new(false)),
     );
     let running: Vec<_> = (0..count)
-        .flat_map(|me| clients(gateways[me].address, load(me), &number, &over))
+        .flat_map(|me| clients(gateways[me].address, load(me), &number, &is_over))
         .collect();
     wait_until("two seconds of the cold engine", || {
         began.elapsed() > Duration::from_secs(2)
@@ -163,7 +164,7 @@
     wait_until("five seconds of the cold engine", || {
         began.elapsed() > Duration::from_secs(5)
     });
-    over.store(true, Ordering::Relaxed);
+    is_over.store(true, Ordering::Relaxed);
     let answered: usize = running
         .into_iter()
         .map(|client| client.join().unwrap())
@@ -181,18 +182,22 @@
             .filter(|at| *at >= from && **at < *from + WINDOW)
             .count()
     };
-    let most = arrived.iter().map(in_window).max().unwrap_or(0);
-    let calls = ALLOWED_WORK / MEAN;
+    let max_calls = arrived.iter().map(in_window).max().unwrap_or(0);
+    let calls = ALLOWED_WORK_CORE_S / MEAN_WORK_S;
     let bound = calls + 2.0 * calls.sqrt() + 2.0;
     println!(
-        "{count} gateways: {answered} answered; cold: {} calls, {most} in the worst second, {bound:.1} at most",
+        "{count} gateways: {answered} answered; cold: {} calls, {max_calls} in the worst second, {bound:.1} at most",
         arrived.len()
     );
     assert!(
-        most as f64 <= bound,
-        "{most} calls in a second, {bound:.1} at most"
+        max_calls as f64 <= bound,
+        "{max_calls} calls in a second, {bound:.1} at most"
+    );
+    assert!(
+        arrived.len() > 20,
+        "too few calls to the cold engine: {}",
+        arrived.len()
     );
-    assert!(arrived.len() > 20, "it is used: {}", arrived.len());
 }
 
 #[test]
@@ -201,22 +206,21 @@
     let (_held, journal) = refusing_address();
     let list = [engine.row("s-1", "in_service")];
     let config = |listen: &str, me: usize| {
-        let config = member(configuration(listen, &list, None, 256), GATEWAYS, me);
+        let config = fleet_config(configuration(listen, &list, None, 256), GATEWAYS, me);
         config.replace("\"journal\":\"\"", &format!("\"journal\":\"{journal}\""))
     };
     let mut gateways: Vec<Gateway> = (0..GATEWAYS)
         .map(|me| Gateway::start_with_config(config("127.0.0.1:0", me)))
         .collect();
-    let (number, over) = (
+    let (number, is_over) = (
         Arc::new(AtomicU64::new(1)),
         Arc::new(AtomicBool::new(false)),
     );
     let running: Vec<_> = gateways
         .iter()
-        .flat_map(|g| clients(g.address, (4, Duration::ZERO), &number, &over))
+        .flat_map(|g| clients(g.address, (4, Duration::ZERO), &number, &is_over))
         .collect();
-    // Half are told to end, half are killed; the next process is there at once, at the same
-    // address.
+    // Half of the gateways get SIGTERM, half are killed; each is restarted at once at its address.
     let ready: Vec<Duration> = thread::scope(|scope| {
         let mut all = Vec::new();
         for (me, gateway) in gateways.iter_mut().enumerate() {
@@ -245,7 +249,7 @@
         }
         all.into_iter().map(|one| one.join().unwrap()).collect()
     });
-    over.store(true, Ordering::Relaxed);
+    is_over.store(true, Ordering::Relaxed);
     let answered: usize = running
         .into_iter()
         .map(|client| client.join().unwrap())
--- a/crates/ivypitch-cli/tests/fleet_view.rs
+++ b/crates/ivypitch-cli/tests/fleet_view.rs
@@ -1,4 +1,4 @@
-//! What `ivypitch fleet` reads and tells.
+//! Input and output of `ivypitch fleet`.
 
 use ivypitch_cli::fleet::{GatewayView, differences, first_column};
 use serde_json::Value;
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn what_differs_is_named() {
+fn differences_between_gateways_are_listed() {
     let (a, b) = (a_view(0, 4, true, 120), a_view(1, 2, false, 80));
     let lines = differences(&[GatewayView::new("a", a), GatewayView::new("b", b)]);
     assert_eq!(
--- a/crates/ivypitch-cli/tests/pool.rs
+++ b/crates/ivypitch-cli/tests/pool.rs
@@ -1,11 +1,11 @@
-//! Connections to engines that are kept for the next statement, over sockets.
+//! Reuse of idle engine connections over sockets.
 
 use std::collections::HashSet;
 use std::sync::Mutex;
 
 use ivypitch_testbed::test_servers::*;
 
-/// The rows of a statement: its id, so that another's can be told apart.
+/// The rows of a statement contain its id, which identifies them.
 fn rows_of(id: &str) -> String {
     format!("{id}\tb\tc\n")
 }
@@ -17,10 +17,10 @@
         .to_owned()
 }
 
-/// An engine that knows the queries that were started there, and no others. `spoil` changes an
-/// answer; it is told how many starts came before on that connection.
-fn knowing(
-    spoil: impl Fn(&Call, String, usize) -> Option<Reply> + Send + Sync + 'static,
+/// An engine that knows only the queries that were started there. `override_reply` may change an
+/// answer; it gets the number of earlier starts on the connection.
+fn engine_with_known_queries(
+    override_reply: impl Fn(&Call, String, usize) -> Option<Reply> + Send + Sync + 'static,
 ) -> FakeEngine {
     let known = Mutex::new(HashSet::new());
     let starts = Mutex::new(Vec::new());
@@ -36,7 +36,7 @@
             known.lock().unwrap().insert(id.clone());
             starts.lock().unwrap().push(call.connection);
         }
-        if let Some(reply) = spoil(call, id.clone(), before) {
+        if let Some(reply) = override_reply(call, id.clone(), before) {
             return reply;
         }
         match known.lock().unwrap().contains(&id) {
@@ -47,7 +47,7 @@
     })
 }
 
-fn asked(gateway: &Gateway, count: u64) {
+fn execute_lookups(gateway: &Gateway, count: u64) {
     let mut client = Client::connect(gateway);
     for req in 1..=count {
         let id = format!("{req:016x}");
@@ -57,8 +57,8 @@
             Answer::Rows(vec![vec![id, "b".into(), "c".into()]]),
             "statement {req}"
         );
-        // Kept connections are used once they have been quiet: so long as the next statement takes
-        // to come here.
+        // An idle connection is reused after a quiet period, during which the next statement
+        // arrives.
         std::thread::sleep(std::time::Duration::from_millis(25));
     }
 }
@@ -87,9 +87,9 @@
 
 #[test]
 fn one_statement_after_the_other_shares_a_connection_and_each_runs_once() {
-    let engine = knowing(|_, _, _| None);
+    let engine = engine_with_known_queries(|_, _, _| None);
     let gateway = Gateway::start(&[engine.row("s-1", "in_service")]);
-    asked(&gateway, 20);
+    execute_lookups(&gateway, 20);
     assert_eq!(engine.start_count(), 20);
     assert!(
         connections(&engine) <= 2,
@@ -100,10 +100,10 @@
 
 #[test]
 fn a_late_copy_of_an_answer_is_never_another_statements() {
-    // What the engine sends to a start on a used connection is the answer of the one before; its
-    // own answer comes to the next call there, and so on.
+    // On a used connection the engine answers a start with the answer of the previous statement;
+    // its own answer follows on the next call, and so on.
     let last = Mutex::new(String::new());
-    let engine = knowing(move |call, id, before| {
+    let engine = engine_with_known_queries(move |call, id, before| {
         if !call.has_method("POST") {
             return None;
         }
@@ -112,45 +112,45 @@
         (before > 0).then(|| success_response(&rows_of(&stale)))
     });
     let gateway = Gateway::start(&[engine.row("s-1", "in_service")]);
-    asked(&gateway, 12);
+    execute_lookups(&gateway, 12);
     assert_eq!(engine.start_count(), 12);
-    assert!(carried_twice(&engine), "a kept connection was tried");
+    assert!(carried_twice(&engine), "an idle connection was reused");
 }
 
 #[test]
-fn a_kept_connection_that_says_anything_unasked_is_given_up_before_a_start() {
-    // The question before a start on a used connection is answered by a copy of what came before.
-    let engine = knowing(|call, _, before| {
+fn an_idle_connection_with_unexpected_data_is_closed_before_a_start() {
+    // The poll before a start on a used connection is answered by a copy of an earlier answer.
+    let engine = engine_with_known_queries(|call, _, before| {
         (call.has_method("GET") && before > 0).then(|| success_response("late\tcopy\tof another\n"))
     });
     let gateway = Gateway::start(&[engine.row("s-1", "in_service")]);
-    asked(&gateway, 12);
+    execute_lookups(&gateway, 12);
     assert_eq!(engine.start_count(), 12);
     assert!(
         !carried_twice(&engine),
-        "none of those connections carries a second statement"
+        "no such connection carries a second statement"
     );
 }
 
 #[test]
-fn a_kept_connection_that_is_dead_costs_a_question_and_no_start() {
-    // Engines that fall silent on used connections: nothing is started there.
-    let engine = knowing(|call, _, before| {
+fn a_silent_idle_connection_costs_one_poll_and_no_start() {
+    // The engine is silent on used connections: nothing is started there.
+    let engine = engine_with_known_queries(|call, _, before| {
         (call.has_method("GET") && before > 0).then_some(Reply::NoResponse)
     });
     let gateway = Gateway::start(&[engine.row("s-1", "in_service")]);
-    asked(&gateway, 8);
+    execute_lookups(&gateway, 8);
     assert_eq!(engine.start_count(), 8);
     assert!(!carried_twice(&engine));
 }
 
 #[test]
-fn none_is_kept_of_an_engine_that_is_gone_or_past_its_time() {
-    let engine = knowing(|_, _, _| None);
+fn no_connection_is_kept_beyond_its_idle_timeout() {
+    let engine = engine_with_known_queries(|_, _, _| None);
     let short =
         |config: String| config.replace("\"idle-close-ns\":30000000000", "\"idle-close-ns\":0");
     let gateway = Gateway::start_with_own_settings(&[engine.row("s-1", "in_service")], short, None);
-    asked(&gateway, 6);
+    execute_lookups(&gateway, 6);
     assert!(
         !carried_twice(&engine),
         "where the idle time is not told nothing is kept"
--- a/crates/ivypitch-cli/tests/recorded_shapes.rs
+++ b/crates/ivypitch-cli/tests/recorded_shapes.rs
@@ -1,7 +1,6 @@
-//! Text, names and keys recorded at d1ac1c5; a rename must not change them. What people and tools
-//! read: the fields of the own file, the columns of `SHOW QUEUE`, the keys of `SHOW FLEET` and of
-//! `ivypitch fleet`. The values of a view, key by key, stand in the recorded messages of
-//! `ivypitch-coordination`.
+//! Outer texts, names and keys as recorded at d1ac1c5: the fields of the operator settings, the
+//! columns of `SHOW QUEUE`, the keys of `SHOW FLEET` and of `ivypitch fleet`. The recorded messages
+//! of `ivypitch-coordination` cover the values of a view.
 
 use std::process::Command;
 
@@ -11,7 +10,7 @@
 const PEERS: &str = r#""period_ms":200,"suspicion_ms":700,"custody":{"enabled":false},
     "shares":{"enabled":true,"span_ms":1000}"#;
 
-/// All keys of a JSON text in the order in which they stand there.
+/// All keys of a JSON text in their order.
 fn keys(text: &str) -> String {
     let mut keys: Vec<&str> = Vec::new();
     let mut strings = text.split('"').skip(1);
@@ -23,7 +22,7 @@
     keys.join(" ")
 }
 
-fn said(arguments: &[&str]) -> String {
+fn command_output(arguments: &[&str]) -> String {
     let output = Command::new(env!("CARGO_BIN_EXE_ivypitch"))
         .args(arguments)
         .output()
@@ -35,14 +34,14 @@
 #[test]
 fn the_fields_of_the_own_file_keep_their_recorded_text() {
     assert_eq!(
-        said(&["check", "--fields"]),
+        command_output(&["check", "--fields"]),
         include_str!("recorded/check_fields.txt")
     );
 }
 
-/// Of a result: the names that its columns are told by.
-fn column_names(client: &mut Client, ask: &str) -> Vec<String> {
-    client.send(&query(ask));
+/// The column names of a result.
+fn column_names(client: &mut Client, show_statement: &str) -> Vec<String> {
+    client.send(&query(show_statement));
     let mut names = Vec::new();
     let (_, count) = client.read_packet().unwrap();
     for _ in 0..count[0] {
@@ -56,7 +55,7 @@
 }
 
 #[test]
-fn the_columns_of_what_waits_keep_their_recorded_names() {
+fn the_columns_of_show_queue_and_show_wait_keep_their_recorded_names() {
     let engine = FakeEngine::completing();
     let own = r#"{"teams":{"show":true}}"#;
     let gateway = Gateway::start_with_own_settings(
@@ -67,11 +66,11 @@
     let recorded = [
         "req", "team", "workload", "state", "position", "low_ms", "mid_ms", "high_ms", "age_ms",
     ];
-    for ask in ["SHOW QUEUE", "SHOW WAIT '00000000000000ff'"] {
+    for show_statement in ["SHOW QUEUE", "SHOW WAIT '00000000000000ff'"] {
         assert_eq!(
-            column_names(&mut Client::connect(&gateway), ask),
+            column_names(&mut Client::connect(&gateway), show_statement),
             recorded,
-            "{ask}"
+            "{show_statement}"
         );
     }
 }
@@ -103,7 +102,7 @@
          sends receives engines bytes_out bytes_in sends receives journal bytes_out bytes_in sends \
          receives"
     );
-    let told = said(&["fleet", &address.to_string()]);
+    let told = command_output(&["fleet", &address.to_string()]);
     let end = told.rfind(']').unwrap();
     assert_eq!(
         keys(&told[..end]),
--- a/crates/ivypitch-cli/tests/scale.rs
+++ b/crates/ivypitch-cli/tests/scale.rs
@@ -1,6 +1,6 @@
-//! Real gateways beside hollow ones while a burst of changes goes through the journal, links drop
-//! and come late, and a gateway is killed and starts again. Who acts by what is read from the
-//! engines' starts alone.
+//! Real and simulated gateways during a burst of endpoint changes, with lost and late messages and
+//! a gateway that is killed and restarted. The applied changes are read only from the starts at the
+//! engines.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -17,39 +17,40 @@
 use rand_chacha::ChaCha8Rng;
 use test_case::test_case;
 
-const REAL: usize = 4;
-const HOLLOW: usize = 16;
-/// Listed engines; the one behind them is listed by the last change alone.
-const LISTED: usize = 5;
+const REAL_GATEWAYS: usize = 4;
+const SIMULATED_GATEWAYS: usize = 16;
+/// Engines listed from the start; only the last change lists one more.
+const LISTED_ENGINES: usize = 5;
 const CHANGES: u64 = 100;
 /// Milliseconds between changes.
-const APART: u64 = 12;
-/// Statements of the last round are told apart by this in their gateway's byte.
+const CHANGE_INTERVAL_MS: u64 = 12;
+/// Added to the gateway byte of the ids of statements in the last round.
 const LAST_ROUND: usize = 0x40;
-/// So many more are asked for once the last change is acted by.
-const AFTER: usize = 20;
-const LONGEST: u64 = 3000;
-/// Every gateway acts by a change after so many microseconds.
-const IN_FORCE: u64 = 6_000_000;
-/// Patient enough that nobody is taken for lost because the machine is busy.
-const PEERS: &str = r#""period_ms":200,"suspicion_ms":700,"custody":{"remembered_ms":400},
+/// Statements at the new engine after the last change is applied.
+const STARTS_AFTER_LAST_CHANGE: usize = 20;
+const MAX_STATEMENT_TIMEOUT_MS: u64 = 3000;
+/// Each gateway applies a change within this time, in microseconds.
+const MAX_PROPAGATION_US: u64 = 6_000_000;
+/// Long enough that a busy machine does not cause false member losses.
+const PEER_SETTINGS: &str = r#""period_ms":200,"suspicion_ms":700,"custody":{"remembered_ms":400},
     "shares":{"enabled":true,"span_ms":1000}"#;
 
 struct Faults {
     plan: FaultPlan,
-    /// Its journal says nothing until the end: it hears of changes from members alone.
-    silent: usize,
-    /// Its link to the journal breaks in the middle of the burst.
-    broken: usize,
-    /// Part of all datagrams between gateways that are lost.
+    /// The gateway whose discovery watch is silent until the end: it gets changes only from
+    /// members.
+    silent_watch: usize,
+    /// The gateway whose link to the discovery service breaks in the middle of the burst.
+    broken_watch: usize,
+    /// Fraction of the datagrams between gateways that are lost.
     drop: f64,
 }
 
-fn draw(seed: u64) -> Faults {
+fn random_faults(seed: u64) -> Faults {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let killed = rng.random_range(0..REAL);
-    let (silent, broken) = ((killed + 1) % REAL, (killed + 2) % REAL);
-    let span = CHANGES * APART;
+    let killed = rng.random_range(0..REAL_GATEWAYS);
+    let (silent_watch, broken_watch) = ((killed + 1) % REAL_GATEWAYS, (killed + 2) % REAL_GATEWAYS);
+    let span = CHANGES * CHANGE_INTERVAL_MS;
     let back = rng.random_range(100..span / 3);
     let mut faults = vec![Fault {
         at_ms: rng.random_range(span / 6..span / 2),
@@ -59,8 +60,9 @@
         },
     }];
     for n in 0..8 {
-        let from = rng.random_range(0..REAL + HOLLOW);
-        let to = (from + rng.random_range(1..REAL + HOLLOW)) % (REAL + HOLLOW);
+        let from = rng.random_range(0..REAL_GATEWAYS + SIMULATED_GATEWAYS);
+        let to = (from + rng.random_range(1..REAL_GATEWAYS + SIMULATED_GATEWAYS))
+            % (REAL_GATEWAYS + SIMULATED_GATEWAYS);
         let span = rng.random_range(200..900);
         let what = match n % 3 {
             0 => FaultKind::DropMessages {
@@ -75,26 +77,26 @@
                 duration_ms: span,
             },
             _ => FaultKind::ResetLinks {
-                from: from % REAL,
+                from: from % REAL_GATEWAYS,
                 to,
             },
         };
         faults.push(Fault {
-            at_ms: rng.random_range(0..CHANGES * APART),
+            at_ms: rng.random_range(0..CHANGES * CHANGE_INTERVAL_MS),
             kind: what,
         });
     }
     faults.push(Fault {
         at_ms: span / 2,
         kind: FaultKind::PartitionGateway {
-            gateway: broken,
+            gateway: broken_watch,
             duration_ms: 400,
         },
     });
     Faults {
         plan: FaultPlan { faults },
-        silent,
-        broken,
+        silent_watch,
+        broken_watch,
         drop: rng.random_range(0.01..0.1),
     }
 }
@@ -105,7 +107,7 @@
     }
     let Some(answer) = client
         .as_mut()
-        .and_then(|open| open.try_execute(&statement("lookup", id, LONGEST)))
+        .and_then(|open| open.try_execute(&statement("lookup", id, MAX_STATEMENT_TIMEOUT_MS)))
     else {
         *client = None;
         return false;
@@ -116,7 +118,7 @@
     matches!(answer, Answer::Rows(_))
 }
 
-/// When each start came, at which engine, by the byte of its gateway and its id.
+/// Time in microseconds, engine, gateway byte and id of each start.
 fn starts(fleet: &Fleet) -> Vec<(u64, usize, usize, String)> {
     let lines = fleet.simulated_engines.as_ref().unwrap().lines.all();
     let read = |line: &String| {
@@ -137,35 +139,35 @@
 #[test_case(1)]
 #[test_case(2)]
 #[test_case(3)]
-fn all_act_by_the_last_change_of_a_burst_and_none_by_an_undone_one(seed: u64) {
+fn all_gateways_apply_the_last_change_of_a_burst_and_none_an_undone_one(seed: u64) {
     let Faults {
         plan,
-        silent,
-        broken,
+        silent_watch,
+        broken_watch,
         drop,
-    } = draw(seed);
-    // Shown where the test fails.
+    } = random_faults(seed);
+    // Printed if the test fails.
     println!(
-        "seed {seed}: journal of n{silent} silent, of n{broken} broken, {drop:.3} lost\n{plan}"
+        "seed {seed}: journal of n{silent_watch} silent, of n{broken_watch} broken, {drop:.3} lost\n{plan}"
     );
     let mut fleet = Fleet::start(FleetConfig {
-        gateways: REAL,
-        simulated_gateways: HOLLOW,
+        gateways: REAL_GATEWAYS,
+        simulated_gateways: SIMULATED_GATEWAYS,
         prints_simulated_events: true,
         engines: FleetEngines::Simulated {
-            count: LISTED,
+            count: LISTED_ENGINES,
             unlisted: 1,
         },
         direct_engines: true,
-        max_statement_timeout_ms: LONGEST,
-        peer_settings: Some(PEERS.into()),
+        max_statement_timeout_ms: MAX_STATEMENT_TIMEOUT_MS,
+        peer_settings: Some(PEER_SETTINGS.into()),
         seed,
         ..FleetConfig::default()
     })
     .unwrap();
     let at: Vec<_> = fleet.gateways.iter().map(|seat| seat.address).collect();
-    for from in 0..REAL + HOLLOW {
-        for to in (0..REAL + HOLLOW).filter(|&to| to != from) {
+    for from in 0..REAL_GATEWAYS + SIMULATED_GATEWAYS {
+        for to in (0..REAL_GATEWAYS + SIMULATED_GATEWAYS).filter(|&to| to != from) {
             fleet
                 .network
                 .change(LinkEnd::Gateway(from), LinkEnd::Gateway(to), |way| {
@@ -175,9 +177,9 @@
     }
     fleet
         .network
-        .block(LinkEnd::Journal, LinkEnd::Gateway(silent));
+        .block(LinkEnd::Journal, LinkEnd::Gateway(silent_watch));
     let is_over = AtomicBool::new(false);
-    let last_told = thread::scope(|scope| {
+    let last_published_us = thread::scope(|scope| {
         for (g, &at) in at.iter().enumerate() {
             let is_over = &is_over;
             scope.spawn(move || {
@@ -187,75 +189,76 @@
                         return;
                     }
                     lookup(&mut client, at, id_for_gateway(g, n));
-                    // A pace, no wait: nothing is read from how much came through.
+                    // Limits the rate; the test does not depend on the number of answers.
                     thread::sleep(Duration::from_millis(3));
                 }
             });
         }
-        burst(&mut fleet, &plan, broken, seed);
-        let told = timestamp_us();
+        publish_changes(&mut fleet, &plan, broken_watch, seed);
+        let published_us = timestamp_us();
         is_over.store(true, Ordering::Relaxed);
-        told
+        published_us
     });
-    // The last round: each gateway is asked until it acts by the last change, and then some more.
-    let park = &fleet.simulated_engines.as_ref().unwrap().lines;
+    // The last round: each gateway gets statements until it applies the last change, then some
+    // more.
+    let engine_lines = &fleet.simulated_engines.as_ref().unwrap().lines;
     thread::scope(|scope| {
         for (g, &at) in at.iter().enumerate() {
             scope.spawn(move || {
                 let (mut client, mut after) = (None, 0);
                 let until = Instant::now() + WAIT_TIMEOUT;
                 for n in 0.. {
-                    assert!(Instant::now() < until, "n{g} never acts by the last change");
+                    assert!(Instant::now() < until, "n{g} never applies the last change");
                     let id = id_for_gateway(LAST_ROUND + g, n);
                     if lookup(&mut client, at, id) {
                         let text = format!("{id:016x}");
-                        let line = park.wait("start", |line| line.ends_with(&text));
-                        after += usize::from(line.contains(&format!(" start {LISTED} ")));
+                        let line = engine_lines.wait("start", |line| line.ends_with(&text));
+                        after += usize::from(line.contains(&format!(" start {LISTED_ENGINES} ")));
                     }
-                    if after > AFTER {
+                    if after > STARTS_AFTER_LAST_CHANGE {
                         return;
                     }
                 }
             });
         }
     });
-    // By what the engines counted.
+    // Checks the starts that the engines logged.
     let mut first: BTreeMap<usize, u64> = BTreeMap::new();
     let mut rounds = starts(&fleet);
     rounds.sort();
     for (at, engine, by, id) in &rounds {
         assert!(
-            *engine == LISTED || *at < last_told + IN_FORCE,
+            *engine == LISTED_ENGINES || *at < last_published_us + MAX_PROPAGATION_US,
             "{id} at engine {engine}, which had drained"
         );
-        if *engine == LISTED && *by >= LAST_ROUND {
+        if *engine == LISTED_ENGINES && *by >= LAST_ROUND {
             first.entry(*by - LAST_ROUND).or_insert(*at);
         } else if *by >= LAST_ROUND {
             let acted = first.get(&(by - LAST_ROUND));
             assert!(
                 acted.is_none(),
-                "{id} at engine {engine}: undone by a change that was acted by before"
+                "{id} at engine {engine}: the gateway had applied the last change before"
             );
         }
     }
-    for g in 0..REAL {
-        let took = first[&g].saturating_sub(last_told);
+    for g in 0..REAL_GATEWAYS {
+        let took = first[&g].saturating_sub(last_published_us);
         assert!(
-            took <= IN_FORCE,
-            "n{g} acts by the last change after {took} us"
+            took <= MAX_PROPAGATION_US,
+            "n{g} applies the last change after {took} us"
         );
     }
-    let crowd = &fleet.simulated_gateways.as_ref().unwrap().lines;
-    for place in REAL..REAL + HOLLOW {
+    let gateway_lines = &fleet.simulated_gateways.as_ref().unwrap().lines;
+    for place in REAL_GATEWAYS..REAL_GATEWAYS + SIMULATED_GATEWAYS {
         let ends = format!(" event {place} {}", CHANGES + 1);
-        let line = crowd.wait("last change", |line| line.ends_with(&ends));
+        let line = gateway_lines.wait("last change", |line| line.ends_with(&ends));
         let at: u64 = line.split(' ').next().unwrap().parse().unwrap();
         assert!(
-            at <= last_told + IN_FORCE,
-            "hollow n{place} took the last change late"
+            at <= last_published_us + MAX_PROPAGATION_US,
+            "simulated n{place} applied the last change late"
         );
     }
-    // No start went by untold.
+    // Every start was logged.
     let counts = fleet
         .simulated_engines
         .as_mut()
@@ -270,9 +273,9 @@
     assert!(fleet.crashes.is_empty(), "{:?}", fleet.crashes);
 }
 
-/// Engines come and go by the seed; at last all that were listed drain, and one that nobody knew is
+/// Publishes random engine states by the seed; at last all listed engines drain and a new one is
 /// listed.
-fn burst(fleet: &mut Fleet, plan: &FaultPlan, broken: usize, seed: u64) {
+fn publish_changes(fleet: &mut Fleet, plan: &FaultPlan, broken_watch: usize, seed: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0xb0);
     let mut steps: Vec<(u64, bool, Fault)> = Vec::new();
     for &fault in &plan.faults {
@@ -287,15 +290,17 @@
     let mut steps = steps.into_iter().peekable();
     let from = Instant::now();
     for change in 0..CHANGES {
-        while let Some((_, begins, fault)) = steps.next_if(|&(at, ..)| at <= change * APART) {
+        while let Some((_, begins, fault)) =
+            steps.next_if(|&(at, ..)| at <= change * CHANGE_INTERVAL_MS)
+        {
             fleet.apply_fault(fault, begins);
         }
         if change == CHANGES / 2 {
             fleet
                 .network
-                .reset(LinkEnd::Gateway(broken), LinkEnd::Journal);
+                .reset(LinkEnd::Gateway(broken_watch), LinkEnd::Journal);
         }
-        let due = from + Duration::from_millis(change * APART);
+        let due = from + Duration::from_millis(change * CHANGE_INTERVAL_MS);
         thread::sleep(due.saturating_duration_since(Instant::now()));
         match CHANGES - 1 - change {
             0 => fleet.publish_endpoint(&row("s-last", fleet.unlisted_engines[0], 0, "in_service")),
@@ -306,11 +311,11 @@
                 } else {
                     "in_service"
                 };
-                fleet.publish_engine_state(rng.random_range(0..LISTED), state);
+                fleet.publish_engine_state(rng.random_range(0..LISTED_ENGINES), state);
             }
         }
     }
-    // What the plan began is over: a gateway that is away can't act.
+    // Ends the remaining faults: a partitioned gateway can't apply changes.
     for (_, begins, fault) in steps {
         fleet.apply_fault(fault, begins);
     }
@@ -326,8 +331,8 @@
             unlisted: 0,
         },
         direct_engines: true,
-        max_statement_timeout_ms: LONGEST,
-        peer_settings: Some(PEERS.into()),
+        max_statement_timeout_ms: MAX_STATEMENT_TIMEOUT_MS,
+        peer_settings: Some(PEER_SETTINGS.into()),
         ..FleetConfig::default()
     })
     .unwrap();
@@ -337,13 +342,13 @@
         .count();
     for g in 0..2 {
         let sample = fleet.sample(g).unwrap();
-        let apart = |own: u64, met: u64| own.abs_diff(met) as f64 / met as f64;
+        let relative_difference = |own: u64, met: u64| own.abs_diff(met) as f64 / met as f64;
         let (out, into) = (
-            apart(
+            relative_difference(
                 sample.traffic.bytes_out,
                 sample.relay.bytes_from + sample.engines.bytes_in,
             ),
-            apart(
+            relative_difference(
                 sample.traffic.bytes_in,
                 sample.relay.bytes_to + sample.engines.bytes_out,
             ),
@@ -352,7 +357,8 @@
             out < 0.1 && into < 0.1,
             "n{g}: {out:.3} and {into:.3} apart: {sample:?}"
         );
-        let of_engines = apart(sample.traffic.to_engines, sample.engines.bytes_in.max(1));
+        let of_engines =
+            relative_difference(sample.traffic.to_engines, sample.engines.bytes_in.max(1));
         assert!(g > 0 || of_engines < 0.01, "calls: {sample:?}");
         assert_eq!(
             sample.engines.starts as usize,
--- a/crates/ivypitch-cli/tests/sharing.rs
+++ b/crates/ivypitch-cli/tests/sharing.rs
@@ -1,25 +1,30 @@
-//! What gateways share, on fleets of real gateways with a relay on every link between them. Engines
-//! count what they get.
+//! Shared endpoint events, engine health and quotas in fleets of real gateways with a relay on every
+//! link between them. Engines count the requests they receive.
 
 use ivypitch_testbed::processes::relay::LinkEnd;
 use ivypitch_testbed::processes::{Fleet, FleetConfig, FleetEngines};
 use ivypitch_testbed::test_servers::*;
 use serde_json::Value;
 
-const LONGEST: u64 = 6000;
-/// Patient enough that nobody is taken for lost because the machine is busy.
-const PEERS: &str = r#""period_ms":200,"suspicion_ms":700,"custody":{"enabled":false},
+const MAX_STATEMENT_TIMEOUT_MS: u64 = 6000;
+/// Long enough that a busy machine does not cause false member losses.
+const PEER_SETTINGS: &str = r#""period_ms":200,"suspicion_ms":700,"custody":{"enabled":false},
     "shares":{"enabled":true,"span_ms":1000}"#;
 
-fn start(gateways: usize, held: &[&ControlledEngine], direct_engines: bool) -> Fleet {
-    let engines = FleetEngines::External(held.iter().map(|held| held.addresses.clone()).collect());
+fn start(gateways: usize, engines: &[&ControlledEngine], direct_engines: bool) -> Fleet {
+    let engines = FleetEngines::External(
+        engines
+            .iter()
+            .map(|engine| engine.addresses.clone())
+            .collect(),
+    );
     let setup = FleetConfig {
         gateways,
         engines,
-        peer_settings: Some(PEERS.into()),
-        max_statement_timeout_ms: LONGEST,
+        peer_settings: Some(PEER_SETTINGS.into()),
+        max_statement_timeout_ms: MAX_STATEMENT_TIMEOUT_MS,
         direct_engines,
-        // A customer whose whole allowance is small enough to ask for more than a part of it.
+        // A tenant quota small enough that one gateway needs more than its even share.
         change_config: |settings| {
             settings.replace("\"allowance-per-s\":100000", "\"allowance-per-s\":100")
         },
@@ -36,7 +41,7 @@
     serde_json::from_str(&rows[0][0]).unwrap()
 }
 
-/// Looked at until it is so: a view, not a span of time, ends the wait.
+/// Polls the view of a gateway until the condition holds.
 fn wait_view(fleet: &Fleet, g: usize, what: &str, is: impl Fn(&Value) -> bool) -> Value {
     let until = std::time::Instant::now() + WAIT_TIMEOUT;
     loop {
@@ -53,7 +58,7 @@
     let mut client = Client::connect_to(fleet.gateways[g].address);
     let rows = |req| {
         matches!(
-            client.execute(&statement("lookup", req, LONGEST)),
+            client.execute(&statement("lookup", req, MAX_STATEMENT_TIMEOUT_MS)),
             Answer::Rows(_)
         )
     };
@@ -64,10 +69,10 @@
 }
 
 #[test]
-fn a_drain_told_to_one_member_only_reaches_all() {
+fn a_drain_published_to_one_member_reaches_all() {
     let (first, second) = (ControlledEngine::start(4), ControlledEngine::start(4));
     let fleet = start(4, &[&first, &second], true);
-    // The others' journals have fallen silent.
+    // The discovery watches of the other gateways are silent.
     for g in 1..4 {
         fleet.network.block(LinkEnd::Journal, LinkEnd::Gateway(g));
     }
@@ -82,9 +87,9 @@
     assert_eq!(
         first.start_count_by_gateway(0),
         before,
-        "nothing goes to a draining engine"
+        "a draining engine gets no new statements"
     );
-    // The journal speaks again and tells the same event: it is one.
+    // The watch works again and repeats the event, which counts once.
     fleet.network.unblock(LinkEnd::Journal, LinkEnd::Gateway(1));
     fleet.publish_engine_state_to(1, 0, "terminating");
     fleet.publish_engine_state_to(1, 0, "in_service");
@@ -92,20 +97,20 @@
     lookups(&fleet, 3, 900..930);
     assert!(
         first.start_count_by_gateway(0) > before,
-        "back in service by a later event of a number of its own"
+        "back in service by a later event with its own position"
     );
 }
 
 #[test]
-fn a_failing_engine_is_left_out_by_one_that_never_met_it() {
-    let held = [
+fn a_failing_engine_is_ejected_by_a_gateway_that_never_used_it() {
+    let engines = [
         ControlledEngine::start(5),
         ControlledEngine::start(5),
         ControlledEngine::start(5),
     ];
-    let fleet = start(5, &[&held[0], &held[1], &held[2]], false);
-    held[0].set_starts_failing(true);
-    // Four that have traffic find out; the fifth has none.
+    let fleet = start(5, &[&engines[0], &engines[1], &engines[2]], false);
+    engines[0].set_starts_failing(true);
+    // Four gateways with traffic detect the failures; the fifth has no traffic.
     let id = |v: &Value| {
         v["engines"]
             .as_array()
@@ -122,16 +127,16 @@
         }
         assert!(n < 3000, "{}", view(&fleet, 4));
     }
-    let before = held[0].start_count_by_gateway(4);
-    assert_eq!(before, 0, "it never met it");
-    // Kept warm by the others while it begins.
+    let before = engines[0].start_count_by_gateway(4);
+    assert_eq!(before, 0, "the gateway never used the engine");
+    // The other gateways keep probing the engine while the fifth starts to serve.
     lookups(&fleet, 4, 10_000..10_010);
     assert!(
-        held[0].start_count_by_gateway(4) <= 1,
-        "no more than a trial"
+        engines[0].start_count_by_gateway(4) <= 1,
+        "no more than one probe"
     );
-    // Well again: all use it again.
-    held[0].set_starts_failing(false);
+    // The engine recovers and is readmitted by all gateways.
+    engines[0].set_starts_failing(false);
     n = 20_000;
     while id(&view(&fleet, 4)).is_some() {
         for g in 0..4 {
@@ -143,66 +148,66 @@
 }
 
 #[test]
-fn parts_follow_the_traffic_and_both_sides_of_a_cut_hold_no_more_than_the_whole() {
-    let held = ControlledEngine::start(4);
-    let mut fleet = start(4, &[&held], false);
-    // Of the customer's allowance; all gateways began a loan's span ago.
-    let bound = |v: &Value| v["bounds"][1].clone();
+fn quota_shares_follow_the_traffic_and_never_exceed_the_quota_in_a_partition() {
+    let engine = ControlledEngine::start(4);
+    let mut fleet = start(4, &[&engine], false);
+    // The quota of the tenant, once all gateways have run for the duration of a lease.
+    let quota = |v: &Value| v["bounds"][1].clone();
     for g in 0..4 {
-        wait_view(&fleet, g, "home", |v| bound(v)["away"] == 0);
+        wait_view(&fleet, g, "home", |v| quota(v)["away"] == 0);
     }
-    let sum = |fleet: &Fleet| {
+    let total_held = |fleet: &Fleet| {
         (0..4)
-            .map(|g| bound(&view(fleet, g))["held"].as_u64().unwrap())
+            .map(|g| quota(&view(fleet, g))["held"].as_u64().unwrap())
             .sum::<u64>()
     };
     let mut n = 0;
-    let mut busy = |fleet: &Fleet, is: &dyn Fn(u64) -> bool| {
+    let mut serve_until = |fleet: &Fleet, is: &dyn Fn(u64) -> bool| {
         for _ in 0..2000 {
             lookups(fleet, 0, n..n + 5);
             n += 5;
-            let all = sum(fleet);
+            let all = total_held(fleet);
             assert!(all <= 400, "{all} of 400 held");
-            if is(bound(&view(fleet, 0))["held"].as_u64().unwrap()) {
+            if is(quota(&view(fleet, 0))["held"].as_u64().unwrap()) {
                 return;
             }
         }
         panic!("{}", view(fleet, 0));
     };
-    // All traffic is at one gateway, and more than its even part.
-    busy(&fleet, &|held| held > 150);
-    // Cut off, it goes back to its home as the loans end, and no further.
+    // One gateway has all traffic, which exceeds its even share.
+    serve_until(&fleet, &|held| held > 150);
+    // Isolated, it falls back to its base share as its leases expire, and no further.
     fleet.set_partition(|a, b| a == 0 || b == 0, true);
-    busy(&fleet, &|held| held == 100);
+    serve_until(&fleet, &|held| held == 100);
     for g in 1..4 {
         wait_view(&fleet, g, "floor", |v| {
-            bound(v)["held"].as_u64() >= Some(10)
+            quota(v)["held"].as_u64() >= Some(10)
         });
     }
-    // Healed: it borrows again. A lender that is killed takes nothing back early.
+    // After the partition it gets leases again. A killed grantor revokes no lease early.
     fleet.set_partition(|a, b| a == 0 || b == 0, false);
-    busy(&fleet, &|held| held > 150);
+    serve_until(&fleet, &|held| held > 150);
     fleet.kill(1);
-    let rest = |fleet: &Fleet| {
+    let held_by_others = |fleet: &Fleet| {
         [0, 2, 3]
-            .map(|g| bound(&view(fleet, g))["held"].as_u64().unwrap())
+            .map(|g| quota(&view(fleet, g))["held"].as_u64().unwrap())
             .iter()
             .sum::<u64>()
     };
-    assert!(rest(&fleet) <= 400);
-    // One that is back under its name begins at its floor.
+    assert!(held_by_others(&fleet) <= 400);
+    // A gateway restarted under its name starts at its minimum share.
     fleet.start_gateway(1).unwrap();
-    let back = bound(&view(&fleet, 1));
+    let back = quota(&view(&fleet, 1));
     assert!(back["held"] == 10 || back["away"] == 0, "{back}");
-    assert!(sum(&fleet) <= 400);
+    assert!(total_held(&fleet) <= 400);
 }
 
 #[test]
-fn without_the_own_file_nothing_is_shown_and_nobody_is_spoken_to() {
-    let held = ControlledEngine::start(1);
+fn without_operator_settings_show_fleet_fails_and_the_peer_port_is_closed() {
+    let engine = ControlledEngine::start(1);
     let setup = FleetConfig {
         gateways: 1,
-        engines: FleetEngines::External(vec![held.addresses.clone()]),
+        engines: FleetEngines::External(vec![engine.addresses.clone()]),
         peer_settings: None,
         ..FleetConfig::default()
     };
--- a/crates/ivypitch-cli/tests/teams.rs
+++ b/crates/ivypitch-cli/tests/teams.rs
@@ -1,5 +1,4 @@
-//! The queues of teams in the program, over loopback sockets, and the own settings file that sets
-//! them up.
+//! Team queues of a gateway process, and the operator settings file that configures them.
 
 use std::process::{Command, Output};
 
@@ -7,25 +6,29 @@
 use ivypitch_testbed::test_servers::*;
 use test_case::test_case;
 
-/// One engine of two cores: three threads are out at once, as the team is bound, and more waits.
+/// One engine of two cores: the team limit releases three threads, further statements are queued.
 const CORES: &str = r#""cores-by-kind":[64]"#;
 
 fn small(config: String) -> String {
     config.replace(CORES, r#""cores-by-kind":[2]"#)
 }
 
-fn own(teams: &str) -> String {
+fn operator_settings(teams: &str) -> String {
     format!(
         r#"{{"teams":{{"show":true,"window":"fixed","wait_part":20,"other":{{"most_released_threads":3}},{teams}}}}}"#
     )
 }
 
 fn start(engine: &FakeEngine, teams: &str) -> Gateway {
-    Gateway::start_with_own_settings(&[engine.row("s-1", "in_service")], small, Some(&own(teams)))
+    Gateway::start_with_own_settings(
+        &[engine.row("s-1", "in_service")],
+        small,
+        Some(&operator_settings(teams)),
+    )
 }
 
-/// Clients whose statements fill the window: they run and never end.
-fn fill(gateway: &Gateway, engine: &FakeEngine) -> Vec<Client> {
+/// Clients whose statements fill the window and never complete.
+fn fill_window(gateway: &Gateway, engine: &FakeEngine) -> Vec<Client> {
     let clients: Vec<Client> = (1..=3)
         .map(|req| {
             let mut client = Client::connect(gateway);
@@ -48,17 +51,17 @@
         .count()
 }
 
-fn shown(gateway: &Gateway, ask: &str) -> Vec<Vec<String>> {
-    match Client::connect(gateway).execute(ask) {
+fn show(gateway: &Gateway, show_statement: &str) -> Vec<Vec<String>> {
+    match Client::connect(gateway).execute(show_statement) {
         Answer::Rows(rows) => rows,
-        other => panic!("{ask}: {other:?}"),
+        other => panic!("{show_statement}: {other:?}"),
     }
 }
 
-/// Waits until so many statements wait.
-fn waiting(gateway: &Gateway, count: usize) -> Vec<Vec<String>> {
+/// Waits until `count` statements are queued.
+fn wait_for_queue_length(gateway: &Gateway, count: usize) -> Vec<Vec<String>> {
     for _ in 0..600 {
-        let rows = shown(gateway, "SHOW QUEUE");
+        let rows = show(gateway, "SHOW QUEUE");
         if rows.len() == count {
             return rows;
         }
@@ -68,13 +71,13 @@
 }
 
 #[test]
-fn what_finds_no_room_waits_is_shown_and_goes_on_as_room_comes() {
+fn a_statement_without_a_free_thread_is_queued_shown_and_started_later() {
     let engine = FakeEngine::never_completing();
     let gateway = start(&engine, r#""most_queued":50"#);
-    let running = fill(&gateway, &engine);
+    let running = fill_window(&gateway, &engine);
     let mut client = Client::connect(&gateway);
     client.send(&query(&statement("load", 0xabc, 20_000)));
-    let rows = waiting(&gateway, 1);
+    let rows = wait_for_queue_length(&gateway, 1);
     assert_eq!(
         rows[0][..5],
         ["0000000000000abc", "acme", "load", "waiting", "1"].map(str::to_owned)
@@ -85,18 +88,18 @@
         "low, mid, high: {figures:?}"
     );
     assert_eq!(
-        shown(&gateway, "show wait '0000000000000abc';")[0][3],
+        show(&gateway, "show wait '0000000000000abc';")[0][3],
         "waiting"
     );
     assert_eq!(
-        shown(&gateway, "SHOW WAIT '0000000000000001'")[0][3],
+        show(&gateway, "SHOW WAIT '0000000000000001'")[0][3],
         "running"
     );
-    assert!(shown(&gateway, "SHOW WAIT '00000000000000ff'").is_empty());
+    assert!(show(&gateway, "SHOW WAIT '00000000000000ff'").is_empty());
     assert_eq!(
         loads_started(&engine),
         0,
-        "nothing that waits reaches an engine"
+        "no queued statement reaches an engine"
     );
     drop(running);
     engine.calls.wait("the start of what waited", |c| {
@@ -107,15 +110,15 @@
 #[test_case("kill", 1317; "killed")]
 #[test_case("gone", 0; "its client goes")]
 #[test_case("timeout", 1203; "its time is over")]
-fn what_waits_can_leave_and_no_engine_hears_of_it(way: &str, code: u16) {
+fn a_queued_statement_that_leaves_reaches_no_engine(way: &str, code: u16) {
     let engine = FakeEngine::never_completing();
     let gateway = start(&engine, r#""most_queued":50"#);
-    let _running = fill(&gateway, &engine);
+    let _running = fill_window(&gateway, &engine);
     let mut client = Client::connect(&gateway);
     let timeout = if way == "timeout" { 1500 } else { 20_000 };
     client.send(&query(&statement("load", 0xabc, timeout)));
     if way != "timeout" {
-        waiting(&gateway, 1);
+        wait_for_queue_length(&gateway, 1);
     }
     match way {
         "kill" => {
@@ -131,21 +134,21 @@
     if code > 0 {
         assert_eq!(client.read_answer(1).error_code(), code);
     }
-    waiting(&gateway, 0);
+    wait_for_queue_length(&gateway, 0);
     assert_eq!(loads_started(&engine), 0);
 }
 
 #[test]
-fn over_its_bound_a_team_is_refused_at_once_with_when_to_come_back() {
+fn a_statement_over_the_queue_limit_of_its_team_is_rejected_with_retry_after() {
     let engine = FakeEngine::never_completing();
     let gateway = start(
         &engine,
         r#""by_name":{"acme":{"most_released_threads":3,"most_queued":1}}"#,
     );
-    let _running = fill(&gateway, &engine);
+    let _running = fill_window(&gateway, &engine);
     let mut waits = Client::connect(&gateway);
     waits.send(&query(&statement("load", 4, 20_000)));
-    waiting(&gateway, 1);
+    wait_for_queue_length(&gateway, 1);
     let Answer::Error(1203, text) =
         Client::connect(&gateway).execute(&statement("load", 5, 20_000))
     else {
@@ -171,7 +174,7 @@
 fn sigterm_with_a_full_queue_answers_all_and_exits_with_0() {
     let engine = FakeEngine::never_completing();
     let mut gateway = start(&engine, r#""most_queued":50"#);
-    let _running = fill(&gateway, &engine);
+    let _running = fill_window(&gateway, &engine);
     let mut clients: Vec<Client> = (10..30)
         .map(|req| {
             let mut client = Client::connect(&gateway);
@@ -201,11 +204,11 @@
         &engine,
         r#""by_name":{"acme":{"most_released_threads":3,"most_queued":1}}"#,
     );
-    let _running = fill(&gateway, &engine);
+    let _running = fill_window(&gateway, &engine);
     let mut waits = Client::connect(&gateway);
     waits.send(&query(&statement("load", 4, 20_000)));
-    waiting(&gateway, 1);
-    gateway.write_own_settings(&own(
+    wait_for_queue_length(&gateway, 1);
+    gateway.write_own_settings(&operator_settings(
         r#""by_name":{"acme":{"most_released_threads":3,"most_queued":-1}}"#,
     ));
     gateway.signal("HUP");
@@ -222,7 +225,7 @@
             .error_code(),
         1203
     );
-    gateway.write_own_settings(&own(
+    gateway.write_own_settings(&operator_settings(
         r#""by_name":{"acme":{"most_released_threads":3,"most_queued":9}}"#,
     ));
     gateway.signal("HUP");
@@ -231,7 +234,7 @@
     });
     let mut more = Client::connect(&gateway);
     more.send(&query(&statement("load", 6, 20_000)));
-    waiting(&gateway, 2);
+    wait_for_queue_length(&gateway, 2);
 }
 
 #[test]
@@ -244,7 +247,7 @@
     );
 }
 
-// ---- the own settings file ----
+// ---- operator settings file ----
 
 fn check(name: &str, text: &str, more: &[&str]) -> Output {
     let path = std::env::temp_dir().join(format!("own-{}-{name}", std::process::id()));
@@ -281,7 +284,7 @@
 #[test_case("half.json", "{\"teams\": ", "line 1"; "JSON that is not readable")]
 #[test_case("list.ncl", "[1, 2]", "a list where a record is wanted"; "no record")]
 #[test_case("function.ncl", "{ teams = fun x => x }", "teams"; "a function")]
-fn what_is_no_settings_file_gets_one_clear_error(name: &str, text: &str, wanted: &str) {
+fn an_unreadable_settings_file_gets_one_error(name: &str, text: &str, wanted: &str) {
     let output = check(name, text, &[]);
     assert_eq!(output.status.code(), Some(1));
     let said = String::from_utf8(output.stderr).unwrap();
@@ -302,9 +305,13 @@
         "{}",
         String::from_utf8_lossy(&output.stderr)
     );
-    let own = ivypitch_config::operator::read(&output.stdout).unwrap();
+    let operator_settings = ivypitch_config::operator::read(&output.stdout).unwrap();
     let given = ivypitch_config::read_deployment(SETTINGS.as_bytes()).unwrap();
-    let budgets = own.teams.unwrap().budgets(&given, 100).unwrap();
+    let budgets = operator_settings
+        .teams
+        .unwrap()
+        .budgets(&given, 100)
+        .unwrap();
     assert_eq!(
         (budgets.teams[0].share, budgets.teams[0].max_queued),
         (2.0, 5)
@@ -370,7 +377,7 @@
         "ncl",
         text,
     );
-    assert!(shown(&gateway, "SHOW QUEUE").is_empty());
+    assert!(show(&gateway, "SHOW QUEUE").is_empty());
     let line = gateway
         .log
         .wait("a line", |l| l.contains("gateway started"));
