--- a/crates/ivypitch-cli/tests/takeover/scene.rs
+++ b/crates/ivypitch-cli/tests/takeover/scene.rs
@@ -31,11 +31,11 @@
             .map(|engine| engine.addresses.clone())
             .collect(),
     );
-    let peer_settings = Some(peers.to_owned());
+    let peers = Some(peers.to_owned());
     Fleet::start(FleetConfig {
         gateways,
         engines,
-        peer_settings,
+        peer_settings: peers,
         max_statement_timeout_ms: MAX_STATEMENT_TIMEOUT_MS,
         ..FleetConfig::default()
     })
