--- a/crates/ivypitch-cli/tests/fleet.rs
+++ b/crates/ivypitch-cli/tests/fleet.rs
@@ -203,11 +203,14 @@
 #[test]
 fn nine_in_ten_are_ready_within_ten_seconds_while_discovery_is_down_and_clients_come_at_once() {
     let engine = engine(None);
-    let (_held, journal) = refusing_address();
+    let (_held, discovery_server) = refusing_address();
     let list = [engine.row("s-1", "in_service")];
     let config = |listen: &str, me: usize| {
         let config = fleet_config(configuration(listen, &list, None, 256), GATEWAYS, me);
-        config.replace("\"journal\":\"\"", &format!("\"journal\":\"{journal}\""))
+        config.replace(
+            "\"journal\":\"\"",
+            &format!("\"journal\":\"{discovery_server}\""),
+        )
     };
     let mut gateways: Vec<Gateway> = (0..GATEWAYS)
         .map(|me| Gateway::start_with_config(config("127.0.0.1:0", me)))
--- a/crates/ivypitch-cli/tests/pool.rs
+++ b/crates/ivypitch-cli/tests/pool.rs
@@ -153,6 +153,6 @@
     execute_lookups(&gateway, 6);
     assert!(
         !carried_twice(&engine),
-        "where the idle time is not told nothing is kept"
+        "without an idle timeout no connection is kept"
     );
 }
--- a/crates/ivypitch-cli/tests/races.rs
+++ b/crates/ivypitch-cli/tests/races.rs
@@ -45,10 +45,15 @@
 /// Starts a gateway that watches this discovery service.
 fn start_gateway(
     rows: &[String],
-    journal: Option<&FakeDiscoveryServer>,
+    discovery_server: Option<&FakeDiscoveryServer>,
     change: impl Fn(String) -> String,
 ) -> Gateway {
-    Gateway::start_with_config(change(configuration("127.0.0.1:0", rows, journal, 1024)))
+    Gateway::start_with_config(change(configuration(
+        "127.0.0.1:0",
+        rows,
+        discovery_server,
+        1024,
+    )))
 }
 
 fn send_statement(gateway: &Gateway, kind: &str, req: u64, timeout_ms: u64) -> Client {
@@ -71,8 +76,8 @@
 
 #[test_case(|c| drop(c.stream.shutdown(Shutdown::Both)); "it closes")]
 #[test_case(|c| drop(c.stream.shutdown(Shutdown::Write)); "it closes its half")]
-#[test_case(|c| c.send(&packet(0, &[1])); "it quits")]
-#[test_case(|c| c.send(&[1, 0]); "it begins to quit")]
+#[test_case(|c| c.send(&packet(0, &[1])); "it sends COM_QUIT")]
+#[test_case(|c| c.send(&[1, 0]); "it sends a part of COM_QUIT")]
 fn a_connection_established_as_its_client_leaves_carries_no_start(leave: fn(&mut Client)) {
     let listener = BlockedListener::start();
     let gateway = start_gateway(
@@ -208,7 +213,7 @@
 
 #[test_case(true; "behind it")]
 #[test_case(false; "before it")]
-fn a_kill_right_by_an_engines_accept_ends_the_query_there(behind: bool) {
+fn a_kill_at_the_accept_of_an_engine_cancels_the_query(behind: bool) {
     let accept = EventLog::<()>::new();
     let wait = accept.clone();
     let engine = FakeEngine::start(move |call, n| {
@@ -247,21 +252,21 @@
 
 #[test_case("terminating"; "it begins to drain")]
 #[test_case("terminated"; "it is gone")]
-fn an_engine_that_the_list_takes_away_during_the_dial_gets_no_start(state: &str) {
+fn an_engine_removed_by_discovery_while_connecting_gets_no_start(state: &str) {
     let (listener, other) = (BlockedListener::start(), FakeEngine::completing());
     let endpoints = [
         row_at(listener.address, "s-1", state, 0),
         other.row("s-2", "in_service"),
     ];
-    let journal = FakeDiscoveryServer::without_script();
+    let discovery_server = FakeDiscoveryServer::without_script();
     let gateway = start_gateway(
         &[row_at(listener.address, "s-1", "in_service", 0)],
-        Some(&journal),
+        Some(&discovery_server),
         with_long_connect_timeout,
     );
     let mut client = send_statement(&gateway, "load", 1, STATEMENT_TIMEOUT_MS);
     listener.wait_for_connection_attempt();
-    journal.send(&endpoint_event(2, false, &endpoints));
+    discovery_server.send(&endpoint_event(2, false, &endpoints));
     gateway.log.wait("the endpoint event", |line| {
         is_event(line, "engine added", &[("id", "s-2")])
     });
@@ -288,15 +293,15 @@
         moved.row("s-1", "in_service"),
         other.row("s-2", "terminating"),
     ];
-    let journal = FakeDiscoveryServer::without_script();
+    let discovery_server = FakeDiscoveryServer::without_script();
     let gateway = start_gateway(
         &[row_at(listener.address, "s-1", "in_service", 0)],
-        Some(&journal),
+        Some(&discovery_server),
         with_long_connect_timeout,
     );
     let mut client = send_statement(&gateway, "load", 1, STATEMENT_TIMEOUT_MS);
     listener.wait_for_connection_attempt();
-    journal.send(&endpoint_event(2, false, &endpoints));
+    discovery_server.send(&endpoint_event(2, false, &endpoints));
     gateway.log.wait("the endpoint event", |line| {
         is_event(line, "engine added", &[("id", "s-2")])
     });
@@ -309,7 +314,7 @@
 }
 
 #[test]
-fn a_window_of_repeats_that_closes_during_the_dial_is_closed_for_its_bytes() {
+fn no_repeat_is_sent_if_the_deduplication_window_ends_while_connecting() {
     let (listener, listed) = (BlockedListener::start(), EventLog::<()>::new());
     let wait = listed.clone();
     // It accepts the start and no longer knows it once the test continues.
@@ -321,9 +326,9 @@
             response(500, "", "")
         }
     });
-    let journal = FakeDiscoveryServer::without_script();
+    let discovery_server = FakeDiscoveryServer::without_script();
     let one = [first.row("s-1", "in_service")];
-    let gateway = start_gateway(&one, Some(&journal), |config| {
+    let gateway = start_gateway(&one, Some(&discovery_server), |config| {
         with_deduplication_window(with_long_connect_timeout(config), 1500)
     });
     let sent = Instant::now();
@@ -333,7 +338,7 @@
         first.row("s-1", "terminating"),
         row_at(listener.address, "s-2", "in_service", 0),
     ];
-    journal.send(&endpoint_event(2, false, &endpoints));
+    discovery_server.send(&endpoint_event(2, false, &endpoints));
     gateway.log.wait("the endpoint event", |line| {
         is_event(line, "engine added", &[("id", "s-2")])
     });
@@ -355,7 +360,7 @@
 }
 
 #[test]
-fn a_repeat_within_its_window_carries_the_same_mark_and_key() {
+fn a_repeat_within_its_window_carries_the_same_token_and_key() {
     let second = FakeEngine::completing();
     let first = FakeEngine::start(|call, _| {
         if call.has_method("DELETE") {
@@ -531,7 +536,7 @@
 }
 
 #[test]
-fn a_command_that_is_half_read_as_the_overlap_ends_is_refused_and_not_reset() {
+fn a_command_half_read_at_the_end_of_the_drain_period_is_rejected_without_reset() {
     let engine = FakeEngine::completing();
     let mut gateway = Gateway::start(&[engine.row("s-1", "in_service")]);
     let mut client = Client::connect(&gateway);
@@ -655,7 +660,7 @@
 }
 
 #[test]
-fn a_session_that_rests_ends_in_order_and_bytes_that_cross_reset_nothing() {
+fn an_idle_session_closes_in_order_and_crossing_bytes_cause_no_reset() {
     let (engine, end) = engine_with_held_statement();
     let gateway = Gateway::start(&[engine.row("s-1", "in_service")]);
     let mut resting: Vec<Client> = (0..4).map(|_| Client::connect(&gateway)).collect();
@@ -877,7 +882,7 @@
 #[test_case(5, 30; "a piece of one")]
 #[test_case(5, 1; "its first byte")]
 #[test_case(2, usize::MAX; "a whole request as the time for the first ends")]
-fn a_request_that_comes_with_the_end_of_its_sessions_time_is_served(seconds: u64, piece: usize) {
+fn a_request_at_the_end_of_the_session_timeout_is_served(seconds: u64, piece: usize) {
     let engine = FakeEngine::completing();
     let gateway = Gateway::start(&[engine.row("s-1", "in_service")]);
     let came = Instant::now();
@@ -910,7 +915,7 @@
 }
 
 #[test]
-fn idle_clients_fill_every_place_while_the_journal_is_down_and_its_return_is_heard() {
+fn idle_clients_at_the_session_limit_do_not_block_the_discovery_watch_after_an_outage() {
     let (old, new) = (FakeEngine::completing(), FakeEngine::completing());
     // Connections are refused until the socket listens.
     let (held, address) = refusing_address();
@@ -986,15 +991,15 @@
 }
 
 #[test]
-fn a_journal_that_is_silent_from_the_first_moment_is_asked_again() {
+fn a_watch_that_is_silent_from_the_start_is_reopened() {
     let (old, new) = (FakeEngine::completing(), FakeEngine::completing());
     let endpoints = [old.row("s-1", "terminating"), new.row("s-2", "in_service")];
-    let journal =
+    let discovery_server =
         FakeDiscoveryServer::start(&[String::new(), endpoint_event(2, false, &endpoints)]);
     let gateway = Gateway::start_with(
         "127.0.0.1:0",
         &[old.row("s-1", "in_service")],
-        Some(&journal),
+        Some(&discovery_server),
         1024,
     );
     gateway.log.wait("loss", |line| {
@@ -1011,22 +1016,22 @@
 }
 
 #[test]
-fn a_line_that_can_never_be_used_does_not_hide_those_behind_it() {
+fn an_unusable_event_does_not_hide_later_events() {
     let (old, new) = (FakeEngine::completing(), FakeEngine::completing());
     let endpoints = [old.row("s-1", "terminating"), new.row("s-3", "in_service")];
     let script = "{\"pos\":2,\"hosts\":17}\n".to_owned() + &endpoint_event(3, false, &endpoints);
-    let journal = FakeDiscoveryServer::start(&vec![script; 8]);
+    let discovery_server = FakeDiscoveryServer::start(&vec![script; 8]);
     let gateway = Gateway::start_with(
         "127.0.0.1:0",
         &[old.row("s-1", "in_service")],
-        Some(&journal),
+        Some(&discovery_server),
         1024,
     );
     gateway.log.wait("the endpoint event", |line| {
         is_event(line, "engine added", &[("id", "s-3")])
     });
     assert_eq!(
-        journal.watch_requests.all(),
+        discovery_server.watch_requests.all(),
         vec!["tail 1\n"; 4],
         "it is requested three times more, then skipped"
     );
@@ -1034,22 +1039,22 @@
 }
 
 #[test]
-fn a_number_told_ahead_of_its_events_does_not_lose_them() {
+fn a_position_reported_before_its_events_does_not_lose_them() {
     let (old, new) = (FakeEngine::completing(), FakeEngine::completing());
     let endpoints = [old.row("s-1", "terminating"), new.row("s-2", "in_service")];
-    let journal =
+    let discovery_server =
         FakeDiscoveryServer::start(&[format!("2\n{}", endpoint_event(2, false, &endpoints))]);
     let gateway = Gateway::start_with(
         "127.0.0.1:0",
         &[old.row("s-1", "in_service")],
-        Some(&journal),
+        Some(&discovery_server),
         1024,
     );
     gateway.log.wait("the endpoint event", |line| {
         is_event(line, "engine added", &[("id", "s-2")])
     });
     assert_eq!(
-        journal.watch_requests.all().len(),
+        discovery_server.watch_requests.all().len(),
         1,
         "on the same connection"
     );
@@ -1075,7 +1080,7 @@
 }
 
 #[test]
-fn the_old_service_is_not_heard_once_the_new_one_is_followed() {
+fn events_of_the_old_service_are_ignored_once_the_new_one_is_watched() {
     let (old, new) = (FakeEngine::completing(), FakeEngine::completing());
     let (first, second) = (
         FakeDiscoveryServer::without_script(),
@@ -1135,7 +1140,7 @@
 /// A full list is an event with a position like any other: deltas before it that are repeated, or
 /// that arrive late from the previous service, do not change its result.
 #[test]
-fn a_whole_list_that_crosses_deltas_and_the_old_services_words_is_the_last_word() {
+fn a_full_list_is_not_changed_by_earlier_deltas_or_late_events_of_the_old_service() {
     let [gone, drained, new] = [(); 3].map(|()| FakeEngine::completing());
     let (first, second) = (
         FakeDiscoveryServer::without_script(),
@@ -1202,22 +1207,22 @@
 
 /// Each silent watch connection is closed after 2 s: six of them take over 12 s.
 #[test]
-fn a_drain_told_after_thirteen_seconds_of_silence_counts_for_what_waits_to_leave() {
+fn a_drain_published_after_thirteen_seconds_of_silence_applies_to_a_pending_start() {
     let (listener, other) = (BlockedListener::start(), FakeEngine::completing());
     let endpoints = [
         row_at(listener.address, "s-1", "terminating", 0),
         other.row("s-2", "in_service"),
     ];
-    let journal = FakeDiscoveryServer::without_script();
+    let discovery_server = FakeDiscoveryServer::without_script();
     let gateway = start_gateway(
         &[row_at(listener.address, "s-1", "in_service", 0)],
-        Some(&journal),
+        Some(&discovery_server),
         with_long_connect_timeout,
     );
     let began = Instant::now();
     let mut client = send_statement(&gateway, "load", 1, 3 * STATEMENT_TIMEOUT_MS);
     listener.wait_for_connection_attempt();
-    journal
+    discovery_server
         .watch_requests
         .wait_for_nth("the seventh time that it asks", 7, |t| t == "tail 1\n");
     assert!(
@@ -1225,7 +1230,7 @@
         "{:?}",
         began.elapsed()
     );
-    journal.send(&endpoint_event(2, false, &endpoints));
+    discovery_server.send(&endpoint_event(2, false, &endpoints));
     gateway.log.wait("the endpoint event", |line| {
         is_event(line, "engine added", &[("id", "s-2")])
     });
@@ -1268,7 +1273,7 @@
 /// Bytes that an engine sends as an idle connection is about to be reused.
 #[test_case("HTTP/1.1 2"; "half a line")]
 #[test_case(""; "its close")]
-fn a_kept_connection_that_speaks_or_closes_as_it_is_taken_carries_no_start(bytes: &'static str) {
+fn an_idle_connection_with_data_or_close_at_its_reuse_carries_no_start(bytes: &'static str) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let said = EventLog::<(usize, String)>::new();
--- a/crates/ivypitch-cli/tests/scale.rs
+++ b/crates/ivypitch-cli/tests/scale.rs
@@ -148,7 +148,7 @@
     } = random_faults(seed);
     // Printed if the test fails.
     println!(
-        "seed {seed}: journal of n{silent_watch} silent, of n{broken_watch} broken, {drop:.3} lost\n{plan}"
+        "seed {seed}: discovery watch of n{silent_watch} silent, of n{broken_watch} broken, {drop:.3} lost\n{plan}"
     );
     let mut fleet = Fleet::start(FleetConfig {
         gateways: REAL_GATEWAYS,
--- a/crates/ivypitch-cli/tests/serving.rs
+++ b/crates/ivypitch-cli/tests/serving.rs
@@ -174,7 +174,7 @@
 
 #[test_case("lookup", 1203; "an idempotent statement is rejected")]
 #[test_case("load", 1105; "a load fails")]
-fn an_engine_that_never_ends_is_given_up_in_time_and_started_once(kind: &str, code: u16) {
+fn a_statement_that_never_ends_is_cancelled_in_time_and_started_once(kind: &str, code: u16) {
     let engine = FakeEngine::never_completing();
     let gateway = Gateway::start(&endpoints_of(&engine));
     assert_eq!(
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn kill_query_ends_the_statement_and_gives_it_up() {
+fn kill_query_ends_the_statement_and_cancels_its_execution() {
     let engine = FakeEngine::never_completing();
     let gateway = Gateway::start(&endpoints_of(&engine));
     let (mut client, mut killer) = (Client::connect(&gateway), Client::connect(&gateway));
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn a_give_up_during_the_start_takes_effect_when_the_start_is_answered() {
+fn a_cancel_during_the_start_takes_effect_when_the_start_is_answered() {
     let killed = EventLog::<()>::new();
     let wait = killed.clone();
     let engine = FakeEngine::start(move |call, _| {
@@ -268,8 +268,8 @@
 }
 
 #[test_case(|c| drop(c.stream.shutdown(Shutdown::Write)); "its half is closed")]
-#[test_case(|c| c.send(&packet(0, &[1])); "it quits")]
-fn a_client_that_leaves_has_its_execution_given_up(leave: fn(&mut Client)) {
+#[test_case(|c| c.send(&packet(0, &[1])); "it sends COM_QUIT")]
+fn the_execution_of_a_client_that_leaves_is_cancelled(leave: fn(&mut Client)) {
     let engine = FakeEngine::never_completing();
     let gateway = Gateway::start(&endpoints_of(&engine));
     let mut client = Client::connect(&gateway);
@@ -280,7 +280,7 @@
 }
 
 #[test]
-fn sigterm_serves_the_overlap_answers_all_and_exits_with_0() {
+fn sigterm_serves_the_drain_period_answers_all_and_exits_with_0() {
     let engine = FakeEngine::never_completing();
     let mut gateway = Gateway::start(&endpoints_of(&engine));
     let mut client = Client::connect(&gateway);
@@ -337,10 +337,10 @@
 }
 
 #[test]
-fn the_list_is_followed_over_broken_lines_and_gaps_from_the_last_good_number() {
+fn the_watch_resumes_from_the_last_valid_position_after_broken_lines_and_gaps() {
     let (old, new) = (FakeEngine::completing(), FakeEngine::completing());
     let changed = [old.row("s-1", "terminating"), new.row("s-2", "in_service")];
-    let journal = FakeDiscoveryServer::start(&[
+    let discovery_server = FakeDiscoveryServer::start(&[
         format!(
             "{}{{\"pos\":3,",
             endpoint_event(2, false, &[new.row("s-2", "in_service")])
@@ -355,7 +355,7 @@
     let gateway = Gateway::start_with(
         "127.0.0.1:0",
         &[old.row("s-1", "in_service")],
-        Some(&journal),
+        Some(&discovery_server),
         1024,
     );
     gateway.log.wait("loss", |line| {
@@ -365,7 +365,7 @@
         is_event(line, "endpoint watch resumed", &[("position", "3")])
     });
     assert_eq!(
-        journal.watch_requests.all()[..4],
+        discovery_server.watch_requests.all()[..4],
         ["tail 1\n", "tail 2\n", "tail 2\n", "tail 2\n"]
     );
     let before = old.start_count();
@@ -438,7 +438,7 @@
 }
 
 #[test]
-fn a_session_that_came_as_there_were_too_many_is_served_all_the_same() {
+fn a_session_above_the_session_limit_is_served() {
     let engine = FakeEngine::completing();
     // Sockets for 16 clients and 3 more that can be rejected.
     let gateway = Gateway::start_with("127.0.0.1:0", &endpoints_of(&engine), None, 48);
@@ -511,7 +511,7 @@
 #[test_case("HTTP/1.1 204 No Content\r\n\r\n"; "no answer to this")]
 #[test_case("!"; "a reset")]
 #[test_case(""; "silence")]
-fn a_spoilt_answer_is_asked_for_again_and_never_served(invalid_response: &'static str) {
+fn an_invalid_answer_is_requested_again_and_never_served(invalid_response: &'static str) {
     let answered = std::sync::Mutex::new(std::collections::HashSet::new());
     let engine = FakeEngine::start(move |call, _| {
         let (status, headers, body) = match call.path.rsplit('/').next() {
@@ -568,7 +568,7 @@
         FakeEngine::completing(),
     );
     let there = |id: &str, state: &str| engine.row(id, state);
-    let journal = FakeDiscoveryServer::start(&[endpoint_event(
+    let discovery_server = FakeDiscoveryServer::start(&[endpoint_event(
         2,
         false,
         &[
@@ -580,7 +580,7 @@
     let gateway = Gateway::start_with(
         "127.0.0.1:0",
         &[there("s-1", "in_service")],
-        Some(&journal),
+        Some(&discovery_server),
         1024,
     );
     let mut client = Client::connect(&gateway);
@@ -592,7 +592,7 @@
 }
 
 #[test]
-fn tables_hold_the_engines_there_are_and_not_all_that_ever_were() {
+fn the_engine_table_reuses_the_slots_of_removed_engines() {
     let engine = FakeEngine::completing();
     let id = |n: u64| format!("s-{n}");
     let events = (2..2000).map(|n| {
@@ -605,11 +605,11 @@
             ],
         )
     });
-    let journal = FakeDiscoveryServer::start(&[events.collect::<String>()]);
+    let discovery_server = FakeDiscoveryServer::start(&[events.collect::<String>()]);
     let gateway = Gateway::start_with(
         "127.0.0.1:0",
         &[engine.row("s-1", "in_service")],
-        Some(&journal),
+        Some(&discovery_server),
         1024,
     );
     let last = gateway.log.wait("the last engine", |line| {
@@ -632,13 +632,13 @@
     let (old, new) = (FakeEngine::completing(), FakeEngine::completing());
     let third = [old.row("s-1", "terminated"), new.row("s-3", "in_service")];
     let twice = endpoint_event(2, false, &[new.row("s-2", "in_service")]).repeat(2);
-    let journal = FakeDiscoveryServer::start(&[twice
+    let discovery_server = FakeDiscoveryServer::start(&[twice
         + &endpoint_event(3, false, &third)
         + &endpoint_event(2, false, &[])]);
     let gateway = Gateway::start_with(
         "127.0.0.1:0",
         &[old.row("s-1", "in_service")],
-        Some(&journal),
+        Some(&discovery_server),
         1024,
     );
     gateway.log.wait("the last engine", |line| {
@@ -651,13 +651,13 @@
         .wait("loss", |line| line.contains("endpoint watch lost"));
     let fields = [("position", "3"), ("reason", "silent")];
     assert!(is_event(&lost, "endpoint watch lost", &fields), "{lost}");
-    journal
+    discovery_server
         .watch_requests
         .wait("the next watch request", |t| t == "tail 3\n");
 }
 
 #[test]
-fn a_give_up_whose_answer_is_noise_is_repeated_until_it_is_heard() {
+fn a_cancel_with_an_invalid_answer_is_repeated() {
     let engine = FakeEngine::start(|call, _| match call.method.as_str() {
         "DELETE" => Reply::Response("noise\r\n\r\n".into()),
         _ => response(202, "", ""),
@@ -675,7 +675,7 @@
 }
 
 #[test]
-fn a_reload_follows_the_journal_at_its_new_address_from_the_same_number() {
+fn a_reload_watches_discovery_at_its_new_address_from_the_same_position() {
     let (old, new) = (FakeEngine::completing(), FakeEngine::completing());
     let first = FakeDiscoveryServer::start(&[
         endpoint_event(1, false, &[]) + &endpoint_event(2, false, &[])
--- a/crates/ivypitch-cli/tests/sharing.rs
+++ b/crates/ivypitch-cli/tests/sharing.rs
@@ -1,5 +1,5 @@
-//! Shared endpoint events, engine health and quotas in fleets of real gateways with a relay on every
-//! link between them. Engines count the requests they receive.
+//! Shared endpoint events, engine health and quotas in fleets of real gateways with a relay on
+//! every link between them. Engines count the requests they receive.
 
 use ivypitch_testbed::processes::relay::LinkEnd;
 use ivypitch_testbed::processes::{Fleet, FleetConfig, FleetEngines};
--- a/crates/ivypitch-cli/tests/teams.rs
+++ b/crates/ivypitch-cli/tests/teams.rs
@@ -162,12 +162,12 @@
         .parse()
         .unwrap();
     assert!((1..=2000).contains(&after), "{text}");
-    gateway.log.wait("mode", |l| {
-        is_event(l, "team mode Within -> Over", &[("tenant", "acme")])
+    gateway.log.wait("mode", |line| {
+        is_event(line, "team mode Within -> Over", &[("tenant", "acme")])
+    });
+    gateway.log.wait("mode", |line| {
+        line.contains("queueing mode Direct -> Queueing")
     });
-    gateway
-        .log
-        .wait("mode", |l| l.contains("queueing mode Direct -> Queueing"));
 }
 
 #[test]
@@ -184,7 +184,7 @@
         .collect();
     gateway
         .log
-        .wait("mode", |l| l.contains("Direct -> Queueing"));
+        .wait("mode", |line| line.contains("Direct -> Queueing"));
     gateway.terminate();
     for client in &mut clients {
         let code = client.read_answer(1).error_code();
@@ -193,12 +193,12 @@
     assert_eq!(gateway.exit_code(), Some(0));
     gateway
         .log
-        .wait("record", |l| l.contains("wait estimate totals"));
+        .wait("record", |line| line.contains("wait estimate totals"));
     assert_eq!(loads_started(&engine), 0);
 }
 
 #[test]
-fn sighup_takes_new_budgets_and_keeps_the_old_ones_where_the_file_is_no_good() {
+fn sighup_loads_new_budgets_and_keeps_the_old_ones_if_the_file_is_invalid() {
     let engine = FakeEngine::never_completing();
     let gateway = start(
         &engine,
@@ -212,9 +212,9 @@
         r#""by_name":{"acme":{"most_released_threads":3,"most_queued":-1}}"#,
     ));
     gateway.signal("HUP");
-    let line = gateway
-        .log
-        .wait("fault", |l| l.contains("operator settings not reloaded"));
+    let line = gateway.log.wait("fault", |line| {
+        line.contains("operator settings not reloaded")
+    });
     assert!(
         line.contains("teams.by_name.acme.most_queued: -1 is not within 0 to"),
         "{line}"
@@ -229,8 +229,8 @@
         r#""by_name":{"acme":{"most_released_threads":3,"most_queued":9}}"#,
     ));
     gateway.signal("HUP");
-    gateway.log.wait("reload", |l| {
-        is_event(l, "team budgets reloaded", &[("teams", "1")])
+    gateway.log.wait("reload", |line| {
+        is_event(line, "team budgets reloaded", &[("teams", "1")])
     });
     let mut more = Client::connect(&gateway);
     more.send(&query(&statement("load", 6, 20_000)));
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn without_an_own_file_nothing_waits_and_show_is_no_statement() {
+fn without_operator_settings_show_queue_is_rejected() {
     let engine = FakeEngine::completing();
     let gateway = Gateway::start(&[engine.row("s-1", "in_service")]);
     assert_eq!(
@@ -380,7 +380,7 @@
     assert!(show(&gateway, "SHOW QUEUE").is_empty());
     let line = gateway
         .log
-        .wait("a line", |l| l.contains("gateway started"));
+        .wait("a line", |line| line.contains("gateway started"));
     assert!(
         line.starts_with('{') && line.contains("\"level\":\"info\""),
         "{line}"
