--- a/crates/ivypitch-connection-pool/src/lib.rs
+++ b/crates/ivypitch-connection-pool/src/lib.rs
@@ -59,7 +59,7 @@
 /// The idle connections to one engine.
 pub struct ConnectionPool<T> {
     params: PoolParams,
-    /// Ordered by idle time, longest longest_idle. Entries are removed on reuse, on expiry and
+    /// Ordered by idle time, longest first. Entries are removed on reuse, on expiry and
     /// after an unexpected answer.
     idle: VecDeque<IdleConnection<T>>,
     /// Exact answers since the last unexpected one.
--- a/crates/ivypitch-gateway/src/lifecycle/accept.rs
+++ b/crates/ivypitch-gateway/src/lifecycle/accept.rs
@@ -25,7 +25,7 @@
 const ADDRESS_IN_USE_TIMEOUT: Duration = Duration::from_secs(8);
 /// Time between attempts to bind an address in use.
 const ADDRESS_RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// Time to wait after a listen_error accept.
+/// Time to wait after a failed accept.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Binds the address and listens; `None` if SIGTERM or SIGINT arrives first. While the address is
--- a/crates/ivypitch-testbed/src/experiments/gateway_loss.rs
+++ b/crates/ivypitch-testbed/src/experiments/gateway_loss.rs
@@ -54,7 +54,7 @@
     statements
 }
 
-/// FleetConfig of the fleet.
+/// Configuration of the fleet.
 pub fn setup(seed: u64, has_peers: bool) -> FleetConfig {
     let custody = format!(r#""custody":{{"remembered_ms":{VOTE_RETENTION_MS},"asks_from_ms":0}}"#);
     FleetConfig {
